--- a/crates/damaskvane-gateway/src/process.rs
+++ b/crates/damaskvane-gateway/src/process.rs
@@ -136,7 +136,7 @@
             let _ = sender.send(failure);
         }
     });
-    for collection in store::FOLLOWED {
+    for collection in store::FOLLOWED_COLLECTIONS {
         tokio::task::spawn_local(store::follow(Rc::clone(node), collection));
     }
     tokio::task::spawn_local(store::keep_contact(Rc::clone(node)));
--- a/crates/damaskvane-gateway/src/store.rs
+++ b/crates/damaskvane-gateway/src/store.rs
@@ -21,7 +21,7 @@
 use crate::adapter::Collection;
 
 /// The collections that every instance follows.
-pub const FOLLOWED: [Collection; 5] = [
+pub const FOLLOWED_COLLECTIONS: [Collection; 5] = [
     Collection::Instances,
     Collection::Configuration,
     Collection::Servers,
--- a/crates/damaskvane-gateway/src/store/feed.rs
+++ b/crates/damaskvane-gateway/src/store/feed.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 
 use crate::adapter::Collection;
-use crate::store::FOLLOWED;
+use crate::store::FOLLOWED_COLLECTIONS;
 use crate::store::freshness::Heard;
 use crate::store::journal::Listing;
 
@@ -49,7 +49,7 @@
     items: RefCell<BTreeMap<Collection, VecDeque<Item>>>,
     arrived: Notify,
     /// The revisions that the collections are at.
-    revisions: RefCell<[u64; FOLLOWED.len()]>,
+    revisions: RefCell<[u64; FOLLOWED_COLLECTIONS.len()]>,
     heard: Cell<Heard>,
     restarts: Notify,
 }
@@ -72,7 +72,7 @@
 
     /// Notes the revision that a collection is at.
     pub fn set_revision(&self, collection: Collection, revision: u64) {
-        if let Some(index) = FOLLOWED.iter().position(|one| *one == collection) {
+        if let Some(index) = FOLLOWED_COLLECTIONS.iter().position(|one| *one == collection) {
             self.revisions.borrow_mut()[index] = revision;
         }
     }
--- a/crates/damaskvane-gateway/src/store/feed/frames.rs
+++ b/crates/damaskvane-gateway/src/store/feed/frames.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 
 use crate::adapter::Collection;
-use crate::store::FOLLOWED;
+use crate::store::FOLLOWED_COLLECTIONS;
 use crate::store::feed::SILENCE;
 
 /// Tells the protocol from others on the port, and its form from later ones.
@@ -25,7 +25,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Hello {
     pub(super) magic: u32,
-    pub(super) revisions: [u64; FOLLOWED.len()],
+    pub(super) revisions: [u64; FOLLOWED_COLLECTIONS.len()],
 }
 
 /// What a relay says.
@@ -66,7 +66,7 @@
 }
 
 pub(super) fn collection_of(number: u8) -> io::Result<Collection> {
-    let found = FOLLOWED.get(usize::from(number)).copied();
+    let found = FOLLOWED_COLLECTIONS.get(usize::from(number)).copied();
     found.ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
--- a/crates/damaskvane-gateway/src/store/feed/serve.rs
+++ b/crates/damaskvane-gateway/src/store/feed/serve.rs
@@ -9,7 +9,7 @@
 use crate::adapter::Collection;
 use crate::costs::{Distance, Flow};
 use crate::node::Node;
-use crate::store::FOLLOWED;
+use crate::store::FOLLOWED_COLLECTIONS;
 use crate::store::feed::frames::{self, Frame, Hello};
 use crate::store::feed::{LOOK_PAUSE, PERIOD, SILENCE};
 use crate::store::journal::Next;
@@ -47,7 +47,7 @@
     let mut revisions = hello.revisions;
     let mut additions = node.journal.subscribe();
     loop {
-        for (index, collection) in FOLLOWED.into_iter().enumerate() {
+        for (index, collection) in FOLLOWED_COLLECTIONS.into_iter().enumerate() {
             send_missing(node, &mut stream, index, collection, &mut revisions[index]).await?;
         }
         let store_age_ms = if node.journal.is_whole() {
--- a/crates/damaskvane-gateway/src/store/journal.rs
+++ b/crates/damaskvane-gateway/src/store/journal.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 use crate::adapter::Collection;
-use crate::store::FOLLOWED;
+use crate::store::FOLLOWED_COLLECTIONS;
 
 /// A whole collection at a revision, as the store sent it: a list, and the changes since.
 #[derive(Debug, Clone)]
@@ -87,7 +87,7 @@
     #[must_use]
     pub fn is_whole(&self) -> bool {
         let entries = self.entries.borrow();
-        FOLLOWED
+        FOLLOWED_COLLECTIONS
             .iter()
             .all(|collection| entries.get(collection).is_some_and(|entry| entry.is_whole))
     }
