--- a/crates/damaskvane-gateway/src/store.rs
+++ b/crates/damaskvane-gateway/src/store.rs
@@ -11,7 +11,7 @@
 mod register;
 
 pub use client::{CallError, StoreClient};
-pub use contact::keep as keep_contact;
+pub use contact::keep as run_health_checks;
 pub use feed::{Feed, listen as listen_to_relay, serve as serve_feed, watch_freshness};
 pub use follow::follow;
 pub use health::{Source, StoreHealth};
