--- a/crates/damaskvane-gateway/src/process.rs
+++ b/crates/damaskvane-gateway/src/process.rs
@@ -140,7 +140,7 @@
         tokio::task::spawn_local(store::follow(Rc::clone(node), collection));
     }
     tokio::task::spawn_local(store::run_health_checks(Rc::clone(node)));
-    tokio::task::spawn_local(store::listen_to_relay(Rc::clone(node)));
+    tokio::task::spawn_local(store::subscribe_to_relay(Rc::clone(node)));
     tokio::task::spawn_local(store::watch_freshness(Rc::clone(node)));
     tokio::task::spawn_local(store::register(Rc::clone(node)));
     tokio::task::spawn_local(probes::run(Rc::clone(node)));
--- a/crates/damaskvane-gateway/src/store.rs
+++ b/crates/damaskvane-gateway/src/store.rs
@@ -12,7 +12,7 @@
 
 pub use client::{CallError, StoreClient};
 pub use contact::keep as run_health_checks;
-pub use feed::{Feed, listen as listen_to_relay, serve as serve_feed, watch_freshness};
+pub use feed::{Feed, listen as subscribe_to_relay, serve as serve_feed, watch_freshness};
 pub use follow::follow;
 pub use health::{Source, StoreHealth};
 pub use journal::Journal;
