--- a/crates/damaskvane-gateway/src/store/follow.rs
+++ b/crates/damaskvane-gateway/src/store/follow.rs
@@ -275,7 +275,7 @@
         let timeout = Duration::from_millis(wait_ms) + WAIT_SLACK;
         let body = tokio::select! {
             body = self.client.call(&request, timeout) => body?,
-            () = node.store.until_left_open() => return Err(CallError::Timeout),
+            () = node.store.until_failed_call() => return Err(CallError::Timeout),
         };
         let changes = self.node.adapter.changes(self.collection, &body);
         let changes = changes.map_err(|error| self.unreadable(&error))?;
--- a/crates/damaskvane-gateway/src/store/health.rs
+++ b/crates/damaskvane-gateway/src/store/health.rs
@@ -91,7 +91,7 @@
     }
 
     /// Waits until the store does not answer a question of this instance.
-    pub async fn until_left_open(&self) {
+    pub async fn until_failed_call(&self) {
         let mut failures = self.failures.subscribe();
         // The sender lives as long as the node, so waiting doesn't fail.
         let _ = failures.changed().await;
--- a/crates/damaskvane-gateway/tests/store_health.rs
+++ b/crates/damaskvane-gateway/tests/store_health.rs
@@ -31,7 +31,7 @@
     runtime.block_on(async {
         let health = StoreHealth::default();
         health.answered(TimeMs::new(1_000), key());
-        let watching = health.until_left_open();
+        let watching = health.until_failed_call();
         let asking = async {
             tokio::task::yield_now().await;
             health.answered(TimeMs::new(1_200), key());
