--- a/crates/damaskvane-gateway/src/store/contact.rs
+++ b/crates/damaskvane-gateway/src/store/contact.rs
@@ -62,7 +62,7 @@
         slog::warn!(node.log.log, "store lost"; "error" => %error);
     }
     node.store.own_contact_lost();
-    node.store.left_open();
+    node.store.record_failed_call();
     // Where a relay tells of changes, what is known stays fresh.
     if node.store.source() != Source::Relay {
         node.store.failed();
--- a/crates/damaskvane-gateway/src/store/health.rs
+++ b/crates/damaskvane-gateway/src/store/health.rs
@@ -86,7 +86,7 @@
 
     /// Notes that the store did not answer this instance. Watches that were under way start anew: one that
     /// hangs may never return, whatever a relay says of the store meanwhile.
-    pub fn left_open(&self) {
+    pub fn record_failed_call(&self) {
         self.failures.send_modify(|failures| *failures += 1);
     }
 
--- a/crates/damaskvane-gateway/tests/store_health.rs
+++ b/crates/damaskvane-gateway/tests/store_health.rs
@@ -35,7 +35,7 @@
         let asking = async {
             tokio::task::yield_now().await;
             health.answered(TimeMs::new(1_200), key());
-            health.left_open();
+            health.record_failed_call();
         };
         let both = async { tokio::join!(watching, asking) };
         let ended = tokio::time::timeout(Duration::from_secs(30), both).await;
