--- a/crates/damaskvane-gateway/src/store/contact.rs
+++ b/crates/damaskvane-gateway/src/store/contact.rs
@@ -72,7 +72,7 @@
 fn note_answer(node: &Rc<Node>) {
     let now = node.now();
     node.store.own_answered(now);
-    note_return(node, node.store.answered(now, node.start_key()));
+    note_return(node, node.store.record_answer(now, node.start_key()));
 }
 
 /// Takes in that the store answers again, this instance or the one it hears from, and how long it was away.
--- a/crates/damaskvane-gateway/src/store/feed/listen.rs
+++ b/crates/damaskvane-gateway/src/store/feed/listen.rs
@@ -135,7 +135,7 @@
     }
     if let Some(answered) = answered {
         let at = TimeMs::new(now.get().saturating_sub(age.get()));
-        contact::note_return(node, node.store.answered(at, answered));
+        contact::note_return(node, node.store.record_answer(at, answered));
     }
     true
 }
--- a/crates/damaskvane-gateway/src/store/health.rs
+++ b/crates/damaskvane-gateway/src/store/health.rs
@@ -66,7 +66,7 @@
 
 impl StoreHealth {
     /// Notes that the store answered an instance at a time; returns how long it was away, if it was.
-    pub fn answered(&self, at: TimeMs, instance: StartKey) -> Option<SpanMs> {
+    pub fn record_answer(&self, at: TimeMs, instance: StartKey) -> Option<SpanMs> {
         let before = self.answered_at.get();
         let away = at.since(before.unwrap_or(TimeMs::ZERO));
         if before.is_none_or(|before| before <= at) {
--- a/crates/damaskvane-gateway/tests/store_health.rs
+++ b/crates/damaskvane-gateway/tests/store_health.rs
@@ -16,7 +16,7 @@
 fn a_store_that_never_answered_has_no_fresh_age() {
     let health = StoreHealth::default();
     assert_eq!(health.age(TimeMs::new(1_000)), SpanMs::new(u64::MAX));
-    health.answered(TimeMs::new(2_000), key());
+    health.record_answer(TimeMs::new(2_000), key());
     assert_eq!(health.age(TimeMs::new(2_500)), SpanMs::new(500));
 }
 
@@ -30,11 +30,11 @@
         .expect("a runtime");
     runtime.block_on(async {
         let health = StoreHealth::default();
-        health.answered(TimeMs::new(1_000), key());
+        health.record_answer(TimeMs::new(1_000), key());
         let watching = health.until_failed_call();
         let asking = async {
             tokio::task::yield_now().await;
-            health.answered(TimeMs::new(1_200), key());
+            health.record_answer(TimeMs::new(1_200), key());
             health.record_failed_call();
         };
         let both = async { tokio::join!(watching, asking) };
