--- a/crates/damaskvane-gateway/src/store/intake.rs
+++ b/crates/damaskvane-gateway/src/store/applier.rs
@@ -1,4 +1,4 @@
-//! Turns what the store says of one collection into what the instance believes.
+//! Applies the objects of one store collection, and their changes, to the state of this instance.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -13,20 +13,20 @@
 use crate::crashes;
 use crate::node::Node;
 
-/// Servers that joined at once and get a line each; more of them share one line.
-const MOST_JOINED_LINES: usize = 8;
+/// Largest number of servers joining in one change that get a log line each. A larger number shares one line.
+const MAX_JOINED_LINES: usize = 8;
 
-/// Takes in the objects of one collection and their changes.
-pub(super) struct Intake {
+/// Applies the objects of one collection to the instance's state.
+pub(super) struct Applier {
     node: Rc<Node>,
     collection: Collection,
     evacuated: BTreeSet<ids::AvailabilityZoneId>,
-    /// The instances by the names of their records.
+    /// Instance ids by the name of their record. An event that removes a record holds only the name.
     instances: BTreeMap<String, ids::InstanceId>,
 }
 
-impl Intake {
-    /// An intake that has seen nothing yet.
+impl Applier {
+    /// Creates an applier for one collection.
     pub(super) const fn new(node: Rc<Node>, collection: Collection) -> Self {
         Self {
             node,
@@ -36,23 +36,23 @@
         }
     }
 
-    /// Takes in the whole collection.
+    /// Replaces the whole collection by the given objects.
     pub(super) fn replace(&mut self, items: Vec<Event>) {
         let now = self.node.now();
         match self.collection {
             Collection::Servers => {
-                let entries = items.into_iter().filter_map(|item| self.server(item));
+                let entries = items.into_iter().filter_map(|item| self.server_entry(item));
                 let entries: Vec<ServerEntry> = entries.collect();
                 let mut state = self.node.state.borrow_mut();
                 state.are_servers_listed = true;
                 let changes = state.pool.replace(now, entries);
                 drop(state);
-                self.note_changes(&changes);
+                self.handle_pool_changes(&changes);
             }
             Collection::Evacuations => {
                 self.evacuated.clear();
                 for item in items {
-                    self.note_evacuation(item);
+                    self.apply_evacuation(item);
                 }
                 self.publish_evacuations(now);
             }
@@ -64,7 +64,7 @@
                 self.instances.clear();
                 let records: Vec<_> = items
                     .into_iter()
-                    .filter_map(|item| self.instance(item))
+                    .filter_map(|item| self.instance_record(item))
                     .collect();
                 let members = &mut self.node.state.borrow_mut().members;
                 members.set_listed(records);
@@ -78,41 +78,41 @@
         }
     }
 
-    /// Takes in one change.
+    /// Applies one change, which may be the removal of an object.
     pub(super) fn apply(&mut self, event: Event) {
         let now = self.node.now();
         match self.collection {
             Collection::Configuration => match event.record {
-                Some(Record::Configuration(configuration)) => self.adopt(*configuration),
-                Some(Record::Unusable(why)) => self.note_unusable(&event.name, &why),
+                Some(Record::Configuration(configuration)) => self.activate(*configuration),
+                Some(Record::Unusable(reason)) => self.log_unusable(&event.name, &reason),
                 _ => {}
             },
             Collection::Servers => {
                 let name = event.name.clone();
-                let change = match self.server(event) {
+                let change = match self.server_entry(event) {
                     Some(entry) => self.node.state.borrow_mut().pool.apply(now, entry),
                     None => name.parse().ok().and_then(|id| {
                         let mut state = self.node.state.borrow_mut();
                         state.pool.remove(now, &id)
                     }),
                 };
-                self.note_changes(change.as_slice());
+                self.handle_pool_changes(change.as_slice());
             }
             Collection::Evacuations => {
-                self.note_evacuation(event);
+                self.apply_evacuation(event);
                 self.publish_evacuations(now);
             }
             Collection::Quarantine => match (event.record, event.name.parse()) {
                 (Some(Record::Quarantined(fingerprint)), _) => {
                     crashes::note_recorded(&self.node, fingerprint);
                 }
-                (Some(Record::Unusable(why)), _) => self.note_unusable(&event.name, &why),
+                (Some(Record::Unusable(reason)), _) => self.log_unusable(&event.name, &reason),
                 (None, Ok(fingerprint)) => crashes::note_lifted(&self.node, fingerprint),
                 _ => {}
             },
             Collection::Instances => {
                 let name = event.name.clone();
-                let record = self.instance(event);
+                let record = self.instance_record(event);
                 let members = &mut self.node.state.borrow_mut().members;
                 match record {
                     Some(record) => members.add_listed([record]),
@@ -126,57 +126,59 @@
         }
     }
 
-    /// The instance's record that an event holds, if it is one that can be used.
-    fn instance(&mut self, event: Event) -> Option<ListedInstance> {
+    /// Returns the instance record of an event, and remembers its name. Logs a record that is invalid and
+    /// returns `None`.
+    fn instance_record(&mut self, event: Event) -> Option<ListedInstance> {
         match event.record? {
             Record::Instance(record) => {
                 self.instances.insert(event.name, record.instance.clone());
                 Some(record)
             }
-            Record::Unusable(why) => {
-                self.note_unusable(&event.name, &why);
+            Record::Unusable(reason) => {
+                self.log_unusable(&event.name, &reason);
                 None
             }
             _ => None,
         }
     }
 
-    /// The entry that an event holds, if it is one that can be used.
-    fn server(&self, event: Event) -> Option<ServerEntry> {
+    /// Returns the server entry of an event. Logs an entry that is invalid and returns `None`.
+    fn server_entry(&self, event: Event) -> Option<ServerEntry> {
         match event.record? {
             Record::Server(entry) => Some(entry),
-            Record::Unusable(why) => {
-                self.note_unusable(&event.name, &why);
+            Record::Unusable(reason) => {
+                self.log_unusable(&event.name, &reason);
                 None
             }
             _ => None,
         }
     }
 
-    fn note_unusable(&self, name: &str, why: &str) {
-        slog::warn!(self.node.log.log, "object of the store can't be used";
-            "collection" => self.collection.as_str(), "name" => name, "reason" => why);
+    fn log_unusable(&self, name: &str, reason: &str) {
+        slog::warn!(self.node.log.log, "ignoring an invalid object of the store";
+            "collection" => self.collection.as_str(), "name" => name, "reason" => reason);
     }
 
-    fn note_changes(&self, changes: &[Change]) {
-        // A first list has hundreds of servers; a line each would push other lines of the start out of the queue.
+    fn handle_pool_changes(&self, changes: &[Change]) {
+        // The first list has hundreds of servers. A line for each would push other startup lines out of the
+        // log queue.
         let (joined, others): (Vec<_>, Vec<_>) = changes
             .iter()
             .partition(|change| matches!(change, Change::Joined(_)));
-        if joined.len() > MOST_JOINED_LINES {
+        if joined.len() > MAX_JOINED_LINES {
             let ids: Vec<&str> = joined.iter().map(|one| one.server().as_str()).collect();
             slog::info!(self.node.log.log, "backend servers joined";
                 "count" => ids.len(), "backend_servers" => ids.join(" "),
                 "source" => ?self.node.store.source(),
                 "store_age_ms" => self.node.store.age(self.node.now()).get());
-            self.note_each(&others);
+            self.handle_each_change(&others);
         } else {
             let all: Vec<&Change> = changes.iter().collect();
-            self.note_each(&all);
+            self.handle_each_change(&all);
         }
     }
 
-    fn note_each(&self, changes: &[&Change]) {
+    fn handle_each_change(&self, changes: &[&Change]) {
         for change in changes {
             if let Change::Gone(id) | Change::Restarted(id) = change {
                 self.node.idle.borrow_mut().drop_server(id);
@@ -191,8 +193,8 @@
         }
     }
 
-    /// Puts a configuration in force, unless it is older than the one that is.
-    fn adopt(&self, configuration: Configuration) {
+    /// Puts a configuration in force unless its version is older than, or the same as, the current one.
+    fn activate(&self, configuration: Configuration) {
         let mut state = self.node.state.borrow_mut();
         let in_force = state
             .configuration
@@ -215,12 +217,12 @@
             "config_version" => version.get(), "routes" => routes);
     }
 
-    fn note_evacuation(&mut self, event: Event) {
+    fn apply_evacuation(&mut self, event: Event) {
         match event.record {
             Some(Record::Evacuation(zone)) => {
                 self.evacuated.insert(zone);
             }
-            Some(Record::Unusable(why)) => self.note_unusable(&event.name, &why),
+            Some(Record::Unusable(reason)) => self.log_unusable(&event.name, &reason),
             _ => {
                 if let Ok(zone) = event.name.parse() {
                     self.evacuated.remove(&zone);
--- a/crates/damaskvane-gateway/src/store/client.rs
+++ b/crates/damaskvane-gateway/src/store/client.rs
@@ -1,4 +1,4 @@
-//! Calls on the store over a kept connection.
+//! HTTP client for calls on the store, with one reused connection.
 
 use core::time::Duration;
 use std::io;
@@ -11,32 +11,32 @@
 use crate::http::{self, BodyReader, ReadError};
 use crate::node::Node;
 
-/// How long a connection to the store may take to open. A packet that a partition swallows is sent again
-/// after a second; a new try after this time finds the healed link sooner.
+/// Timeout for opening a connection to the store. A packet that is lost in a partition is retransmitted after
+/// 1 s; a new attempt after this timeout finds a healed link sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// The silence after which a connection to the store is given up. An open connection can go silent for
-/// good; a change must still be heard within about two seconds more.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// Largest answer of the store: pages hold a megabyte at most.
-const MOST_ANSWER_BYTES: usize = 16 << 20;
+/// How long the store's host may send no packet before the connection is closed. An open connection can go
+/// silent for good, and a change must still arrive within about 2 s more.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Largest response body of the store that is read. A page holds at most 1 MB.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Why a call brought nothing.
+/// Reasons why a call on the store failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum CallError {
-    /// the store does not answer in time; it is asked again
+    /// the store did not respond in time; the call is retried
     Timeout,
-    /// the connection to the store broke: {0}; a new one is tried
+    /// the connection to the store broke: {0}; a new connection is opened
     Io(io::Error),
-    /// the store answered with status {0}; it is asked again
+    /// the store responded with status {0}; the call is retried
     Status(StatusCode),
-    /// the history that was asked for is gone; everything is read anew
+    /// the requested history is no longer available in the store; the whole collection is read again
     HistoryGone,
-    /// the store's answer can't be read; check that the address in the settings is the store's
+    /// the store's response can't be decoded; check that the address in the settings is the store's
     Malformed,
 }
 
 impl CallError {
-    /// The error as a word for counters.
+    /// Returns the label of the error for metrics.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
@@ -58,7 +58,7 @@
     }
 }
 
-/// A client with one connection, which carries one call at a time.
+/// Sends calls for one collection over one connection, one call at a time.
 #[derive(Debug)]
 pub struct StoreClient {
     node: Rc<Node>,
@@ -67,7 +67,7 @@
 }
 
 impl StoreClient {
-    /// A client for one collection.
+    /// Creates a client that is not yet connected.
     #[must_use]
     pub const fn new(node: Rc<Node>, collection: Collection) -> Self {
         Self {
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Makes a call.
+    /// Sends a request and returns the body of the response.
     ///
-    /// The connection is kept only after a complete answer: one on which an answer is missing brings
-    /// nothing more, and a late answer would be taken for that of the next call.
+    /// The connection is reused only after a complete response. A connection on which a response is missing
+    /// carries no further call, because a late response would be taken for the response to the next call.
     ///
     /// # Errors
     ///
-    /// Fails if there is no complete answer in time, or its status is not a success.
+    /// Fails if no complete response arrives within `timeout`, or if the status is not a success.
     pub async fn call(
         &mut self,
         request: &StoreRequest,
@@ -103,21 +103,21 @@
     }
 
     async fn exchange(&mut self, request: &StoreRequest) -> Result<Bytes, CallError> {
-        let kept = self.connection.take();
-        let mut connection = match kept.filter(http::Connection::is_clean) {
+        let reusable = self.connection.take();
+        let mut connection = match reusable.filter(http::Connection::is_clean) {
             Some(connection) => connection,
             None => {
                 let address = self.node.settings().store_address;
-                http::Connection::open(address, CONNECT_TIMEOUT, SILENCE)
+                http::Connection::open(address, CONNECT_TIMEOUT, IDLE_TIMEOUT)
                     .await
                     .map_err(CallError::Io)?
             }
         };
-        let bytes = to_bytes(request, &self.node);
+        let bytes = encode_request(request, &self.node);
         connection.write(&bytes).await.map_err(CallError::Io)?;
         let head = connection.read_head().await?;
         let mut body = BodyReader::new(head.body);
-        let body = connection.read_body(&mut body, MOST_ANSWER_BYTES).await?;
+        let body = connection.read_body(&mut body, MAX_RESPONSE_BYTES).await?;
         let body = body.map_err(|_| CallError::Malformed)?;
         if head.keeps_open {
             self.connection = Some(connection);
@@ -131,7 +131,7 @@
     }
 }
 
-fn to_bytes(request: &StoreRequest, node: &Node) -> Vec<u8> {
+fn encode_request(request: &StoreRequest, node: &Node) -> Vec<u8> {
     let address = node.settings().store_address;
     let mut text = format!(
         "{} {} HTTP/1.1\r\nhost: {address}\r\n",
--- a/crates/damaskvane-gateway/src/store/feed.rs
+++ b/crates/damaskvane-gateway/src/store/feed.rs
@@ -1,12 +1,12 @@
-//! Hands changes on within a zone, over one connection for each instance that listens.
+//! Relays the store's changes between instances, over one TCP connection per subscriber.
 //!
-//! The stream is made of frames with their length in front. The relay sends what the listener lacks, and
-//! four times a second how long ago the store has answered: a listener whose relay is cut off from the
-//! store, stopped or gone notices within a second and watches the store itself.
+//! The stream consists of length-prefixed frames. The relay sends the changes that the subscriber lacks, and
+//! four times a second the age of the store's last answer. A subscriber whose relay has stopped, is gone or
+//! is cut off from the store detects this within a second and watches the store itself.
 
 mod frames;
-mod listen;
 mod serve;
+mod subscribe;
 
 use core::time::Duration;
 use std::cell::{Cell, RefCell};
@@ -19,66 +19,72 @@
 
 use crate::adapter::Collection;
 use crate::store::FOLLOWED_COLLECTIONS;
-use crate::store::freshness::Heard;
+use crate::store::freshness::FreshnessTracker;
 use crate::store::journal::Listing;
 
-pub use listen::{listen, watch_freshness};
 pub use serve::serve;
+pub use subscribe::{subscribe, watch_freshness};
 
-/// The pause between two words on the store's age.
-const PERIOD: Duration = Duration::from_millis(250);
-/// The silence after which a listener tries the other relay.
-const SILENCE: Duration = Duration::from_millis(600);
-/// The pause between two looks at the source, and between two tries to connect.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which a relay sends the age of the store's last answer.
+const AGE_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a stream may be silent before the subscriber tries another relay. Also the timeout for connecting
+/// to a relay and for writing a frame.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Interval at which the source of changes is selected again, and between two attempts to connect.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What arrived for one collection.
+/// Data received from a relay for one collection.
 #[derive(Debug)]
-pub enum Item {
-    /// Changes.
+pub enum FeedItem {
+    /// Changes since the last revision that was received.
     Batch(Batch<Bytes>),
     /// The whole collection.
     Listing(Listing),
-    /// Everything must be read anew.
-    Gone,
+    /// The relay no longer has the changes that this instance lacks. The whole collection has to be read
+    /// again.
+    HistoryGone,
 }
 
-/// The listener's side: what arrived, and how fresh it is.
+/// Subscriber's buffer: data received from a relay and not yet applied, and the freshness of that data.
 #[derive(Debug, Default)]
 pub struct Feed {
-    items: RefCell<BTreeMap<Collection, VecDeque<Item>>>,
+    items: RefCell<BTreeMap<Collection, VecDeque<FeedItem>>>,
     arrived: Notify,
-    /// The revisions that the collections are at.
+    /// Last applied revision of each collection, in the order of `FOLLOWED_COLLECTIONS`; 0 requests the whole
+    /// collection.
     revisions: RefCell<[u64; FOLLOWED_COLLECTIONS.len()]>,
-    heard: Cell<Heard>,
-    restarts: Notify,
+    freshness: Cell<FreshnessTracker>,
+    listing_requests: Notify,
 }
 
 impl Feed {
-    /// Asks for a whole collection in place of its next changes.
-    pub fn ask_anew(&self, collection: Collection) {
+    /// Requests a whole collection instead of its next changes, by restarting the subscription at revision 0.
+    pub fn request_listing(&self, collection: Collection) {
         self.set_revision(collection, 0);
-        self.restarts.notify_waiters();
+        self.listing_requests.notify_waiters();
     }
 
-    /// Waits for the whole collection.
+    /// Waits for a whole collection. Changes that arrive before it are dropped.
     pub async fn listing(&self, collection: Collection) -> Listing {
         loop {
-            if let Item::Listing(listing) = self.next(collection).await {
+            if let FeedItem::Listing(listing) = self.next(collection).await {
                 return listing;
             }
         }
     }
 
-    /// Notes the revision that a collection is at.
+    /// Sets the revision up to which a collection has been applied.
     pub fn set_revision(&self, collection: Collection, revision: u64) {
-        if let Some(index) = FOLLOWED_COLLECTIONS.iter().position(|one| *one == collection) {
+        if let Some(index) = FOLLOWED_COLLECTIONS
+            .iter()
+            .position(|one| *one == collection)
+        {
             self.revisions.borrow_mut()[index] = revision;
         }
     }
 
-    /// Waits for the next item of a collection.
-    pub async fn next(&self, collection: Collection) -> Item {
+    /// Waits for the next item of a collection and removes it from the buffer.
+    pub async fn next(&self, collection: Collection) -> FeedItem {
         loop {
             let arrived = self.arrived.notified();
             let item = {
@@ -92,22 +98,23 @@
         }
     }
 
-    /// Notes a source's word on the age of the store's last answer.
-    fn note_alive(&self, now: TimeMs, store_age: SpanMs) {
-        let mut heard = self.heard.get();
-        heard.note(now, store_age);
-        self.heard.set(heard);
+    /// Records the age of the store's last answer that a relay reported.
+    fn record_store_age(&self, now: TimeMs, store_age: SpanMs) {
+        let mut freshness = self.freshness.get();
+        freshness.record(now, store_age);
+        self.freshness.set(freshness);
     }
 
-    /// Since when nothing was heard that is fresh by this age of the store's last answer.
+    /// Returns the time since when the received data has been stale, or `None` if it is fresh. Data is stale
+    /// if the store's last answer is older than `stale_ms`, or if the relay is silent.
     pub(super) fn stale_since(&self, now: TimeMs, stale_ms: u64) -> Option<TimeMs> {
-        let mut heard = self.heard.get();
-        let since = heard.stale_since(now, stale_ms);
-        self.heard.set(heard);
+        let mut freshness = self.freshness.get();
+        let since = freshness.stale_since(now, stale_ms);
+        self.freshness.set(freshness);
         since
     }
 
-    fn push(&self, collection: Collection, item: Item) {
+    fn push(&self, collection: Collection, item: FeedItem) {
         let mut items = self.items.borrow_mut();
         items.entry(collection).or_default().push_back(item);
         drop(items);
--- a/crates/damaskvane-gateway/src/store/feed/frames.rs
+++ b/crates/damaskvane-gateway/src/store/feed/frames.rs
@@ -1,4 +1,4 @@
-//! The messages of the stream and their form on the wire.
+//! Messages of the relay stream and their wire format.
 
 use std::io;
 
@@ -9,32 +9,32 @@
 
 use crate::adapter::Collection;
 use crate::store::FOLLOWED_COLLECTIONS;
-use crate::store::feed::SILENCE;
+use crate::store::feed::IDLE_TIMEOUT;
 
-/// Tells the protocol from others on the port, and its form from later ones.
+/// Identifies the protocol and its version in the first message of a stream.
 pub(super) const MAGIC: u32 = 0x6476_6635;
-/// Largest frame, as it is and compressed: a list of changes is a megabyte at most.
-const MOST_BYTES: u32 = 32 << 20;
-/// From this size on a frame is compressed: lists of servers are most of what goes between zones to hand changes on,
-/// and shrink to a fraction.
-const COMPRESSED_FROM_BYTES: usize = 2_048;
-/// Marks a compressed frame in the number that holds its length.
-const COMPRESSED: u32 = 1 << 31;
+/// Largest frame, compressed or not, in bytes. A list of changes is at most 1 MB.
+const MAX_FRAME_BYTES: u32 = 32 << 20;
+/// Smallest frame that is compressed, in bytes. Server lists are most of the relay traffic between zones and
+/// shrink to a fraction.
+const MIN_COMPRESSED_BYTES: usize = 2_048;
+/// Bit of the length prefix that is set if the frame is compressed.
+const COMPRESSED_FLAG: u32 = 1 << 31;
 
-/// What a listener says once: the revisions that it is at.
+/// First message of a subscriber: the last revision that it has of each collection.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Hello {
     pub(super) magic: u32,
     pub(super) revisions: [u64; FOLLOWED_COLLECTIONS.len()],
 }
 
-/// What a relay says.
+/// Message of a relay.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Frame {
-    /// The store has answered an instance so long ago.
+    /// Reports the time since the store's last answer, in milliseconds.
     Alive {
         store_age_ms: u64,
-        /// The key of that start of the instance; none if the store never answered.
+        /// Key of the instance's incarnation that the store answered; `None` if the store never answered.
         answered: Option<u64>,
     },
     /// Changes of a collection.
@@ -45,14 +45,14 @@
         #[serde(with = "serde_bytes")]
         body: Vec<u8>,
     },
-    /// A whole collection, for a listener that lacks more than the changes that are kept.
+    /// A whole collection, for a subscriber that lacks more changes than the relay retains.
     Listing {
         collection: u8,
         revision: u64,
         pages: Vec<serde_bytes::ByteBuf>,
         changes: Vec<serde_bytes::ByteBuf>,
     },
-    /// What the listener lacks of a collection is no longer known.
+    /// The relay no longer has the changes that the subscriber lacks.
     Gone { collection: u8 },
 }
 
@@ -76,13 +76,13 @@
 
 pub(super) async fn read_frame(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let head = stream.read_u32().await?;
-    let length = head & !COMPRESSED;
-    if length > MOST_BYTES {
+    let length = head & !COMPRESSED_FLAG;
+    if length > MAX_FRAME_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut bytes = vec![0; length as usize];
     stream.read_exact(&mut bytes).await?;
-    if head & COMPRESSED == 0 {
+    if head & COMPRESSED_FLAG == 0 {
         return Ok(bytes);
     }
     decompress(&bytes)
@@ -92,25 +92,28 @@
     let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     let (length, body) = bytes.split_first_chunk().ok_or_else(invalid)?;
     let length = u32::from_le_bytes(*length);
-    // A frame that claims to be larger than any would take the memory of a small machine.
-    if length > MOST_BYTES {
+    // A frame that claims to be larger than any valid frame would use up the memory of a small machine.
+    if length > MAX_FRAME_BYTES {
         return Err(invalid());
     }
     lz4_flex::block::decompress(body, length as usize).map_err(|_| invalid())
 }
 
-/// Sends a frame; returns its bytes.
+/// Sends a message as one frame and returns the number of bytes sent.
 pub(super) async fn send(stream: &mut TcpStream, message: &impl Serialize) -> io::Result<usize> {
     let body = postcard::to_allocvec(message).map_err(io::Error::other)?;
-    let (body, mark) = if body.len() < COMPRESSED_FROM_BYTES {
+    let (body, flag) = if body.len() < MIN_COMPRESSED_BYTES {
         (body, 0)
     } else {
-        (lz4_flex::block::compress_prepend_size(&body), COMPRESSED)
+        (
+            lz4_flex::block::compress_prepend_size(&body),
+            COMPRESSED_FLAG,
+        )
     };
     let length = u32::try_from(body.len()).map_err(io::Error::other)?;
-    let mut bytes = (length | mark).to_be_bytes().to_vec();
+    let mut bytes = (length | flag).to_be_bytes().to_vec();
     bytes.extend_from_slice(&body);
-    // A listener that takes nothing for so long is stopped or gone.
-    tokio::time::timeout(SILENCE, stream.write_all(&bytes)).await??;
+    // A subscriber that does not read for this long is stopped or gone.
+    tokio::time::timeout(IDLE_TIMEOUT, stream.write_all(&bytes)).await??;
     Ok(bytes.len())
 }
--- a/crates/damaskvane-gateway/src/store/feed/serve.rs
+++ b/crates/damaskvane-gateway/src/store/feed/serve.rs
@@ -1,4 +1,4 @@
-//! The relay's side: tells listeners what they lack.
+//! Relay's side of the stream: sends subscribers the changes that they lack.
 
 use std::io;
 use std::rc::Rc;
@@ -11,35 +11,36 @@
 use crate::node::Node;
 use crate::store::FOLLOWED_COLLECTIONS;
 use crate::store::feed::frames::{self, Frame, Hello};
-use crate::store::feed::{LOOK_PAUSE, PERIOD, SILENCE};
-use crate::store::journal::Next;
+use crate::store::feed::{AGE_INTERVAL, IDLE_TIMEOUT, POLL_INTERVAL};
+use crate::store::journal::JournalRead;
 
-/// The age that an instance tells which has missed something.
+/// Age of the store's last answer, in milliseconds, that an instance reports if it has missed changes. It
+/// makes subscribers treat the instance as stale.
 const GAP_AGE_MS: u64 = 3_600_000;
 
-/// Serves listeners until the process ends.
+/// Serves subscribers until the process ends.
 ///
 /// # Errors
 ///
-/// Fails if the address can't be used.
+/// Fails if the peer address in the settings can't be bound.
 pub async fn serve(node: Rc<Node>) -> io::Result<()> {
     let listener = TcpListener::bind(node.settings().peer_address).await?;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         };
         let node = Rc::clone(&node);
         tokio::task::spawn_local(async move {
-            // The listener notices the end of the stream and finds another source.
-            let _ = serve_one(&node, stream).await;
+            // The subscriber detects the end of the stream and connects to another source.
+            let _ = serve_subscriber(&node, stream).await;
         });
     }
 }
 
-async fn serve_one(node: &Rc<Node>, mut stream: TcpStream) -> io::Result<()> {
+async fn serve_subscriber(node: &Rc<Node>, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    let bytes = tokio::time::timeout(SILENCE, frames::read_frame(&mut stream)).await??;
+    let bytes = tokio::time::timeout(IDLE_TIMEOUT, frames::read_frame(&mut stream)).await??;
     let hello: Hello = frames::decode(&bytes)?;
     if hello.magic != frames::MAGIC {
         return Err(io::ErrorKind::InvalidData.into());
@@ -50,7 +51,7 @@
         for (index, collection) in FOLLOWED_COLLECTIONS.into_iter().enumerate() {
             send_missing(node, &mut stream, index, collection, &mut revisions[index]).await?;
         }
-        let store_age_ms = if node.journal.is_whole() {
+        let store_age_ms = if node.journal.is_complete() {
             node.store.age(node.now()).get()
         } else {
             GAP_AGE_MS
@@ -61,12 +62,12 @@
             answered: answered.map(StartKey::get),
         };
         send(node, &mut stream, &alive).await?;
-        // A change is handed on at once, and so is that the store has answered; without either, the age is told once
-        // a period.
+        // Changes, and answers of the store that end a gap, are sent at once. Otherwise the age is sent at
+        // each interval.
         tokio::select! {
             _ = additions.changed() => {}
             () = node.store.until_answered() => {}
-            () = tokio::time::sleep(PERIOD) => {}
+            () = tokio::time::sleep(AGE_INTERVAL) => {}
         }
     }
 }
@@ -81,8 +82,8 @@
     let number = u8::try_from(index).unwrap_or(u8::MAX);
     loop {
         match node.journal.since(collection, *revision) {
-            Next::Nothing => return Ok(()),
-            Next::Listing(listing) => {
+            JournalRead::UpToDate => return Ok(()),
+            JournalRead::Listing(listing) => {
                 *revision = listing.revision;
                 let frame = Frame::Listing {
                     collection: number,
@@ -92,12 +93,12 @@
                 };
                 send(node, stream, &frame).await?;
             }
-            Next::Gone { resume_at } => {
+            JournalRead::HistoryGone { resume_at } => {
                 *revision = resume_at;
                 let frame = Frame::Gone { collection: number };
                 return send(node, stream, &frame).await;
             }
-            Next::Batch(batch) => {
+            JournalRead::Batch(batch) => {
                 *revision = batch.to;
                 let frame = Frame::Changes {
                     collection: number,
--- /dev/null
+++ b/crates/damaskvane-gateway/src/store/feed/subscribe.rs
@@ -0,0 +1,154 @@
+//! Subscriber's side of the stream: connects to a source and checks whether its data is fresh.
+
+use std::io;
+use std::net;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use core::time::Duration;
+use damaskvane_core::time::{SpanMs, TimeMs};
+use damaskvane_routing::peers::StartKey;
+use damaskvane_routing::relay::Batch;
+use tokio::net::TcpStream;
+
+use crate::node::Node;
+use crate::store::feed::frames::{self, Frame, Hello};
+use crate::store::feed::{FeedItem, IDLE_TIMEOUT, POLL_INTERVAL};
+use crate::store::journal::Listing;
+use crate::store::{Source, freshness, health_check};
+
+/// Added to the store age that a source reports, in milliseconds: longer than the transmission takes. Without
+/// it, instances that subscribe to each other in a ring would report fresh data to each other forever.
+const HOP_AGE_MS: u64 = 25;
+/// Delay before the next source is tried if the current one has no fresh data.
+const STALE_SOURCE_DELAY: Duration = Duration::from_millis(150);
+/// The same for an instance that the store does not answer, which depends on a source that the store answers.
+/// Also the delay between two attempts of such an instance to connect.
+const STORE_LOST_DELAY: Duration = Duration::from_millis(30);
+/// How long an instance stays subscribed to a source other than the best one before it tries the best one
+/// again.
+const FALLBACK_SPAN: Duration = Duration::from_secs(10);
+
+/// Subscribes to one of the possible sources whenever there is one, until the process ends.
+pub async fn subscribe(node: Rc<Node>) {
+    let mut next_source = 0;
+    loop {
+        let relay_role = freshness::relay_role(&node);
+        let sources = relay_role.sources();
+        if let Some(address) = sources.get(next_source % sources.len().max(1)).copied() {
+            let is_best = address == sources[0];
+            // The reason for the end of a subscription doesn't matter: the next source is tried.
+            let subscription = subscribe_to(&node, address);
+            if is_best {
+                let _ = subscription.await;
+                next_source += 1;
+            } else if tokio::time::timeout(FALLBACK_SPAN, subscription)
+                .await
+                .is_err()
+            {
+                next_source = 0;
+            } else {
+                next_source += 1;
+            }
+        }
+        tokio::time::sleep(retry_delay(&node, POLL_INTERVAL)).await;
+    }
+}
+
+/// Returns the default delay, or a short one if the store does not answer this instance.
+fn retry_delay(node: &Rc<Node>, default: Duration) -> Duration {
+    if node.store.is_direct_access_lost() {
+        STORE_LOST_DELAY
+    } else {
+        default
+    }
+}
+
+async fn subscribe_to(node: &Rc<Node>, address: net::SocketAddr) -> io::Result<()> {
+    let connecting = TcpStream::connect(address);
+    let mut stream = tokio::time::timeout(IDLE_TIMEOUT, connecting).await??;
+    stream.set_nodelay(true)?;
+    let feed = &node.feed;
+    feed.clear();
+    let hello = Hello {
+        magic: frames::MAGIC,
+        revisions: *feed.revisions.borrow(),
+    };
+    frames::send(&mut stream, &hello).await?;
+    loop {
+        let bytes = tokio::select! {
+            read = tokio::time::timeout(IDLE_TIMEOUT, frames::read_frame(&mut stream)) => read??,
+            () = feed.listing_requests.notified() => return Ok(()),
+        };
+        match frames::decode(&bytes)? {
+            Frame::Alive {
+                store_age_ms,
+                answered,
+            } => {
+                if !handle_store_age(node, store_age_ms, answered.map(StartKey::from_wire)) {
+                    // Another source may have fresher data. If the store is down for all, a delay does no
+                    // harm.
+                    tokio::time::sleep(retry_delay(node, STALE_SOURCE_DELAY)).await;
+                    return Ok(());
+                }
+            }
+            Frame::Changes {
+                collection,
+                from,
+                to,
+                body,
+            } => {
+                let body = Bytes::from(body);
+                let item = FeedItem::Batch(Batch { from, to, body });
+                feed.push(frames::collection_of(collection)?, item);
+            }
+            Frame::Listing {
+                collection,
+                revision,
+                pages,
+                changes,
+            } => {
+                let item = FeedItem::Listing(Listing {
+                    revision,
+                    pages: frames::from_wire(pages),
+                    changes: frames::from_wire(changes),
+                });
+                feed.push(frames::collection_of(collection)?, item);
+            }
+            Frame::Gone { collection } => {
+                feed.push(frames::collection_of(collection)?, FeedItem::HistoryGone);
+            }
+        }
+    }
+}
+
+/// Records when the store last answered which instance, as the source reported it. Returns `false` if the
+/// data is not fresh.
+fn handle_store_age(node: &Rc<Node>, store_age_ms: u64, answered: Option<StartKey>) -> bool {
+    let now = node.now();
+    // The report originates from this instance: it carries no new information and would circulate in a ring.
+    let is_own_report = answered == Some(node.start_key());
+    let age = if is_own_report {
+        SpanMs::new(u64::MAX)
+    } else {
+        SpanMs::new(store_age_ms.saturating_add(HOP_AGE_MS))
+    };
+    node.feed.record_store_age(now, age);
+    freshness::update_source(node);
+    if node.store.source() != Source::Relay {
+        return false;
+    }
+    if let Some(answered) = answered {
+        let at = TimeMs::new(now.get().saturating_sub(age.get()));
+        health_check::handle_recovery(node, node.store.record_answer(at, answered));
+    }
+    true
+}
+
+/// Selects the source of changes again at short intervals, until the process ends.
+pub async fn watch_freshness(node: Rc<Node>) {
+    loop {
+        freshness::update_source(&node);
+        tokio::time::sleep(POLL_INTERVAL).await;
+    }
+}
--- a/crates/damaskvane-gateway/src/store/follow.rs
+++ b/crates/damaskvane-gateway/src/store/follow.rs
@@ -1,4 +1,4 @@
-//! Follows one collection of the store: a list, then watches from its revision on.
+//! Follows one collection of the store: reads the whole collection, then receives its changes.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -9,39 +9,42 @@
 
 use crate::adapter::{Collection, DecodeError, Event, StoreRequest};
 use crate::node::Node;
-use crate::store::feed::Item;
-use crate::store::intake::Intake;
+use crate::store::applier::Applier;
+use crate::store::feed::FeedItem;
 use crate::store::journal::Listing;
 use crate::store::{CallError, Source, StoreClient, freshness};
 
-/// How much later than announced a watch may return.
-const WAIT_SLACK: Duration = Duration::from_millis(1_200);
-/// How long a call that doesn't wait may take: a store that is 50 times slower than usual still answers
-/// a long list in this time.
+/// How much longer than its requested wait time a watch may take to return.
+const WATCH_SLACK: Duration = Duration::from_millis(1_200);
+/// Timeout for a call that does not wait for changes. A store that is 50 times slower than usual still
+/// returns a long list within this time.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The pause between two looks at who is at work in the zone.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
-/// The first pause after a failure.
-const FIRST_PAUSE_MS: u64 = 50;
-/// The longest pause after failures: a store that is back is noticed within it.
-const LONGEST_PAUSE_MS: u64 = 400;
-/// How long a relay may take to send a whole collection before the store is asked for it.
-const RELAY_PATIENCE: Duration = Duration::from_millis(400);
-/// Changes that come within this time are fetched together: each return of a watch is a call that is
-/// paid for, and a replaced server makes several changes.
-const GATHER: Duration = Duration::from_millis(150);
-/// The same for servers, which change most while many join and grow warm. One that drains may still get
-/// requests for 2 s at least, and one that joined is cold.
-const GATHER_SERVERS: Duration = Duration::from_millis(500);
+/// Interval at which `until_first_in_zone` checks the instance's rank in its zone.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Base of the exponential backoff, in milliseconds. The delay after the first failure is between this value
+/// and twice this value.
+const MIN_BACKOFF_MS: u64 = 50;
+/// Longest delay after repeated failures, in milliseconds. A store that has recovered is called again within
+/// this time.
+const MAX_BACKOFF_MS: u64 = 400;
+/// How long a relay may take to send a whole collection before the collection is requested from the store
+/// too.
+const RELAY_LISTING_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long changes are collected before the next watch fetches them together. Each return of a watch is a
+/// call that is paid for, and the replacement of a server makes several changes.
+const BATCH_DELAY: Duration = Duration::from_millis(150);
+/// The same for servers, which change most while many of them join and warm up. The delay is harmless: a
+/// draining server may still receive requests for at least 2 s, and a server that just joined is cold.
+const SERVER_BATCH_DELAY: Duration = Duration::from_millis(500);
 
-/// The same for instances, which tell each other that they start.
-const GATHER_INSTANCES: Duration = Duration::from_secs(2);
+/// The same for instances, which announce their start to each other directly.
+const INSTANCE_BATCH_DELAY: Duration = Duration::from_secs(2);
 
-const fn gather(collection: Collection) -> Duration {
+const fn batch_delay(collection: Collection) -> Duration {
     match collection {
-        Collection::Servers => GATHER_SERVERS,
-        Collection::Instances => GATHER_INSTANCES,
-        _ => GATHER,
+        Collection::Servers => SERVER_BATCH_DELAY,
+        Collection::Instances => INSTANCE_BATCH_DELAY,
+        _ => BATCH_DELAY,
     }
 }
 
@@ -49,23 +52,24 @@
 pub async fn follow(node: Rc<Node>, collection: Collection) {
     Follower {
         client: StoreClient::new(Rc::clone(&node), collection),
-        intake: Intake::new(Rc::clone(&node), collection),
+        applier: Applier::new(Rc::clone(&node), collection),
         node,
         collection,
         failures: 0,
-        has_begun: false,
+        has_listing: false,
     }
     .run()
     .await;
 }
 
-/// Waits until this is the first instance of its zone, which finds out who is at work in the others.
-async fn until_first_of_zone(node: &Rc<Node>) {
+/// Waits until this is the first running instance of its zone. The first instance reads the list of instances
+/// to find those running in other zones.
+async fn until_first_in_zone(node: &Rc<Node>) {
     loop {
-        if freshness::is_settled(node) && node.relay_rank() == Some(0) {
+        if freshness::has_discovered_peers(node) && node.relay_rank() == Some(0) {
             return;
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -73,37 +77,39 @@
     node: Rc<Node>,
     collection: Collection,
     client: StoreClient,
-    intake: Intake,
+    applier: Applier,
     failures: u32,
-    /// Whether the whole collection was read before.
-    has_begun: bool,
+    /// Whether the whole collection was read before, in this process.
+    has_listing: bool,
 }
 
 impl Follower {
     async fn run(&mut self) {
         loop {
-            let revision = self.begin().await;
+            let revision = self.read_collection().await;
             self.watch(revision).await;
-            self.node.journal.set_gap(self.collection);
-            self.node.feed.ask_anew(self.collection);
+            self.node.journal.mark_gap(self.collection);
+            self.node.feed.request_listing(self.collection);
         }
     }
 
-    /// Reads the whole collection, from a relay if there is one, else from the store; whichever answers.
+    /// Reads the whole collection and returns its revision. A relay is tried first, if there is one; after a
+    /// timeout the collection is read from the relay or the store, whichever responds first.
     ///
-    /// Hundreds of instances that start together would each read everything from the store before they know who
-    /// does it for them, so nothing is read while that is undecided.
-    async fn begin(&mut self) -> u64 {
+    /// Nothing is read while the source of changes is undecided, except the list of instances by the first
+    /// instance of a zone. Otherwise each of hundreds of instances that start together would read everything
+    /// from the store before it has found its relay.
+    async fn read_collection(&mut self) -> u64 {
         let node = Rc::clone(&self.node);
         let collection = self.collection;
         tokio::select! {
-            () = node.store.until_other_source(Source::Undecided) => {}
-            () = until_first_of_zone(&node), if collection == Collection::Instances => {}
+            () = node.store.until_source_is_not(Source::Undecided) => {}
+            () = until_first_in_zone(&node), if collection == Collection::Instances => {}
         }
         if node.store.source() == Source::Relay {
             let listing = node.feed.listing(collection);
-            if let Ok(listing) = tokio::time::timeout(RELAY_PATIENCE, listing).await
-                && let Ok(revision) = self.take_listing(listing).await
+            if let Ok(listing) = tokio::time::timeout(RELAY_LISTING_TIMEOUT, listing).await
+                && let Ok(revision) = self.apply_listing(listing).await
             {
                 return revision;
             }
@@ -112,7 +118,7 @@
             let read = async {
                 match self.read_list().await {
                     Err(error) => {
-                        self.pause(&error).await;
+                        self.back_off(&error).await;
                         None
                     }
                     Ok(listing) => Some(listing),
@@ -123,7 +129,7 @@
                 listing = node.feed.listing(collection) => Some(listing),
             };
             if let Some(listing) = listing
-                && let Ok(revision) = self.take_listing(listing).await
+                && let Ok(revision) = self.apply_listing(listing).await
             {
                 return revision;
             }
@@ -136,17 +142,17 @@
         let mut first_revision = None;
         loop {
             let adapter = &self.node.adapter;
-            // Of the instances, what is newer than the first list comes with the changes after it.
-            let may_be_stale = self.collection == Collection::Instances && !self.has_begun;
+            // A stale first list of instances is enough: newer records arrive with the changes that follow.
+            let may_be_stale = self.collection == Collection::Instances && !self.has_listing;
             let request = adapter.list(self.collection, after.as_deref(), may_be_stale);
             let started = self.node.now();
             let body = self.client.call(&request, CALL_TIMEOUT).await?;
             let took_ms = self.node.now().since(started).get();
             self.node.metrics.store_s.observe(took_ms as f64 / 1_000.0);
             let page = self.node.adapter.page(self.collection, &body);
-            let page = page.map_err(|error| self.unreadable(&error))?;
+            let page = page.map_err(|error| self.log_malformed(&error))?;
             pages.push(body);
-            // Changes between two pages are in the history after the first one.
+            // Changes between two pages are in the history after the first page's revision.
             let revision = *first_revision.get_or_insert(page.revision);
             match page.continue_after {
                 Some(name) => after = Some(name),
@@ -161,24 +167,25 @@
         }
     }
 
-    /// Puts a whole collection in place of what was known.
+    /// Replaces the collection by a listing and returns its revision.
     ///
-    /// Others get it first: on a small machine it takes a part of a second to take in a list of a thousand servers, and
-    /// after a loss of power the instances of a zone would wait for each other in a row.
-    async fn take_listing(&mut self, listing: Listing) -> Result<u64, DecodeError> {
+    /// The listing is passed on to subscribers first. On a small machine, applying a list of a thousand
+    /// servers takes a fraction of a second; after a power loss the instances of a zone would otherwise wait
+    /// for each other one after another.
+    async fn apply_listing(&mut self, listing: Listing) -> Result<u64, DecodeError> {
         let revision = listing.revision;
-        self.node.journal.restart(self.collection, listing.clone());
+        self.node.journal.reset(self.collection, listing.clone());
         tokio::task::yield_now().await;
-        let taken = self.take_in(&listing);
-        if taken.is_err() {
-            self.node.journal.set_gap(self.collection);
+        let applied = self.apply_items(&listing);
+        if applied.is_err() {
+            self.node.journal.mark_gap(self.collection);
         }
-        taken.map(|()| revision)
+        applied.map(|()| revision)
     }
 
-    fn take_in(&mut self, listing: &Listing) -> Result<(), DecodeError> {
-        // The last word on each object counts. Were the list taken in before the changes since, servers that
-        // joined after it would be taken as gone for a moment, and as cold after that.
+    fn apply_items(&mut self, listing: &Listing) -> Result<(), DecodeError> {
+        // The last change of each object counts. If the list were applied before the changes that follow,
+        // servers that joined after the list would be treated as gone for a moment, and as cold after that.
         let mut items: BTreeMap<String, Event> = BTreeMap::new();
         for body in &listing.pages {
             let page = self.node.adapter.page(self.collection, body)?;
@@ -190,25 +197,25 @@
             items.extend(events.map(|event| (event.name.clone(), event)));
         }
         items.retain(|_, item| item.record.is_some());
-        self.has_begun = true;
+        self.has_listing = true;
         self.failures = 0;
-        self.intake.replace(items.into_values().collect());
+        self.applier.replace(items.into_values().collect());
         let revision = listing.revision;
         self.node.feed.set_revision(self.collection, revision);
         Ok(())
     }
 
-    /// Follows changes until the history is gone.
+    /// Applies changes until the history after the current revision is no longer available.
     async fn watch(&mut self, mut revision: u64) {
         loop {
-            match self.next_body(revision).await {
+            match self.next_changes(revision).await {
                 Ok((to, body)) => {
                     self.failures = 0;
                     if to <= revision {
                         continue;
                     }
                     if body.is_empty() {
-                        // A whole collection was taken in.
+                        // A whole collection was applied.
                         revision = to;
                         continue;
                     }
@@ -222,48 +229,50 @@
                     }
                     self.node.journal.append(self.collection, to, body);
                     for event in changes.events {
-                        self.intake.apply(event);
+                        self.applier.apply(event);
                     }
                     if self.node.store.source() == Source::Store {
-                        tokio::time::sleep(gather(self.collection)).await;
+                        tokio::time::sleep(batch_delay(self.collection)).await;
                     }
                 }
                 Err(CallError::HistoryGone) => {
-                    slog::info!(self.node.log.log, "history is gone";
+                    slog::info!(self.node.log.log,
+                        "store history is no longer available; reading the whole collection again";
                         "collection" => self.collection.as_str(), "revision" => revision);
                     return;
                 }
-                Err(error) => self.pause(&error).await,
+                Err(error) => self.back_off(&error).await,
             }
         }
     }
 
-    /// The next changes with the revision that they lead to, from wherever changes come.
-    async fn next_body(&mut self, revision: u64) -> Result<(u64, Bytes), CallError> {
+    /// Returns the next changes from the current source, and the revision that they lead to. The body is
+    /// empty if a whole collection was applied or the source has changed.
+    async fn next_changes(&mut self, revision: u64) -> Result<(u64, Bytes), CallError> {
         let node = Rc::clone(&self.node);
         match node.store.source() {
             Source::Store => tokio::select! {
                 body = self.watch_store(revision) => body,
-                () = node.store.until_source(Source::Relay) => Ok((revision, Bytes::new())),
+                () = node.store.until_source_is(Source::Relay) => Ok((revision, Bytes::new())),
             },
             Source::Undecided => {
-                node.store.until_other_source(Source::Undecided).await;
+                node.store.until_source_is_not(Source::Undecided).await;
                 Ok((revision, Bytes::new()))
             }
             Source::Relay => tokio::select! {
                 item = node.feed.next(self.collection) => match item {
-                    Item::Batch(batch) if batch.from <= revision => Ok((batch.to, batch.body)),
-                    // The relay has left something out that this instance lacks.
-                    Item::Batch(_) | Item::Gone => Err(CallError::HistoryGone),
-                    Item::Listing(listing) => {
+                    FeedItem::Batch(batch) if batch.from <= revision => Ok((batch.to, batch.body)),
+                    // The relay no longer has changes that this instance lacks.
+                    FeedItem::Batch(_) | FeedItem::HistoryGone => Err(CallError::HistoryGone),
+                    FeedItem::Listing(listing) => {
                         let to = listing.revision;
-                        if to > revision && self.take_listing(listing).await.is_err() {
+                        if to > revision && self.apply_listing(listing).await.is_err() {
                             return Err(CallError::HistoryGone);
                         }
                         Ok((to, Bytes::new()))
                     }
                 },
-                () = node.store.until_other_source(Source::Relay) => Ok((revision, Bytes::new())),
+                () = node.store.until_source_is_not(Source::Relay) => Ok((revision, Bytes::new())),
             },
         }
     }
@@ -272,31 +281,31 @@
         let node = Rc::clone(&self.node);
         let wait_ms = node.settings().watch_wait_ms();
         let request: StoreRequest = node.adapter.watch(self.collection, revision, wait_ms);
-        let timeout = Duration::from_millis(wait_ms) + WAIT_SLACK;
+        let timeout = Duration::from_millis(wait_ms) + WATCH_SLACK;
         let body = tokio::select! {
             body = self.client.call(&request, timeout) => body?,
             () = node.store.until_failed_call() => return Err(CallError::Timeout),
         };
         let changes = self.node.adapter.changes(self.collection, &body);
-        let changes = changes.map_err(|error| self.unreadable(&error))?;
+        let changes = changes.map_err(|error| self.log_malformed(&error))?;
         Ok((changes.revision, body))
     }
 
-    fn unreadable(&self, error: &DecodeError) -> CallError {
-        slog::warn!(self.node.log.log, "answer of the store can't be read";
+    fn log_malformed(&self, error: &DecodeError) -> CallError {
+        slog::warn!(self.node.log.log, "cannot decode the response of the store";
             "collection" => self.collection.as_str(), "error" => %error);
         CallError::Malformed
     }
 
-    /// Waits before the next call. While the store is away nothing but the contact task asks, so that an
-    /// outage costs few calls and a store that comes back meets no herd.
-    async fn pause(&mut self, error: &CallError) {
+    /// Waits before the next call. While the store is down only the health check calls it, so that an outage
+    /// causes few calls and a recovering store is not overloaded.
+    async fn back_off(&mut self, error: &CallError) {
         self.failures += 1;
-        slog::debug!(self.node.log.log, "call on the store failed";
+        slog::debug!(self.node.log.log, "store call failed; retrying after a delay";
             "collection" => self.collection.as_str(), "error" => %error);
         self.node.store.until_up().await;
-        let longest_ms = (FIRST_PAUSE_MS << self.failures.min(4)).min(LONGEST_PAUSE_MS);
-        let pause_ms = rand::rng().random_range(longest_ms / 2..=longest_ms);
-        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        let max_delay_ms = (MIN_BACKOFF_MS << self.failures.min(4)).min(MAX_BACKOFF_MS);
+        let delay_ms = rand::rng().random_range(max_delay_ms / 2..=max_delay_ms);
+        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     }
 }
--- a/crates/damaskvane-gateway/src/store/freshness.rs
+++ b/crates/damaskvane-gateway/src/store/freshness.rs
@@ -1,10 +1,12 @@
-//! Where changes come from, by what is heard and how fresh it is.
+//! Selects the source of the store's changes, by the age of the data that was received last.
 //!
-//! The first instance of a region's first zone watches the store, and that of the second zone stands by: it hears from
-//! the first one. The first instance of every other zone hears from one of them, and the others of a zone from its
-//! first two. Whoever hears nothing fresh finds out whether the store answers it, and watches it itself if so: the one
-//! that stands by at once, those that others rely on a moment later, and all others after that, since in most cases
-//! their source has found a way by then.
+//! In each region the first instance of the first zone watches the store. The first instance of the second
+//! zone is the standby and subscribes to the watcher. The first instance of every other zone subscribes to
+//! one of these two, and the other instances of a zone subscribe to its first two.
+//!
+//! An instance whose data is stale checks whether the store answers it, and if so watches the store itself.
+//! The standby does so at once, instances that others subscribe to a moment later, and all others after that,
+//! since in most cases their source has found another path by then.
 
 use std::net;
 use std::rc::Rc;
@@ -15,157 +17,167 @@
 use crate::node::Node;
 use crate::store::Source;
 
-/// The age of the last word after which a source is silent.
+/// A source that has sent nothing for this time, in milliseconds, is considered silent.
 const SILENT_MS: u64 = 900;
-/// The age of the store's last answer after which a source knows nothing fresh.
+/// Age of the store's last answer, in milliseconds, above which a source's data is stale.
 const STORE_STALE_MS: u64 = 1_100;
-/// The same for an instance that hears from a relay which itself hears from another one.
+/// The same for a subscriber behind a relay that itself receives from another instance.
 const STORE_STALE_BEHIND_RELAY_MS: u64 = 1_400;
-/// How long an instance waits for its source before it watches the store: a relay, and one that no other relies on.
-const PATIENCE_RELAY_MS: u64 = 200;
-const PATIENCE_MS: u64 = 400;
-/// How long a new process listens for heartbeats before it takes itself for a watcher: instances that start together
-/// have heard each other by then, and only the first of them watch the store.
-const SETTLED_MS: u64 = 450;
-/// How long a new relay waits for a watcher to have read everything, and how long others wait for their relay.
-const START_PATIENCE_RELAY_MS: u64 = 1_500;
-const START_PATIENCE_MS: u64 = 2_200;
-
-/// What this instance is for others.
+/// How long an instance with stale data waits for its source to recover before it watches the store itself,
+/// in milliseconds: the first value is for a relay, the second for an instance without subscribers.
+const RELAY_SOURCE_TIMEOUT_MS: u64 = 200;
+const SOURCE_TIMEOUT_MS: u64 = 400;
+/// How long a new process collects heartbeats before it can act as a watcher, in milliseconds. Instances that
+/// start together have received each other's heartbeats by then, and only the first of them watch the store.
+const DISCOVERY_MS: u64 = 450;
+/// How long after its start an instance waits before it watches the store itself, in milliseconds. The first
+/// value is for a relay or standby, and lets a watcher read everything; the second is for an instance without
+/// subscribers, and lets its relay do so.
+const RELAY_STARTUP_TIMEOUT_MS: u64 = 1_500;
+const STARTUP_TIMEOUT_MS: u64 = 2_200;
+
+/// Role of this instance in the relay of changes. The addresses are those of its possible sources, best one
+/// first.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Standing {
-    /// It watches the store for its region.
+pub(super) enum RelayRole {
+    /// Watches the store for its region.
     Watcher,
-    /// It watches the store when the watcher can't, and hears from the instances at these addresses until then.
-    StandBy(Vec<net::SocketAddr>),
-    /// It hands on in its zone what it hears from the instances at these addresses, the best one first.
+    /// Subscribes to one of the addresses, and watches the store if the watcher fails.
+    Standby(Vec<net::SocketAddr>),
+    /// Subscribes to one of the addresses, and relays the changes within its zone.
     Relay(Vec<net::SocketAddr>),
-    /// No other one relies on it; the same.
-    Listener(Vec<net::SocketAddr>),
+    /// Subscribes to one of the addresses, and has no subscribers of its own.
+    Subscriber(Vec<net::SocketAddr>),
 }
 
-impl Standing {
-    /// Where the instance may hear from.
+impl RelayRole {
+    /// Returns the addresses of the instances to subscribe to, best one first.
     pub(super) fn sources(&self) -> &[net::SocketAddr] {
         match self {
             Self::Watcher => &[],
-            Self::StandBy(sources) | Self::Relay(sources) | Self::Listener(sources) => sources,
+            Self::Standby(sources) | Self::Relay(sources) | Self::Subscriber(sources) => sources,
         }
     }
 
     fn stale_ms(&self) -> u64 {
         match self {
-            Self::Watcher | Self::StandBy(_) | Self::Relay(_) => STORE_STALE_MS,
-            Self::Listener(_) => STORE_STALE_BEHIND_RELAY_MS,
+            Self::Watcher | Self::Standby(_) | Self::Relay(_) => STORE_STALE_MS,
+            Self::Subscriber(_) => STORE_STALE_BEHIND_RELAY_MS,
         }
     }
 
-    fn patience_ms(&self) -> u64 {
+    fn source_timeout_ms(&self) -> u64 {
         match self {
-            Self::Watcher | Self::StandBy(_) => 0,
-            Self::Relay(_) => PATIENCE_RELAY_MS,
-            Self::Listener(_) => PATIENCE_MS,
+            Self::Watcher | Self::Standby(_) => 0,
+            Self::Relay(_) => RELAY_SOURCE_TIMEOUT_MS,
+            Self::Subscriber(_) => SOURCE_TIMEOUT_MS,
         }
     }
 
-    fn start_patience_ms(&self) -> u64 {
+    fn startup_timeout_ms(&self) -> u64 {
         match self {
-            Self::Watcher => SETTLED_MS,
-            Self::StandBy(_) | Self::Relay(_) => START_PATIENCE_RELAY_MS,
-            Self::Listener(_) => START_PATIENCE_MS,
+            Self::Watcher => DISCOVERY_MS,
+            Self::Standby(_) | Self::Relay(_) => RELAY_STARTUP_TIMEOUT_MS,
+            Self::Subscriber(_) => STARTUP_TIMEOUT_MS,
         }
     }
 }
 
-/// What the instance is now.
+/// Returns the current role of this instance.
 ///
-/// An instance that the store doesn't answer hears from anybody: the store may turn some machines away while others
-/// still reach it, and a machine that knows nothing of an evacuation or a drain would go on sending requests there.
-pub(super) fn standing(node: &Rc<Node>) -> Standing {
+/// An instance that the store does not answer may subscribe to any other instance. The store may reject some
+/// machines while others still reach it, and an instance that misses an evacuation or a drain would keep
+/// sending requests there.
+pub(super) fn relay_role(node: &Rc<Node>) -> RelayRole {
     let settings = node.settings();
     let state = node.state.borrow();
     let now = node.now();
     let is_own = |relay: &Relay| relay.instance == settings.instance;
     let mut watchers = state.members.watchers(now, &settings.region);
-    let is_lost = node.store.is_own_contact_lost();
-    // The first of a later zone knows no other zone's instances at its start, and takes itself for a watcher.
-    let may_be_mistaken = now.get() < START_PATIENCE_RELAY_MS && !state.members.is_of_first_zones();
-    let watch = watchers.iter().position(is_own);
-    let watch = watch.filter(|_| !is_lost && !may_be_mistaken);
-    if watch == Some(0) {
-        return Standing::Watcher;
+    let is_access_lost = node.store.is_direct_access_lost();
+    // At startup the first instance of a later zone has received nothing from the earlier zones yet, and
+    // would rank as a watcher.
+    let may_lack_earlier_zones =
+        now.get() < RELAY_STARTUP_TIMEOUT_MS && !state.members.is_of_first_zones();
+    let watcher_rank = watchers.iter().position(is_own);
+    let watcher_rank = watcher_rank.filter(|_| !is_access_lost && !may_lack_earlier_zones);
+    if watcher_rank == Some(0) {
+        return RelayRole::Watcher;
     }
     let mut relays = state.members.relays(now, &settings.zone);
-    let rank = relays.iter().position(is_own);
-    // Listeners spread over their sources by the bytes of their names.
-    let spread: usize = settings.instance.as_str().bytes().map(usize::from).sum();
-    if let Some(rank) = rank {
-        relays.truncate(rank);
+    let relay_rank = relays.iter().position(is_own);
+    // Subscribers distribute themselves over their sources by the byte sum of their names.
+    let name_sum: usize = settings.instance.as_str().bytes().map(usize::from).sum();
+    if let Some(relay_rank) = relay_rank {
+        relays.truncate(relay_rank);
     }
-    if let Some(watch) = watch {
-        watchers.truncate(watch);
+    if let Some(watcher_rank) = watcher_rank {
+        watchers.truncate(watcher_rank);
     }
-    if rank.is_none() && !relays.is_empty() {
-        let first = spread % relays.len();
+    if relay_rank.is_none() && !relays.is_empty() {
+        let first = name_sum % relays.len();
         relays.rotate_left(first);
     }
     if !watchers.is_empty() {
         let near = watchers.iter().position(|one| one.zone == settings.zone);
-        let first = near.unwrap_or(spread % watchers.len());
+        let first = near.unwrap_or(name_sum % watchers.len());
         watchers.rotate_left(first);
     }
     let mut sources: Vec<_> = relays.into_iter().chain(watchers).collect();
     sources.retain(|one| !is_own(one));
     let mut addresses: Vec<_> = sources.into_iter().map(|one| one.address).collect();
-    if is_lost {
+    if is_access_lost {
         let usable = state.members.usable(now);
         let others = usable.filter(|one| one.instance != settings.instance);
         let mut others: Vec<_> = others.map(|one| one.peer_address).collect();
-        // Those that lose the store together don't all ask the same ones first.
-        let first = spread % others.len().max(1);
+        // Instances that lose the store together start with different sources.
+        let first = name_sum % others.len().max(1);
         others.rotate_left(first);
         addresses.extend(others);
     }
     addresses.dedup();
-    match (watch, rank) {
-        (Some(_), _) => Standing::StandBy(addresses),
-        (None, Some(_)) => Standing::Relay(addresses),
-        (None, None) => Standing::Listener(addresses),
+    match (watcher_rank, relay_rank) {
+        (Some(_), _) => RelayRole::Standby(addresses),
+        (None, Some(_)) => RelayRole::Relay(addresses),
+        (None, None) => RelayRole::Subscriber(addresses),
     }
 }
 
-/// What was heard of the store last, and since when that isn't fresh.
+/// Last report on the store that a source sent, and the time since when the data has been stale.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Heard {
-    at: Option<TimeMs>,
+pub(super) struct FreshnessTracker {
+    received_at: Option<TimeMs>,
     store_age: SpanMs,
     stale_since: Option<TimeMs>,
 }
 
-impl Default for Heard {
+impl Default for FreshnessTracker {
     fn default() -> Self {
         Self {
-            at: None,
+            received_at: None,
             store_age: SpanMs::new(u64::MAX),
-            // A new process has heard nothing yet.
+            // A new process has received nothing yet.
             stale_since: Some(TimeMs::ZERO),
         }
     }
 }
 
-impl Heard {
-    /// Takes in a source's word on the age of the store's last answer.
-    pub(super) const fn note(&mut self, now: TimeMs, store_age: SpanMs) {
-        self.at = Some(now);
+impl FreshnessTracker {
+    /// Records the age of the store's last answer that a source reported.
+    pub(super) const fn record(&mut self, now: TimeMs, store_age: SpanMs) {
+        self.received_at = Some(now);
         self.store_age = store_age;
     }
 
     fn is_fresh(&self, now: TimeMs, stale_ms: u64) -> bool {
-        let is_heard = self.at.is_some_and(|at| now.since(at).get() <= SILENT_MS);
-        is_heard && self.store_age.get() <= stale_ms
+        let is_recent = self
+            .received_at
+            .is_some_and(|at| now.since(at).get() <= SILENT_MS);
+        is_recent && self.store_age.get() <= stale_ms
     }
 
-    /// Since when nothing fresh was heard; none while it is fresh.
+    /// Returns the time since when the data has been stale, or `None` if it is fresh. Data is fresh if the
+    /// last report is recent and the store's last answer is not older than `stale_ms`.
     pub(super) fn stale_since(&mut self, now: TimeMs, stale_ms: u64) -> Option<TimeMs> {
         if self.is_fresh(now, stale_ms) {
             self.stale_since = None;
@@ -176,38 +188,38 @@
     }
 }
 
-/// Decides where changes come from.
-pub(super) fn decide(node: &Rc<Node>) {
+/// Selects the source of changes again and logs a change of source.
+pub(super) fn update_source(node: &Rc<Node>) {
     let now = node.now();
-    let standing = standing(node);
-    let stale_since = node.feed.stale_since(now, standing.stale_ms());
+    let relay_role = relay_role(node);
+    let stale_since = node.feed.stale_since(now, relay_role.stale_ms());
     let current = node.store.source();
-    let is_settling = current == Source::Undecided && !is_settled(node);
-    let wanted = match stale_since {
-        _ if standing == Standing::Watcher && !is_settling => Source::Store,
+    let is_discovering = current == Source::Undecided && !has_discovered_peers(node);
+    let new_source = match stale_since {
+        _ if relay_role == RelayRole::Watcher && !is_discovering => Source::Store,
         None => Source::Relay,
-        // It watches the store already, and goes on until something fresh is heard.
+        // Keeps watching the store until a source sends fresh data.
         Some(_) if current == Source::Store => Source::Store,
-        Some(since) if may_watch(node, now, since, &standing) => Source::Store,
+        Some(since) if may_watch_store(node, now, since, &relay_role) => Source::Store,
         Some(_) => Source::Undecided,
     };
-    if node.store.set_source(wanted) {
-        slog::info!(node.log.log, "source of changes"; "source" => ?wanted,
+    if node.store.set_source(new_source) {
+        slog::info!(node.log.log, "source of changes"; "source" => ?new_source,
             "stale_ms" => stale_since.map(|since| now.since(since).get()));
     }
 }
 
-/// Whether the instance knows who of its zone is at work: it has listened for a while, or is the first one of those
-/// that were there before, which all others expect to watch the store.
-pub(super) fn is_settled(node: &Rc<Node>) -> bool {
-    node.now().get() >= SETTLED_MS || node.state.borrow().members.is_first_listed()
+/// Returns whether the instance has discovered the running instances of its zone. This is so after
+/// `DISCOVERY_MS`, and at once for the first listed instance, which all others expect to watch the store.
+pub(super) fn has_discovered_peers(node: &Rc<Node>) -> bool {
+    node.now().get() >= DISCOVERY_MS || node.state.borrow().members.is_first_listed()
 }
 
-/// Whether an instance that hears nothing fresh watches the store itself: the store must have answered it since, and
-/// its source must have had time to find another way.
-fn may_watch(node: &Rc<Node>, now: TimeMs, since: TimeMs, standing: &Standing) -> bool {
-    let answered_at = node.store.own_answered_at();
-    let is_answered = answered_at.is_some_and(|at| at >= since);
-    let is_patient = now.since(since).get() >= standing.patience_ms();
-    is_answered && is_patient && now.get() >= standing.start_patience_ms()
+/// Returns whether an instance with stale data may watch the store itself. The store must have answered this
+/// instance since the data became stale, and its source must have had time to find another path.
+fn may_watch_store(node: &Rc<Node>, now: TimeMs, since: TimeMs, relay_role: &RelayRole) -> bool {
+    let answered_at = node.store.directly_answered_at();
+    let has_answered = answered_at.is_some_and(|at| at >= since);
+    let has_waited = now.since(since).get() >= relay_role.source_timeout_ms();
+    has_answered && has_waited && now.get() >= relay_role.startup_timeout_ms()
 }
--- a/crates/damaskvane-gateway/src/store/health.rs
+++ b/crates/damaskvane-gateway/src/store/health.rs
@@ -1,7 +1,8 @@
-//! Whether what the instance knows of the store is fresh.
+//! State of the store as seen by this instance: whether it is up, and the age of its last answer.
 //!
-//! The store's contact task finds out within about a second that the store is away. Watches wait long, which
-//! saves calls, and start anew after an outage: one that hung through it may never return.
+//! The health check detects within about a second that the store is down. Watches wait long, which saves
+//! calls, and are restarted after an outage, because a watch that was pending during an outage may never
+//! return.
 
 use std::cell::Cell;
 
@@ -9,14 +10,14 @@
 use damaskvane_routing::peers::StartKey;
 use tokio::sync::{Notify, watch};
 
-/// Where changes come from.
+/// Source of the store's changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// From the store itself.
+    /// The store, which this instance watches itself.
     Store,
-    /// From an instance of the zone that watches the store.
+    /// Another instance, which relays changes of the store.
     Relay,
-    /// From nowhere for a moment: nobody is known who tells of them, and whether the store answers is found out.
+    /// No source yet: no relay sends fresh data, and it is being checked whether the store answers.
     Undecided,
 }
 
@@ -26,27 +27,28 @@
     Down,
 }
 
-/// An answer that comes so much later than the one before is told to listeners at once.
-const TOLD_AT_ONCE_MS: u64 = 100;
+/// Time since the previous answer of the store, in milliseconds, from which an answer is reported to
+/// subscribers at once.
+const NOTIFY_GAP_MS: u64 = 100;
 
-/// The store, as the instance finds it.
+/// Reachability of the store and the source of its changes.
 #[derive(Debug)]
 pub struct StoreHealth {
     reachability: watch::Sender<Reachability>,
     source: watch::Sender<Source>,
-    /// Which instance the store answered last, this one or another that it hears of.
-    answered: Cell<Option<StartKey>>,
-    /// When the store answered last; none if it never has. A process that has just started without the store
-    /// must not pass for one that heard from it a moment ago.
+    /// Incarnation of the instance, this one or another one, that the store answered last.
+    answered_instance: Cell<Option<StartKey>>,
+    /// Time of the store's last answer to any instance; `None` if there was none. A process that started
+    /// while the store is down must not pass for one that got an answer a moment ago.
     answered_at: Cell<Option<TimeMs>>,
-    /// Tells of answers of the store.
+    /// Notifies waiting tasks of an answer of the store that came after a gap of `NOTIFY_GAP_MS` or more.
     answers: Notify,
-    /// When the store answered this instance itself last.
-    own_answered_at: Cell<Option<TimeMs>>,
-    /// Counts the questions of this instance that the store left open.
-    failures: watch::Sender<u64>,
-    /// Whether the store does not answer this instance itself, whatever a relay tells.
-    is_own_contact_lost: Cell<bool>,
+    /// Time of the store's last answer to this instance itself.
+    directly_answered_at: Cell<Option<TimeMs>>,
+    /// Number of calls of this instance that the store did not answer.
+    failed_calls: watch::Sender<u64>,
+    /// Whether the store does not answer this instance itself, whatever a relay reports.
+    is_direct_access_lost: Cell<bool>,
 }
 
 impl Default for StoreHealth {
@@ -54,26 +56,27 @@
         Self {
             reachability: watch::Sender::new(Reachability::Up),
             source: watch::Sender::new(Source::Undecided),
-            answered: Cell::new(None),
+            answered_instance: Cell::new(None),
             answered_at: Cell::new(None),
             answers: Notify::new(),
-            own_answered_at: Cell::new(None),
-            failures: watch::Sender::new(0),
-            is_own_contact_lost: Cell::new(false),
+            directly_answered_at: Cell::new(None),
+            failed_calls: watch::Sender::new(0),
+            is_direct_access_lost: Cell::new(false),
         }
     }
 }
 
 impl StoreHealth {
-    /// Notes that the store answered an instance at a time; returns how long it was away, if it was.
+    /// Records that the store answered an instance at a time. Returns the duration of the outage if the store
+    /// was down.
     pub fn record_answer(&self, at: TimeMs, instance: StartKey) -> Option<SpanMs> {
         let before = self.answered_at.get();
-        let away = at.since(before.unwrap_or(TimeMs::ZERO));
+        let gap = at.since(before.unwrap_or(TimeMs::ZERO));
         if before.is_none_or(|before| before <= at) {
             self.answered_at.set(Some(at));
-            self.answered.set(Some(instance));
+            self.answered_instance.set(Some(instance));
         }
-        if away.get() >= TOLD_AT_ONCE_MS {
+        if gap.get() >= NOTIFY_GAP_MS {
             self.answers.notify_waiters();
         }
         let was_down = self.reachability.send_if_modified(|reachability| {
@@ -81,24 +84,25 @@
             *reachability = Reachability::Up;
             was_down
         });
-        was_down.then_some(away)
+        was_down.then_some(gap)
     }
 
-    /// Notes that the store did not answer this instance. Watches that were under way start anew: one that
-    /// hangs may never return, whatever a relay says of the store meanwhile.
+    /// Records that the store did not answer a call of this instance. Pending watches restart, because a
+    /// hanging watch may never return, whatever a relay reports on the store meanwhile.
     pub fn record_failed_call(&self) {
-        self.failures.send_modify(|failures| *failures += 1);
+        self.failed_calls
+            .send_modify(|failed_calls| *failed_calls += 1);
     }
 
-    /// Waits until the store does not answer a question of this instance.
+    /// Waits until the store does not answer a call of this instance.
     pub async fn until_failed_call(&self) {
-        let mut failures = self.failures.subscribe();
+        let mut failed_calls = self.failed_calls.subscribe();
         // The sender lives as long as the node, so waiting doesn't fail.
-        let _ = failures.changed().await;
+        let _ = failed_calls.changed().await;
     }
 
-    /// Notes that the store is away; returns whether that is news.
-    pub fn failed(&self) -> bool {
+    /// Marks the store as down. Returns whether it was up before.
+    pub fn mark_down(&self) -> bool {
         self.reachability.send_if_modified(|reachability| {
             let was_up = *reachability == Reachability::Up;
             *reachability = Reachability::Down;
@@ -106,50 +110,51 @@
         })
     }
 
-    /// Notes that the store answered this instance itself at a time.
-    pub fn own_answered(&self, at: TimeMs) {
-        self.own_answered_at.set(Some(at));
-        self.is_own_contact_lost.set(false);
+    /// Records that the store answered this instance itself at a time.
+    pub fn record_direct_answer(&self, at: TimeMs) {
+        self.directly_answered_at.set(Some(at));
+        self.is_direct_access_lost.set(false);
     }
 
-    /// Notes that the store did not answer this instance itself.
-    pub fn own_contact_lost(&self) {
-        self.is_own_contact_lost.set(true);
+    /// Records that the store did not answer this instance itself.
+    pub fn record_direct_failure(&self) {
+        self.is_direct_access_lost.set(true);
     }
 
-    /// When the store answered this instance itself last.
+    /// Returns the time of the store's last answer to this instance itself, or `None` if there was none.
     #[must_use]
-    pub const fn own_answered_at(&self) -> Option<TimeMs> {
-        self.own_answered_at.get()
+    pub const fn directly_answered_at(&self) -> Option<TimeMs> {
+        self.directly_answered_at.get()
     }
 
-    /// Whether the store does not answer this instance itself.
+    /// Returns whether the store does not answer this instance itself.
     #[must_use]
-    pub const fn is_own_contact_lost(&self) -> bool {
-        self.is_own_contact_lost.get()
+    pub const fn is_direct_access_lost(&self) -> bool {
+        self.is_direct_access_lost.get()
     }
 
-    /// Which instance the store answered last.
+    /// Returns the incarnation of the instance that the store answered last, or `None` if it has answered
+    /// none.
     #[must_use]
     pub const fn answered_instance(&self) -> Option<StartKey> {
-        self.answered.get()
+        self.answered_instance.get()
     }
 
-    /// The time since the store answered last, to this instance or to its relay; the longest span if it never
-    /// has.
+    /// Returns the time since the store's last answer to this instance or to its relay, or the longest span
+    /// if there was none.
     #[must_use]
     pub fn age(&self, now: TimeMs) -> SpanMs {
         let answered_at = self.answered_at.get();
         answered_at.map_or(SpanMs::new(u64::MAX), |at| now.since(at))
     }
 
-    /// Where changes come from.
+    /// Returns the current source of changes.
     #[must_use]
     pub fn source(&self) -> Source {
         *self.source.borrow()
     }
 
-    /// Changes the source; returns whether it was another one.
+    /// Sets the source of changes. Returns whether it differs from the previous one.
     pub fn set_source(&self, source: Source) -> bool {
         self.source.send_if_modified(|current| {
             let is_other = *current != source;
@@ -158,31 +163,31 @@
         })
     }
 
-    /// Waits until changes come from this source.
-    pub async fn until_source(&self, wanted: Source) {
+    /// Waits until the source of changes is `source`.
+    pub async fn until_source_is(&self, source: Source) {
         let mut changes = self.source.subscribe();
         // The sender lives as long as the node, so waiting doesn't fail.
-        let _ = changes.wait_for(|current| *current == wanted).await;
+        let _ = changes.wait_for(|current| *current == source).await;
     }
 
-    /// Waits until changes no longer come from this source.
-    pub async fn until_other_source(&self, than: Source) {
+    /// Waits until the source of changes is no longer `source`.
+    pub async fn until_source_is_not(&self, source: Source) {
         let mut changes = self.source.subscribe();
-        let _ = changes.wait_for(|current| *current != than).await;
+        let _ = changes.wait_for(|current| *current != source).await;
     }
 
-    /// Waits until the store answers, this instance or the one it hears from.
+    /// Waits for an answer of the store, to this instance or to its relay, that comes after a gap.
     pub async fn until_answered(&self) {
         self.answers.notified().await;
     }
 
-    /// Waits until the store is there.
+    /// Waits until the store is up.
     pub async fn until_up(&self) {
-        self.until(Reachability::Up).await;
+        self.until_reachability(Reachability::Up).await;
     }
 
-    async fn until(&self, wanted: Reachability) {
+    async fn until_reachability(&self, target: Reachability) {
         let mut changes = self.reachability.subscribe();
-        let _ = changes.wait_for(|current| *current == wanted).await;
+        let _ = changes.wait_for(|current| *current == target).await;
     }
 }
--- a/crates/damaskvane-gateway/src/store/journal.rs
+++ b/crates/damaskvane-gateway/src/store/journal.rs
@@ -1,4 +1,4 @@
-//! The changes that this instance has heard, for those that hear from it.
+//! Retains the store's data that this instance received, for the instances that subscribe to it.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,45 +10,46 @@
 use crate::adapter::Collection;
 use crate::store::FOLLOWED_COLLECTIONS;
 
-/// A whole collection at a revision, as the store sent it: a list, and the changes since.
+/// A whole collection at a revision, as the store sent it: a list and the changes since.
 #[derive(Debug, Clone)]
 pub struct Listing {
-    /// The revision after the last change.
+    /// Revision after the last change.
     pub revision: u64,
-    /// The pages of the list.
+    /// Pages of the list.
     pub pages: Vec<Bytes>,
-    /// The changes since the list, in order.
+    /// Changes since the list, in order.
     pub changes: Vec<Bytes>,
 }
 
-/// What a reader of the journal gets next.
+/// What a subscriber at a revision has to receive next.
 #[derive(Debug)]
-pub enum Next {
-    /// Nothing new.
-    Nothing,
-    /// Some changes.
+pub enum JournalRead {
+    /// Nothing: the subscriber has all changes, or this instance does not have the collection itself.
+    UpToDate,
+    /// The changes that follow the subscriber's revision.
     Batch(Batch<Bytes>),
-    /// Everything, since what it lacks alone is no longer known.
+    /// The whole collection, because the changes that the subscriber lacks are no longer retained.
     Listing(Listing),
-    /// What it lacks is no longer known; what comes after this revision follows.
-    Gone {
-        /// The revision to go on from.
+    /// The changes that the subscriber lacks are no longer retained, and neither is the list before them. The
+    /// subscriber has to read the whole collection again.
+    HistoryGone {
+        /// Revision from which later changes are sent.
         resume_at: u64,
     },
 }
 
 #[derive(Debug)]
-struct Entry {
+struct CollectionLog {
     listing: Listing,
     log: RelayLog<Bytes>,
-    /// Whether nothing is known to be missing.
-    is_whole: bool,
+    /// Whether no change is known to be missing.
+    is_complete: bool,
 }
 
 /// The last list of each collection and the changes since, as the store sent them.
 #[derive(Debug)]
 pub struct Journal {
-    entries: RefCell<BTreeMap<Collection, Entry>>,
+    entries: RefCell<BTreeMap<Collection, CollectionLog>>,
     additions: watch::Sender<u64>,
 }
 
@@ -62,37 +63,39 @@
 }
 
 impl Journal {
-    /// Begins a collection anew with a list.
-    pub fn restart(&self, collection: Collection, listing: Listing) {
-        let entry = Entry {
+    /// Replaces the log of a collection by a new listing.
+    pub fn reset(&self, collection: Collection, listing: Listing) {
+        let entry = CollectionLog {
             log: RelayLog::new(listing.revision),
             listing,
-            is_whole: true,
+            is_complete: true,
         };
         self.entries.borrow_mut().insert(collection, entry);
         self.additions.send_modify(|count| *count += 1);
     }
 
-    /// Notes that changes of a collection were missed.
+    /// Records that changes of a collection were missed.
     ///
-    /// An instance that must read a collection anew and can't would otherwise pass for a fresh source, as
-    /// long as the store's age that it hears of is small.
-    pub fn set_gap(&self, collection: Collection) {
+    /// Otherwise an instance that must read a collection again and can't would pass for a fresh source, as
+    /// long as its relay reports a recent answer of the store.
+    pub fn mark_gap(&self, collection: Collection) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(&collection) {
-            entry.is_whole = false;
+            entry.is_complete = false;
         }
     }
 
-    /// Whether all collections are known, and none has a gap.
+    /// Returns whether all followed collections are present and no changes are missing.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let entries = self.entries.borrow();
-        FOLLOWED_COLLECTIONS
-            .iter()
-            .all(|collection| entries.get(collection).is_some_and(|entry| entry.is_whole))
+        FOLLOWED_COLLECTIONS.iter().all(|collection| {
+            entries
+                .get(collection)
+                .is_some_and(|entry| entry.is_complete)
+        })
     }
 
-    /// Adds changes.
+    /// Appends the changes of a collection up to the revision `to`, and notifies the readers.
     pub fn append(&self, collection: Collection, to: u64, body: Bytes) {
         let length = body.len();
         if let Some(entry) = self.entries.borrow_mut().get_mut(&collection) {
@@ -101,27 +104,27 @@
         self.additions.send_modify(|count| *count += 1);
     }
 
-    /// What comes after a revision; nothing as long as the collection isn't known here.
-    pub fn since(&self, collection: Collection, revision: u64) -> Next {
+    /// Returns the next data for a subscriber that has a collection up to `revision`.
+    pub fn since(&self, collection: Collection, revision: u64) -> JournalRead {
         let entries = self.entries.borrow();
         let Some(entry) = entries.get(&collection) else {
-            return Next::Nothing;
+            return JournalRead::UpToDate;
         };
         match entry.log.since(revision) {
-            Since::UpToDate => Next::Nothing,
-            Since::Next(batch) => Next::Batch(batch.clone()),
-            // The list still connects to the changes that are kept.
+            Since::UpToDate => JournalRead::UpToDate,
+            Since::Next(batch) => JournalRead::Batch(batch.clone()),
+            // The retained changes still begin at the revision of the list.
             Since::Gone { .. } if entry.log.start() == entry.listing.revision => {
                 let mut listing = entry.listing.clone();
                 listing.revision = entry.log.end();
                 listing.changes.extend(entry.log.bodies().cloned());
-                Next::Listing(listing)
+                JournalRead::Listing(listing)
             }
-            Since::Gone { resume_at } => Next::Gone { resume_at },
+            Since::Gone { resume_at } => JournalRead::HistoryGone { resume_at },
         }
     }
 
-    /// Tells of additions.
+    /// Returns a receiver that is notified of new data.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.additions.subscribe()
     }
--- a/crates/damaskvane-gateway/src/store/register.rs
+++ b/crates/damaskvane-gateway/src/store/register.rs
@@ -1,4 +1,4 @@
-//! The instance's own record in the store, and its first look at those of its zone.
+//! Writes this instance's record to the store, and reads the records of its zone at startup.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -11,41 +11,43 @@
 use crate::node::Node;
 use crate::store::{CallError, Source, StoreClient};
 
-/// How long a call may take.
+/// Timeout of a call on the store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The pause after a failure.
-const PAUSE: Duration = Duration::from_millis(500);
-/// The pauses between looks at the zone's records as long as nobody tells of changes: instances that start
-/// together write theirs within a few hundred milliseconds.
-const LOOK_PAUSES: [Duration; 3] = [
+/// Delay after a failed write.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Delays between reads of the zone's records while the instance has no source of changes. Instances that
+/// start together write their records within a few hundred milliseconds.
+const ZONE_READ_DELAYS: [Duration; 3] = [
     Duration::from_millis(150),
     Duration::from_millis(350),
     Duration::from_millis(800),
 ];
 
-/// Writes the instance's record, unless it is there from an earlier start, and finds the others of its zone.
+/// Writes this instance's record, unless the store has it from an earlier incarnation, and reads the records
+/// of the other instances of its zone.
 ///
-/// Everything else on the instances comes with the changes of the store, as for the other collections.
+/// All later records arrive with the changes of the collection of instances, as for the other collections.
 pub async fn register(node: Rc<Node>) {
     let mut client = StoreClient::new(Rc::clone(&node), Collection::Instances);
     let record = node.record();
-    look(&node, &mut client, &record.zone).await;
-    while let Err(error) = write(&node, &mut client, &record).await {
-        slog::warn!(node.log.log, "own record isn't written"; "error" => %error);
+    read_zone_records(&node, &mut client, &record.zone).await;
+    while let Err(error) = write_record(&node, &mut client, &record).await {
+        slog::warn!(node.log.log, "cannot write the record of this instance to the store; retrying";
+            "error" => %error);
         node.store.until_up().await;
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     node.state.borrow_mut().members.set_registered();
-    for pause in LOOK_PAUSES {
-        tokio::time::sleep(pause).await;
+    for delay in ZONE_READ_DELAYS {
+        tokio::time::sleep(delay).await;
         if node.store.source() != Source::Undecided {
             return;
         }
-        look(&node, &mut client, &record.zone).await;
+        read_zone_records(&node, &mut client, &record.zone).await;
     }
 }
 
-async fn write(
+async fn write_record(
     node: &Rc<Node>,
     client: &mut StoreClient,
     record: &ListedInstance,
@@ -55,7 +57,7 @@
     }
     let [create, replace] = node.adapter.register(record);
     match client.call(&create, CALL_TIMEOUT).await {
-        // A record of an earlier start lies there.
+        // The store has a record of an earlier incarnation.
         Err(CallError::Status(StatusCode::CONFLICT)) => {
             client.call(&replace, CALL_TIMEOUT).await.map(drop)
         }
@@ -63,8 +65,13 @@
     }
 }
 
-/// Reads the records of the own zone. What fails is found later, from the changes of the store.
-async fn look(node: &Rc<Node>, client: &mut StoreClient, zone: &Option<ids::AvailabilityZoneId>) {
+/// Reads the records of this instance's zone. A failure is ignored: the changes of the store bring what was
+/// missed.
+async fn read_zone_records(
+    node: &Rc<Node>,
+    client: &mut StoreClient,
+    zone: &Option<ids::AvailabilityZoneId>,
+) {
     let Some(zone) = zone else {
         return;
     };
@@ -86,11 +93,11 @@
             })
             .collect();
         let is_of_zone = |record: &ListedInstance| record.zone.as_ref() == Some(zone);
-        let goes_on = records.last().is_some_and(is_of_zone);
+        let has_more = records.last().is_some_and(is_of_zone);
         let of_zone = records.into_iter().filter(is_of_zone);
         node.state.borrow_mut().members.add_listed(of_zone);
         match page.continue_after {
-            Some(name) if goes_on => after = Some(name),
+            Some(name) if has_more => after = Some(name),
             _ => return,
         }
     }
