--- a/crates/damaskvane-gateway/src/node.rs
+++ b/crates/damaskvane-gateway/src/node.rs
@@ -9,7 +9,7 @@
 use damaskvane_core::time::TimeMs;
 use damaskvane_routing::configuration::Configuration;
 use damaskvane_routing::limit::RetryBudget;
-use damaskvane_routing::peers::{ListedInstance, Members, Phase, Relay, StartKey};
+use damaskvane_routing::peers::{ListedInstance, Members, Phase, Relay, IncarnationKey};
 use damaskvane_routing::placement::Placer;
 use damaskvane_routing::pool::{ExchangeId, ServerPool};
 use damaskvane_routing::split::Splits;
@@ -157,8 +157,8 @@
 
     /// Names this start of the instance.
     #[must_use]
-    pub fn start_key(&self) -> StartKey {
-        StartKey::new(&self.settings().instance, self.incarnation)
+    pub fn start_key(&self) -> IncarnationKey {
+        IncarnationKey::new(&self.settings().instance, self.incarnation)
     }
 
     /// Which of the instances that hand changes on in the zone this one is, if it is one.
--- a/crates/damaskvane-gateway/src/peers/message.rs
+++ b/crates/damaskvane-gateway/src/peers/message.rs
@@ -4,7 +4,7 @@
 
 use damaskvane_core::ids;
 use damaskvane_dispatch::quarantine::Incident;
-use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, Phase, StartKey};
+use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, Phase, IncarnationKey};
 use damaskvane_routing::placement::{AskedReport, ObjectSample, RouteKey, Verdict};
 use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, ToldServer};
 use serde::{Deserialize, Serialize};
@@ -262,7 +262,7 @@
 
     fn read(self) -> Option<DigestEntry> {
         Some(DigestEntry {
-            key: StartKey::from_wire(u64::from_le_bytes(self.key)),
+            key: IncarnationKey::from_wire(u64::from_le_bytes(self.key)),
             serial: self.serial,
             phase: phase_of(self.phase)?,
             age_ms: self.age_ms,
--- a/crates/damaskvane-gateway/src/store/feed/serve.rs
+++ b/crates/damaskvane-gateway/src/store/feed/serve.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::rc::Rc;
 
-use damaskvane_routing::peers::StartKey;
+use damaskvane_routing::peers::IncarnationKey;
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::adapter::Collection;
@@ -59,7 +59,7 @@
         let answered = node.store.answered_instance();
         let alive = Frame::Alive {
             store_age_ms,
-            answered: answered.map(StartKey::get),
+            answered: answered.map(IncarnationKey::get),
         };
         send(node, &mut stream, &alive).await?;
         // Changes, and answers of the store that end a gap, are sent at once. Otherwise the age is sent at
--- a/crates/damaskvane-gateway/src/store/feed/subscribe.rs
+++ b/crates/damaskvane-gateway/src/store/feed/subscribe.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use core::time::Duration;
 use damaskvane_core::time::{SpanMs, TimeMs};
-use damaskvane_routing::peers::StartKey;
+use damaskvane_routing::peers::IncarnationKey;
 use damaskvane_routing::relay::Batch;
 use tokio::net::TcpStream;
 
@@ -85,7 +85,7 @@
                 store_age_ms,
                 answered,
             } => {
-                if !handle_store_age(node, store_age_ms, answered.map(StartKey::from_wire)) {
+                if !handle_store_age(node, store_age_ms, answered.map(IncarnationKey::from_wire)) {
                     // Another source may have fresher data. If the store is down for all, a delay does no
                     // harm.
                     tokio::time::sleep(retry_delay(node, STALE_SOURCE_DELAY)).await;
@@ -124,7 +124,7 @@
 
 /// Records when the store last answered which instance, as the source reported it. Returns `false` if the
 /// data is not fresh.
-fn handle_store_age(node: &Rc<Node>, store_age_ms: u64, answered: Option<StartKey>) -> bool {
+fn handle_store_age(node: &Rc<Node>, store_age_ms: u64, answered: Option<IncarnationKey>) -> bool {
     let now = node.now();
     // The report originates from this instance: it carries no new information and would circulate in a ring.
     let is_own_report = answered == Some(node.start_key());
--- a/crates/damaskvane-gateway/src/store/health.rs
+++ b/crates/damaskvane-gateway/src/store/health.rs
@@ -7,7 +7,7 @@
 use std::cell::Cell;
 
 use damaskvane_core::time::{SpanMs, TimeMs};
-use damaskvane_routing::peers::StartKey;
+use damaskvane_routing::peers::IncarnationKey;
 use tokio::sync::{Notify, watch};
 
 /// Source of the store's changes.
@@ -37,7 +37,7 @@
     reachability: watch::Sender<Reachability>,
     source: watch::Sender<Source>,
     /// Incarnation of the instance, this one or another one, that the store answered last.
-    answered_instance: Cell<Option<StartKey>>,
+    answered_instance: Cell<Option<IncarnationKey>>,
     /// Time of the store's last answer to any instance; `None` if there was none. A process that started
     /// while the store is down must not pass for one that got an answer a moment ago.
     answered_at: Cell<Option<TimeMs>>,
@@ -69,7 +69,7 @@
 impl StoreHealth {
     /// Records that the store answered an instance at a time. Returns the duration of the outage if the store
     /// was down.
-    pub fn record_answer(&self, at: TimeMs, instance: StartKey) -> Option<SpanMs> {
+    pub fn record_answer(&self, at: TimeMs, instance: IncarnationKey) -> Option<SpanMs> {
         let before = self.answered_at.get();
         let gap = at.since(before.unwrap_or(TimeMs::ZERO));
         if before.is_none_or(|before| before <= at) {
@@ -136,7 +136,7 @@
     /// Returns the incarnation of the instance that the store answered last, or `None` if it has answered
     /// none.
     #[must_use]
-    pub const fn answered_instance(&self) -> Option<StartKey> {
+    pub const fn answered_instance(&self) -> Option<IncarnationKey> {
         self.answered_instance.get()
     }
 
--- a/crates/damaskvane-gateway/tests/datagrams.rs
+++ b/crates/damaskvane-gateway/tests/datagrams.rs
@@ -6,7 +6,7 @@
 use damaskvane_dispatch::quarantine::{Incident, IncidentId};
 use damaskvane_gateway::crashes;
 use damaskvane_gateway::peers::Message;
-use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, Phase, StartKey};
+use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, Phase, IncarnationKey};
 use damaskvane_routing::placement::{MOST_STEPS, ObjectSample, RouteKey, Verdict};
 use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, ToldServer};
 use proptest::prelude::*;
@@ -28,7 +28,7 @@
 
 fn digest(entries: usize) -> Message {
     let entry = |number| DigestEntry {
-        key: StartKey::from_wire(u64::MAX - number),
+        key: IncarnationKey::from_wire(u64::MAX - number),
         serial: 1 << 40,
         phase: Phase::Ready,
         age_ms: 2_599,
--- a/crates/damaskvane-gateway/tests/store_health.rs
+++ b/crates/damaskvane-gateway/tests/store_health.rs
@@ -4,10 +4,10 @@
 
 use damaskvane_core::time::{SpanMs, TimeMs};
 use damaskvane_gateway::store::StoreHealth;
-use damaskvane_routing::peers::StartKey;
+use damaskvane_routing::peers::IncarnationKey;
 
-fn key() -> StartKey {
-    StartKey::from_wire(1)
+fn key() -> IncarnationKey {
+    IncarnationKey::from_wire(1)
 }
 
 /// An instance starts while the store is away and gets everything from others. Taken to have heard from the store
--- a/crates/damaskvane-routing/src/peers.rs
+++ b/crates/damaskvane-routing/src/peers.rs
@@ -18,7 +18,7 @@
 mod roster;
 mod settings;
 
-pub use digest::{Digest, DigestEntry, StartKey};
+pub use digest::{Digest, DigestEntry, IncarnationKey};
 pub use heartbeat::{Heartbeat, Phase};
 pub use listed::ListedInstance;
 pub use members::Members;
--- a/crates/damaskvane-routing/src/peers/digest.rs
+++ b/crates/damaskvane-routing/src/peers/digest.rs
@@ -7,9 +7,9 @@
 
 /// Names one start of an instance in eight bytes, to those who have heard it before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct StartKey(u64);
+pub struct IncarnationKey(u64);
 
-impl StartKey {
+impl IncarnationKey {
     /// The key of a start.
     #[must_use]
     pub fn new(instance: &ids::InstanceId, incarnation: ids::Incarnation) -> Self {
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DigestEntry {
     /// Which start.
-    pub key: StartKey,
+    pub key: IncarnationKey,
     /// The count of its heartbeat.
     pub serial: u64,
     /// Where the instance stood then.
--- a/crates/damaskvane-routing/src/peers/roster.rs
+++ b/crates/damaskvane-routing/src/peers/roster.rs
@@ -5,7 +5,7 @@
 use damaskvane_core::ids;
 use damaskvane_core::time::TimeMs;
 
-use crate::peers::{Digest, DigestEntry, Heartbeat, PeerSettings, Phase, StartKey};
+use crate::peers::{Digest, DigestEntry, Heartbeat, PeerSettings, Phase, IncarnationKey};
 
 /// An instance with its last heartbeat.
 #[derive(Debug)]
@@ -22,7 +22,7 @@
     members: BTreeMap<ids::InstanceId, Member>,
     /// The members of each zone, in the order of their names.
     by_zone: BTreeMap<ids::AvailabilityZoneId, BTreeSet<ids::InstanceId>>,
-    by_key: BTreeMap<StartKey, ids::InstanceId>,
+    by_key: BTreeMap<IncarnationKey, ids::InstanceId>,
 }
 
 impl Roster {
@@ -116,7 +116,7 @@
     }
 
     /// The member whose start has this key.
-    fn by_key_mut(&mut self, key: StartKey) -> Option<&mut Member> {
+    fn by_key_mut(&mut self, key: IncarnationKey) -> Option<&mut Member> {
         let instance = self.by_key.get(&key)?;
         self.members.get_mut(instance)
     }
@@ -146,7 +146,7 @@
         self.remove(&instance);
         let of_zone = self.by_zone.entry(heartbeat.zone.clone()).or_default();
         of_zone.insert(instance.clone());
-        let key = StartKey::of(&heartbeat);
+        let key = IncarnationKey::of(&heartbeat);
         self.by_key.insert(key, instance.clone());
         let member = Member {
             heartbeat,
@@ -159,7 +159,7 @@
         let Some(member) = self.members.remove(instance) else {
             return;
         };
-        self.by_key.remove(&StartKey::of(&member.heartbeat));
+        self.by_key.remove(&IncarnationKey::of(&member.heartbeat));
         if let Some(of_zone) = self.by_zone.get_mut(&member.heartbeat.zone) {
             of_zone.remove(instance);
         }
@@ -185,7 +185,7 @@
     /// What the own zone says of its instances.
     pub(super) fn digest(&self, now: TimeMs) -> Digest {
         let entries = self.in_own_zone().map(|member| DigestEntry {
-            key: StartKey::of(&member.heartbeat),
+            key: IncarnationKey::of(&member.heartbeat),
             serial: member.heartbeat.serial,
             phase: member.heartbeat.phase,
             age_ms: now.since(member.heard_at).get(),
