--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -4,7 +4,7 @@
 use damaskvane_core::time::TimeMs;
 use damaskvane_routing::configuration::Configuration;
 use damaskvane_routing::placement::{
-    AnsweredRequest, AskedReport, Choice, Pick, PlacementRequest, Placer, Verdict,
+    AnsweredRequest, AskedReport, Choice, Pick, PlacementRequest, Placer, PopularityDecision,
 };
 use damaskvane_routing::pool::{ExchangeEnd, ExchangeId, LoadReport, ServerPool, ServerReport};
 use rand::seq::IndexedRandom;
@@ -68,14 +68,14 @@
     }
 
     /// Judges by the reports of all instances of its zone.
-    pub(super) fn judge(&mut self, now: TimeMs, reports: &[AskedReport]) -> Vec<Verdict> {
+    pub(super) fn judge(&mut self, now: TimeMs, reports: &[AskedReport]) -> Vec<PopularityDecision> {
         for report in reports {
             self.placer.note_report(now, report);
         }
         self.placer.judge_popularity(now)
     }
 
-    pub(super) fn told(&mut self, now: TimeMs, by: &ids::InstanceId, verdicts: &[Verdict]) {
+    pub(super) fn told(&mut self, now: TimeMs, by: &ids::InstanceId, verdicts: &[PopularityDecision]) {
         self.placer.note_verdicts(now, by, verdicts);
     }
 
--- a/crates/damaskvane-gateway/src/peers/message.rs
+++ b/crates/damaskvane-gateway/src/peers/message.rs
@@ -5,7 +5,7 @@
 use damaskvane_core::ids;
 use damaskvane_dispatch::quarantine::Incident;
 use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, Phase, IncarnationKey};
-use damaskvane_routing::placement::{AskedReport, ObjectSample, RouteKey, Verdict};
+use damaskvane_routing::placement::{AskedReport, ObjectSample, RouteKey, PopularityDecision};
 use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, ToldServer};
 use serde::{Deserialize, Serialize};
 
@@ -44,7 +44,7 @@
         /// Who has judged.
         by: ids::InstanceId,
         /// What it found.
-        verdicts: Vec<Verdict>,
+        verdicts: Vec<PopularityDecision>,
     },
 }
 
@@ -214,7 +214,7 @@
                 by,
                 verdicts: verdicts
                     .into_iter()
-                    .map(|(route, steps)| Verdict {
+                    .map(|(route, steps)| PopularityDecision {
                         route: RouteKey::from_wire(route),
                         steps,
                     })
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -7,7 +7,7 @@
 use crate::placement::appraisal::{self, Appraisal, Expected};
 use crate::placement::candidates::{Candidates, Origin, Scope, Search, Spread};
 use crate::placement::moves::Moves;
-use crate::placement::popularity::{AskedReport, Popularity, Verdict};
+use crate::placement::popularity::{AskedReport, Popularity, PopularityDecision};
 use crate::placement::rank;
 use crate::placement::{
     AnsweredRequest, Choice, PassedOver, Pick, PlacementRequest, PlacementSettings, Refusal,
@@ -74,12 +74,12 @@
     }
 
     /// Judges by all reports which objects have a server in each zone, as an instance that speaks for its zone.
-    pub fn judge_popularity(&mut self, now: TimeMs) -> Vec<Verdict> {
+    pub fn judge_popularity(&mut self, now: TimeMs) -> Vec<PopularityDecision> {
         self.popularity.judge(now, &self.settings)
     }
 
     /// Takes in what an instance has judged that speaks for the zone.
-    pub fn note_verdicts(&mut self, now: TimeMs, by: &ids::InstanceId, verdicts: &[Verdict]) {
+    pub fn note_verdicts(&mut self, now: TimeMs, by: &ids::InstanceId, verdicts: &[PopularityDecision]) {
         self.popularity.note_verdicts(now, by, verdicts);
     }
 
--- a/crates/damaskvane-routing/src/placement/popularity.rs
+++ b/crates/damaskvane-routing/src/placement/popularity.rs
@@ -42,7 +42,7 @@
 
 /// How far a route's objects have servers in each zone: a part of all objects, in steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Verdict {
+pub struct PopularityDecision {
     /// The route.
     pub route: RouteKey,
     /// The part, in steps of [`MOST_STEPS`].
@@ -138,7 +138,7 @@
     }
 
     /// What the zone is to hear, from an instance that speaks for it.
-    pub(super) fn judge(&mut self, now: TimeMs, settings: &PlacementSettings) -> Vec<Verdict> {
+    pub(super) fn judge(&mut self, now: TimeMs, settings: &PlacementSettings) -> Vec<PopularityDecision> {
         for tally in self.tallies.values_mut() {
             tally.judge(now, settings);
         }
@@ -147,7 +147,7 @@
         let tallies = self.tallies.iter();
         tallies
             .take(MOST_VERDICTS)
-            .map(|(route, tally)| Verdict {
+            .map(|(route, tally)| PopularityDecision {
                 route: *route,
                 steps: tally.steps,
             })
@@ -161,7 +161,7 @@
         &mut self,
         now: TimeMs,
         by: &ids::InstanceId,
-        verdicts: &[Verdict],
+        verdicts: &[PopularityDecision],
     ) {
         let is_first = self
             .told
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -4,7 +4,7 @@
 
 use damaskvane_core::ids;
 use damaskvane_routing::placement::{
-    self, AskedReport, Choice, MOST_STEPS, ObjectSample, Placer, Verdict,
+    self, AskedReport, Choice, MOST_STEPS, ObjectSample, Placer, PopularityDecision,
 };
 use damaskvane_routing::pool::ServerPool;
 use rand::{RngExt, SeedableRng};
@@ -37,7 +37,7 @@
     }
 
     /// A second in which clients of the zone ask so often for one of so many objects; what is judged then.
-    fn second(&mut self, requests: usize, objects: u64) -> Vec<Verdict> {
+    fn second(&mut self, requests: usize, objects: u64) -> Vec<PopularityDecision> {
         for _ in 0..requests {
             let instance = self.random.random_range(0..INSTANCES);
             let number = self.random.random_range(0..objects);
@@ -74,7 +74,7 @@
     }
 }
 
-fn steps(verdicts: &[Verdict]) -> u8 {
+fn steps(verdicts: &[PopularityDecision]) -> u8 {
     verdicts.first().map_or(0, |verdict| verdict.steps)
 }
 
@@ -141,9 +141,9 @@
     }
     let pool = pool_of(&[("east-a", 6), ("east-b", 6)]);
     let other = "east-a-2".parse().expect("a name");
-    let rare: Vec<Verdict> = verdicts
+    let rare: Vec<PopularityDecision> = verdicts
         .iter()
-        .map(|verdict| Verdict {
+        .map(|verdict| PopularityDecision {
             steps: 0,
             ..*verdict
         })
