--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -76,7 +76,7 @@
     }
 
     pub(super) fn told(&mut self, now: TimeMs, by: &ids::InstanceId, verdicts: &[PopularityDecision]) {
-        self.placer.note_verdicts(now, by, verdicts);
+        self.placer.apply_popularity_decisions(now, by, verdicts);
     }
 
     fn baseline(&mut self, request: &PlacementRequest<'_>, random: &mut impl rand::Rng) -> Pick {
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -183,7 +183,7 @@
                 state.placer.note_report(now, &report);
                 let verdicts = state.placer.judge_popularity(now);
                 let by = node.settings().instance.clone();
-                state.placer.note_verdicts(now, &by, &verdicts);
+                state.placer.apply_popularity_decisions(now, &by, &verdicts);
                 (Message::Verdicts { by, verdicts }, neighbours)
             } else {
                 (Message::Asked(report), state.members.speakers(now))
@@ -291,7 +291,7 @@
             Some(Message::Verdicts { by, verdicts }) => {
                 let now = node.now();
                 let placer = &mut node.state.borrow_mut().placer;
-                placer.note_verdicts(now, &by, &verdicts);
+                placer.apply_popularity_decisions(now, &by, &verdicts);
             }
             None => node.metrics.unread_datagrams.inc(),
         }
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -79,8 +79,8 @@
     }
 
     /// Takes in what an instance has judged that speaks for the zone.
-    pub fn note_verdicts(&mut self, now: TimeMs, by: &ids::InstanceId, verdicts: &[PopularityDecision]) {
-        self.popularity.note_verdicts(now, by, verdicts);
+    pub fn apply_popularity_decisions(&mut self, now: TimeMs, by: &ids::InstanceId, verdicts: &[PopularityDecision]) {
+        self.popularity.apply_popularity_decisions(now, by, verdicts);
     }
 
     /// Decides where a request goes, where `instances` share the cold servers.
--- a/crates/damaskvane-routing/src/placement/popularity.rs
+++ b/crates/damaskvane-routing/src/placement/popularity.rs
@@ -157,7 +157,7 @@
     /// Takes in what an instance says that speaks for the zone.
     ///
     /// Of two that speak, the first one's word counts, so that all instances do the same.
-    pub(super) fn note_verdicts(
+    pub(super) fn apply_popularity_decisions(
         &mut self,
         now: TimeMs,
         by: &ids::InstanceId,
--- a/crates/damaskvane-routing/tests/placement.rs
+++ b/crates/damaskvane-routing/tests/placement.rs
@@ -23,7 +23,7 @@
         let report = placer.take_asked();
         placer.note_report(at(second * 1_000), &report);
         let verdicts = placer.judge_popularity(at(second * 1_000 + 900));
-        placer.note_verdicts(at(second * 1_000 + 900), &own, &verdicts);
+        placer.apply_popularity_decisions(at(second * 1_000 + 900), &own, &verdicts);
     }
     placer
 }
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -51,7 +51,7 @@
         }
         let verdicts = self.placers[0].judge_popularity(now);
         for placer in &mut self.placers {
-            placer.note_verdicts(now, &speaker(), &verdicts);
+            placer.apply_popularity_decisions(now, &speaker(), &verdicts);
         }
         verdicts
     }
@@ -156,9 +156,9 @@
     };
     let popular = in_zone(&mut zone);
     let now_ms = zone.now_ms;
-    zone.placers[0].note_verdicts(at(now_ms + 500), &other, &rare);
+    zone.placers[0].apply_popularity_decisions(at(now_ms + 500), &other, &rare);
     assert_eq!(in_zone(&mut zone), popular);
-    zone.placers[0].note_verdicts(at(now_ms + 6_000), &other, &rare);
+    zone.placers[0].apply_popularity_decisions(at(now_ms + 6_000), &other, &rare);
     assert!(in_zone(&mut zone) < popular);
 }
 
