--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -72,7 +72,7 @@
         for report in reports {
             self.placer.note_report(now, report);
         }
-        self.placer.judge_popularity(now)
+        self.placer.decide_popularity(now)
     }
 
     pub(super) fn told(&mut self, now: TimeMs, by: &ids::InstanceId, verdicts: &[PopularityDecision]) {
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -181,7 +181,7 @@
             pause = LEAST_ASKED_PAUSE.max(ASKED_PAUSE_PER_LISTENER.saturating_mul(listeners));
             if state.members.is_speaker(now) {
                 state.placer.note_report(now, &report);
-                let verdicts = state.placer.judge_popularity(now);
+                let verdicts = state.placer.decide_popularity(now);
                 let by = node.settings().instance.clone();
                 state.placer.apply_popularity_decisions(now, &by, &verdicts);
                 (Message::Verdicts { by, verdicts }, neighbours)
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -74,7 +74,7 @@
     }
 
     /// Judges by all reports which objects have a server in each zone, as an instance that speaks for its zone.
-    pub fn judge_popularity(&mut self, now: TimeMs) -> Vec<PopularityDecision> {
+    pub fn decide_popularity(&mut self, now: TimeMs) -> Vec<PopularityDecision> {
         self.popularity.judge(now, &self.settings)
     }
 
--- a/crates/damaskvane-routing/tests/placement.rs
+++ b/crates/damaskvane-routing/tests/placement.rs
@@ -22,7 +22,7 @@
         }
         let report = placer.take_asked();
         placer.note_report(at(second * 1_000), &report);
-        let verdicts = placer.judge_popularity(at(second * 1_000 + 900));
+        let verdicts = placer.decide_popularity(at(second * 1_000 + 900));
         placer.apply_popularity_decisions(at(second * 1_000 + 900), &own, &verdicts);
     }
     placer
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -49,7 +49,7 @@
         for report in &reports {
             self.placers[0].note_report(now, report);
         }
-        let verdicts = self.placers[0].judge_popularity(now);
+        let verdicts = self.placers[0].decide_popularity(now);
         for placer in &mut self.placers {
             placer.apply_popularity_decisions(now, &speaker(), &verdicts);
         }
