--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -4,7 +4,7 @@
 use damaskvane_core::time::TimeMs;
 use damaskvane_routing::configuration::Configuration;
 use damaskvane_routing::placement::{
-    AnsweredRequest, AskedReport, Choice, Pick, PlacementRequest, Placer, PopularityDecision,
+    AnsweredRequest, PopularityReport, Choice, Pick, PlacementRequest, Placer, PopularityDecision,
 };
 use damaskvane_routing::pool::{ExchangeEnd, ExchangeId, LoadReport, ServerPool, ServerReport};
 use rand::seq::IndexedRandom;
@@ -63,12 +63,12 @@
     }
 
     /// What its clients asked for since the last call.
-    pub(super) fn take_asked(&mut self) -> AskedReport {
+    pub(super) fn take_asked(&mut self) -> PopularityReport {
         self.placer.take_asked()
     }
 
     /// Judges by the reports of all instances of its zone.
-    pub(super) fn judge(&mut self, now: TimeMs, reports: &[AskedReport]) -> Vec<PopularityDecision> {
+    pub(super) fn judge(&mut self, now: TimeMs, reports: &[PopularityReport]) -> Vec<PopularityDecision> {
         for report in reports {
             self.placer.note_report(now, report);
         }
--- a/crates/damaskvane-gateway/src/peers/message.rs
+++ b/crates/damaskvane-gateway/src/peers/message.rs
@@ -5,7 +5,7 @@
 use damaskvane_core::ids;
 use damaskvane_dispatch::quarantine::Incident;
 use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, Phase, IncarnationKey};
-use damaskvane_routing::placement::{AskedReport, ObjectSample, RouteKey, PopularityDecision};
+use damaskvane_routing::placement::{PopularityReport, ObjectSample, RouteKey, PopularityDecision};
 use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, ToldServer};
 use serde::{Deserialize, Serialize};
 
@@ -38,7 +38,7 @@
     /// Servers that have a queue, are slow or fail, or no longer so.
     Servers(Vec<ToldServer>),
     /// What the sender's clients asked for.
-    Asked(AskedReport),
+    Asked(PopularityReport),
     /// Which objects have a server in each zone, from one that speaks for the zone.
     Verdicts {
         /// Who has judged.
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -7,7 +7,7 @@
 use crate::placement::appraisal::{self, Appraisal, Expected};
 use crate::placement::candidates::{Candidates, Origin, Scope, Search, Spread};
 use crate::placement::moves::Moves;
-use crate::placement::popularity::{AskedReport, Popularity, PopularityDecision};
+use crate::placement::popularity::{PopularityReport, Popularity, PopularityDecision};
 use crate::placement::rank;
 use crate::placement::{
     AnsweredRequest, Choice, PassedOver, Pick, PlacementRequest, PlacementSettings, Refusal,
@@ -64,12 +64,12 @@
     }
 
     /// What clients asked for since the last report, for those that speak for the zone.
-    pub fn take_asked(&mut self) -> AskedReport {
+    pub fn take_asked(&mut self) -> PopularityReport {
         self.popularity.take_report()
     }
 
     /// Takes in what the clients of another instance of the zone asked for, or this one's own report.
-    pub fn note_report(&mut self, now: TimeMs, report: &AskedReport) {
+    pub fn note_report(&mut self, now: TimeMs, report: &PopularityReport) {
         self.popularity.note_report(now, report);
     }
 
--- a/crates/damaskvane-routing/src/placement/popularity.rs
+++ b/crates/damaskvane-routing/src/placement/popularity.rs
@@ -38,7 +38,7 @@
 const MOST_REQUESTS: f64 = 1_000.0;
 
 /// What an instance was asked for, by route.
-pub type AskedReport = Vec<(RouteKey, ObjectSample)>;
+pub type PopularityReport = Vec<(RouteKey, ObjectSample)>;
 
 /// How far a route's objects have servers in each zone: a part of all objects, in steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -120,8 +120,8 @@
     }
 
     /// What was asked for since the last report, the busiest routes first.
-    pub(super) fn take_report(&mut self) -> AskedReport {
-        let mut report: AskedReport = self.asked.drain().collect();
+    pub(super) fn take_report(&mut self) -> PopularityReport {
+        let mut report: PopularityReport = self.asked.drain().collect();
         let scale = |sample: &ObjectSample| u64::from(sample.requests()) << sample.halvings();
         report.sort_unstable_by_key(|(_, sample)| std::cmp::Reverse(scale(sample)));
         report.truncate(MOST_REPORTED_ROUTES);
@@ -129,7 +129,7 @@
     }
 
     /// Takes in a report, at an instance that speaks for the zone.
-    pub(super) fn note_report(&mut self, now: TimeMs, report: &AskedReport) {
+    pub(super) fn note_report(&mut self, now: TimeMs, report: &PopularityReport) {
         for (route, sample) in report {
             let tally = self.tallies.entry(*route);
             let tally = tally.or_insert_with(|| Tally::new(now));
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -4,7 +4,7 @@
 
 use damaskvane_core::ids;
 use damaskvane_routing::placement::{
-    self, AskedReport, Choice, MOST_STEPS, ObjectSample, Placer, PopularityDecision,
+    self, PopularityReport, Choice, MOST_STEPS, ObjectSample, Placer, PopularityDecision,
 };
 use damaskvane_routing::pool::ServerPool;
 use rand::{RngExt, SeedableRng};
@@ -45,7 +45,7 @@
         }
         self.now_ms += 1_000;
         let now = at(self.now_ms);
-        let reports: Vec<AskedReport> = self.placers.iter_mut().map(Placer::take_asked).collect();
+        let reports: Vec<PopularityReport> = self.placers.iter_mut().map(Placer::take_asked).collect();
         for report in &reports {
             self.placers[0].note_report(now, report);
         }
