--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -63,8 +63,8 @@
     }
 
     /// What its clients asked for since the last call.
-    pub(super) fn take_asked(&mut self) -> PopularityReport {
-        self.placer.take_asked()
+    pub(super) fn take_popularity_report(&mut self) -> PopularityReport {
+        self.placer.take_popularity_report()
     }
 
     /// Judges by the reports of all instances of its zone.
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -175,7 +175,7 @@
         let now = node.now();
         let (message, recipients) = {
             let mut state = node.state.borrow_mut();
-            let report = state.placer.take_asked();
+            let report = state.placer.take_popularity_report();
             let neighbours = state.members.neighbours(now);
             let listeners = u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
             pause = LEAST_ASKED_PAUSE.max(ASKED_PAUSE_PER_LISTENER.saturating_mul(listeners));
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -64,7 +64,7 @@
     }
 
     /// What clients asked for since the last report, for those that speak for the zone.
-    pub fn take_asked(&mut self) -> PopularityReport {
+    pub fn take_popularity_report(&mut self) -> PopularityReport {
         self.popularity.take_report()
     }
 
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -45,7 +45,7 @@
         }
         self.now_ms += 1_000;
         let now = at(self.now_ms);
-        let reports: Vec<PopularityReport> = self.placers.iter_mut().map(Placer::take_asked).collect();
+        let reports: Vec<PopularityReport> = self.placers.iter_mut().map(Placer::take_popularity_report).collect();
         for report in &reports {
             self.placers[0].note_report(now, report);
         }
@@ -181,7 +181,7 @@
                 placer.note_asked(&route(), *object);
             }
         }
-        let report = placer.take_asked();
+        let report = placer.take_popularity_report();
         report.into_iter().next().expect("a route").1
     };
     let samples: Vec<ObjectSample> = (0..10).map(|instance| sample_of(Some(instance))).collect();
