--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -70,7 +70,7 @@
     /// Judges by the reports of all instances of its zone.
     pub(super) fn judge(&mut self, now: TimeMs, reports: &[PopularityReport]) -> Vec<PopularityDecision> {
         for report in reports {
-            self.placer.note_report(now, report);
+            self.placer.apply_popularity_report(now, report);
         }
         self.placer.decide_popularity(now)
     }
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -180,7 +180,7 @@
             let listeners = u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
             pause = LEAST_ASKED_PAUSE.max(ASKED_PAUSE_PER_LISTENER.saturating_mul(listeners));
             if state.members.is_speaker(now) {
-                state.placer.note_report(now, &report);
+                state.placer.apply_popularity_report(now, &report);
                 let verdicts = state.placer.decide_popularity(now);
                 let by = node.settings().instance.clone();
                 state.placer.apply_popularity_decisions(now, &by, &verdicts);
@@ -285,7 +285,7 @@
                 let now = node.now();
                 let mut state = node.state.borrow_mut();
                 if state.members.is_speaker(now) {
-                    state.placer.note_report(now, &report);
+                    state.placer.apply_popularity_report(now, &report);
                 }
             }
             Some(Message::Verdicts { by, verdicts }) => {
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -69,8 +69,8 @@
     }
 
     /// Takes in what the clients of another instance of the zone asked for, or this one's own report.
-    pub fn note_report(&mut self, now: TimeMs, report: &PopularityReport) {
-        self.popularity.note_report(now, report);
+    pub fn apply_popularity_report(&mut self, now: TimeMs, report: &PopularityReport) {
+        self.popularity.apply_popularity_report(now, report);
     }
 
     /// Judges by all reports which objects have a server in each zone, as an instance that speaks for its zone.
--- a/crates/damaskvane-routing/src/placement/popularity.rs
+++ b/crates/damaskvane-routing/src/placement/popularity.rs
@@ -129,7 +129,7 @@
     }
 
     /// Takes in a report, at an instance that speaks for the zone.
-    pub(super) fn note_report(&mut self, now: TimeMs, report: &PopularityReport) {
+    pub(super) fn apply_popularity_report(&mut self, now: TimeMs, report: &PopularityReport) {
         for (route, sample) in report {
             let tally = self.tallies.entry(*route);
             let tally = tally.or_insert_with(|| Tally::new(now));
--- a/crates/damaskvane-routing/tests/placement.rs
+++ b/crates/damaskvane-routing/tests/placement.rs
@@ -21,7 +21,7 @@
             placer.note_asked(&route(), scattered(object));
         }
         let report = placer.take_popularity_report();
-        placer.note_report(at(second * 1_000), &report);
+        placer.apply_popularity_report(at(second * 1_000), &report);
         let verdicts = placer.decide_popularity(at(second * 1_000 + 900));
         placer.apply_popularity_decisions(at(second * 1_000 + 900), &own, &verdicts);
     }
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -47,7 +47,7 @@
         let now = at(self.now_ms);
         let reports: Vec<PopularityReport> = self.placers.iter_mut().map(Placer::take_popularity_report).collect();
         for report in &reports {
-            self.placers[0].note_report(now, report);
+            self.placers[0].apply_popularity_report(now, report);
         }
         let verdicts = self.placers[0].decide_popularity(now);
         for placer in &mut self.placers {
