--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -52,7 +52,7 @@
     ) -> Choice {
         if self.policy.settings().is_some() {
             if let Some(object) = request.object.filter(|_| request.tried.is_empty()) {
-                self.placer.note_asked(request.route, object);
+                self.placer.record_object_request(request.route, object);
             }
             let (pool, instances) = (&self.pool, self.instances);
             return self
--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -183,7 +183,7 @@
     let mut state = node.state.borrow_mut();
     let state = &mut *state;
     if let Some(object) = object {
-        state.placer.note_asked(route, object);
+        state.placer.record_object_request(route, object);
     }
     let budget = state
         .budgets
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -59,7 +59,7 @@
     }
 
     /// Notes that a client asks for an object.
-    pub fn note_asked(&mut self, route: &Route, object: u64) {
+    pub fn record_object_request(&mut self, route: &Route, object: u64) {
         self.popularity.note(&route.name, object);
     }
 
--- a/crates/damaskvane-routing/tests/placement.rs
+++ b/crates/damaskvane-routing/tests/placement.rs
@@ -18,7 +18,7 @@
     let own = "own".parse().expect("a name");
     for second in 0..8 {
         for object in 0..50 {
-            placer.note_asked(&route(), scattered(object));
+            placer.record_object_request(&route(), scattered(object));
         }
         let report = placer.take_popularity_report();
         placer.apply_popularity_report(at(second * 1_000), &report);
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -41,7 +41,7 @@
         for _ in 0..requests {
             let instance = self.random.random_range(0..INSTANCES);
             let number = self.random.random_range(0..objects);
-            self.placers[instance].note_asked(&route(), object(number));
+            self.placers[instance].record_object_request(&route(), object(number));
         }
         self.now_ms += 1_000;
         let now = at(self.now_ms);
@@ -178,7 +178,7 @@
         let mut placer = placer("east-a");
         for (instance, object) in &requests {
             if wanted.is_none_or(|wanted| wanted == *instance) {
-                placer.note_asked(&route(), *object);
+                placer.record_object_request(&route(), *object);
             }
         }
         let report = placer.take_popularity_report();
