--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -158,7 +158,7 @@
                 took_ms,
                 has_waited: load.is_some_and(|load| load.waiting > 0),
             };
-            self.placer.note_answered(now, &mut self.pool, &answered);
+            self.placer.record_answer(now, &mut self.pool, &answered);
         }
     }
 }
--- a/crates/damaskvane-gateway/src/clients/run.rs
+++ b/crates/damaskvane-gateway/src/clients/run.rs
@@ -247,7 +247,7 @@
             took_ms,
             has_waited: outcome.report.load.is_some_and(|load| load.waiting > 0),
         };
-        state.placer.note_answered(now, &mut state.pool, &answered);
+        state.placer.record_answer(now, &mut state.pool, &answered);
     }
 
     fn timed_out(&mut self) -> Response<AnswerBody> {
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -143,7 +143,7 @@
     }
 
     /// Takes in an answered request: how long its work takes, on this server and everywhere.
-    pub fn note_answered(
+    pub fn record_answer(
         &mut self,
         now: TimeMs,
         pool: &mut ServerPool,
