--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -132,7 +132,7 @@
             let (heartbeats, recipients) = {
                 let members = &mut node.state.borrow_mut().members;
                 (
-                    members.take_news(now, MOST_NEWS),
+                    members.take_membership_updates(now, MOST_NEWS),
                     members.digest_recipients(now),
                 )
             };
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -197,7 +197,7 @@
     ///
     /// Were each instance to tell all instances of all zones itself, starts of hundreds at once would be most of the
     /// bytes between zones.
-    pub fn take_news(&mut self, now: TimeMs, most: usize) -> Vec<Heartbeat> {
+    pub fn take_membership_updates(&mut self, now: TimeMs, most: usize) -> Vec<Heartbeat> {
         if !self.is_speaker(now) {
             // Whoever speaks tells it. What is left here is told again if this one speaks later, and harms nobody.
             return Vec::new();
--- a/crates/damaskvane-routing/tests/digests.rs
+++ b/crates/damaskvane-routing/tests/digests.rs
@@ -96,20 +96,20 @@
     own.set_own_phase(at(200), Phase::Ready);
     assert_eq!(own.recipients(at(200), 3).len(), 1);
     let mut west = members("west-1", "west-a");
-    for heartbeat in own.take_news(at(300), 12) {
+    for heartbeat in own.take_membership_updates(at(300), 12) {
         west.note(at(310), heartbeat);
     }
     assert!(is_usable(&west, 400, "east-1"));
     assert!(is_usable(&west, 400, "east-2"));
-    assert!(own.take_news(at(500), 12).is_empty());
+    assert!(own.take_membership_updates(at(500), 12).is_empty());
     own.note(at(600), heartbeat("east-2", "east-a", 2));
-    assert!(own.take_news(at(700), 12).is_empty());
+    assert!(own.take_membership_updates(at(700), 12).is_empty());
     let leaving = Heartbeat {
         phase: Phase::Leaving,
         ..heartbeat("east-2", "east-a", 3)
     };
     own.note(at(800), leaving);
-    for heartbeat in own.take_news(at(900), 12) {
+    for heartbeat in own.take_membership_updates(at(900), 12) {
         west.note(at(910), heartbeat);
     }
     assert!(!is_usable(&west, 950, "east-2"));
@@ -141,7 +141,7 @@
             for heartbeat in &all {
                 members.note(at(0), heartbeat.clone());
             }
-            members.take_news(at(0), all.len());
+            members.take_membership_updates(at(0), all.len());
             (members, own.peer_address)
         });
         Self(instances.collect())
@@ -163,7 +163,7 @@
         }
         for index in 0..self.0.len() {
             let members = &mut self.0[index].0;
-            let news = members.take_news(at(now_ms), 12);
+            let news = members.take_membership_updates(at(now_ms), 12);
             for receiver in members.digest_recipients(at(now_ms)) {
                 self.hand_on(now_ms, receiver, &news);
             }
