--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -179,7 +179,7 @@
             let neighbours = state.members.neighbours(now);
             let listeners = u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
             pause = LEAST_ASKED_PAUSE.max(ASKED_PAUSE_PER_LISTENER.saturating_mul(listeners));
-            if state.members.is_speaker(now) {
+            if state.members.is_aggregator(now) {
                 state.placer.apply_popularity_report(now, &report);
                 let verdicts = state.placer.decide_popularity(now);
                 let by = node.settings().instance.clone();
@@ -284,7 +284,7 @@
             Some(Message::Asked(report)) => {
                 let now = node.now();
                 let mut state = node.state.borrow_mut();
-                if state.members.is_speaker(now) {
+                if state.members.is_aggregator(now) {
                     state.placer.apply_popularity_report(now, &report);
                 }
             }
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -198,7 +198,7 @@
     /// Were each instance to tell all instances of all zones itself, starts of hundreds at once would be most of the
     /// bytes between zones.
     pub fn take_membership_updates(&mut self, now: TimeMs, most: usize) -> Vec<Heartbeat> {
-        if !self.is_speaker(now) {
+        if !self.is_aggregator(now) {
             // Whoever speaks tells it. What is left here is told again if this one speaks later, and harms nobody.
             return Vec::new();
         }
@@ -215,7 +215,7 @@
     #[must_use]
     pub fn introduction(&self, now: TimeMs, heartbeat: &Heartbeat) -> Vec<Heartbeat> {
         let is_near = self.roster.own_zone() == Some(&heartbeat.zone);
-        if !is_near || heartbeat.instance == self.own || !self.is_speaker(now) {
+        if !is_near || heartbeat.instance == self.own || !self.is_aggregator(now) {
             return Vec::new();
         }
         let zones = self.roster.zones().filter(|zone| **zone != heartbeat.zone);
@@ -244,7 +244,7 @@
     /// What the other zones are to hear of this one, if this instance speaks for it.
     #[must_use]
     pub fn digest(&self, now: TimeMs) -> Option<Digest> {
-        self.is_speaker(now).then(|| self.roster.digest(now))
+        self.is_aggregator(now).then(|| self.roster.digest(now))
     }
 
     /// Where digests go: the first instances of each other zone, which hand them on within it.
@@ -253,7 +253,7 @@
     /// speaker's share of them would grow with it.
     #[must_use]
     pub fn digest_recipients(&self, now: TimeMs) -> Vec<net::SocketAddr> {
-        if !self.is_speaker(now) {
+        if !self.is_aggregator(now) {
             return Vec::new();
         }
         let own_zone = self.roster.own_zone();
@@ -267,7 +267,7 @@
     /// Where this instance hands on a digest of another zone.
     #[must_use]
     pub fn digest_listeners(&self, now: TimeMs) -> Vec<net::SocketAddr> {
-        if !self.is_speaker(now) {
+        if !self.is_aggregator(now) {
             return Vec::new();
         }
         self.neighbours(now)
@@ -275,8 +275,8 @@
 
     /// Whether this instance speaks for its zone.
     #[must_use]
-    pub fn is_speaker(&self, now: TimeMs) -> bool {
-        self.roster.is_speaker(now)
+    pub fn is_aggregator(&self, now: TimeMs) -> bool {
+        self.roster.is_aggregator(now)
     }
 
     /// Where the instances are that speak for the own zone, but for this one.
--- a/crates/damaskvane-routing/src/peers/roster.rs
+++ b/crates/damaskvane-routing/src/peers/roster.rs
@@ -94,7 +94,7 @@
         speakers.take(self.settings.speakers_per_zone)
     }
 
-    pub(super) fn is_speaker(&self, now: TimeMs) -> bool {
+    pub(super) fn is_aggregator(&self, now: TimeMs) -> bool {
         let mut speakers = self.speaking(now);
         speakers.any(|member| member.heartbeat.instance == self.own)
     }
