--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -186,7 +186,7 @@
                 state.placer.apply_popularity_decisions(now, &by, &verdicts);
                 (Message::Verdicts { by, verdicts }, neighbours)
             } else {
-                (Message::Asked(report), state.members.speakers(now))
+                (Message::Asked(report), state.members.other_aggregators(now))
             }
         };
         send(&node, &socket, &message, &recipients).await;
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -281,7 +281,7 @@
 
     /// Where the instances are that speak for the own zone, but for this one.
     #[must_use]
-    pub fn speakers(&self, now: TimeMs) -> Vec<net::SocketAddr> {
+    pub fn other_aggregators(&self, now: TimeMs) -> Vec<net::SocketAddr> {
         let speaking = self.roster.speaking(now);
         let others = speaking.filter(|member| member.heartbeat.instance != self.own);
         others.map(|member| member.heartbeat.peer_address).collect()
