--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -259,7 +259,7 @@
                     hand_on(&node, &socket, &message).await;
                 }
                 let now = node.now();
-                node.state.borrow_mut().members.note_digest(now, &digest);
+                node.state.borrow_mut().members.apply_digest(now, &digest);
             }
             Some(Message::News {
                 is_handed_on,
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -237,8 +237,8 @@
     /// Takes in what another zone says of its instances.
     ///
     /// Only starts that were heard before are known by their keys; a start that is unknown tells of itself.
-    pub fn note_digest(&mut self, now: TimeMs, digest: &Digest) {
-        self.roster.note_digest(now, digest);
+    pub fn apply_digest(&mut self, now: TimeMs, digest: &Digest) {
+        self.roster.apply_digest(now, digest);
     }
 
     /// What the other zones are to hear of this one, if this instance speaks for it.
--- a/crates/damaskvane-routing/src/peers/roster.rs
+++ b/crates/damaskvane-routing/src/peers/roster.rs
@@ -166,7 +166,7 @@
     }
 
     /// Takes in what another zone says of its instances, as far as their starts were heard.
-    pub(super) fn note_digest(&mut self, now: TimeMs, digest: &Digest) {
+    pub(super) fn apply_digest(&mut self, now: TimeMs, digest: &Digest) {
         for entry in &digest.entries {
             let Some(member) = self.by_key_mut(entry.key) else {
                 continue;
--- a/crates/damaskvane-routing/tests/digests.rs
+++ b/crates/damaskvane-routing/tests/digests.rs
@@ -235,7 +235,7 @@
     let mut east = members("east-1", "east-a");
     east.note(at(500), heartbeat("east-2", "east-a", 2));
     let digest = east.digest(at(600)).expect("it speaks for its zone");
-    west.note_digest(at(650), &digest);
+    west.apply_digest(at(650), &digest);
     assert!(is_usable(&west, 700, "east-2"));
 }
 
@@ -252,7 +252,7 @@
         east.note(at(now_ms), heartbeat("east-1", "east-a", beat + 1));
         east.note(at(now_ms - 300), heartbeat("east-2", "east-a", beat + 1));
         let digest = east.digest(at(now_ms)).expect("it speaks for its zone");
-        west.note_digest(at(now_ms + 50), &digest);
+        west.apply_digest(at(now_ms + 50), &digest);
     }
     assert!(is_usable(&west, 8_000, "east-2"));
     assert!(is_usable(&west, 8_000, "east-1"));
@@ -270,7 +270,7 @@
         let now_ms = beat * HEARTBEAT_MS;
         east.note(at(now_ms), heartbeat("east-1", "east-a", beat + 1));
         let digest = east.digest(at(now_ms)).expect("it speaks for its zone");
-        west.note_digest(at(now_ms + 50), &digest);
+        west.apply_digest(at(now_ms + 50), &digest);
     }
     assert!(!is_usable(&west, 4_000, "east-2"));
 }
@@ -300,7 +300,7 @@
         ..heartbeat("east-2", "east-a", 6)
     };
     west.note(at(150), leaving);
-    west.note_digest(at(200), &digest);
+    west.apply_digest(at(200), &digest);
     assert!(!is_usable(&west, 300, "east-2"));
 }
 
