--- a/crates/damaskvane-gateway/src/node.rs
+++ b/crates/damaskvane-gateway/src/node.rs
@@ -196,8 +196,8 @@
             return Phase::Leaving;
         }
         let state = self.state.borrow();
-        let is_acquainted = state.members.is_acquainted(self.now());
-        if state.configuration.is_some() && state.are_servers_listed && is_acquainted {
+        let has_joined = state.members.has_joined(self.now());
+        if state.configuration.is_some() && state.are_servers_listed && has_joined {
             Phase::Ready
         } else {
             Phase::Starting
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -139,7 +139,7 @@
     /// or it has heard from somebody. A store that serves reads and refuses the record keeps it from
     /// clients only until the time is over.
     #[must_use]
-    pub fn is_acquainted(&self, now: TimeMs) -> bool {
+    pub fn has_joined(&self, now: TimeMs) -> bool {
         let own = usize::from(self.roster.contains(&self.own));
         let has_heard = self.roster.len() > own;
         let is_known = self.listing.is_whole() && self.is_registered;
--- a/crates/damaskvane-routing/tests/peers.rs
+++ b/crates/damaskvane-routing/tests/peers.rs
@@ -42,20 +42,20 @@
 #[test]
 fn an_instance_that_knows_nobody_is_acquainted_only_after_a_while() {
     let alone = members();
-    assert!(!alone.is_acquainted(at(100)));
-    assert!(alone.is_acquainted(at(PeerSettings::default().acquaintance_ms)));
+    assert!(!alone.has_joined(at(100)));
+    assert!(alone.has_joined(at(PeerSettings::default().acquaintance_ms)));
 }
 
 #[test]
 fn an_instance_is_acquainted_once_it_is_listed_or_has_heard_from_another() {
     let mut listed = members();
     listed.set_listed([]);
-    assert!(!listed.is_acquainted(at(1)));
+    assert!(!listed.has_joined(at(1)));
     listed.set_registered();
-    assert!(listed.is_acquainted(at(1)));
+    assert!(listed.has_joined(at(1)));
     let mut hearing = members();
     hearing.note(at(1), heartbeat("peer", "west-a", 1, 1));
-    assert!(hearing.is_acquainted(at(1)));
+    assert!(hearing.has_joined(at(1)));
 }
 
 /// An instance loses power. Clients that are still sent there wait a second for each new connection, so it
