--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -143,7 +143,7 @@
         let own = usize::from(self.roster.contains(&self.own));
         let has_heard = self.roster.len() > own;
         let is_known = self.listing.is_whole() && self.is_registered;
-        is_known || has_heard || now.get() >= self.settings.acquaintance_ms
+        is_known || has_heard || now.get() >= self.settings.join_timeout_ms
     }
 
     /// Takes in a heartbeat; returns whether the instance is new, or back under a new start.
--- a/crates/damaskvane-routing/src/peers/settings.rs
+++ b/crates/damaskvane-routing/src/peers/settings.rs
@@ -29,7 +29,7 @@
     /// How long after its start an instance that neither found nor heard others waits to be ready: writing its
     /// record and reading the list take two calls, 8 ms on a calm store and about a second on one that is 60
     /// times slower.
-    pub acquaintance_ms: u64,
+    pub join_timeout_ms: u64,
     /// Instances to reckon with before the platform's list was read.
     pub unknown_instances: usize,
     /// Instances of a zone that hand changes on in it: the second one serves when the first is lost.
@@ -49,7 +49,7 @@
             speaker_silence_ms: 1_200,
             beats_between_greetings: 8,
             beats_between_repairs: 32,
-            acquaintance_ms: 1_500,
+            join_timeout_ms: 1_500,
             unknown_instances: 16,
             relays_per_zone: 2,
             watchers_per_region: 2,
--- a/crates/damaskvane-routing/tests/peers.rs
+++ b/crates/damaskvane-routing/tests/peers.rs
@@ -43,7 +43,7 @@
 fn an_instance_that_knows_nobody_is_acquainted_only_after_a_while() {
     let alone = members();
     assert!(!alone.has_joined(at(100)));
-    assert!(alone.has_joined(at(PeerSettings::default().acquaintance_ms)));
+    assert!(alone.has_joined(at(PeerSettings::default().join_timeout_ms)));
 }
 
 #[test]
