--- a/crates/damaskvane-gateway/src/store/applier.rs
+++ b/crates/damaskvane-gateway/src/store/applier.rs
@@ -68,7 +68,7 @@
                     .collect();
                 let members = &mut self.node.state.borrow_mut().members;
                 members.set_listed(records);
-                members.greet();
+                members.announce_to_other_zones();
             }
             Collection::Configuration => {
                 for item in items {
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -123,8 +123,8 @@
 
     /// Lets the next heartbeat go to the first listed instances of other zones: those that start together with this
     /// one hear of each other by it.
-    pub const fn greet(&mut self) {
-        self.outreach.greet();
+    pub const fn announce_to_other_zones(&mut self) {
+        self.outreach.announce_to_other_zones();
     }
 
     /// Takes in that the own record is in the store.
--- a/crates/damaskvane-routing/src/peers/outreach.rs
+++ b/crates/damaskvane-routing/src/peers/outreach.rs
@@ -36,7 +36,7 @@
         self.seeds = seeds.into_iter().collect();
     }
 
-    pub(super) const fn greet(&mut self) {
+    pub(super) const fn announce_to_other_zones(&mut self) {
         self.greets_next = true;
     }
 
--- a/crates/damaskvane-routing/tests/digests.rs
+++ b/crates/damaskvane-routing/tests/digests.rs
@@ -215,7 +215,7 @@
     let far = (0..8).map(|number| listed(&format!("far-{number}"), "west-a"));
     own.set_listed(far.chain([listed("near", "east-a")]));
     assert_eq!(own.recipients(at(100), 10).len(), 1);
-    own.greet();
+    own.announce_to_other_zones();
     let receivers = PeerSettings::default().digest_receivers_per_zone;
     assert_eq!(own.recipients(at(200), 11).len(), 1 + receivers);
     assert_eq!(own.recipients(at(300), 12).len(), 1);
