--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -310,7 +310,7 @@
 /// Tells an instance of the own zone that has just started of those of other zones.
 async fn introduce(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
     let now = node.now();
-    let introduction = node.state.borrow().members.introduction(now, heartbeat);
+    let introduction = node.state.borrow().members.heartbeats_for_new_instance(now, heartbeat);
     for heartbeats in introduction.chunks(MOST_NEWS) {
         let message = Message::News {
             is_handed_on: true,
--- a/crates/damaskvane-routing/tests/digests.rs
+++ b/crates/damaskvane-routing/tests/digests.rs
@@ -379,10 +379,10 @@
         ..heartbeat("east-2", "east-a", 1)
     };
     speaker.note(at(100), starting.clone());
-    for heartbeat in speaker.introduction(at(100), &starting) {
+    for heartbeat in speaker.heartbeats_for_new_instance(at(100), &starting) {
         new.note(at(110), heartbeat);
     }
     assert!((0..20).all(|number| is_usable(&new, 200, &format!("west-{number}"))));
     let far = heartbeat("west-21", "west-a", 1);
-    assert!(speaker.introduction(at(100), &far).is_empty());
+    assert!(speaker.heartbeats_for_new_instance(at(100), &far).is_empty());
 }
