--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -336,7 +336,7 @@
 /// Tells the own zone what another one says, if this instance speaks for its zone.
 async fn hand_on(node: &Node, socket: &UdpSocket, message: &Message) {
     let now = node.now();
-    let listeners = node.state.borrow().members.digest_listeners(now);
+    let listeners = node.state.borrow().members.digest_forward_recipients(now);
     if !listeners.is_empty() {
         send(node, socket, message, &listeners).await;
     }
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -266,7 +266,7 @@
 
     /// Where this instance hands on a digest of another zone.
     #[must_use]
-    pub fn digest_listeners(&self, now: TimeMs) -> Vec<net::SocketAddr> {
+    pub fn digest_forward_recipients(&self, now: TimeMs) -> Vec<net::SocketAddr> {
         if !self.is_aggregator(now) {
             return Vec::new();
         }
--- a/crates/damaskvane-routing/tests/digests.rs
+++ b/crates/damaskvane-routing/tests/digests.rs
@@ -174,7 +174,7 @@
         let Some(members) = self.at(receiver) else {
             return;
         };
-        let listeners = members.digest_listeners(at(now_ms));
+        let listeners = members.digest_forward_recipients(at(now_ms));
         for address in listeners.into_iter().chain([receiver]) {
             for heartbeat in news {
                 if let Some(members) = self.at(address) {
@@ -316,11 +316,11 @@
     }
     let receivers = PeerSettings::default().digest_receivers_per_zone;
     assert_eq!(east.digest_recipients(at(100)).len(), receivers);
-    assert_eq!(west.digest_listeners(at(100)).len(), 6);
+    assert_eq!(west.digest_forward_recipients(at(100)).len(), 6);
     let mut last = members("west-7", "west-a");
     last.note(at(0), heartbeat("west-1", "west-a", 1));
     last.note(at(0), heartbeat("west-2", "west-a", 1));
-    assert!(last.digest_listeners(at(100)).is_empty());
+    assert!(last.digest_forward_recipients(at(100)).is_empty());
 }
 
 /// The instances of a zone that get digests lose power. The next ones must get them, or that zone would take all
