--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -300,7 +300,7 @@
 
 /// Answers an instance that is looking for others.
 async fn answer(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
-    let own = node.state.borrow().members.answer_to(heartbeat).cloned();
+    let own = node.state.borrow().members.reply_to_heartbeat(heartbeat).cloned();
     if let Some(own) = own {
         let recipients = [heartbeat.peer_address];
         send(node, socket, &Message::Heartbeat(own), &recipients).await;
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -300,7 +300,7 @@
     /// An instance that starts while the store doesn't answer it knows nobody. Without an answer it would wait
     /// for the next heartbeat to all, and serve nobody until then.
     #[must_use]
-    pub fn answer_to(&self, heartbeat: &Heartbeat) -> Option<&Heartbeat> {
+    pub fn reply_to_heartbeat(&self, heartbeat: &Heartbeat) -> Option<&Heartbeat> {
         let own = self.roster.own_member().map(|own| &own.heartbeat)?;
         let is_useful = own.phase == Phase::Ready && heartbeat.phase == Phase::Starting;
         is_useful.then_some(own)
--- a/crates/damaskvane-routing/tests/peers.rs
+++ b/crates/damaskvane-routing/tests/peers.rs
@@ -217,12 +217,12 @@
         phase: Phase::Starting,
         ..heartbeat("peer", "west-a", 1, 1)
     };
-    assert!(members.answer_to(&starting).is_some());
+    assert!(members.reply_to_heartbeat(&starting).is_some());
     assert!(
         members
-            .answer_to(&heartbeat("peer", "west-a", 1, 1))
+            .reply_to_heartbeat(&heartbeat("peer", "west-a", 1, 1))
             .is_none()
     );
     members.set_own_phase(at(1), Phase::Starting);
-    assert!(members.answer_to(&starting).is_none());
+    assert!(members.reply_to_heartbeat(&starting).is_none());
 }
