--- a/crates/damaskvane-gateway/src/clients/run.rs
+++ b/crates/damaskvane-gateway/src/clients/run.rs
@@ -84,7 +84,7 @@
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
         let state = &mut *state;
-        let instances = state.members.most_at_work();
+        let instances = state.members.max_running_instances();
         let request = PlacementRequest {
             route: self.route,
             service: &self.service,
@@ -107,7 +107,7 @@
         }
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
-        let instances = state.members.most_at_work();
+        let instances = state.members.max_running_instances();
         let budget = state.budgets.get_mut(&self.service);
         let may = budget.is_some_and(|budget| budget.take(now, instances));
         if may {
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -335,7 +335,7 @@
     /// Too small a divisor would break a limit, too large a one only wastes some of it, so instances that
     /// fell silent still count.
     #[must_use]
-    pub fn most_at_work(&self) -> usize {
+    pub fn max_running_instances(&self) -> usize {
         let known = self.listing.known();
         if self.listing.is_whole() {
             known
--- a/crates/damaskvane-routing/tests/peers.rs
+++ b/crates/damaskvane-routing/tests/peers.rs
@@ -155,17 +155,17 @@
     };
     let mut members = members();
     members.set_listed([listed("own"), listed("one"), listed("two")]);
-    assert_eq!(members.most_at_work(), 3);
+    assert_eq!(members.max_running_instances(), 3);
     members.note(at(0), heartbeat("one", "east-a", 1, 1));
     members.note(at(0), heartbeat("three", "west-a", 1, 1));
-    assert_eq!(members.most_at_work(), 4);
+    assert_eq!(members.max_running_instances(), 4);
     members.note(at(9_000), heartbeat("three", "west-a", 2, 1));
     members.add_listed([listed("three"), listed("four")]);
-    assert_eq!(members.most_at_work(), 5);
+    assert_eq!(members.max_running_instances(), 5);
     members.remove_listed(&"one".parse().expect("a name"));
-    assert_eq!(members.most_at_work(), 5);
+    assert_eq!(members.max_running_instances(), 5);
     members.set_listed([listed("own")]);
-    assert_eq!(members.most_at_work(), 3);
+    assert_eq!(members.max_running_instances(), 3);
 }
 
 fn relays(members: &Members, now_ms: u64) -> Vec<String> {
