--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -340,7 +340,7 @@
         if self.listing.is_whole() {
             known
         } else {
-            known.max(self.settings.unknown_instances)
+            known.max(self.settings.assumed_instances)
         }
     }
 
--- a/crates/damaskvane-routing/src/peers/settings.rs
+++ b/crates/damaskvane-routing/src/peers/settings.rs
@@ -31,7 +31,7 @@
     /// times slower.
     pub join_timeout_ms: u64,
     /// Instances to reckon with before the platform's list was read.
-    pub unknown_instances: usize,
+    pub assumed_instances: usize,
     /// Instances of a zone that hand changes on in it: the second one serves when the first is lost.
     pub relays_per_zone: usize,
     /// Instances of a region that watch the store, in zones apart: the second one serves when the first is lost.
@@ -50,7 +50,7 @@
             beats_between_greetings: 8,
             beats_between_repairs: 32,
             join_timeout_ms: 1_500,
-            unknown_instances: 16,
+            assumed_instances: 16,
             relays_per_zone: 2,
             watchers_per_region: 2,
         }
--- a/crates/damaskvane-routing/tests/limits.rs
+++ b/crates/damaskvane-routing/tests/limits.rs
@@ -66,7 +66,7 @@
 fn an_instance_that_knows_nobody_reckons_with_many() {
     let settings = PeerSettings::default();
     let mut members = Members::new(settings, "a-1".parse().expect("a name"), regions());
-    assert_eq!(members.max_running_instances(), settings.unknown_instances);
+    assert_eq!(members.max_running_instances(), settings.assumed_instances);
     let listed = ["a-1", "a-2", "b-1"].map(|name| ListedInstance {
         instance: name.parse().expect("a name"),
         peer_address: "10.0.0.1:7000".parse().expect("an address"),
