--- a/crates/damaskvane-gateway/src/store/freshness.rs
+++ b/crates/damaskvane-gateway/src/store/freshness.rs
@@ -98,7 +98,7 @@
     // At startup the first instance of a later zone has received nothing from the earlier zones yet, and
     // would rank as a watcher.
     let may_lack_earlier_zones =
-        now.get() < RELAY_STARTUP_TIMEOUT_MS && !state.members.is_of_first_zones();
+        now.get() < RELAY_STARTUP_TIMEOUT_MS && !state.members.is_in_watcher_zone();
     let watcher_rank = watchers.iter().position(is_own);
     let watcher_rank = watcher_rank.filter(|_| !is_access_lost && !may_lack_earlier_zones);
     if watcher_rank == Some(0) {
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -109,7 +109,7 @@
 
     /// Whether the own zone is one of those whose first instance watches the store for the region.
     #[must_use]
-    pub fn is_of_first_zones(&self) -> bool {
+    pub fn is_in_watcher_zone(&self) -> bool {
         let Some(own) = self.roster.own_zone() else {
             return false;
         };
