--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -120,7 +120,7 @@
             zone: entry.zone.clone(),
             expected_ms: 0.0,
             first_ms: 0.0,
-            least_ms: 0.0,
+            min_ms: 0.0,
             is_warm: false,
             was_sent: false,
             remembered_ms: 0.0,
--- a/crates/damaskvane-routing/src/placement/appraisal.rs
+++ b/crates/damaskvane-routing/src/placement/appraisal.rs
@@ -122,7 +122,7 @@
             address: server.entry.address,
             zone: server.entry.zone.clone(),
             expected_ms: self.work_ms + self.before_ms,
-            least_ms: least_work_ms + self.before_ms,
+            min_ms: least_work_ms + self.before_ms,
             first_ms: self.baseline.first_ms + self.before_ms,
             is_warm: self.chance >= FIRST_REMEMBERS,
             was_sent: request
--- a/crates/damaskvane-routing/src/placement/choice.rs
+++ b/crates/damaskvane-routing/src/placement/choice.rs
@@ -53,7 +53,7 @@
     /// How long it should take there if the server doesn't remember its object.
     pub first_ms: f64,
     /// What it will take there at least.
-    pub least_ms: f64,
+    pub min_ms: f64,
     /// Whether the server is taken to remember the object.
     pub is_warm: bool,
     /// Whether this instance has sent it the object lately.
