--- a/crates/damaskvane-gateway/tests/datagrams.rs
+++ b/crates/damaskvane-gateway/tests/datagrams.rs
@@ -7,7 +7,7 @@
 use damaskvane_gateway::crashes;
 use damaskvane_gateway::peers::Message;
 use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, Phase, IncarnationKey};
-use damaskvane_routing::placement::{MOST_STEPS, ObjectSample, RouteKey, PopularityDecision};
+use damaskvane_routing::placement::{POPULARITY_STEPS, ObjectSample, RouteKey, PopularityDecision};
 use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, ToldServer};
 use proptest::prelude::*;
 
@@ -95,7 +95,7 @@
 fn verdicts() -> Message {
     let verdict = |route| PopularityDecision {
         route: RouteKey::from_wire(u32::MAX - route),
-        steps: MOST_STEPS,
+        steps: POPULARITY_STEPS,
     };
     Message::Verdicts {
         by: "an-instance-with-a-rather-long-name-1"
--- a/crates/damaskvane-routing/src/placement/popularity.rs
+++ b/crates/damaskvane-routing/src/placement/popularity.rs
@@ -25,7 +25,7 @@
 const LONGEST_WINDOW_MS: u64 = 4_000;
 /// The steps in which a route's objects get their further servers, or lose them: were it one, the first runs of all
 /// objects would come at once.
-pub const MOST_STEPS: u8 = 4;
+pub const POPULARITY_STEPS: u8 = 4;
 /// How long a verdict holds that is not repeated.
 const VERDICT_LASTS_MS: u64 = 10_000;
 /// How long the first speaker's word goes before another one's.
@@ -45,7 +45,7 @@
 pub struct PopularityDecision {
     /// The route.
     pub route: RouteKey,
-    /// The part, in steps of [`MOST_STEPS`].
+    /// The part, in steps of [`POPULARITY_STEPS`].
     pub steps: u8,
 }
 
@@ -90,7 +90,7 @@
             self.sample = ObjectSample::default();
         }
         self.steps = if self.is_popular {
-            (self.steps + 1).min(MOST_STEPS)
+            (self.steps + 1).min(POPULARITY_STEPS)
         } else {
             self.steps.saturating_sub(1)
         };
@@ -187,7 +187,7 @@
         }
         let steps = told.steps.get(&RouteKey::of(route)).copied();
         // The middle of the hash: neither the part that places objects nor the one that samples them.
-        let step_of_object = (object >> 24) as u8 % MOST_STEPS;
+        let step_of_object = (object >> 24) as u8 % POPULARITY_STEPS;
         step_of_object < steps.unwrap_or(0)
     }
 }
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -4,7 +4,7 @@
 
 use damaskvane_core::ids;
 use damaskvane_routing::placement::{
-    self, PopularityReport, Choice, MOST_STEPS, ObjectSample, Placer, PopularityDecision,
+    self, PopularityReport, Choice, POPULARITY_STEPS, ObjectSample, Placer, PopularityDecision,
 };
 use damaskvane_routing::pool::ServerPool;
 use rand::{RngExt, SeedableRng};
@@ -123,7 +123,7 @@
             assert!(now <= before + 1, "seed {seed}");
             before = now;
         }
-        assert_eq!(before, MOST_STEPS, "seed {seed}");
+        assert_eq!(before, POPULARITY_STEPS, "seed {seed}");
         for _ in 0..20 {
             before = steps(&zone.second(12, 600));
         }
