--- a/crates/damaskvane-bench/src/decisions/measure.rs
+++ b/crates/damaskvane-bench/src/decisions/measure.rs
@@ -100,7 +100,7 @@
             service: &service,
             object: Some(*object),
             tried: &[],
-            left_ms: 2_000,
+            remaining_ms: 2_000,
             spread: 0.5,
         };
         let now = TimeMs::new(1_000);
--- a/crates/damaskvane-bench/src/placement/world.rs
+++ b/crates/damaskvane-bench/src/placement/world.rs
@@ -296,7 +296,7 @@
             service: &self.deployment.service_id(one.service),
             object: Some(one.object),
             tried: &[],
-            left_ms: 0,
+            remaining_ms: 0,
             spread: 0.0,
         };
         let exchange = ExchangeId(flight as u64);
--- a/crates/damaskvane-bench/src/placement/world/asking.rs
+++ b/crates/damaskvane-bench/src/placement/world/asking.rs
@@ -72,7 +72,7 @@
             service: &self.deployment.service_id(one.service),
             object: Some(one.object),
             tried: &one.tried,
-            left_ms: one.timeout_at_ms.saturating_sub(self.now_ms),
+            remaining_ms: one.timeout_at_ms.saturating_sub(self.now_ms),
             spread: self.random.random(),
         };
         let instance = &mut self.instances[one.instance];
--- a/crates/damaskvane-gateway/src/clients/run.rs
+++ b/crates/damaskvane-gateway/src/clients/run.rs
@@ -90,7 +90,7 @@
             service: &self.service,
             object: self.object,
             tried: &self.tried,
-            left_ms: self.deadline.since(now).get(),
+            remaining_ms: self.deadline.since(now).get(),
             spread: rand::rng().random(),
         };
         state
--- a/crates/damaskvane-routing/src/placement/appraisal.rs
+++ b/crates/damaskvane-routing/src/placement/appraisal.rs
@@ -77,7 +77,7 @@
         let before_ms = wait_ms + round_trip_ms;
         let worth = Worth {
             objective_ms,
-            left_ms: request.left_ms as f64,
+            remaining_ms: request.remaining_ms as f64,
             late: settings.late_worth,
         };
         let remembered = worth.after(before_ms + baseline.warm_ms * slowness);
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -133,7 +133,7 @@
         home: Option<ServerHandle>,
         pick: Pick,
     ) -> Choice {
-        if pick.min_ms > request.left_ms as f64 {
+        if pick.min_ms > request.remaining_ms as f64 {
             return self.refuse(RefusalReason::TooLate, request);
         }
         let home = home.and_then(|home| pool.at(home)?.region());
--- a/crates/damaskvane-routing/src/placement/request.rs
+++ b/crates/damaskvane-routing/src/placement/request.rs
@@ -17,7 +17,7 @@
     /// The servers it was sent to before.
     pub tried: &'a [ids::BackendServerId],
     /// The time left for it.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// A number between 0 and 1 that spreads the return of refused clients.
     pub spread: f64,
 }
--- a/crates/damaskvane-routing/src/placement/worth.rs
+++ b/crates/damaskvane-routing/src/placement/worth.rs
@@ -9,7 +9,7 @@
     /// The time within which an answer is worth 1.
     pub(super) objective_ms: f64,
     /// The time that is left; an answer after it is worth nothing.
-    pub(super) left_ms: f64,
+    pub(super) remaining_ms: f64,
     /// What a late answer is worth.
     pub(super) late: f64,
 }
@@ -21,7 +21,7 @@
     /// still better than one that misses it by far.
     pub(super) fn after(&self, expected_ms: f64) -> f64 {
         let in_time = chance_within(expected_ms, self.objective_ms);
-        let at_all = chance_within(expected_ms, self.left_ms);
+        let at_all = chance_within(expected_ms, self.remaining_ms);
         at_all * (1.0 - self.late).mul_add(in_time, self.late)
     }
 }
--- a/crates/damaskvane-routing/tests/support/mod.rs
+++ b/crates/damaskvane-routing/tests/support/mod.rs
@@ -120,7 +120,7 @@
         service,
         object: Some(object),
         tried: &[],
-        left_ms: 2_000,
+        remaining_ms: 2_000,
         spread: 0.5,
     }
 }
