--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -73,7 +73,7 @@
         let (now, recipients) = {
             let now = node.now();
             let mut state = node.state.borrow_mut();
-            state.members.note(now, heartbeat.clone());
+            state.members.apply_heartbeat(now, heartbeat.clone());
             (now, state.members.recipients(now, serial))
         };
         if last_phase != Some(phase) {
@@ -325,7 +325,7 @@
     let instance = heartbeat.instance.clone();
     let phase = heartbeat.phase;
     let now = node.now();
-    let is_new = node.state.borrow_mut().members.note(now, heartbeat);
+    let is_new = node.state.borrow_mut().members.apply_heartbeat(now, heartbeat);
     if is_new {
         slog::info!(node.log.log, "instance started";
             "peer" => %instance, "phase" => ?phase);
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -147,7 +147,7 @@
     }
 
     /// Takes in a heartbeat; returns whether the instance is new, or back under a new start.
-    pub fn note(&mut self, now: TimeMs, heartbeat: Heartbeat) -> bool {
+    pub fn apply_heartbeat(&mut self, now: TimeMs, heartbeat: Heartbeat) -> bool {
         let Some(known) = self.roster.get_mut(&heartbeat.instance) else {
             self.add(now, heartbeat);
             return true;
--- a/crates/damaskvane-routing/tests/digests.rs
+++ b/crates/damaskvane-routing/tests/digests.rs
@@ -27,7 +27,7 @@
 fn members(name: &str, zone_name: &str) -> Members {
     let own = name.parse().expect("a name");
     let mut members = Members::new(PeerSettings::default(), own, regions());
-    members.note(at(0), heartbeat(name, zone_name, 1));
+    members.apply_heartbeat(at(0), heartbeat(name, zone_name, 1));
     members
 }
 
@@ -42,8 +42,8 @@
 #[test]
 fn heartbeats_stay_in_the_zone_once_all_know_each_other() {
     let mut own = members("east-1", "east-a");
-    own.note(at(0), heartbeat("east-2", "east-a", 1));
-    own.note(at(0), heartbeat("west-1", "west-a", 1));
+    own.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
+    own.apply_heartbeat(at(0), heartbeat("west-1", "west-a", 1));
     let within = own.recipients(at(100), 10);
     assert_eq!(within, [heartbeat("east-2", "east-a", 1).peer_address]);
 }
@@ -52,7 +52,7 @@
 #[test]
 fn a_change_of_phase_is_told_to_all() {
     let mut own = members("east-1", "east-a");
-    own.note(at(0), heartbeat("west-1", "west-a", 1));
+    own.apply_heartbeat(at(0), heartbeat("west-1", "west-a", 1));
     assert_eq!(own.recipients(at(100), 10).len(), 0);
     own.set_own_phase(at(200), Phase::Leaving);
     assert_eq!(own.recipients(at(300), 11).len(), 1);
@@ -89,28 +89,28 @@
         phase: Phase::Starting,
         ..heartbeat("east-1", "east-a", 1)
     };
-    own.note(at(0), starting);
-    own.note(at(0), heartbeat("east-2", "east-a", 1));
-    own.note(at(0), heartbeat("west-1", "west-a", 1));
+    own.apply_heartbeat(at(0), starting);
+    own.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
+    own.apply_heartbeat(at(0), heartbeat("west-1", "west-a", 1));
     assert_eq!(own.recipients(at(100), 2).len(), 1);
     own.set_own_phase(at(200), Phase::Ready);
     assert_eq!(own.recipients(at(200), 3).len(), 1);
     let mut west = members("west-1", "west-a");
     for heartbeat in own.take_membership_updates(at(300), 12) {
-        west.note(at(310), heartbeat);
+        west.apply_heartbeat(at(310), heartbeat);
     }
     assert!(is_usable(&west, 400, "east-1"));
     assert!(is_usable(&west, 400, "east-2"));
     assert!(own.take_membership_updates(at(500), 12).is_empty());
-    own.note(at(600), heartbeat("east-2", "east-a", 2));
+    own.apply_heartbeat(at(600), heartbeat("east-2", "east-a", 2));
     assert!(own.take_membership_updates(at(700), 12).is_empty());
     let leaving = Heartbeat {
         phase: Phase::Leaving,
         ..heartbeat("east-2", "east-a", 3)
     };
-    own.note(at(800), leaving);
+    own.apply_heartbeat(at(800), leaving);
     for heartbeat in own.take_membership_updates(at(900), 12) {
-        west.note(at(910), heartbeat);
+        west.apply_heartbeat(at(910), heartbeat);
     }
     assert!(!is_usable(&west, 950, "east-2"));
 }
@@ -139,7 +139,7 @@
             let settings = PeerSettings::default();
             let mut members = Members::new(settings, own.instance.clone(), regions());
             for heartbeat in &all {
-                members.note(at(0), heartbeat.clone());
+                members.apply_heartbeat(at(0), heartbeat.clone());
             }
             members.take_membership_updates(at(0), all.len());
             (members, own.peer_address)
@@ -158,7 +158,7 @@
         let sender = self.at(own.peer_address).expect("an instance");
         for address in sender.recipients(at(now_ms), own.serial) {
             if let Some(members) = self.at(address) {
-                members.note(at(now_ms), own.clone());
+                members.apply_heartbeat(at(now_ms), own.clone());
             }
         }
         for index in 0..self.0.len() {
@@ -178,7 +178,7 @@
         for address in listeners.into_iter().chain([receiver]) {
             for heartbeat in news {
                 if let Some(members) = self.at(address) {
-                    members.note(at(now_ms), heartbeat.clone());
+                    members.apply_heartbeat(at(now_ms), heartbeat.clone());
                 }
             }
         }
@@ -198,7 +198,7 @@
                 ..of_fleet(changing, serial)
             };
             let members = fleet.at(own.peer_address).expect("an instance");
-            members.note(at(now_ms), own.clone());
+            members.apply_heartbeat(at(now_ms), own.clone());
             fleet.beat(now_ms, &own);
             for (members, address) in &fleet.0 {
                 let is_usable = is_usable(members, now_ms + 100, own.instance.as_str());
@@ -230,10 +230,10 @@
         phase: Phase::Starting,
         ..heartbeat("east-2", "east-a", 1)
     };
-    west.note(at(0), starting);
+    west.apply_heartbeat(at(0), starting);
     assert!(!is_usable(&west, 100, "east-2"));
     let mut east = members("east-1", "east-a");
-    east.note(at(500), heartbeat("east-2", "east-a", 2));
+    east.apply_heartbeat(at(500), heartbeat("east-2", "east-a", 2));
     let digest = east.digest(at(600)).expect("it speaks for its zone");
     west.apply_digest(at(650), &digest);
     assert!(is_usable(&west, 700, "east-2"));
@@ -244,13 +244,13 @@
 #[test]
 fn a_digest_keeps_the_instances_of_a_zone_known() {
     let mut west = members("west-1", "west-a");
-    west.note(at(0), heartbeat("east-1", "east-a", 1));
-    west.note(at(0), heartbeat("east-2", "east-a", 1));
+    west.apply_heartbeat(at(0), heartbeat("east-1", "east-a", 1));
+    west.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
     let mut east = members("east-1", "east-a");
     for beat in 1..10 {
         let now_ms = beat * HEARTBEAT_MS;
-        east.note(at(now_ms), heartbeat("east-1", "east-a", beat + 1));
-        east.note(at(now_ms - 300), heartbeat("east-2", "east-a", beat + 1));
+        east.apply_heartbeat(at(now_ms), heartbeat("east-1", "east-a", beat + 1));
+        east.apply_heartbeat(at(now_ms - 300), heartbeat("east-2", "east-a", beat + 1));
         let digest = east.digest(at(now_ms)).expect("it speaks for its zone");
         west.apply_digest(at(now_ms + 50), &digest);
     }
@@ -263,12 +263,12 @@
 #[test]
 fn a_digest_does_not_keep_a_silent_instance_alive() {
     let mut west = members("west-1", "west-a");
-    west.note(at(0), heartbeat("east-2", "east-a", 1));
+    west.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
     let mut east = members("east-1", "east-a");
-    east.note(at(0), heartbeat("east-2", "east-a", 1));
+    east.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
     for beat in 1..6 {
         let now_ms = beat * HEARTBEAT_MS;
-        east.note(at(now_ms), heartbeat("east-1", "east-a", beat + 1));
+        east.apply_heartbeat(at(now_ms), heartbeat("east-1", "east-a", beat + 1));
         let digest = east.digest(at(now_ms)).expect("it speaks for its zone");
         west.apply_digest(at(now_ms + 50), &digest);
     }
@@ -280,10 +280,10 @@
 #[test]
 fn another_instance_speaks_for_a_zone_when_its_speakers_are_silent() {
     let mut third = members("east-3", "east-a");
-    third.note(at(0), heartbeat("east-1", "east-a", 1));
-    third.note(at(0), heartbeat("east-2", "east-a", 1));
+    third.apply_heartbeat(at(0), heartbeat("east-1", "east-a", 1));
+    third.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
     assert!(third.digest(at(100)).is_none());
-    third.note(at(1_600), heartbeat("east-3", "east-a", 3));
+    third.apply_heartbeat(at(1_600), heartbeat("east-3", "east-a", 3));
     assert!(third.digest(at(1_600)).is_some());
 }
 
@@ -291,15 +291,15 @@
 #[test]
 fn a_late_digest_does_not_revive_a_leaving_instance() {
     let mut east = members("east-1", "east-a");
-    east.note(at(0), heartbeat("east-2", "east-a", 5));
+    east.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 5));
     let digest = east.digest(at(100)).expect("it speaks for its zone");
     let mut west = members("west-1", "west-a");
-    west.note(at(0), heartbeat("east-2", "east-a", 4));
+    west.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 4));
     let leaving = Heartbeat {
         phase: Phase::Leaving,
         ..heartbeat("east-2", "east-a", 6)
     };
-    west.note(at(150), leaving);
+    west.apply_heartbeat(at(150), leaving);
     west.apply_digest(at(200), &digest);
     assert!(!is_usable(&west, 300, "east-2"));
 }
@@ -311,15 +311,15 @@
     let mut east = members("east-1", "east-a");
     let mut west = members("west-1", "west-a");
     for number in 1..8 {
-        east.note(at(0), heartbeat(&format!("west-{number}"), "west-a", 1));
-        west.note(at(0), heartbeat(&format!("west-{number}"), "west-a", 1));
+        east.apply_heartbeat(at(0), heartbeat(&format!("west-{number}"), "west-a", 1));
+        west.apply_heartbeat(at(0), heartbeat(&format!("west-{number}"), "west-a", 1));
     }
     let receivers = PeerSettings::default().digest_receivers_per_zone;
     assert_eq!(east.digest_recipients(at(100)).len(), receivers);
     assert_eq!(west.digest_forward_recipients(at(100)).len(), 6);
     let mut last = members("west-7", "west-a");
-    last.note(at(0), heartbeat("west-1", "west-a", 1));
-    last.note(at(0), heartbeat("west-2", "west-a", 1));
+    last.apply_heartbeat(at(0), heartbeat("west-1", "west-a", 1));
+    last.apply_heartbeat(at(0), heartbeat("west-2", "west-a", 1));
     assert!(last.digest_forward_recipients(at(100)).is_empty());
 }
 
@@ -329,11 +329,11 @@
 fn digests_go_to_the_next_instances_of_a_zone_when_the_first_are_silent() {
     let mut east = members("east-1", "east-a");
     for number in 1..5 {
-        east.note(at(0), heartbeat(&format!("west-{number}"), "west-a", 1));
+        east.apply_heartbeat(at(0), heartbeat(&format!("west-{number}"), "west-a", 1));
     }
-    east.note(at(4_000), heartbeat("west-4", "west-a", 2));
+    east.apply_heartbeat(at(4_000), heartbeat("west-4", "west-a", 2));
     let last = heartbeat("west-4", "west-a", 1).peer_address;
-    east.note(at(4_000), heartbeat("east-1", "east-a", 2));
+    east.apply_heartbeat(at(4_000), heartbeat("east-1", "east-a", 2));
     assert_eq!(east.digest_recipients(at(4_000)), [last]);
 }
 
@@ -351,7 +351,7 @@
                 for other in
                     (0..per_zone).filter(|other| other_zone != own_zone || *other != number)
                 {
-                    own.note(
+                    own.apply_heartbeat(
                         at(0),
                         heartbeat(&format!("{other_zone}-{other:02}"), other_zone, 1),
                     );
@@ -371,16 +371,16 @@
 fn who_speaks_for_a_zone_introduces_a_new_instance_of_it_to_the_other_zones() {
     let mut speaker = members("east-1", "east-a");
     for number in 0..20 {
-        speaker.note(at(0), heartbeat(&format!("west-{number}"), "west-a", 1));
+        speaker.apply_heartbeat(at(0), heartbeat(&format!("west-{number}"), "west-a", 1));
     }
     let mut new = members("east-2", "east-a");
     let starting = Heartbeat {
         phase: Phase::Starting,
         ..heartbeat("east-2", "east-a", 1)
     };
-    speaker.note(at(100), starting.clone());
+    speaker.apply_heartbeat(at(100), starting.clone());
     for heartbeat in speaker.heartbeats_for_new_instance(at(100), &starting) {
-        new.note(at(110), heartbeat);
+        new.apply_heartbeat(at(110), heartbeat);
     }
     assert!((0..20).all(|number| is_usable(&new, 200, &format!("west-{number}"))));
     let far = heartbeat("west-21", "west-a", 1);
--- a/crates/damaskvane-routing/tests/peers.rs
+++ b/crates/damaskvane-routing/tests/peers.rs
@@ -22,7 +22,7 @@
 fn members() -> Members {
     let own = "own".parse().expect("a name");
     let mut members = Members::new(PeerSettings::default(), own, regions());
-    members.note(at(0), heartbeat("own", "east-a", 1, 1));
+    members.apply_heartbeat(at(0), heartbeat("own", "east-a", 1, 1));
     members
 }
 
@@ -54,7 +54,7 @@
     listed.set_registered();
     assert!(listed.has_joined(at(1)));
     let mut hearing = members();
-    hearing.note(at(1), heartbeat("peer", "west-a", 1, 1));
+    hearing.apply_heartbeat(at(1), heartbeat("peer", "west-a", 1, 1));
     assert!(hearing.has_joined(at(1)));
 }
 
@@ -63,7 +63,7 @@
 #[test]
 fn a_silent_instance_is_no_longer_named() {
     let mut members = members();
-    members.note(at(0), heartbeat("peer", "west-a", 1, 1));
+    members.apply_heartbeat(at(0), heartbeat("peer", "west-a", 1, 1));
     assert_eq!(named(&members, 1_000, "west-a"), [port("peer")]);
     assert_eq!(named(&members, 5_000, "west-a"), [port("own")]);
 }
@@ -77,9 +77,9 @@
         phase: Phase::Leaving,
         ..heartbeat("peer", "west-a", 1, 8)
     };
-    members.note(at(0), heartbeat("peer", "west-a", 1, 6));
-    members.note(at(100), leaving);
-    members.note(at(120), heartbeat("peer", "west-a", 1, 7));
+    members.apply_heartbeat(at(0), heartbeat("peer", "west-a", 1, 6));
+    members.apply_heartbeat(at(100), leaving);
+    members.apply_heartbeat(at(120), heartbeat("peer", "west-a", 1, 7));
     assert_eq!(named(&members, 200, "west-a"), [port("own")]);
 }
 
@@ -88,8 +88,8 @@
 #[test]
 fn a_restarted_instance_is_named_again() {
     let mut members = members();
-    members.note(at(0), heartbeat("peer", "west-a", 1, 500));
-    members.note(at(2_000), heartbeat("peer", "west-a", 2, 1));
+    members.apply_heartbeat(at(0), heartbeat("peer", "west-a", 1, 500));
+    members.apply_heartbeat(at(2_000), heartbeat("peer", "west-a", 2, 1));
     assert_eq!(named(&members, 2_100, "west-a"), [port("peer")]);
 }
 
@@ -98,7 +98,7 @@
 #[test]
 fn a_zone_without_instances_is_served_from_its_region() {
     let mut members = members();
-    members.note(at(0), heartbeat("west", "west-a", 1, 1));
+    members.apply_heartbeat(at(0), heartbeat("west", "west-a", 1, 1));
     assert_eq!(named(&members, 100, "east-b"), [port("own")]);
 }
 
@@ -114,7 +114,7 @@
 #[test]
 fn callers_without_instances_near_get_those_of_allowed_regions() {
     let mut members = members();
-    members.note(at(0), heartbeat("west", "west-a", 1, 1));
+    members.apply_heartbeat(at(0), heartbeat("west", "west-a", 1, 1));
     let allowed = ["west".parse().expect("a name")];
     let (zone, region) = (zone("north-a"), "north".parse().expect("a name"));
     let addresses = members.look_up(at(100), Some(&zone), Some(&region), &allowed);
@@ -135,12 +135,12 @@
 #[test]
 fn a_region_has_its_watchers_in_zones_apart() {
     let mut members = members();
-    members.note(at(0), heartbeat("another", "east-a", 1, 1));
-    members.note(at(0), heartbeat("b-1", "east-b", 1, 1));
-    members.note(at(0), heartbeat("west", "west-a", 1, 1));
+    members.apply_heartbeat(at(0), heartbeat("another", "east-a", 1, 1));
+    members.apply_heartbeat(at(0), heartbeat("b-1", "east-b", 1, 1));
+    members.apply_heartbeat(at(0), heartbeat("west", "west-a", 1, 1));
     assert_eq!(watchers(&members, 100), ["another", "b-1"]);
-    members.note(at(3_000), heartbeat("b-1", "east-b", 1, 2));
-    members.note(at(3_000), heartbeat("own", "east-a", 1, 2));
+    members.apply_heartbeat(at(3_000), heartbeat("b-1", "east-b", 1, 2));
+    members.apply_heartbeat(at(3_000), heartbeat("own", "east-a", 1, 2));
     assert_eq!(watchers(&members, 3_000), ["own", "b-1"]);
 }
 
@@ -156,10 +156,10 @@
     let mut members = members();
     members.set_listed([listed("own"), listed("one"), listed("two")]);
     assert_eq!(members.max_running_instances(), 3);
-    members.note(at(0), heartbeat("one", "east-a", 1, 1));
-    members.note(at(0), heartbeat("three", "west-a", 1, 1));
+    members.apply_heartbeat(at(0), heartbeat("one", "east-a", 1, 1));
+    members.apply_heartbeat(at(0), heartbeat("three", "west-a", 1, 1));
     assert_eq!(members.max_running_instances(), 4);
-    members.note(at(9_000), heartbeat("three", "west-a", 2, 1));
+    members.apply_heartbeat(at(9_000), heartbeat("three", "west-a", 2, 1));
     members.add_listed([listed("three"), listed("four")]);
     assert_eq!(members.max_running_instances(), 5);
     members.remove_listed(&"one".parse().expect("a name"));
@@ -186,10 +186,10 @@
         ..heartbeat(name, "east-a", 1, 1)
     };
     members.set_own_phase(at(0), Phase::Starting);
-    members.note(at(1), starting("another"));
-    members.note(at(1), starting("third"));
+    members.apply_heartbeat(at(1), starting("another"));
+    members.apply_heartbeat(at(1), starting("third"));
     assert_eq!(relays(&members, 2), ["another", "own"]);
-    members.note(at(3), heartbeat("third", "east-a", 1, 2));
+    members.apply_heartbeat(at(3), heartbeat("third", "east-a", 1, 2));
     assert_eq!(relays(&members, 4), ["third"]);
 }
 
@@ -202,7 +202,7 @@
     starting.set_own_phase(at(0), Phase::Starting);
     starting.set_seeds([seed, heartbeat("own", "east-a", 1, 1).peer_address]);
     assert_eq!(starting.recipients(at(100), 1), [seed]);
-    starting.note(at(200), heartbeat("peer", "west-a", 1, 1));
+    starting.apply_heartbeat(at(200), heartbeat("peer", "west-a", 1, 1));
     assert!(!starting.recipients(at(300), 3).contains(&seed));
     let mut listed = members();
     listed.set_seeds([seed]);
