--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -32,7 +32,7 @@
             let round_trip_ms = deployment.round_trip_ms(zone, other) as f64;
             placer
                 .round_trips
-                .note(&deployment.zone_id(other), round_trip_ms);
+                .record(&deployment.zone_id(other), round_trip_ms);
         }
         Self {
             policy,
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -180,7 +180,7 @@
         let opened = http::Connection::open(self.pick.address, timeout, SILENCE).await?;
         let took_ms = self.node.now().since(now).get() as f64;
         let mut state = self.node.state.borrow_mut();
-        state.placer.round_trips.note(&self.pick.zone, took_ms);
+        state.placer.round_trips.record(&self.pick.zone, took_ms);
         Ok((opened, false))
     }
 
--- a/crates/damaskvane-routing/src/placement/round_trips.rs
+++ b/crates/damaskvane-routing/src/placement/round_trips.rs
@@ -18,7 +18,7 @@
     ///
     /// A single slow handshake says little, a fast one says how near the zone is: the estimate falls at
     /// once and rises slowly.
-    pub fn note(&mut self, zone: &ids::AvailabilityZoneId, took_ms: f64) {
+    pub fn record(&mut self, zone: &ids::AvailabilityZoneId, took_ms: f64) {
         if let Some(known) = self.zones.get_mut(zone) {
             *known = if took_ms < *known {
                 took_ms
