--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -4,7 +4,7 @@
 use damaskvane_core::time::TimeMs;
 use damaskvane_routing::configuration::Configuration;
 use damaskvane_routing::placement::{
-    AnsweredRequest, PopularityReport, Choice, Pick, PlacementRequest, Placer, PopularityDecision,
+    AnsweredRequest, Choice, Pick, PlacementRequest, Placer, PopularityDecision, PopularityReport,
 };
 use damaskvane_routing::pool::{ExchangeEnd, ExchangeId, LoadReport, ServerPool, ServerReport};
 use rand::seq::IndexedRandom;
@@ -68,14 +68,23 @@
     }
 
     /// Judges by the reports of all instances of its zone.
-    pub(super) fn judge(&mut self, now: TimeMs, reports: &[PopularityReport]) -> Vec<PopularityDecision> {
+    pub(super) fn judge(
+        &mut self,
+        now: TimeMs,
+        reports: &[PopularityReport],
+    ) -> Vec<PopularityDecision> {
         for report in reports {
             self.placer.apply_popularity_report(now, report);
         }
         self.placer.decide_popularity(now)
     }
 
-    pub(super) fn told(&mut self, now: TimeMs, by: &ids::InstanceId, verdicts: &[PopularityDecision]) {
+    pub(super) fn told(
+        &mut self,
+        now: TimeMs,
+        by: &ids::InstanceId,
+        verdicts: &[PopularityDecision],
+    ) {
         self.placer.apply_popularity_decisions(now, by, verdicts);
     }
 
--- a/crates/damaskvane-bench/src/placement/world.rs
+++ b/crates/damaskvane-bench/src/placement/world.rs
@@ -187,7 +187,10 @@
         let ends: Vec<usize> = ends.chain([self.instances.len()]).collect();
         for (first, end) in self.first_instances.iter().copied().zip(ends) {
             let of_zone = &mut self.instances[first..end];
-            let reports: Vec<_> = of_zone.iter_mut().map(Instance::take_popularity_report).collect();
+            let reports: Vec<_> = of_zone
+                .iter_mut()
+                .map(Instance::take_popularity_report)
+                .collect();
             let verdicts = of_zone[0].judge(now, &reports);
             let by = deployment::id("speaker");
             for instance in of_zone {
--- a/crates/damaskvane-gateway/src/node.rs
+++ b/crates/damaskvane-gateway/src/node.rs
@@ -9,7 +9,7 @@
 use damaskvane_core::time::TimeMs;
 use damaskvane_routing::configuration::Configuration;
 use damaskvane_routing::limit::RetryBudget;
-use damaskvane_routing::peers::{ListedInstance, Members, Phase, Relay, IncarnationKey};
+use damaskvane_routing::peers::{IncarnationKey, ListedInstance, Members, Phase, Relay};
 use damaskvane_routing::placement::Placer;
 use damaskvane_routing::pool::{ExchangeId, ServerPool};
 use damaskvane_routing::split::Splits;
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -300,7 +300,12 @@
 
 /// Answers an instance that is looking for others.
 async fn answer(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
-    let own = node.state.borrow().members.reply_to_heartbeat(heartbeat).cloned();
+    let own = node
+        .state
+        .borrow()
+        .members
+        .reply_to_heartbeat(heartbeat)
+        .cloned();
     if let Some(own) = own {
         let recipients = [heartbeat.peer_address];
         send(node, socket, &Message::Heartbeat(own), &recipients).await;
@@ -310,7 +315,11 @@
 /// Tells an instance of the own zone that has just started of those of other zones.
 async fn introduce(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
     let now = node.now();
-    let introduction = node.state.borrow().members.heartbeats_for_new_instance(now, heartbeat);
+    let introduction = node
+        .state
+        .borrow()
+        .members
+        .heartbeats_for_new_instance(now, heartbeat);
     for heartbeats in introduction.chunks(MOST_NEWS) {
         let message = Message::News {
             is_handed_on: true,
@@ -325,7 +334,11 @@
     let instance = heartbeat.instance.clone();
     let phase = heartbeat.phase;
     let now = node.now();
-    let is_new = node.state.borrow_mut().members.apply_heartbeat(now, heartbeat);
+    let is_new = node
+        .state
+        .borrow_mut()
+        .members
+        .apply_heartbeat(now, heartbeat);
     if is_new {
         slog::info!(node.log.log, "instance started";
             "peer" => %instance, "phase" => ?phase);
--- a/crates/damaskvane-gateway/src/peers/message.rs
+++ b/crates/damaskvane-gateway/src/peers/message.rs
@@ -4,8 +4,8 @@
 
 use damaskvane_core::ids;
 use damaskvane_dispatch::quarantine::Incident;
-use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, Phase, IncarnationKey};
-use damaskvane_routing::placement::{PopularityReport, ObjectSample, RouteKey, PopularityDecision};
+use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, Phase};
+use damaskvane_routing::placement::{ObjectSample, PopularityDecision, PopularityReport, RouteKey};
 use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, ToldServer};
 use serde::{Deserialize, Serialize};
 
--- a/crates/damaskvane-gateway/tests/datagrams.rs
+++ b/crates/damaskvane-gateway/tests/datagrams.rs
@@ -6,8 +6,8 @@
 use damaskvane_dispatch::quarantine::{Incident, IncidentId};
 use damaskvane_gateway::crashes;
 use damaskvane_gateway::peers::Message;
-use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, Phase, IncarnationKey};
-use damaskvane_routing::placement::{POPULARITY_STEPS, ObjectSample, RouteKey, PopularityDecision};
+use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, Phase};
+use damaskvane_routing::placement::{ObjectSample, POPULARITY_STEPS, PopularityDecision, RouteKey};
 use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, ToldServer};
 use proptest::prelude::*;
 
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -213,7 +213,11 @@
     /// What an instance of the own zone that has just started is to hear of other zones, from one that speaks for
     /// its own: nobody else tells it of instances that neither start nor change.
     #[must_use]
-    pub fn heartbeats_for_new_instance(&self, now: TimeMs, heartbeat: &Heartbeat) -> Vec<Heartbeat> {
+    pub fn heartbeats_for_new_instance(
+        &self,
+        now: TimeMs,
+        heartbeat: &Heartbeat,
+    ) -> Vec<Heartbeat> {
         let is_near = self.roster.own_zone() == Some(&heartbeat.zone);
         if !is_near || heartbeat.instance == self.own || !self.is_aggregator(now) {
             return Vec::new();
--- a/crates/damaskvane-routing/src/peers/roster.rs
+++ b/crates/damaskvane-routing/src/peers/roster.rs
@@ -5,7 +5,7 @@
 use damaskvane_core::ids;
 use damaskvane_core::time::TimeMs;
 
-use crate::peers::{Digest, DigestEntry, Heartbeat, PeerSettings, Phase, IncarnationKey};
+use crate::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, PeerSettings, Phase};
 
 /// An instance with its last heartbeat.
 #[derive(Debug)]
--- a/crates/damaskvane-routing/src/placement.rs
+++ b/crates/damaskvane-routing/src/placement.rs
@@ -29,7 +29,7 @@
 
 pub use choice::{Choice, PassedOver, Pick, Refusal, RefusalReason};
 pub use placer::Placer;
-pub use popularity::{PopularityReport, POPULARITY_STEPS, PopularityDecision};
+pub use popularity::{POPULARITY_STEPS, PopularityDecision, PopularityReport};
 pub use rank::object_hash;
 pub use request::{AnsweredRequest, PlacementRequest};
 pub use round_trips::RoundTrips;
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -7,7 +7,7 @@
 use crate::placement::appraisal::{self, Appraisal, Expected};
 use crate::placement::candidates::{Candidates, Origin, Scope, Search, Spread};
 use crate::placement::moves::Moves;
-use crate::placement::popularity::{PopularityReport, Popularity, PopularityDecision};
+use crate::placement::popularity::{Popularity, PopularityDecision, PopularityReport};
 use crate::placement::rank;
 use crate::placement::{
     AnsweredRequest, Choice, PassedOver, Pick, PlacementRequest, PlacementSettings, Refusal,
@@ -79,8 +79,14 @@
     }
 
     /// Takes in what an instance has judged that speaks for the zone.
-    pub fn apply_popularity_decisions(&mut self, now: TimeMs, by: &ids::InstanceId, verdicts: &[PopularityDecision]) {
-        self.popularity.apply_popularity_decisions(now, by, verdicts);
+    pub fn apply_popularity_decisions(
+        &mut self,
+        now: TimeMs,
+        by: &ids::InstanceId,
+        verdicts: &[PopularityDecision],
+    ) {
+        self.popularity
+            .apply_popularity_decisions(now, by, verdicts);
     }
 
     /// Decides where a request goes, where `instances` share the cold servers.
--- a/crates/damaskvane-routing/src/placement/popularity.rs
+++ b/crates/damaskvane-routing/src/placement/popularity.rs
@@ -138,7 +138,11 @@
     }
 
     /// What the zone is to hear, from an instance that speaks for it.
-    pub(super) fn judge(&mut self, now: TimeMs, settings: &PlacementSettings) -> Vec<PopularityDecision> {
+    pub(super) fn judge(
+        &mut self,
+        now: TimeMs,
+        settings: &PlacementSettings,
+    ) -> Vec<PopularityDecision> {
         for tally in self.tallies.values_mut() {
             tally.judge(now, settings);
         }
--- a/crates/damaskvane-routing/tests/digests.rs
+++ b/crates/damaskvane-routing/tests/digests.rs
@@ -384,5 +384,9 @@
     }
     assert!((0..20).all(|number| is_usable(&new, 200, &format!("west-{number}"))));
     let far = heartbeat("west-21", "west-a", 1);
-    assert!(speaker.heartbeats_for_new_instance(at(100), &far).is_empty());
+    assert!(
+        speaker
+            .heartbeats_for_new_instance(at(100), &far)
+            .is_empty()
+    );
 }
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -4,7 +4,7 @@
 
 use damaskvane_core::ids;
 use damaskvane_routing::placement::{
-    self, PopularityReport, Choice, POPULARITY_STEPS, ObjectSample, Placer, PopularityDecision,
+    self, Choice, ObjectSample, POPULARITY_STEPS, Placer, PopularityDecision, PopularityReport,
 };
 use damaskvane_routing::pool::ServerPool;
 use rand::{RngExt, SeedableRng};
@@ -45,7 +45,11 @@
         }
         self.now_ms += 1_000;
         let now = at(self.now_ms);
-        let reports: Vec<PopularityReport> = self.placers.iter_mut().map(Placer::take_popularity_report).collect();
+        let reports: Vec<PopularityReport> = self
+            .placers
+            .iter_mut()
+            .map(Placer::take_popularity_report)
+            .collect();
         for report in &reports {
             self.placers[0].apply_popularity_report(now, report);
         }
