--- a/crates/damaskvane-routing/src/placement.rs
+++ b/crates/damaskvane-routing/src/placement.rs
@@ -1,10 +1,11 @@
-//! Which backend server a request goes to, or why it is refused.
+//! Selects the backend server for a request, or the reason for refusing the request.
 //!
-//! Servers run a request several times faster if they have handled its object lately, so placement is by
-//! object first: every instance ranks the servers of an object by the same hash and uses the first few.
-//! Among these few a request goes where it wins most: the worth of the expected answer, less the slot time that it
-//! takes from others. Spreading load further when queues grow would make servers run objects that they don't
-//! remember, which takes longer and makes the queues grow more; instead, what exceeds the slots is refused at once.
+//! A server runs a request several times faster if it has handled the same object recently and still has the
+//! object cached. Placement is therefore by object: every instance ranks the servers of an object by the same hash
+//! and uses the first few. Among these few, a request goes to the server with the highest score, which is the
+//! expected value of the answer minus the cost of the slot time. Growing queues don't spread load over more servers:
+//! those servers have not cached the objects, would take longer, and the queues would grow further. Requests beyond
+//! the load limit are refused at once.
 //!
 //! ```
 //! use damaskvane_routing::placement;
@@ -13,19 +14,19 @@
 //! assert!(settings.load_limit(0) > settings.load_limit(1));
 //! ```
 
-mod appraisal;
 mod candidates;
 mod choice;
-mod moves;
+mod latency_score;
 mod placer;
 mod popularity;
 mod rank;
+mod region_shifts;
 mod request;
 mod round_trips;
 mod sample;
+mod server_score;
 mod settings;
 mod shares;
-mod worth;
 
 pub use choice::{Choice, PassedOver, Pick, Refusal, RefusalReason};
 pub use placer::Placer;
--- a/crates/damaskvane-routing/src/placement/candidates.rs
+++ b/crates/damaskvane-routing/src/placement/candidates.rs
@@ -1,9 +1,9 @@
-//! The order of an object's servers, found server by server.
+//! Finds the first servers of an object, in the object's order of servers.
 //!
-//! An object belongs to one region, its callers' own as a rule, and has one server there: each further one
-//! costs a slow run, and pushes another object out of a server's memory. Its second server stands in another
-//! region, whose callers are busy at other times. Objects that are asked for often have one server in each
-//! zone of their region instead: callers use the one of their zone, and the others take what that one can't.
+//! An object has a home region, usually the region of its callers, and one server there: each further server costs a
+//! slow first run and evicts another object from a server's cache. The object's second server is in another region,
+//! whose load peaks at other times. Popular objects have one server in each zone of their home region instead:
+//! callers use the server of their own zone, and the other servers take the requests that it has no room for.
 
 use damaskvane_core::ids;
 
@@ -12,60 +12,62 @@
 use crate::placement::shares::Shares;
 use crate::pool::{RegionIndex, RingPoint, ServerHandle, ServerPool, ServiceServers, ZoneIndex};
 
-/// Steps on a ring in search of one more server. Servers that were passed before lie on it again, so a ring of
-/// two takes two steps in the mean; a search that takes so many has seen them all.
-const MOST_STEPS: usize = 64;
-/// Of so many servers one lies in another region than the object's; the first few after the first one all do.
-const SERVERS_TO_ELSEWHERE: usize = 2;
-const LEAST_ELSEWHERE: usize = 2;
+/// Maximum number of steps on a ring in search of the next server. Each server has several points on the ring: a
+/// search on a ring of two servers takes two steps on average, and a search of 64 steps has seen every server.
+const MAX_RING_STEPS: usize = 64;
+/// One of this many servers of an object is in another region than its home region.
+const SERVERS_PER_REMOTE_SERVER: usize = 2;
+/// Minimum number of servers in other regions, which directly follow the first server.
+const MIN_REMOTE_SERVERS: usize = 2;
 
-/// Where requests come from.
+/// Zone and region of the instance that places the request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Origin {
     pub(super) zone: ZoneIndex,
     pub(super) region: RegionIndex,
 }
 
-/// How many servers of its region an object is to use.
+/// How many servers of its home region an object uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Spread {
-    /// One.
+    /// One server in the region.
     Region,
-    /// One in each zone.
+    /// One server in each zone of the region.
     Zones,
 }
 
-/// Which regions servers may lie in.
+/// Which regions the servers may be in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Scope {
-    /// All.
+    /// All regions that the route allows.
     Everywhere,
-    /// The object's own.
+    /// Only the object's home region.
     Home,
 }
 
-/// Which servers are looked for.
+/// Parameters of a search for servers of an object.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Search {
     pub(super) origin: Origin,
     pub(super) object: u64,
     pub(super) spread: Spread,
     pub(super) scope: Scope,
-    /// How many.
-    pub(super) most: usize,
+    /// Maximum number of servers to find.
+    pub(super) max_servers: usize,
 }
 
-/// The next server of one zone.
+/// Position of the search on the ring of one zone.
 #[derive(Debug, Clone, Copy)]
 struct Cursor {
     zone: ZoneIndex,
     region: RegionIndex,
+    /// Point of the next server, or `None` if the zone has no further server.
     point: Option<RingPoint>,
-    /// How many servers were taken before.
-    taken: usize,
+    /// Number of this zone's servers that were selected so far.
+    selected: usize,
 }
 
-/// The first servers of an object; kept between requests so that finding them allocates nothing.
+/// The first servers of an object, with buffers that are reused between requests so that a search allocates nothing.
 #[derive(Debug, Default)]
 pub(super) struct Candidates {
     slots: Vec<Option<f64>>,
@@ -75,12 +77,12 @@
 }
 
 impl Candidates {
-    /// The servers that were found, the object's first one first.
+    /// Returns the servers that the last search found, in the object's order.
     pub(super) fn found(&self) -> &[ServerHandle] {
         &self.found
     }
 
-    /// Finds the first servers of an object that may take a request.
+    /// Finds the first servers of an object that may take the request.
     pub(super) fn find(
         &mut self,
         pool: &ServerPool,
@@ -95,41 +97,41 @@
         self.tried.clear();
         self.tried.extend(tried);
         let position = rank::position(search.object);
-        self.begin(pool, servers, request, position);
+        self.reset_cursors(pool, servers, request, position);
         let Some(home) = self.home(pool, search.origin.region, search.object) else {
             return;
         };
         let is_home = |cursor: &Cursor| cursor.region == home;
-        let is_elsewhere = |cursor: &Cursor| cursor.region != home;
-        let most = search.most;
-        let elsewhere = match search.scope {
-            Scope::Everywhere => (most / SERVERS_TO_ELSEWHERE).max(LEAST_ELSEWHERE),
+        let is_remote = |cursor: &Cursor| cursor.region != home;
+        let max_servers = search.max_servers;
+        let remote = match search.scope {
+            Scope::Everywhere => (max_servers / SERVERS_PER_REMOTE_SERVER).max(MIN_REMOTE_SERVERS),
             Scope::Home => 0,
         };
         match search.spread {
             Spread::Zones if home == search.origin.region => {
-                let stays = self.stays_in_zone(pool, servers, search);
+                let is_own_zone_first = self.prefers_own_zone(pool, servers, search);
                 let order = |cursor: &Cursor| {
-                    let is_later = stays != (cursor.zone == search.origin.zone);
-                    (cursor.taken, is_later)
+                    let is_later = is_own_zone_first != (cursor.zone == search.origin.zone);
+                    (cursor.selected, is_later)
                 };
-                self.take(servers, position, most, is_home, order);
+                self.select(servers, position, max_servers, is_home, order);
             }
-            Spread::Zones => self.take(servers, position, most, is_home, |_| ()),
+            Spread::Zones => self.select(servers, position, max_servers, is_home, |_| ()),
             Spread::Region => {
-                self.take(servers, position, 1, is_home, |_| ());
-                let of_others = (1 + elsewhere).min(most);
-                self.take(servers, position, of_others, is_elsewhere, |_| ());
-                self.take(servers, position, most, is_home, |_| ());
+                self.select(servers, position, 1, is_home, |_| ());
+                let with_remote = (1 + remote).min(max_servers);
+                self.select(servers, position, with_remote, is_remote, |_| ());
+                self.select(servers, position, max_servers, is_home, |_| ());
             }
         }
         if search.scope == Scope::Everywhere {
-            self.take(servers, position, most, is_elsewhere, |_| ());
+            self.select(servers, position, max_servers, is_remote, |_| ());
         }
     }
 
-    /// Puts a cursor on the first server of each zone that may take the request.
-    fn begin(
+    /// Sets a cursor to the first server of each zone that may take the request.
+    fn reset_cursors(
         &mut self,
         pool: &ServerPool,
         servers: &ServiceServers,
@@ -154,7 +156,7 @@
                 zone,
                 region,
                 point: first,
-                taken: 0,
+                selected: 0,
             };
             if point.is_none() {
                 cursor.point = self.next(servers, position, cursor);
@@ -163,7 +165,7 @@
         }
     }
 
-    /// The region that an object belongs to, for callers of this one.
+    /// Returns the home region of an object for callers in region `own`, or `None` if no region has a server.
     fn home(&self, pool: &ServerPool, own: RegionIndex, object: u64) -> Option<RegionIndex> {
         let topology = pool.topology();
         let shares = Shares::new(topology, &self.slots);
@@ -175,8 +177,13 @@
         best.map(|(region, _)| region)
     }
 
-    /// Whether the callers' zone has the slots for the object.
-    fn stays_in_zone(&self, pool: &ServerPool, servers: &ServiceServers, search: Search) -> bool {
+    /// Returns whether the slots of the callers' zone suffice for this object.
+    fn prefers_own_zone(
+        &self,
+        pool: &ServerPool,
+        servers: &ServiceServers,
+        search: Search,
+    ) -> bool {
         let Search { origin, object, .. } = search;
         let topology = pool.topology();
         let is_usable = self.cursors.iter().any(|one| one.zone == origin.zone);
@@ -190,45 +197,47 @@
         rank::uniform(object, own.as_str()) < share
     }
 
-    /// Takes servers until `most` are found: those of the least key first, of equal ones the nearest.
-    fn take<K: Ord>(
+    /// Selects servers from the eligible zones until `max_servers` are found.
+    ///
+    /// Zones with the lowest `key` come first; among equal keys, the server nearest to `position` on its ring.
+    fn select<K: Ord>(
         &mut self,
         servers: &ServiceServers,
         position: u32,
-        most: usize,
-        is_wanted: impl Fn(&Cursor) -> bool,
+        max_servers: usize,
+        is_eligible: impl Fn(&Cursor) -> bool,
         key: impl Fn(&Cursor) -> K,
     ) {
-        while self.found.len() < most {
-            let wanted = self.cursors.iter().enumerate();
-            let wanted = wanted.filter(|(_, cursor)| is_wanted(cursor));
-            let ahead = wanted.filter_map(|(number, cursor)| {
+        while self.found.len() < max_servers {
+            let eligible = self.cursors.iter().enumerate();
+            let eligible = eligible.filter(|(_, cursor)| is_eligible(cursor));
+            let ahead = eligible.filter_map(|(index, cursor)| {
                 let point = cursor.point?;
-                Some((key(cursor), point.distance(position), number, point))
+                Some((key(cursor), point.distance(position), index, point))
             });
             let nearest = ahead.min_by(|one, other| {
                 let by_key = one.0.cmp(&other.0);
                 by_key.then(one.1.cmp(&other.1))
             });
-            let Some((_, _, number, point)) = nearest else {
+            let Some((_, _, index, point)) = nearest else {
                 return;
             };
             self.found.push(point.server);
-            let next = self.next(servers, position, self.cursors[number]);
-            let cursor = &mut self.cursors[number];
-            cursor.taken += 1;
+            let next = self.next(servers, position, self.cursors[index]);
+            let cursor = &mut self.cursors[index];
+            cursor.selected += 1;
             cursor.point = next;
         }
     }
 
-    /// The next point of a zone whose server was neither found nor tried.
+    /// Returns the next ring point of the cursor's zone whose server was neither found nor tried before.
     fn next(&self, servers: &ServiceServers, position: u32, cursor: Cursor) -> Option<RingPoint> {
         let of_zone = servers.zone(cursor.zone);
-        if cursor.taken + 1 >= of_zone.servers && self.tried.is_empty() {
+        if cursor.selected + 1 >= of_zone.servers && self.tried.is_empty() {
             return None;
         }
         let mut point = cursor.point?;
-        for _ in 0..MOST_STEPS {
+        for _ in 0..MAX_RING_STEPS {
             point = of_zone.ring.after(position, point)?;
             let is_new = !self.found.contains(&point.server) && !self.tried.contains(&point.server);
             if is_new {
--- a/crates/damaskvane-routing/src/placement/choice.rs
+++ b/crates/damaskvane-routing/src/placement/choice.rs
@@ -1,30 +1,30 @@
-//! What placement decides.
+//! Results of placement: the selected server, or a refusal with its reason.
 
 use std::net;
 
 use damaskvane_core::ids;
 
-/// Why an object's first server was passed over.
+/// The reason why an object's first server was not selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum PassedOver {
-    /// It is cold, and has its share of requests for this second.
+    /// The server is cold and has received its limit of requests for this second.
     Cold,
-    /// It is at the limit of its load.
+    /// The server's load is at the limit for the request's priority.
     Full,
-    /// Its last exchanges hang.
+    /// An open exchange with the server has lasted far longer than usual.
     Stalled,
-    /// Part of its exchanges failed lately.
+    /// A considerable share of the server's recent exchanges failed.
     Failing,
-    /// It takes longer than others.
+    /// The server takes considerably longer than usual.
     Slow,
-    /// It has a queue.
+    /// All slots of the server are in use.
     Busy,
-    /// Another one wins more for other reasons.
-    Outbid,
+    /// Another server has a higher score for other reasons.
+    LowerScore,
 }
 
 impl PassedOver {
-    /// The reason as a word for logs.
+    /// Returns the label of the reason in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -34,55 +34,55 @@
             Self::Failing => "failing",
             Self::Slow => "slow",
             Self::Busy => "busy",
-            Self::Outbid => "outbid",
+            Self::LowerScore => "outbid",
         }
     }
 }
 
-/// Where a request goes.
+/// The server that was selected for a request, with the expected times.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pick {
-    /// The server.
+    /// Identifier of the server.
     pub server: ids::BackendServerId,
-    /// Its address.
+    /// Address to which the request is sent.
     pub address: net::SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: ids::AvailabilityZoneId,
-    /// How long the request should take there, the way there and back included.
+    /// Expected time of the request at this server, including the network round trip and the wait for a slot.
     pub expected_ms: f64,
-    /// How long it should take there if the server doesn't remember its object.
+    /// Expected time if the server has not cached the request's object.
     pub first_ms: f64,
-    /// What it will take there at least.
+    /// Lower bound of the expected time.
     pub min_ms: f64,
-    /// Whether the server is taken to remember the object.
+    /// Whether the server is assumed to have cached the object.
     pub is_warm: bool,
-    /// Whether this instance has sent it the object lately.
+    /// Whether this instance has recently sent a request for the object to the server.
     pub was_sent: bool,
-    /// What a request usually takes there if the object is remembered, the way there and back included.
+    /// Usual time of a request if the server has cached the object, including the network round trip.
     pub remembered_ms: f64,
-    /// Why the object's first server was passed over, if it was.
+    /// Reason for passing over the object's first server, or `None` if the first server was selected.
     pub passed_over: Option<PassedOver>,
-    /// Its load for each slot, as estimated.
+    /// Estimated load of the server per slot.
     pub load: f64,
-    /// Its place in the object's order of servers; 0 is the first.
+    /// Rank of the server in the object's order of servers; 0 is the first server.
     pub rank: usize,
 }
 
-/// Why a request is refused without being sent.
+/// The reason why a request is refused without being sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// No server of the service may and can be used.
+    /// The service has no server that the request may use.
     NoServer,
-    /// All servers of the object are at the limit for this priority.
+    /// All servers of the object are at the load limit for the request's priority.
     Overloaded,
-    /// The cold servers that are left have their share for this second.
+    /// Only cold servers have room, and they have received their limit of requests for this second.
     Cold,
-    /// It can't be answered in the time that is left.
+    /// No answer is possible before the request's deadline.
     TooLate,
 }
 
 impl RefusalReason {
-    /// The reason as a word for logs and counters.
+    /// Returns the label of the reason in logs and counters.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -94,20 +94,20 @@
     }
 }
 
-/// A refusal: the request has not run.
+/// A refusal of a request that no server has run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: RefusalReason,
-    /// When the client should come back.
+    /// Time after which the client should retry.
     pub retry_after_ms: u64,
 }
 
-/// The decision on one request.
+/// The placement decision for one request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Choice {
-    /// Send it.
+    /// Send the request to this server.
     Send(Pick),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(Refusal),
 }
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -1,45 +1,47 @@
-//! Chooses the server of a request.
+//! Selects the backend server for each request and learns from the answers.
 
 use damaskvane_core::ids;
 use damaskvane_core::time::TimeMs;
 
 use crate::configuration::{Configuration, Route};
-use crate::placement::appraisal::{self, Appraisal, Expected};
 use crate::placement::candidates::{Candidates, Origin, Scope, Search, Spread};
-use crate::placement::moves::Moves;
 use crate::placement::popularity::{Popularity, PopularityDecision, PopularityReport};
 use crate::placement::rank;
+use crate::placement::region_shifts::RegionShifts;
+use crate::placement::server_score::{self, Estimates, ServerScore};
 use crate::placement::{
     AnsweredRequest, Choice, PassedOver, Pick, PlacementRequest, PlacementSettings, Refusal,
     RefusalReason, RoundTrips,
 };
 use crate::pool::{Baselines, Server, ServerHandle, ServerPool};
 
-/// The part of the bound on shifts by which overflow may rise; the rest is for callers that come and go.
+/// Share of the `shift_most` setting by which the shifted share may rise in a window. The rest is reserved for
+/// changes in the number of callers.
 const SHIFT_STEP_SHARE: f64 = 0.5;
-/// Servers that are looked at for a request without an object, or whose object's own servers are cold.
-const MOST_CANDIDATES: usize = 12;
-/// The round trip to a zone that was never reached.
-const UNKNOWN_ROUND_TRIP_MS: f64 = 5.0;
+/// Maximum number of candidates for a request without an object, or for one whose usual servers have no room
+/// because they are cold.
+const MAX_CANDIDATES: usize = 12;
+/// Assumed round trip to a zone that no connection has reached yet.
+const DEFAULT_ROUND_TRIP_MS: f64 = 5.0;
 
-/// Places requests on the servers of the pool.
+/// Selects a backend server of the pool for each request of this instance.
 #[derive(Debug)]
 pub struct Placer {
-    /// The settings.
+    /// Costs, limits and thresholds of placement.
     pub settings: PlacementSettings,
-    /// How long requests usually take.
+    /// Usual time of requests by route, as measured from answers.
     pub baselines: Baselines,
-    /// How far the zones are.
+    /// Round trip to each availability zone, as measured by connections.
     pub round_trips: RoundTrips,
     popularity: Popularity,
-    moves: Moves,
+    region_shifts: RegionShifts,
     candidates: Candidates,
     own_zone: ids::AvailabilityZoneId,
     own_region: ids::RegionId,
 }
 
 impl Placer {
-    /// A placer for an instance of this zone.
+    /// Returns a placer for an instance of `own_zone`, without measurements.
     #[must_use]
     pub fn new(
         settings: PlacementSettings,
@@ -51,45 +53,51 @@
             baselines: Baselines::default(),
             round_trips: RoundTrips::default(),
             popularity: Popularity::default(),
-            moves: Moves::default(),
+            region_shifts: RegionShifts::default(),
             candidates: Candidates::default(),
             own_zone,
             own_region,
         }
     }
 
-    /// Notes that a client asks for an object.
+    /// Counts a client's request for an object in the next popularity report.
     pub fn record_object_request(&mut self, route: &Route, object: u64) {
-        self.popularity.note(&route.name, object);
+        self.popularity.record(&route.name, object);
     }
 
-    /// What clients asked for since the last report, for those that speak for the zone.
+    /// Returns the counts of requested objects since the last report, to be sent to the aggregators of the zone.
     pub fn take_popularity_report(&mut self) -> PopularityReport {
         self.popularity.take_report()
     }
 
-    /// Takes in what the clients of another instance of the zone asked for, or this one's own report.
+    /// Adds the popularity report of this instance or of another instance of the zone.
+    ///
+    /// Only an aggregator calls this.
     pub fn apply_popularity_report(&mut self, now: TimeMs, report: &PopularityReport) {
         self.popularity.apply_popularity_report(now, report);
     }
 
-    /// Judges by all reports which objects have a server in each zone, as an instance that speaks for its zone.
+    /// Decides from all reports which share of each route's objects has a server in each zone.
+    ///
+    /// Only an aggregator calls this. Each call moves a route by at most one step.
     pub fn decide_popularity(&mut self, now: TimeMs) -> Vec<PopularityDecision> {
-        self.popularity.judge(now, &self.settings)
+        self.popularity.decide(now, &self.settings)
     }
 
-    /// Takes in what an instance has judged that speaks for the zone.
+    /// Applies the popularity decisions of the aggregator `by`, which may be this instance.
     pub fn apply_popularity_decisions(
         &mut self,
         now: TimeMs,
         by: &ids::InstanceId,
-        verdicts: &[PopularityDecision],
+        decisions: &[PopularityDecision],
     ) {
         self.popularity
-            .apply_popularity_decisions(now, by, verdicts);
+            .apply_popularity_decisions(now, by, decisions);
     }
 
-    /// Decides where a request goes, where `instances` share the cold servers.
+    /// Selects the server for a request, or refuses the request.
+    ///
+    /// `instances` is the number of instances that share the request rate which cold servers accept.
     pub fn choose(
         &mut self,
         now: TimeMs,
@@ -107,20 +115,20 @@
             let settings = pool.settings().cold_rate;
             settings.share(service.warmup_per_s, instances)
         });
-        let own = own_servers(now, pool, candidates.found(), search);
-        let mut best = self.best_of(now, pool, request, own, 0, cold_share);
+        let usable = usable_servers(now, pool, candidates.found(), search);
+        let mut best = self.best_of(now, pool, request, usable, 0, cold_share);
         if best == Err(RefusalReason::Cold) {
-            // Where only the cold share stands in the way, a server that doesn't know the object is better
-            // than no answer: the cold ones are few, and soon warm.
-            let looked_at = own.len();
-            let wide = Search {
+            // If only the rate limit of cold servers excludes the usual servers, a server that has not cached the
+            // object is better than no answer: few servers are cold, and only for a short time.
+            let considered = usable.len();
+            let wide_search = Search {
                 scope: Scope::Everywhere,
-                most: MOST_CANDIDATES,
+                max_servers: MAX_CANDIDATES,
                 ..search
             };
-            candidates.find(pool, request, wide);
-            let others = candidates.found().get(looked_at..).unwrap_or_default();
-            best = self.best_of(now, pool, request, others, looked_at, cold_share);
+            candidates.find(pool, request, wide_search);
+            let others = candidates.found().get(considered..).unwrap_or_default();
+            best = self.best_of(now, pool, request, others, considered, cold_share);
         }
         let home = candidates.found().first().copied();
         self.candidates = candidates;
@@ -130,7 +138,9 @@
         }
     }
 
-    /// Sends a request, whose object's first server is `home`, if it can be answered in the time that is left.
+    /// Sends the request to the selected server, or refuses the request if no answer is possible before its deadline.
+    ///
+    /// `home` is the first server of the request's object; a selected server in another region counts as a shift.
     fn send(
         &mut self,
         now: TimeMs,
@@ -144,11 +154,11 @@
         }
         let home = home.and_then(|home| pool.at(home)?.region());
         let region = pool.server(&pick.server).and_then(Server::region);
-        self.moves.note(now, region != home);
+        self.region_shifts.record(now, region != home);
         Choice::Send(pick)
     }
 
-    /// Takes in an answered request: how long its work takes, on this server and everywhere.
+    /// Records the time of an answered request, for its server and for the baseline of its route.
     pub fn record_answer(
         &mut self,
         now: TimeMs,
@@ -161,20 +171,20 @@
         let round_trip_ms = self.round_trips.get(&answered.pick.zone);
         let took_ms = answered.took_ms as f64;
         let work_ms = (took_ms - round_trip_ms.unwrap_or(0.0)).max(1.0);
-        // Waiting and a cold start say how busy or fresh the server is, not how fast.
-        let says_nothing = answered.has_waited || server.is_cold(now);
-        let is_remembered = answered
+        // Time in a queue or on a cold server reflects load or a recent start, not the speed of the server.
+        let is_unrepresentative = answered.has_waited || server.is_cold(now);
+        let is_cached = answered
             .object
             .is_some_and(|object| server.remembers(now, object));
         if let Some(object) = answered.object {
             server.note_object(now, object);
         }
-        if says_nothing {
+        if is_unrepresentative {
             return;
         }
         let route = answered.route;
         let baseline = self.baselines.of(&route.name, route.objective_ms);
-        if is_remembered {
+        if is_cached {
             server.note_time(now, work_ms, baseline.warm_ms);
             self.baselines
                 .note(&route.name, route.objective_ms, true, work_ms);
@@ -182,7 +192,7 @@
             self.baselines
                 .note(&route.name, route.objective_ms, false, work_ms);
         }
-        if !is_remembered && work_ms > baseline.first_ms {
+        if !is_cached && work_ms > baseline.first_ms {
             server.note_time(now, work_ms, baseline.first_ms);
         }
     }
@@ -195,8 +205,10 @@
         })
     }
 
-    /// Popular objects have a server in each zone, as long as the region has room for the slow first runs:
-    /// copies that are made while slots are short leave still fewer of them.
+    /// Returns whether an object uses one server of its region or one in each zone.
+    ///
+    /// Popular objects use a server in each zone while the load of the region is below `spread_load_limit`: the
+    /// slow first run on each further server takes slots, which would make a shortage of slots worse.
     fn spread(
         &self,
         now: TimeMs,
@@ -222,7 +234,8 @@
         }
     }
 
-    /// Which servers a request may use; none in a zone that the pool doesn't know.
+    /// Returns the search for servers that a request may use, or `None` if the pool's topology lacks this
+    /// instance's zone.
     fn search(
         &mut self,
         now: TimeMs,
@@ -236,9 +249,9 @@
             region: topology.region_of(zone),
         };
         let step = self.settings.shift_most * SHIFT_STEP_SHARE;
-        // What would be refused at home counts like any other: a burst that leaves by refusals alone would meet
-        // servers that remember none of its objects just as well.
-        let scope = if self.moves.may_move(now, step) {
+        // The limit also applies to requests that the home region would refuse: sent to another region, they too
+        // would reach servers that have not cached their objects.
+        let scope = if self.region_shifts.may_shift(now, step) {
             Scope::Everywhere
         } else {
             Scope::Home
@@ -249,21 +262,23 @@
                 object,
                 spread: self.spread(now, pool, request, object),
                 scope,
-                most: self.settings.servers_per_object,
+                max_servers: self.settings.servers_per_object,
             },
-            // Any server does; each request begins somewhere else.
+            // Any server is suitable; a random start spreads such requests over all servers.
             None => Search {
                 origin,
-                object: rank::of_draw(request.spread),
+                object: rank::from_random(request.spread),
                 spread: Spread::Zones,
                 scope,
-                most: MOST_CANDIDATES,
+                max_servers: MAX_CANDIDATES,
             },
         };
         Some(search)
     }
 
-    /// The server that has room and wins most, of those from this place in the object's order on.
+    /// Returns the candidate with room that has the highest score, or why no candidate has room.
+    ///
+    /// `first_rank` is the rank of the first candidate in the object's order of servers.
     fn best_of(
         &self,
         now: TimeMs,
@@ -274,7 +289,7 @@
         cold_share: usize,
     ) -> Result<Pick, RefusalReason> {
         let limit = self.settings.load_limit(request.route.priority);
-        let mut best: Option<(Appraisal, usize, &Server)> = None;
+        let mut best: Option<(ServerScore, usize, &Server)> = None;
         let mut reason = RefusalReason::NoServer;
         let mut passed_over = None;
         for (rank, candidate) in (first_rank..).zip(candidates) {
@@ -288,42 +303,42 @@
                 passed_over.get_or_insert(PassedOver::Cold);
                 continue;
             }
-            let appraisal = self.appraise(now, server, request, rank);
-            if appraisal.load >= limit {
+            let scored = self.score_server(now, server, request, rank);
+            if scored.load >= limit {
                 reason = RefusalReason::Overloaded;
                 passed_over.get_or_insert(PassedOver::Full);
                 continue;
             }
-            passed_over.get_or_insert_with(|| appraisal::why_passed_over(now, server));
-            if best.is_none_or(|(best, _, _)| appraisal.gain > best.gain) {
-                best = Some((appraisal, rank, server));
+            passed_over.get_or_insert_with(|| server_score::passed_over_reason(now, server));
+            if best.is_none_or(|(best, _, _)| scored.score > best.score) {
+                best = Some((scored, rank, server));
             }
         }
-        let (appraisal, rank, server) = best.ok_or(reason)?;
-        Ok(appraisal.pick(now, server, request, rank, passed_over))
+        let (scored, rank, server) = best.ok_or(reason)?;
+        Ok(scored.pick(now, server, request, rank, passed_over))
     }
 
-    fn appraise(
+    fn score_server(
         &self,
         now: TimeMs,
         server: &Server,
         request: &PlacementRequest<'_>,
         rank: usize,
-    ) -> Appraisal {
+    ) -> ServerScore {
         let route = request.route;
         let round_trip_ms = self.round_trips.get(&server.entry.zone);
-        // The order of servers has weighed the distance of the first one against its slots.
+        // The order of servers already accounts for the distance of the first server.
         let distance_cost = if rank > 0 {
             self.distance_cost(server)
         } else {
             0.0
         };
-        let expected = Expected {
+        let estimates = Estimates {
             baseline: self.baselines.of(&route.name, route.objective_ms),
-            round_trip_ms: round_trip_ms.unwrap_or(UNKNOWN_ROUND_TRIP_MS),
+            round_trip_ms: round_trip_ms.unwrap_or(DEFAULT_ROUND_TRIP_MS),
             distance_cost,
         };
-        Appraisal::of(now, &self.settings, server, request, rank, expected)
+        ServerScore::of(now, &self.settings, server, request, rank, estimates)
     }
 
     fn distance_cost(&self, server: &Server) -> f64 {
@@ -338,20 +353,20 @@
     }
 }
 
-/// The servers that an object uses, of those that were found.
+/// Returns the found servers that the object may use.
 ///
-/// A request that may not leave its region stays with the one server that its object has there: a queue is no
-/// reason for another copy. A server that is unwell is one.
-fn own_servers<'a>(
+/// An object that is restricted to its home region and has one server there uses only that server while it is
+/// healthy, even if it has a queue: a queue does not justify another cached copy, an unhealthy server does.
+fn usable_servers<'a>(
     now: TimeMs,
     pool: &ServerPool,
     found: &'a [ServerHandle],
     search: Search,
 ) -> &'a [ServerHandle] {
-    let is_confined = search.scope == Scope::Home && search.spread == Spread::Region;
+    let is_home_only = search.scope == Scope::Home && search.spread == Spread::Region;
     let first = found.first().and_then(|first| pool.at(*first));
-    let is_well = first.is_some_and(|first| appraisal::is_well(now, first));
-    if is_confined && is_well {
+    let is_healthy = first.is_some_and(|first| server_score::is_healthy(now, first));
+    if is_home_only && is_healthy {
         &found[..1]
     } else {
         found
--- a/crates/damaskvane-routing/src/placement/popularity.rs
+++ b/crates/damaskvane-routing/src/placement/popularity.rs
@@ -1,9 +1,10 @@
-//! How often the objects of a route are asked for, in a whole zone.
+//! Decides which objects of a route are popular, from the requests of a whole zone.
 //!
-//! A copy of an object in each zone saves the way between zones, and costs one slow run and a place in a
-//! server's memory. That pays for objects which are asked for often, and loses for all others. One instance of many
-//! sees too little of a zone's requests to tell, and instances that disagree use different servers for an object. So
-//! all report a sample of what they are asked for to those that speak for the zone, which judge and tell the others.
+//! A cached copy of an object in each zone saves traffic between zones, and costs one slow run and space in a
+//! server's cache. The saving exceeds the cost only for objects that are requested often. One of many instances sees
+//! too few of a zone's requests to decide, and instances that decide differently use different servers for an object.
+//! All instances therefore send a sample of the requested objects to the aggregators of the zone, which decide and
+//! send their decisions to the other instances.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,80 +14,82 @@
 use crate::placement::PlacementSettings;
 use crate::placement::sample::{ObjectSample, RouteKey};
 
-/// Objects of a route in one instance's report, and in what is put together of a zone.
-const MOST_REPORTED_OBJECTS: usize = 12;
-const MOST_JUDGED_OBJECTS: usize = 512;
-/// Routes in a report.
-const MOST_REPORTED_ROUTES: usize = 6;
-/// Routes that are judged: what is told of them fits a datagram.
-const MOST_VERDICTS: usize = 64;
-/// Requests that are enough to judge by, and the time after which fewer must do.
-const ENOUGH_REQUESTS: u32 = 128;
-const LONGEST_WINDOW_MS: u64 = 4_000;
-/// The steps in which a route's objects get their further servers, or lose them: were it one, the first runs of all
-/// objects would come at once.
+/// Maximum number of objects of one route in the report of an instance.
+const MAX_REPORTED_OBJECTS: usize = 12;
+/// Maximum number of objects of one route in the merged sample of a zone.
+const MAX_SAMPLED_OBJECTS: usize = 512;
+/// Maximum number of routes in a report.
+const MAX_REPORTED_ROUTES: usize = 6;
+/// Maximum number of decisions in one message, so that the message fits a datagram.
+const MAX_DECISIONS: usize = 64;
+/// Number of sampled requests of a route that are enough for a decision.
+const MIN_WINDOW_REQUESTS: u32 = 128;
+/// Time after which a decision is made from fewer requests.
+const MAX_WINDOW_MS: u64 = 4_000;
+/// Number of steps in which the objects of a route gain a server in each zone, or lose it again. In a single step,
+/// the slow first runs of all objects would come at once.
 pub const POPULARITY_STEPS: u8 = 4;
-/// How long a verdict holds that is not repeated.
-const VERDICT_LASTS_MS: u64 = 10_000;
-/// How long the first speaker's word goes before another one's.
-const SPEAKER_LASTS_MS: u64 = 4_000;
-/// A rate below which it makes no difference.
-const LEAST_RATE_PER_S: f64 = 0.001;
-/// Steps of the search for a rate; each halves the error.
+/// Time after which decisions expire if no aggregator repeats them.
+const DECISION_LIFETIME_MS: u64 = 10_000;
+/// Time after which the decisions of another aggregator replace those of the first one, if the first one sends none.
+const AGGREGATOR_TIMEOUT_MS: u64 = 4_000;
+/// Lower bound of a measured rate; lower rates make no difference to the decision.
+const MIN_RATE_PER_S: f64 = 0.001;
+/// Number of bisection steps in the search for a rate; each step halves the error.
 const SEARCH_STEPS: u32 = 40;
-/// More requests an object and window than any route sees.
-const MOST_REQUESTS: f64 = 1_000.0;
+/// Upper bound of the search: no route has this many requests per object in a window.
+const MAX_REQUESTS_PER_OBJECT: f64 = 1_000.0;
 
-/// What an instance was asked for, by route.
+/// A sample of the requested objects of each route, counted by one instance since its previous report.
 pub type PopularityReport = Vec<(RouteKey, ObjectSample)>;
 
-/// How far a route's objects have servers in each zone: a part of all objects, in steps.
+/// Which share of a route's objects has a server in each zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PopularityDecision {
-    /// The route.
+    /// Key of the route.
     pub route: RouteKey,
-    /// The part, in steps of [`POPULARITY_STEPS`].
+    /// The share of objects, from 0 for none to [`POPULARITY_STEPS`] for all.
     pub steps: u8,
 }
 
-/// What is known of one route at an instance that speaks for its zone.
+/// Merged sample and state of the decision for one route, at an aggregator.
 #[derive(Debug, Default)]
-struct Tally {
-    since: TimeMs,
+struct RoutePopularity {
+    window_start: TimeMs,
     sample: ObjectSample,
-    per_object_s: Option<f64>,
+    requests_per_object_s: Option<f64>,
     is_popular: bool,
     steps: u8,
 }
 
-impl Tally {
+impl RoutePopularity {
     fn new(now: TimeMs) -> Self {
         Self {
-            since: now,
+            window_start: now,
             ..Self::default()
         }
     }
 
-    /// Judges by what was put together, if that is enough.
-    fn judge(&mut self, now: TimeMs, settings: &PlacementSettings) {
-        let span_ms = now.since(self.since).get();
-        if self.sample.requests() >= ENOUGH_REQUESTS || span_ms >= LONGEST_WINDOW_MS {
+    /// Updates the decision if the merged sample is large or old enough. Each call moves the route by one step.
+    fn decide(&mut self, now: TimeMs, settings: &PlacementSettings) {
+        let span_ms = now.since(self.window_start).get();
+        if self.sample.requests() >= MIN_WINDOW_REQUESTS || span_ms >= MAX_WINDOW_MS {
             let span_s = (span_ms as f64 / 1_000.0).max(0.001);
-            let (requests, different) = (self.sample.requests(), self.sample.different());
-            let found = requests_an_object(requests, different) / span_s;
-            let found = found.max(LEAST_RATE_PER_S);
-            let known = self.per_object_s.unwrap_or(found);
-            // Rates are met over several powers of ten; in their logarithms a tenfold change counts the same up and down.
-            let per_object_s = (known * found).sqrt();
-            // Two limits, so that a rate near one of them doesn't move objects to and fro.
+            let (requests, distinct) = (self.sample.requests(), self.sample.distinct());
+            let measured_per_s = requests_per_object(requests, distinct) / span_s;
+            let measured_per_s = measured_per_s.max(MIN_RATE_PER_S);
+            let previous_per_s = self.requests_per_object_s.unwrap_or(measured_per_s);
+            // Rates span several powers of ten. The geometric mean weighs a tenfold rise and a tenfold fall equally.
+            let requests_per_object_s = (previous_per_s * measured_per_s).sqrt();
+            // Hysteresis: with one limit, a rate close to it would move objects back and forth.
             let limit_per_s = if self.is_popular {
                 settings.rare_per_s
             } else {
                 settings.popular_per_s
             };
-            self.per_object_s = Some(per_object_s);
-            self.is_popular = per_object_s > limit_per_s;
-            self.since = now;
+            self.requests_per_object_s = Some(requests_per_object_s);
+            self.is_popular = requests_per_object_s > limit_per_s;
+            self.window_start = now;
             self.sample = ObjectSample::default();
         }
         self.steps = if self.is_popular {
@@ -97,83 +100,86 @@
     }
 }
 
+/// The decisions in force, from one aggregator.
 #[derive(Debug)]
-struct Told {
+struct ReceivedDecisions {
     by: ids::InstanceId,
     at: TimeMs,
     steps: HashMap<RouteKey, u8>,
 }
 
-/// How often objects are asked for, by route.
+/// Request counts of this instance, merged samples of an aggregator, and the decisions in force.
 #[derive(Debug, Default)]
 pub(super) struct Popularity {
-    asked: HashMap<RouteKey, ObjectSample>,
-    tallies: BTreeMap<RouteKey, Tally>,
-    told: Option<Told>,
+    requests: HashMap<RouteKey, ObjectSample>,
+    routes: BTreeMap<RouteKey, RoutePopularity>,
+    received: Option<ReceivedDecisions>,
 }
 
 impl Popularity {
-    /// Notes a request for an object.
-    pub(super) fn note(&mut self, route: &str, object: u64) {
-        let asked = self.asked.entry(RouteKey::of(route)).or_default();
-        asked.note(object, MOST_REPORTED_OBJECTS);
+    /// Counts a request for an object.
+    pub(super) fn record(&mut self, route: &str, object: u64) {
+        let requests = self.requests.entry(RouteKey::of(route)).or_default();
+        requests.record(object, MAX_REPORTED_OBJECTS);
     }
 
-    /// What was asked for since the last report, the busiest routes first.
+    /// Returns the counts since the last report, with the busiest routes first.
     pub(super) fn take_report(&mut self) -> PopularityReport {
-        let mut report: PopularityReport = self.asked.drain().collect();
+        let mut report: PopularityReport = self.requests.drain().collect();
         let scale = |sample: &ObjectSample| u64::from(sample.requests()) << sample.halvings();
         report.sort_unstable_by_key(|(_, sample)| std::cmp::Reverse(scale(sample)));
-        report.truncate(MOST_REPORTED_ROUTES);
+        report.truncate(MAX_REPORTED_ROUTES);
         report
     }
 
-    /// Takes in a report, at an instance that speaks for the zone.
+    /// Merges a report of an instance of the zone, at an aggregator.
     pub(super) fn apply_popularity_report(&mut self, now: TimeMs, report: &PopularityReport) {
         for (route, sample) in report {
-            let tally = self.tallies.entry(*route);
-            let tally = tally.or_insert_with(|| Tally::new(now));
-            tally.sample.merge(sample, MOST_JUDGED_OBJECTS);
+            let state = self.routes.entry(*route);
+            let state = state.or_insert_with(|| RoutePopularity::new(now));
+            state.sample.merge(sample, MAX_SAMPLED_OBJECTS);
         }
     }
 
-    /// What the zone is to hear, from an instance that speaks for it.
-    pub(super) fn judge(
+    /// Returns the decisions to send to the zone, at an aggregator.
+    pub(super) fn decide(
         &mut self,
         now: TimeMs,
         settings: &PlacementSettings,
     ) -> Vec<PopularityDecision> {
-        for tally in self.tallies.values_mut() {
-            tally.judge(now, settings);
+        for state in self.routes.values_mut() {
+            state.decide(now, settings);
         }
-        self.tallies
-            .retain(|_, tally| tally.steps > 0 || !tally.sample.is_empty());
-        let tallies = self.tallies.iter();
-        tallies
-            .take(MOST_VERDICTS)
-            .map(|(route, tally)| PopularityDecision {
+        self.routes
+            .retain(|_, state| state.steps > 0 || !state.sample.is_empty());
+        let routes = self.routes.iter();
+        routes
+            .take(MAX_DECISIONS)
+            .map(|(route, state)| PopularityDecision {
                 route: *route,
-                steps: tally.steps,
+                steps: state.steps,
             })
             .collect()
     }
 
-    /// Takes in what an instance says that speaks for the zone.
+    /// Applies the decisions of the aggregator `by`.
     ///
-    /// Of two that speak, the first one's word counts, so that all instances do the same.
+    /// Of several aggregators, the decisions of the first by name are in force, so that all instances agree.
     pub(super) fn apply_popularity_decisions(
         &mut self,
         now: TimeMs,
         by: &ids::InstanceId,
-        verdicts: &[PopularityDecision],
+        decisions: &[PopularityDecision],
     ) {
         let is_first = self
-            .told
+            .received
             .as_ref()
-            .is_none_or(|told| *by <= told.by || now.since(told.at).get() >= SPEAKER_LASTS_MS);
+            .is_none_or(|last| *by <= last.by || now.since(last.at).get() >= AGGREGATOR_TIMEOUT_MS);
         if is_first {
-            let steps = verdicts.iter().map(|one| (one.route, one.steps));
-            self.told = Some(Told {
+            let steps = decisions
+                .iter()
+                .map(|decision| (decision.route, decision.steps));
+            self.received = Some(ReceivedDecisions {
                 by: by.clone(),
                 at: now,
                 steps: steps.collect(),
@@ -181,31 +187,31 @@
         }
     }
 
-    /// Whether an object is asked for often enough to have a server in each zone.
+    /// Returns whether an object has a server in each zone by the decisions in force.
     pub(super) fn is_popular(&self, now: TimeMs, route: &str, object: u64) -> bool {
-        let Some(told) = &self.told else {
+        let Some(received) = &self.received else {
             return false;
         };
-        if now.since(told.at).get() >= VERDICT_LASTS_MS {
+        if now.since(received.at).get() >= DECISION_LIFETIME_MS {
             return false;
         }
-        let steps = told.steps.get(&RouteKey::of(route)).copied();
-        // The middle of the hash: neither the part that places objects nor the one that samples them.
+        let steps = received.steps.get(&RouteKey::of(route)).copied();
+        // These bits of the hash neither place objects on servers nor select objects for the samples.
         let step_of_object = (object >> 24) as u8 % POPULARITY_STEPS;
         step_of_object < steps.unwrap_or(0)
     }
 }
 
-/// How often each object was asked for, where `requests` named so many different ones.
+/// Returns the mean number of requests per object, where `requests` requests named `distinct` different objects.
 ///
-/// Objects that nobody asked for yet count too, so requests divided by different objects would be too much:
-/// the number of requests an object, x, follows from the share of different ones, (1 - e^-x) / x.
-fn requests_an_object(requests: u32, different: usize) -> f64 {
-    let share = different as f64 / f64::from(requests.max(1));
+/// The mean includes objects without a request, so `requests / distinct` would be too high. The mean x follows from
+/// the ratio of distinct objects to requests, which is (1 - e^-x) / x.
+fn requests_per_object(requests: u32, distinct: usize) -> f64 {
+    let share = distinct as f64 / f64::from(requests.max(1));
     if share >= 1.0 {
         return 0.0;
     }
-    let (mut low, mut high) = (0.0_f64, MOST_REQUESTS);
+    let (mut low, mut high) = (0.0_f64, MAX_REQUESTS_PER_OBJECT);
     for _ in 0..SEARCH_STEPS {
         let middle = f64::midpoint(low, high);
         if -(-middle).exp_m1() / middle > share {
--- a/crates/damaskvane-routing/src/placement/rank.rs
+++ b/crates/damaskvane-routing/src/placement/rank.rs
@@ -1,13 +1,13 @@
-//! The order of an object's servers, equal on every instance.
+//! Hashes that rank the regions and servers of an object equally on every instance.
 
 use damaskvane_core::ids;
 use xxhash_rust::xxh3;
 
-/// The hash of an object's name within a route and service.
+/// Returns the hash of an object's name within a route and service.
 ///
-/// Servers remember what they did for a route, not the object as such: a request of another route for the same
-/// object takes its full time. Taken for one, the two would spoil what is learned of usual times, and would
-/// crowd on one server without a gain.
+/// A server caches an object for one route: a request of another route for the same object takes its full time.
+/// Without the route in the hash, the measured times of both routes would mix, and both would load the same server
+/// without any gain.
 #[must_use]
 pub fn object_hash(service: &ids::ServiceId, route: &str, object: &str) -> u64 {
     let service = xxh3::xxh3_64(service.as_str().as_bytes());
@@ -15,31 +15,31 @@
     xxh3::xxh3_64_with_seed(object.as_bytes(), route)
 }
 
-/// An object's place on rings of servers.
+/// Returns the position of an object on the rings of servers.
 #[must_use]
 pub(super) const fn position(object: u64) -> u32 {
     (object >> 32) as u32
 }
 
-/// Stands for an object where a request names none, from a number between 0 and 1.
+/// Returns a pseudo-object for a request that names no object, from a random number between 0 and 1.
 #[must_use]
-pub(super) fn of_draw(draw: f64) -> u64 {
-    xxh3::xxh3_64(&draw.to_bits().to_le_bytes())
+pub(super) fn from_random(random: f64) -> u64 {
+    xxh3::xxh3_64(&random.to_bits().to_le_bytes())
 }
 
-/// The score of a region for an object: the highest score is the first one.
+/// Returns the score of a region for an object; the region with the highest score is the object's home.
 ///
-/// Weighted rendezvous hashing: each name is first for a part of the objects in proportion to its weight,
-/// and one that joins or leaves moves only the objects that it gains or loses.
+/// This is weighted rendezvous hashing: each region is the home of a share of objects in proportion to its weight,
+/// and a region that joins or leaves moves only the objects that it gains or loses.
 #[must_use]
 pub(super) fn score(object: u64, name: &str, weight: f64) -> f64 {
     -weight / uniform(object, name).ln()
 }
 
-/// A number between 0 and 1, without its ends, that is the same for a name and an object everywhere.
+/// Returns a number between 0 and 1, both exclusive, that depends only on the object and the name.
 #[must_use]
 pub(super) fn uniform(object: u64, name: &str) -> f64 {
     let hash = xxh3::xxh3_64_with_seed(name.as_bytes(), object);
-    // The upper 53 bits are what a floating-point number holds exactly.
+    // An f64 holds 53 bits exactly.
     ((hash >> 11) as f64 + 0.5) / (1_u64 << 53) as f64
 }
--- a/crates/damaskvane-routing/src/placement/request.rs
+++ b/crates/damaskvane-routing/src/placement/request.rs
@@ -1,38 +1,38 @@
-//! What placement must know of a request.
+//! Input of placement: a request to place, and a request that was answered.
 
 use damaskvane_core::ids;
 
 use crate::configuration::Route;
 use crate::placement::Pick;
 
-/// A request that is to be placed.
+/// A request for which a backend server is to be selected.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
-    /// Its route.
+    /// Route of the request, with its objective, priority and allowed regions.
     pub route: &'a Route,
-    /// The service that takes it.
+    /// Service whose servers may take the request.
     pub service: &'a ids::ServiceId,
-    /// The hash of its object, if it names one and the route has affinity.
+    /// Hash of the object, or `None` if the request names no object or the route has no affinity.
     pub object: Option<u64>,
-    /// The servers it was sent to before.
+    /// Servers that earlier tries of the request were sent to; they are excluded.
     pub tried: &'a [ids::BackendServerId],
-    /// The time left for it.
+    /// Time until the request's deadline.
     pub remaining_ms: u64,
-    /// A number between 0 and 1 that spreads the return of refused clients.
+    /// Random number between 0 and 1. It spreads the retries of refused clients, and requests without an object.
     pub spread: f64,
 }
 
 /// A request that a server has answered.
 #[derive(Debug, Clone, Copy)]
 pub struct AnsweredRequest<'a> {
-    /// Its route.
+    /// Route of the request.
     pub route: &'a Route,
-    /// Where it was sent.
+    /// Server that was selected for the request, with the expected times.
     pub pick: &'a Pick,
-    /// The hash of its object.
+    /// Hash of the object, or `None` if the request was placed without an object.
     pub object: Option<u64>,
-    /// The time from its sending to its answer.
+    /// Time from sending the request to receiving the answer.
     pub took_ms: u64,
-    /// Whether it may have waited at the server.
+    /// Whether the request may have waited in the server's queue; its time is then not used as a measurement.
     pub has_waited: bool,
 }
--- a/crates/damaskvane-routing/src/placement/round_trips.rs
+++ b/crates/damaskvane-routing/src/placement/round_trips.rs
@@ -1,36 +1,36 @@
-//! Time to the availability zones and back.
+//! Estimates of the network round trip to each availability zone.
 
 use std::collections::HashMap;
 
 use damaskvane_core::ids;
 
-/// The weight of a new measurement that is above the known one.
+/// Weight of a new measurement that is above the estimate.
 const RISE_WEIGHT: f64 = 0.1;
 
-/// The round trip to each availability zone, as connections measured it.
+/// Estimated round trip to each availability zone, from the time that connections take to open.
 #[derive(Debug, Default)]
 pub struct RoundTrips {
     zones: HashMap<ids::AvailabilityZoneId, f64>,
 }
 
 impl RoundTrips {
-    /// Notes how long a connection took to open.
+    /// Records how long a connection to the zone took to open.
     ///
-    /// A single slow handshake says little, a fast one says how near the zone is: the estimate falls at
-    /// once and rises slowly.
+    /// The estimate falls at once and rises slowly: a fast handshake is an upper bound of the round trip, while a
+    /// single slow handshake may have other causes.
     pub fn record(&mut self, zone: &ids::AvailabilityZoneId, took_ms: f64) {
-        if let Some(known) = self.zones.get_mut(zone) {
-            *known = if took_ms < *known {
+        if let Some(estimate_ms) = self.zones.get_mut(zone) {
+            *estimate_ms = if took_ms < *estimate_ms {
                 took_ms
             } else {
-                *known + (took_ms.min(*known * 3.0) - *known) * RISE_WEIGHT
+                *estimate_ms + (took_ms.min(*estimate_ms * 3.0) - *estimate_ms) * RISE_WEIGHT
             };
         } else {
             self.zones.insert(zone.clone(), took_ms);
         }
     }
 
-    /// The round trip to a zone, if one was measured.
+    /// Returns the estimated round trip in milliseconds, or `None` if no connection to the zone was measured.
     #[must_use]
     pub fn get(&self, zone: &ids::AvailabilityZoneId) -> Option<f64> {
         self.zones.get(zone).copied()
--- a/crates/damaskvane-routing/src/placement/sample.rs
+++ b/crates/damaskvane-routing/src/placement/sample.rs
@@ -1,119 +1,120 @@
-//! A sample of the objects that are asked for, which instances can put together.
+//! Samples of requested objects that can be merged across instances.
 
 use std::collections::BTreeMap;
 
 use xxhash_rust::xxh3;
 
-/// Names a route in a few bytes. Two routes that share a key are judged as one.
+/// A 32-bit hash that identifies a route in messages. Routes with the same key share a popularity decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteKey(u32);
 
 impl RouteKey {
-    /// The key of a route.
+    /// Returns the key of the route with this name.
     #[must_use]
     pub fn of(route: &str) -> Self {
-        // The lower half is as evenly spread as the whole.
+        // The lower half of the hash is uniformly distributed too.
         Self(xxh3::xxh3_64(route.as_bytes()) as u32)
     }
 
-    /// The key, for messages.
+    /// Returns the key as a number for messages.
     #[must_use]
     pub const fn get(self) -> u32 {
         self.0
     }
 
-    /// A key that came in a message.
+    /// Returns the key for a number from a message.
     #[must_use]
     pub const fn from_wire(key: u32) -> Self {
         Self(key)
     }
 }
 
-/// Requests of one route by object, for a part of all objects that is chosen by their hash.
+/// Request counts of one route by object, for a sample of all objects that is selected by their hash.
 ///
-/// Every instance leaves out the same objects, so that the counts of several instances add up to those of all of
-/// them, however often one object is asked for here or there. The part halves as often as it takes to stay small.
+/// Every instance omits the same objects, so the counts of several instances add up, however unevenly the requests
+/// for an object are distributed over the instances. The sampled share is halved until the sample is small enough.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ObjectSample {
-    /// How often the part was halved.
+    /// Number of times that the sampled share was halved.
     halvings: u8,
+    /// Number of requests by the lower half of the object's hash.
     requests: BTreeMap<u32, u32>,
 }
 
-/// Most halvings: a part of one object in a billion holds none any more.
-const MOST_HALVINGS: u8 = 30;
+/// Maximum number of halvings: a sample of one object in a billion is empty.
+const MAX_HALVINGS: u8 = 30;
 
 impl ObjectSample {
-    /// A sample that came in a message.
+    /// Returns the sample for the fields of a message. Objects outside the sampled share are omitted.
     #[must_use]
     pub fn from_wire(halvings: u8, objects: impl IntoIterator<Item = (u32, u32)>) -> Self {
-        let halvings = halvings.min(MOST_HALVINGS);
+        let halvings = halvings.min(MAX_HALVINGS);
         let objects = objects.into_iter();
-        let kept = objects.filter(|(object, _)| is_in_part(*object, halvings));
+        let sampled = objects.filter(|(object, _)| is_sampled(*object, halvings));
         Self {
             halvings,
-            requests: kept.collect(),
+            requests: sampled.collect(),
         }
     }
 
-    /// How often the part of all objects was halved.
+    /// Returns the number of halvings n; the sample covers one in 2^n objects.
     #[must_use]
     pub const fn halvings(&self) -> u8 {
         self.halvings
     }
 
-    /// The objects with how often they were asked for.
+    /// Returns the sampled objects with their request counts.
     pub fn objects(&self) -> impl Iterator<Item = (u32, u32)> {
         self.requests
             .iter()
             .map(|(object, count)| (*object, *count))
     }
 
-    /// Different objects.
+    /// Returns the number of distinct objects.
     #[must_use]
-    pub fn different(&self) -> usize {
+    pub fn distinct(&self) -> usize {
         self.requests.len()
     }
 
-    /// Requests for them.
+    /// Returns the number of requests for all sampled objects.
     #[must_use]
     pub fn requests(&self) -> u32 {
         self.requests.values().sum()
     }
 
-    /// Whether nothing was asked for.
+    /// Returns whether the sample holds no request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Notes a request, and keeps at most so many objects.
-    pub(super) fn note(&mut self, object: u64, most: usize) {
-        // The upper half places objects on servers; the lower half is independent of it.
+    /// Counts a request, and halves the sample while it holds more than `max_objects` objects.
+    pub(super) fn record(&mut self, object: u64, max_objects: usize) {
+        // The upper half of the hash places objects on servers. The lower half is independent of it.
         self.add(object as u32, 1);
-        self.shrink(most);
+        self.shrink(max_objects);
     }
 
-    /// Adds another instance's sample, and keeps at most so many objects.
-    pub(super) fn merge(&mut self, other: &Self, most: usize) {
+    /// Adds the sample of another instance, and halves the sum while it holds more than `max_objects` objects.
+    pub(super) fn merge(&mut self, other: &Self, max_objects: usize) {
         while self.halvings < other.halvings {
             self.halve();
         }
         for (object, count) in other.objects() {
             self.add(object, count);
         }
-        self.shrink(most);
+        self.shrink(max_objects);
     }
 
     fn add(&mut self, object: u32, count: u32) {
-        if is_in_part(object, self.halvings) {
+        if is_sampled(object, self.halvings) {
             let requests = self.requests.entry(object).or_default();
             *requests = requests.saturating_add(count);
         }
     }
 
-    fn shrink(&mut self, most: usize) {
-        while self.requests.len() > most && self.halvings < MOST_HALVINGS {
+    fn shrink(&mut self, max_objects: usize) {
+        while self.requests.len() > max_objects && self.halvings < MAX_HALVINGS {
             self.halve();
         }
     }
@@ -122,10 +123,10 @@
         self.halvings += 1;
         let halvings = self.halvings;
         self.requests
-            .retain(|object, _| is_in_part(*object, halvings));
+            .retain(|object, _| is_sampled(*object, halvings));
     }
 }
 
-fn is_in_part(object: u32, halvings: u8) -> bool {
+fn is_sampled(object: u32, halvings: u8) -> bool {
     object.trailing_zeros() >= u32::from(halvings)
 }
--- a/crates/damaskvane-routing/src/placement/settings.rs
+++ b/crates/damaskvane-routing/src/placement/settings.rs
@@ -2,43 +2,45 @@
 
 use serde::Deserialize;
 
-/// How requests are placed, and when they are refused.
+/// Limits and costs that decide where requests are sent and when they are refused.
+///
+/// Costs and scores are relative to an answer within its objective, which scores 1.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct PlacementSettings {
-    /// Servers that take the requests of one object.
+    /// Maximum number of servers that take the requests of one object.
     pub servers_per_object: usize,
-    /// The load for each slot up to which the most urgent requests are sent.
+    /// Load per slot below which a server accepts requests of the highest priority.
     pub load_limit: f64,
-    /// How much lower the limit is for each rank of priority.
+    /// Reduction of the load limit for each lower level of priority.
     pub load_limit_step: f64,
-    /// The lowest limit.
+    /// Lower bound of the load limit for all priorities.
     pub load_limit_floor: f64,
-    /// What an answer after its objective is worth to a caller, as a part of one within it.
+    /// Score of an answer after its objective and before its deadline.
     pub late_worth: f64,
-    /// What a server in another availability zone of the region must win more, as a part of an answer's worth.
+    /// Cost of a server in another availability zone of the region.
     pub other_zone_cost: f64,
-    /// The same for a server in another region.
+    /// Cost of a server in another region.
     pub other_region_cost: f64,
-    /// What a slot costs for as long as a request's objective, as a part of an answer's worth.
+    /// Cost of using an idle server's slot for the duration of a request's objective.
     pub slot_cost: f64,
-    /// What it costs more where all slots are in use.
+    /// Additional cost of the same slot time if all slots of the server are in use.
     pub busy_cost: f64,
-    /// What a server costs all of whose answers fail.
+    /// Cost of a server whose answers all fail; a lower share of failures costs proportionally less.
     pub failure_cost: f64,
-    /// What a server costs whose last exchanges hang.
+    /// Cost of a server with an open exchange that has lasted far longer than usual.
     pub stalled_cost: f64,
-    /// Requests a second from one zone for an object, above which it gets a server in each zone.
+    /// Requests per second and object from one zone above which a route's objects gain a server in each zone.
     pub popular_per_s: f64,
-    /// The rate below which it loses them again.
+    /// Rate below which a route's objects lose these servers again.
     pub rare_per_s: f64,
-    /// The share of a region's requests that may run in another region than two seconds before.
+    /// Maximum share of a region's requests that may move to another region within two seconds.
     pub shift_most: f64,
-    /// The load for each slot of a region above which objects get no further servers there.
+    /// Load per slot of a region from which popular objects use only one server there.
     pub spread_load_limit: f64,
-    /// The earliest return of a refused client.
+    /// Minimum time after which a refused client should retry.
     pub retry_after_ms: u64,
-    /// The span over which refused clients' returns are spread.
+    /// Random time of up to this length is added to the retry time of a refused client.
     pub retry_spread_ms: u64,
 }
 
@@ -67,7 +69,7 @@
 }
 
 impl PlacementSettings {
-    /// The load for each slot up to which requests of this priority are sent.
+    /// Returns the load per slot below which a server accepts requests of this priority; 0 is the highest priority.
     #[must_use]
     pub fn load_limit(&self, priority: u32) -> f64 {
         let lowered = self.load_limit - self.load_limit_step * f64::from(priority);
