--- a/crates/damaskvane-routing/src/peers.rs
+++ b/crates/damaskvane-routing/src/peers.rs
@@ -1,21 +1,21 @@
-//! Which entry instances are alive, and which a look-up names.
+//! Tracks which entry instances are alive, which of them a lookup returns, and to which of them messages are sent.
 //!
 //! ```
 //! use damaskvane_routing::peers;
 //!
 //! let settings = peers::PeerSettings::default();
-//! assert!(settings.silence_ms > settings.heartbeat_ms);
+//! assert!(settings.heartbeat_timeout_ms > settings.heartbeat_ms);
 //! ```
 
 mod caller;
 mod digest;
 mod heartbeat;
+mod heartbeat_targets;
+mod instance_list;
 mod listed;
-mod listing;
+mod member_table;
 mod members;
-mod outreach;
 mod relay;
-mod roster;
 mod settings;
 
 pub use digest::{Digest, DigestEntry, IncarnationKey};
--- a/crates/damaskvane-routing/src/peers/caller.rs
+++ b/crates/damaskvane-routing/src/peers/caller.rs
@@ -1,4 +1,4 @@
-//! Which instances are nearest to a caller.
+//! Selects the entry instances that are nearest to the caller of a lookup.
 
 use std::collections::HashMap;
 use std::net;
@@ -7,22 +7,24 @@
 use damaskvane_core::time::TimeMs;
 
 use crate::peers::Phase;
-use crate::peers::roster::Roster;
+use crate::peers::member_table::MemberTable;
 
-/// Where a look-up comes from, and which regions may serve what it asks for.
+/// Location of the caller of a lookup, and the regions that may serve the requested service.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Caller<'a> {
+    /// Zone of the caller, or `None` if the zone is unknown.
     pub(super) zone: Option<&'a ids::AvailabilityZoneId>,
+    /// Region of the caller, or `None` if the region is unknown.
     pub(super) region: Option<&'a ids::RegionId>,
     pub(super) allowed_regions: &'a [ids::RegionId],
 }
 
 impl Caller<'_> {
-    /// The client addresses of the nearest instances: those of the caller's zone, or else of its region, or else of
-    /// the regions that may serve it, or else all.
+    /// Returns the client addresses of the nearest ready instances: those of the caller's zone, otherwise of the
+    /// caller's region, otherwise of the allowed regions, otherwise of all regions.
     pub(super) fn nearest(
         &self,
-        roster: &Roster,
+        members: &MemberTable,
         regions: &HashMap<ids::AvailabilityZoneId, ids::RegionId>,
         now: TimeMs,
     ) -> Vec<net::SocketAddr> {
@@ -36,8 +38,8 @@
         let tiers: [&dyn Fn(&ids::AvailabilityZoneId) -> bool; 4] =
             [&in_zone, &in_region, &is_allowed, &|_| true];
         for tier in tiers {
-            let zones = roster.zones().filter(|of| tier(of));
-            let usable = zones.flat_map(|of| roster.alive_in(now, of, Phase::Ready));
+            let zones = members.zones().filter(|of| tier(of));
+            let usable = zones.flat_map(|of| members.alive_in(now, of, Phase::Ready));
             let addresses: Vec<_> = usable.map(|one| one.client_address).collect();
             if !addresses.is_empty() {
                 return addresses;
--- a/crates/damaskvane-routing/src/peers/digest.rs
+++ b/crates/damaskvane-routing/src/peers/digest.rs
@@ -1,29 +1,30 @@
-//! What one zone tells the others of its instances.
+//! The digest of a zone's live instances, which its aggregators send to other zones.
 
 use damaskvane_core::ids;
 use xxhash_rust::xxh3;
 
 use crate::peers::{Heartbeat, Phase};
 
-/// Names one start of an instance in eight bytes, to those who have heard it before.
+/// An 8-byte key of one incarnation of an instance. Receivers resolve the key only if they have received a heartbeat
+/// of this incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IncarnationKey(u64);
 
 impl IncarnationKey {
-    /// The key of a start.
+    /// Returns the key of an incarnation of an instance.
     #[must_use]
     pub fn new(instance: &ids::InstanceId, incarnation: ids::Incarnation) -> Self {
         let hash = xxh3::xxh3_64_with_seed(instance.as_str().as_bytes(), incarnation.get());
         Self(hash)
     }
 
-    /// The key as it travels.
+    /// Returns the key as a number for messages.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// A key that has travelled.
+    /// Returns the key for a number from a message.
     #[must_use]
     pub const fn from_wire(key: u64) -> Self {
         Self(key)
@@ -34,22 +35,22 @@
     }
 }
 
-/// The last heartbeat of one instance.
+/// The state of one instance by its last heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DigestEntry {
-    /// Which start.
+    /// Key of the instance's incarnation.
     pub key: IncarnationKey,
-    /// The count of its heartbeat.
+    /// Serial number of the last heartbeat.
     pub serial: u64,
-    /// Where the instance stood then.
+    /// Phase that the last heartbeat reported.
     pub phase: Phase,
-    /// How long ago the heartbeat was heard.
+    /// Time since the sender of the digest received the last heartbeat.
     pub age_ms: u64,
 }
 
-/// The instances of a zone that are alive.
+/// The live instances of one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Digest {
-    /// An entry for each.
+    /// One entry for each live instance of the zone.
     pub entries: Vec<DigestEntry>,
 }
--- a/crates/damaskvane-routing/src/peers/heartbeat.rs
+++ b/crates/damaskvane-routing/src/peers/heartbeat.rs
@@ -1,35 +1,35 @@
-//! What an instance tells the others of itself.
+//! The heartbeat that an instance sends to other instances, and its phases.
 
 use std::net;
 
 use damaskvane_core::ids;
 
-/// Where an instance stands in its life.
+/// The phase of an instance between start and stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It doesn't know a configuration yet.
+    /// The instance is not ready for clients yet; it has no configuration, for instance.
     Starting,
-    /// It takes clients.
+    /// The instance accepts clients.
     Ready,
-    /// It stops.
+    /// The instance is stopping and needs no new clients.
     Leaving,
 }
 
-/// A heartbeat.
+/// A message that an instance sends periodically to report that it is alive, where, and in which phase.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// The instance that sends the heartbeat.
     pub instance: ids::InstanceId,
-    /// Which start of the instance.
+    /// Incarnation of the instance; a higher number is a later start.
     pub incarnation: ids::Incarnation,
-    /// Counts the heartbeats of this start.
+    /// Number of the heartbeat, counted from the start of this incarnation.
     pub serial: u64,
-    /// The instance's availability zone.
+    /// Availability zone of the instance.
     pub zone: ids::AvailabilityZoneId,
-    /// Where clients reach it.
+    /// Address for clients.
     pub client_address: net::SocketAddr,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub peer_address: net::SocketAddr,
-    /// Where it stands.
+    /// Phase of the instance when it sent the heartbeat.
     pub phase: Phase,
 }
--- a/crates/damaskvane-routing/src/peers/listed.rs
+++ b/crates/damaskvane-routing/src/peers/listed.rs
@@ -1,16 +1,16 @@
-//! An instance that the platform's list names.
+//! An entry of the platform's list of instances.
 
 use std::net;
 
 use damaskvane_core::ids;
 
-/// An instance, as the platform's list names it.
+/// An instance as registered in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedInstance {
-    /// The instance.
+    /// Identifier of the instance.
     pub instance: ids::InstanceId,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub peer_address: net::SocketAddr,
-    /// Its availability zone, where the record names one.
+    /// Availability zone of the instance, or `None` if the record names none.
     pub zone: Option<ids::AvailabilityZoneId>,
 }
--- a/crates/damaskvane-routing/src/peers/roster.rs
+++ b/crates/damaskvane-routing/src/peers/member_table.rs
@@ -1,4 +1,4 @@
-//! The instances that were heard, found by name, by zone and by start.
+//! A table of the instances whose heartbeats were received, indexed by name, zone and incarnation.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,26 +7,26 @@
 
 use crate::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, PeerSettings, Phase};
 
-/// An instance with its last heartbeat.
+/// An instance with its last heartbeat and the time of receipt.
 #[derive(Debug)]
 pub(super) struct Member {
     pub(super) heartbeat: Heartbeat,
-    pub(super) heard_at: TimeMs,
+    pub(super) received_at: TimeMs,
 }
 
-/// The instances that were heard, the own one too, and which of them are alive.
+/// The instances whose heartbeats were received, including this instance.
 #[derive(Debug)]
-pub(super) struct Roster {
+pub(super) struct MemberTable {
     settings: PeerSettings,
     own: ids::InstanceId,
     members: BTreeMap<ids::InstanceId, Member>,
-    /// The members of each zone, in the order of their names.
+    /// Members of each zone, in the order of their names.
     by_zone: BTreeMap<ids::AvailabilityZoneId, BTreeSet<ids::InstanceId>>,
     by_key: BTreeMap<IncarnationKey, ids::InstanceId>,
 }
 
-impl Roster {
-    /// Nobody was heard yet.
+impl MemberTable {
+    /// Returns an empty member table.
     pub(super) const fn new(settings: PeerSettings, own: ids::InstanceId) -> Self {
         Self {
             settings,
@@ -41,7 +41,7 @@
         &self.own
     }
 
-    /// The own instance, once it has sent a heartbeat.
+    /// Returns this instance, or `None` until it has sent its first heartbeat.
     pub(super) fn own_member(&self) -> Option<&Member> {
         self.members.get(&self.own)
     }
@@ -60,7 +60,9 @@
         zone.flat_map(|zone| self.of_zone(zone))
     }
 
-    /// The instances of a zone in a phase that are not silent, in the order of their names.
+    /// Returns the live instances of a zone in the given phase, in the order of their names.
+    ///
+    /// An instance is alive until its last heartbeat is older than the timeout. This instance is always alive.
     pub(super) fn alive_in(
         &self,
         now: TimeMs,
@@ -69,34 +71,35 @@
     ) -> impl Iterator<Item = &Heartbeat> {
         let alive = self.of_zone(zone).filter(move |member| {
             let is_own = member.heartbeat.instance == self.own;
-            let is_heard = now.since(member.heard_at).get() < self.silence_ms(member);
-            member.heartbeat.phase == phase && (is_own || is_heard)
+            let is_alive = now.since(member.received_at).get() < self.heartbeat_timeout_ms(member);
+            member.heartbeat.phase == phase && (is_own || is_alive)
         });
         alive.map(|member| &member.heartbeat)
     }
 
-    fn silence_ms(&self, member: &Member) -> u64 {
+    fn heartbeat_timeout_ms(&self, member: &Member) -> u64 {
         if self.is_in_own_zone(member) {
-            self.settings.silence_ms
+            self.settings.heartbeat_timeout_ms
         } else {
-            self.settings.other_zone_silence_ms
+            self.settings.other_zone_timeout_ms
         }
     }
 
-    /// The instances that speak for the own zone.
-    pub(super) fn speaking(&self, now: TimeMs) -> impl Iterator<Item = &Member> {
-        let limit = self.settings.speaker_silence_ms;
-        let speakers = self.in_own_zone().filter(move |member| {
+    /// Returns the aggregators of this instance's zone: the first ready instances by name whose last heartbeat is newer
+    /// than the aggregator timeout.
+    pub(super) fn aggregators(&self, now: TimeMs) -> impl Iterator<Item = &Member> {
+        let limit = self.settings.aggregator_timeout_ms;
+        let aggregators = self.in_own_zone().filter(move |member| {
             let is_own = member.heartbeat.instance == self.own;
-            let is_heard = is_own || now.since(member.heard_at).get() < limit;
-            is_heard && member.heartbeat.phase == Phase::Ready
+            let is_alive = is_own || now.since(member.received_at).get() < limit;
+            is_alive && member.heartbeat.phase == Phase::Ready
         });
-        speakers.take(self.settings.speakers_per_zone)
+        aggregators.take(self.settings.aggregators_per_zone)
     }
 
     pub(super) fn is_aggregator(&self, now: TimeMs) -> bool {
-        let mut speakers = self.speaking(now);
-        speakers.any(|member| member.heartbeat.instance == self.own)
+        let mut aggregators = self.aggregators(now);
+        aggregators.any(|member| member.heartbeat.instance == self.own)
     }
 
     pub(super) fn len(&self) -> usize {
@@ -115,7 +118,7 @@
         self.members.get_mut(instance)
     }
 
-    /// The member whose start has this key.
+    /// Returns the member whose incarnation has this key.
     fn by_key_mut(&mut self, key: IncarnationKey) -> Option<&mut Member> {
         let instance = self.by_key.get(&key)?;
         self.members.get_mut(instance)
@@ -129,18 +132,18 @@
         self.members.values()
     }
 
-    /// The zones with members, in the order of their names.
+    /// Returns the zones that have members, in the order of their names.
     pub(super) fn zones(&self) -> impl Iterator<Item = &ids::AvailabilityZoneId> {
         self.by_zone.keys()
     }
 
-    /// The members of a zone, in the order of their names.
+    /// Returns the members of a zone, in the order of their names.
     pub(super) fn of_zone(&self, zone: &ids::AvailabilityZoneId) -> impl Iterator<Item = &Member> {
         let instances = self.by_zone.get(zone).into_iter().flatten();
         instances.filter_map(|id| self.members.get(id))
     }
 
-    /// Adds a start of an instance in place of an earlier one.
+    /// Adds an incarnation of an instance and removes an earlier one.
     pub(super) fn add(&mut self, now: TimeMs, heartbeat: Heartbeat) {
         let instance = heartbeat.instance.clone();
         self.remove(&instance);
@@ -150,7 +153,7 @@
         self.by_key.insert(key, instance.clone());
         let member = Member {
             heartbeat,
-            heard_at: now,
+            received_at: now,
         };
         self.members.insert(instance, member);
     }
@@ -165,32 +168,32 @@
         }
     }
 
-    /// Takes in what another zone says of its instances, as far as their starts were heard.
+    /// Applies the digest of another zone to the members whose incarnation is known; other entries are ignored.
     pub(super) fn apply_digest(&mut self, now: TimeMs, digest: &Digest) {
         for entry in &digest.entries {
             let Some(member) = self.by_key_mut(entry.key) else {
                 continue;
             };
-            // An older count may be from before the word that the instance leaves.
+            // An entry with a lower serial may be older than the heartbeat that reported the phase Leaving.
             if entry.serial < member.heartbeat.serial {
                 continue;
             }
-            let heard_at = TimeMs::new(now.get().saturating_sub(entry.age_ms));
+            let received_at = TimeMs::new(now.get().saturating_sub(entry.age_ms));
             member.heartbeat.serial = entry.serial;
             member.heartbeat.phase = entry.phase;
-            member.heard_at = member.heard_at.max(heard_at);
+            member.received_at = member.received_at.max(received_at);
         }
     }
 
-    /// What the own zone says of its instances.
+    /// Returns the digest of the live instances of this instance's zone.
     pub(super) fn digest(&self, now: TimeMs) -> Digest {
         let entries = self.in_own_zone().map(|member| DigestEntry {
             key: IncarnationKey::of(&member.heartbeat),
             serial: member.heartbeat.serial,
             phase: member.heartbeat.phase,
-            age_ms: now.since(member.heard_at).get(),
+            age_ms: now.since(member.received_at).get(),
         });
-        let alive = entries.filter(|entry| entry.age_ms < self.settings.silence_ms);
+        let alive = entries.filter(|entry| entry.age_ms < self.settings.heartbeat_timeout_ms);
         Digest {
             entries: alive.collect(),
         }
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -1,4 +1,4 @@
-//! The instances that are known, with the last word from each.
+//! The entry instances of all zones from this instance's view, and the recipients of messages to them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net;
@@ -7,110 +7,110 @@
 use damaskvane_core::time::TimeMs;
 
 use crate::peers::caller::Caller;
-use crate::peers::listing::Listing;
-use crate::peers::outreach::Outreach;
+use crate::peers::heartbeat_targets::HeartbeatTargets;
+use crate::peers::instance_list::InstanceList;
+use crate::peers::member_table::MemberTable;
 use crate::peers::relay;
-use crate::peers::roster::Roster;
 use crate::peers::{Digest, Heartbeat, ListedInstance, PeerSettings, Phase, Relay};
 
-/// The entry instances, as this one sees them.
+/// The entry instances of all zones, as this instance learned of them from heartbeats, digests and the platform's list.
 #[derive(Debug)]
 pub struct Members {
     settings: PeerSettings,
     own: ids::InstanceId,
     regions: HashMap<ids::AvailabilityZoneId, ids::RegionId>,
-    roster: Roster,
-    listing: Listing,
+    members: MemberTable,
+    list: InstanceList,
     zones_at: HashMap<net::IpAddr, ids::AvailabilityZoneId>,
-    /// Members of the own zone that other zones haven't been told of since they changed.
-    news: BTreeSet<ids::InstanceId>,
-    /// Whether the own record is in the store.
+    /// Members of this instance's zone that changed and were not sent to other zones since.
+    updates: BTreeSet<ids::InstanceId>,
+    /// Whether the record of this instance is in the store.
     is_registered: bool,
-    outreach: Outreach,
+    targets: HeartbeatTargets,
 }
 
 impl Members {
-    /// Nobody is known but the instance itself.
+    /// Returns a view that holds only this instance. `regions` maps each availability zone to its region.
     pub fn new(
         settings: PeerSettings,
         own: ids::InstanceId,
         regions: impl IntoIterator<Item = (ids::AvailabilityZoneId, ids::RegionId)>,
     ) -> Self {
-        let mut listing = Listing::default();
-        listing.note_heard(&own);
+        let mut list = InstanceList::default();
+        list.record_heartbeat(&own);
         Self {
             settings,
             regions: regions.into_iter().collect(),
-            roster: Roster::new(settings, own.clone()),
+            members: MemberTable::new(settings, own.clone()),
             own,
-            listing,
+            list,
             zones_at: HashMap::new(),
-            news: BTreeSet::new(),
+            updates: BTreeSet::new(),
             is_registered: false,
-            outreach: Outreach::new(settings),
+            targets: HeartbeatTargets::new(settings),
         }
     }
 
-    /// Tells where instances may be found before the platform's list was read.
+    /// Sets the addresses at which other instances may be reached before the platform's list has been read.
     pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = net::SocketAddr>) {
-        self.outreach.set_seeds(seeds);
+        self.targets.set_seeds(seeds);
     }
 
-    /// Takes in the platform's list of instances.
+    /// Replaces the platform's list of instances.
     pub fn set_listed(&mut self, listed: impl IntoIterator<Item = ListedInstance>) {
-        let heard = self.roster.instances().cloned();
-        self.listing.clear(heard.chain([self.own.clone()]));
+        let received = self.members.instances().cloned();
+        self.list.clear(received.chain([self.own.clone()]));
         self.add_listed(listed);
     }
 
-    /// Takes in some instances of the platform's list.
+    /// Adds instances to the platform's list.
     pub fn add_listed(&mut self, listed: impl IntoIterator<Item = ListedInstance>) {
         for one in listed {
             if let Some(zone) = &one.zone {
                 self.zones_at.insert(one.peer_address.ip(), zone.clone());
             }
-            let is_heard = self.is_heard(&one.instance);
-            self.listing.add(one, is_heard);
+            let has_heartbeat = self.has_heartbeat(&one.instance);
+            self.list.add(one, has_heartbeat);
         }
     }
 
-    /// Takes in that the platform's list no longer names an instance.
+    /// Removes an instance from the platform's list.
     pub fn remove_listed(&mut self, instance: &ids::InstanceId) {
-        let is_heard = self.is_heard(instance);
-        self.listing.remove(instance, is_heard);
+        let has_heartbeat = self.has_heartbeat(instance);
+        self.list.remove(instance, has_heartbeat);
     }
 
-    fn is_heard(&self, instance: &ids::InstanceId) -> bool {
-        *instance == self.own || self.roster.contains(instance)
+    fn has_heartbeat(&self, instance: &ids::InstanceId) -> bool {
+        *instance == self.own || self.members.contains(instance)
     }
 
-    /// The zone of the instance at an address.
+    /// Returns the zone of the instance at an address, or `None` if no instance is known at this address.
     #[must_use]
     pub fn zone_at(&self, address: net::IpAddr) -> Option<&ids::AvailabilityZoneId> {
         self.zones_at.get(&address)
     }
 
-    /// Whether the platform's list names the instance itself with this record.
+    /// Returns whether the platform's list holds exactly this record for the record's instance.
     #[must_use]
     pub fn is_listed_as(&self, record: &ListedInstance) -> bool {
-        self.listing.get(&record.instance) == Some(record)
+        self.list.get(&record.instance) == Some(record)
     }
 
-    /// Whether the instance is the first of its zone that the platform's list names.
+    /// Returns whether this instance is the first of its zone in the platform's list.
     #[must_use]
     pub fn is_first_listed(&self) -> bool {
-        let own_zone = self.roster.own_zone();
-        let listed = self.listing.listed();
+        let own_zone = self.members.own_zone();
+        let listed = self.list.listed();
         let mut of_zone = listed.filter(|listed| listed.zone.as_ref() == own_zone);
         of_zone
             .next()
             .is_some_and(|first| first.instance == self.own)
     }
 
-    /// Whether the own zone is one of those whose first instance watches the store for the region.
+    /// Returns whether the first instance of this instance's zone watches the store for the region.
     #[must_use]
     pub fn is_in_watcher_zone(&self) -> bool {
-        let Some(own) = self.roster.own_zone() else {
+        let Some(own) = self.members.own_zone() else {
             return false;
         };
         let region = self.regions.get(own);
@@ -121,55 +121,53 @@
         before.count() < self.settings.watchers_per_region
     }
 
-    /// Lets the next heartbeat go to the first listed instances of other zones: those that start together with this
-    /// one hear of each other by it.
+    /// Directs the next heartbeat to other zones too, so that instances that start at the same time find each other.
     pub const fn announce_to_other_zones(&mut self) {
-        self.outreach.announce_to_other_zones();
+        self.targets.announce_to_other_zones();
     }
 
-    /// Takes in that the own record is in the store.
+    /// Records that the record of this instance is in the store.
     pub const fn set_registered(&mut self) {
         self.is_registered = true;
     }
 
-    /// Whether others can know of this instance, or it of them, or both have taken too long.
+    /// Returns whether this instance has joined the other instances, or the join timeout is over.
     ///
-    /// An instance that nobody knows hears of no change once the store turns it away: it would go on with
-    /// routes and servers of before. So it is not ready before its record is written and the list is read,
-    /// or it has heard from somebody. A store that serves reads and refuses the record keeps it from
-    /// clients only until the time is over.
+    /// An instance that is unknown to all others receives no changes if the store rejects it, and would use outdated
+    /// routes and servers. It is ready only after its record is written and the list is read, or after a heartbeat of
+    /// another instance. The timeout limits the delay if the store serves reads but rejects the record.
     #[must_use]
     pub fn has_joined(&self, now: TimeMs) -> bool {
-        let own = usize::from(self.roster.contains(&self.own));
-        let has_heard = self.roster.len() > own;
-        let is_known = self.listing.is_whole() && self.is_registered;
-        is_known || has_heard || now.get() >= self.settings.join_timeout_ms
+        let own = usize::from(self.members.contains(&self.own));
+        let has_peer = self.members.len() > own;
+        let has_record_and_list = self.list.is_complete() && self.is_registered;
+        has_record_and_list || has_peer || now.get() >= self.settings.join_timeout_ms
     }
 
-    /// Takes in a heartbeat; returns whether the instance is new, or back under a new start.
+    /// Applies a heartbeat unless it is outdated. Returns whether the instance is new or has a new incarnation.
     pub fn apply_heartbeat(&mut self, now: TimeMs, heartbeat: Heartbeat) -> bool {
-        let Some(known) = self.roster.get_mut(&heartbeat.instance) else {
+        let Some(known) = self.members.get_mut(&heartbeat.instance) else {
             self.add(now, heartbeat);
             return true;
         };
-        let is_same_start = known.heartbeat.incarnation == heartbeat.incarnation;
-        let is_late = is_same_start && heartbeat.serial <= known.heartbeat.serial;
-        // A datagram of an earlier start can arrive after the first of a new one.
-        let is_outlived = heartbeat.incarnation < known.heartbeat.incarnation
-            && now.since(known.heard_at).get() < self.settings.silence_ms;
-        if is_late || is_outlived {
+        let is_same_incarnation = known.heartbeat.incarnation == heartbeat.incarnation;
+        let is_late = is_same_incarnation && heartbeat.serial <= known.heartbeat.serial;
+        // A datagram of an earlier incarnation can arrive after the first datagram of a new incarnation.
+        let is_superseded = heartbeat.incarnation < known.heartbeat.incarnation
+            && now.since(known.received_at).get() < self.settings.heartbeat_timeout_ms;
+        if is_late || is_superseded {
             return false;
         }
-        if is_same_start {
+        if is_same_incarnation {
             let has_changed = known.heartbeat.phase != heartbeat.phase;
             if has_changed && heartbeat.instance == self.own {
-                self.outreach.note_own_phase(now);
+                self.targets.record_own_phase_change(now);
             }
             known.heartbeat = heartbeat;
-            known.heard_at = now;
+            known.received_at = now;
             if has_changed {
                 let instance = known.heartbeat.instance.clone();
-                self.note_news(&instance);
+                self.record_update(&instance);
             }
             return false;
         }
@@ -181,94 +179,95 @@
         let instance = heartbeat.instance.clone();
         let address = heartbeat.peer_address.ip();
         self.zones_at.insert(address, heartbeat.zone.clone());
-        self.listing.note_heard(&instance);
-        self.roster.add(now, heartbeat);
-        self.note_news(&instance);
+        self.list.record_heartbeat(&instance);
+        self.members.add(now, heartbeat);
+        self.record_update(&instance);
     }
 
-    fn note_news(&mut self, instance: &ids::InstanceId) {
-        let member = self.roster.get(instance);
-        if member.is_some_and(|member| self.roster.is_in_own_zone(member)) {
-            self.news.insert(instance.clone());
+    fn record_update(&mut self, instance: &ids::InstanceId) {
+        let member = self.members.get(instance);
+        if member.is_some_and(|member| self.members.is_in_own_zone(member)) {
+            self.updates.insert(instance.clone());
         }
     }
 
-    /// What other zones are to hear in full: members of the own zone that are new or changed their phase.
+    /// Removes and returns up to `max_updates` heartbeats of members of this zone that are new or changed their phase.
     ///
-    /// Were each instance to tell all instances of all zones itself, starts of hundreds at once would be most of the
-    /// bytes between zones.
-    pub fn take_membership_updates(&mut self, now: TimeMs, most: usize) -> Vec<Heartbeat> {
+    /// Only an aggregator returns any. If every instance sent its own updates to all instances of all zones, the start
+    /// of hundreds of instances at once would cause most of the traffic between zones.
+    pub fn take_membership_updates(&mut self, now: TimeMs, max_updates: usize) -> Vec<Heartbeat> {
         if !self.is_aggregator(now) {
-            // Whoever speaks tells it. What is left here is told again if this one speaks later, and harms nobody.
+            // The aggregators send these updates. Sending them again as a later aggregator is harmless.
             return Vec::new();
         }
-        let told: Vec<_> = self.news.iter().take(most).cloned().collect();
-        for instance in &told {
-            self.news.remove(instance);
+        let instances: Vec<_> = self.updates.iter().take(max_updates).cloned().collect();
+        for instance in &instances {
+            self.updates.remove(instance);
         }
-        let members = told.iter().filter_map(|id| self.roster.get(id));
+        let members = instances.iter().filter_map(|id| self.members.get(id));
         members.map(|member| member.heartbeat.clone()).collect()
     }
 
-    /// What an instance of the own zone that has just started is to hear of other zones, from one that speaks for
-    /// its own: nobody else tells it of instances that neither start nor change.
+    /// Returns the heartbeats of all ready instances of other zones, for a new instance of this instance's zone.
+    ///
+    /// Only an aggregator returns any. No other message informs a new instance of instances that don't change.
     #[must_use]
     pub fn heartbeats_for_new_instance(
         &self,
         now: TimeMs,
         heartbeat: &Heartbeat,
     ) -> Vec<Heartbeat> {
-        let is_near = self.roster.own_zone() == Some(&heartbeat.zone);
-        if !is_near || heartbeat.instance == self.own || !self.is_aggregator(now) {
+        let is_own_zone = self.members.own_zone() == Some(&heartbeat.zone);
+        if !is_own_zone || heartbeat.instance == self.own || !self.is_aggregator(now) {
             return Vec::new();
         }
-        let zones = self.roster.zones().filter(|zone| **zone != heartbeat.zone);
-        let ready = zones.flat_map(|zone| self.roster.alive_in(now, zone, Phase::Ready));
+        let zones = self.members.zones().filter(|zone| **zone != heartbeat.zone);
+        let ready = zones.flat_map(|zone| self.members.alive_in(now, zone, Phase::Ready));
         ready.cloned().collect()
     }
 
-    /// Takes in where the own process stands, which look-ups must know before its next heartbeat.
+    /// Sets the phase of this instance, which lookups must take into account before its next heartbeat.
     pub fn set_own_phase(&mut self, now: TimeMs, phase: Phase) {
-        if let Some(own) = self.roster.get_mut(&self.own)
+        if let Some(own) = self.members.get_mut(&self.own)
             && own.heartbeat.phase != phase
         {
             own.heartbeat.phase = phase;
-            self.outreach.note_own_phase(now);
-            self.news.insert(self.own.clone());
+            self.targets.record_own_phase_change(now);
+            self.updates.insert(self.own.clone());
         }
     }
 
-    /// Takes in what another zone says of its instances.
+    /// Applies the digest of another zone.
     ///
-    /// Only starts that were heard before are known by their keys; a start that is unknown tells of itself.
+    /// Entries of unknown incarnations are ignored until a heartbeat or a membership update introduces them.
     pub fn apply_digest(&mut self, now: TimeMs, digest: &Digest) {
-        self.roster.apply_digest(now, digest);
+        self.members.apply_digest(now, digest);
     }
 
-    /// What the other zones are to hear of this one, if this instance speaks for it.
+    /// Returns the digest of this instance's zone for other zones, or `None` if this instance is no aggregator.
     #[must_use]
     pub fn digest(&self, now: TimeMs) -> Option<Digest> {
-        self.is_aggregator(now).then(|| self.roster.digest(now))
+        self.is_aggregator(now).then(|| self.members.digest(now))
     }
 
-    /// Where digests go: the first instances of each other zone, which hand them on within it.
+    /// Returns the addresses to which an aggregator sends digests: the first ready instances of each other zone.
     ///
-    /// Sent to all instances, digests would be most of the bytes between the regions of a large fleet, and a
-    /// speaker's share of them would grow with it.
+    /// The recipients forward the digests within their zone. Digests to all instances would be most of the traffic
+    /// between regions of a large fleet, and the traffic of each aggregator would grow with the number of instances.
     #[must_use]
     pub fn digest_recipients(&self, now: TimeMs) -> Vec<net::SocketAddr> {
         if !self.is_aggregator(now) {
             return Vec::new();
         }
-        let own_zone = self.roster.own_zone();
-        let others = self.roster.zones().filter(|zone| Some(*zone) != own_zone);
-        let most = self.settings.digest_receivers_per_zone;
+        let own_zone = self.members.own_zone();
+        let others = self.members.zones().filter(|zone| Some(*zone) != own_zone);
+        let max = self.settings.digest_receivers_per_zone;
         let receivers =
-            others.flat_map(|zone| self.roster.alive_in(now, zone, Phase::Ready).take(most));
+            others.flat_map(|zone| self.members.alive_in(now, zone, Phase::Ready).take(max));
         receivers.map(|one| one.peer_address).collect()
     }
 
-    /// Where this instance hands on a digest of another zone.
+    /// Returns the ready instances of this zone to which an aggregator forwards a digest of another zone.
     #[must_use]
     pub fn digest_forward_recipients(&self, now: TimeMs) -> Vec<net::SocketAddr> {
         if !self.is_aggregator(now) {
@@ -277,111 +276,111 @@
         self.neighbours(now)
     }
 
-    /// Whether this instance speaks for its zone.
+    /// Returns whether this instance is an aggregator of its zone.
     #[must_use]
     pub fn is_aggregator(&self, now: TimeMs) -> bool {
-        self.roster.is_aggregator(now)
+        self.members.is_aggregator(now)
     }
 
-    /// Where the instances are that speak for the own zone, but for this one.
+    /// Returns the peer addresses of the other aggregators of this instance's zone.
     #[must_use]
     pub fn other_aggregators(&self, now: TimeMs) -> Vec<net::SocketAddr> {
-        let speaking = self.roster.speaking(now);
-        let others = speaking.filter(|member| member.heartbeat.instance != self.own);
+        let aggregators = self.members.aggregators(now);
+        let others = aggregators.filter(|member| member.heartbeat.instance != self.own);
         others.map(|member| member.heartbeat.peer_address).collect()
     }
 
-    /// Where a heartbeat goes: to the own zone, to the first instances of other zones that were never heard, and
-    /// now and then to all. Other zones hear the rest from those that speak for this one.
+    /// Returns the recipients of the heartbeat with this serial number: this instance's zone, and periodically the
+    /// first listed instances of other zones without a heartbeat, or all instances. Aggregators inform other zones.
     #[must_use]
     pub fn recipients(&mut self, now: TimeMs, serial: u64) -> Vec<net::SocketAddr> {
-        self.outreach
-            .recipients(&self.roster, &self.listing, now, serial)
+        self.targets
+            .recipients(&self.members, &self.list, now, serial)
     }
 
-    /// The own heartbeat that answers one of another instance, if that one is looking for others.
+    /// Returns this instance's heartbeat as the reply to a starting instance, or `None` if no reply is needed.
     ///
-    /// An instance that starts while the store doesn't answer it knows nobody. Without an answer it would wait
-    /// for the next heartbeat to all, and serve nobody until then.
+    /// An instance that starts while the store doesn't answer has only the seed addresses. Without a reply it would
+    /// wait for the next heartbeat that is sent to all instances, and accept no clients until then.
     #[must_use]
     pub fn reply_to_heartbeat(&self, heartbeat: &Heartbeat) -> Option<&Heartbeat> {
-        let own = self.roster.own_member().map(|own| &own.heartbeat)?;
+        let own = self.members.own_member().map(|own| &own.heartbeat)?;
         let is_useful = own.phase == Phase::Ready && heartbeat.phase == Phase::Starting;
         is_useful.then_some(own)
     }
 
-    /// The other instances of the own zone that are at work.
+    /// Returns the peer addresses of the other ready instances of this instance's zone.
     #[must_use]
     pub fn neighbours(&self, now: TimeMs) -> Vec<net::SocketAddr> {
-        let Some(zone) = self.roster.own_zone() else {
+        let Some(zone) = self.members.own_zone() else {
             return Vec::new();
         };
-        let in_zone = self.roster.alive_in(now, zone, Phase::Ready);
+        let in_zone = self.members.alive_in(now, zone, Phase::Ready);
         let others = in_zone.filter(|one| one.instance != self.own);
         others.map(|one| one.peer_address).collect()
     }
 
-    /// All other instances that were ever listed or heard, for what concerns everybody.
+    /// Returns the peer addresses of all other instances that are listed or of which a heartbeat was ever received.
     #[must_use]
     pub fn others(&self) -> Vec<net::SocketAddr> {
-        let heard = self.roster.members().map(|member| &member.heartbeat);
-        let heard = heard.map(|heartbeat| (&heartbeat.instance, heartbeat.peer_address));
-        let listed = self.listing.listed();
+        let heartbeats = self.members.members().map(|member| &member.heartbeat);
+        let heartbeats = heartbeats.map(|heartbeat| (&heartbeat.instance, heartbeat.peer_address));
+        let listed = self.list.listed();
         let listed = listed.map(|listed| (&listed.instance, listed.peer_address));
-        // What an instance says of itself is newer than the list.
-        let addresses: BTreeMap<_, _> = listed.chain(heard).collect();
+        // The address in a heartbeat is newer than the address in the list.
+        let addresses: BTreeMap<_, _> = listed.chain(heartbeats).collect();
         let others = addresses.into_iter().filter(|(id, _)| **id != self.own);
         others.map(|(_, address)| address).collect()
     }
 
-    /// The most instances that may be at work: the divisor of every shared limit.
+    /// Returns the maximum number of instances that may be running, by which every shared limit is divided.
     ///
-    /// Too small a divisor would break a limit, too large a one only wastes some of it, so instances that
-    /// fell silent still count.
+    /// A divisor that is too small would exceed the limit, while one that is too large only leaves part of the limit
+    /// unused. Instances without recent heartbeats therefore still count.
     #[must_use]
     pub fn max_running_instances(&self) -> usize {
-        let known = self.listing.known();
-        if self.listing.is_whole() {
+        let known = self.list.known();
+        if self.list.is_complete() {
             known
         } else {
             known.max(self.settings.assumed_instances)
         }
     }
 
-    /// The instances that clients may use, with their zones.
+    /// Returns the last heartbeats of the ready instances, which clients may use.
     pub fn usable(&self, now: TimeMs) -> impl Iterator<Item = &Heartbeat> {
-        let zones = self.roster.zones();
-        zones.flat_map(move |zone| self.roster.alive_in(now, zone, Phase::Ready))
+        let zones = self.members.zones();
+        zones.flat_map(move |zone| self.members.alive_in(now, zone, Phase::Ready))
     }
 
-    /// The instances of a zone that hand changes on to the others.
+    /// Returns the instances of a zone that forward changes of the store to the others.
     ///
-    /// Every instance computes them from the heartbeats that it hears. Two that disagree cost some calls:
-    /// an instance whose source is stale watches the store itself. As long as nobody in the zone is ready,
-    /// which lasts until the first configuration is written, instances that are starting do it for the others.
+    /// Every instance computes the relays from the heartbeats that it received. If two instances disagree, the cost is
+    /// some calls of the store: an instance whose source is stale watches the store itself. While no instance of the
+    /// zone is ready, as before the first configuration is written, starting instances are the relays.
     #[must_use]
     pub fn relays(&self, now: TimeMs, zone: &ids::AvailabilityZoneId) -> Vec<Relay> {
-        relay::of_zone(&self.roster, now, zone, self.settings.relays_per_zone)
+        relay::of_zone(&self.members, now, zone, self.settings.relays_per_zone)
     }
 
-    /// The instances of a region that watch the store for it: the first one of some of its zones.
+    /// Returns the instances that watch the store for a region: the first instance of each of its first zones.
     ///
-    /// In zones apart, so that the loss of one leaves another. Every instance computes them from the heartbeats and
-    /// digests that it hears; two that disagree cost some calls.
+    /// The watchers are in different zones, so one remains if a zone fails. Every instance computes them from the
+    /// received heartbeats and digests; if two instances disagree, the cost is some calls of the store.
     #[must_use]
     pub fn watchers(&self, now: TimeMs, region: &ids::RegionId) -> Vec<Relay> {
-        let zones = self.roster.zones();
+        let zones = self.members.zones();
         let of_region = zones.filter(|zone| self.regions.get(*zone) == Some(region));
         relay::of_first_zones(
-            &self.roster,
+            &self.members,
             now,
             of_region,
             self.settings.watchers_per_region,
         )
     }
 
-    /// The client addresses for a caller: of its own zone, or else of its region, or else of the regions
-    /// that may serve it, or else all.
+    /// Returns the client addresses of the nearest ready instances: those of the caller's zone, otherwise of its
+    /// region, otherwise of the allowed regions, otherwise of all regions.
     #[must_use]
     pub fn look_up(
         &self,
@@ -395,6 +394,6 @@
             region,
             allowed_regions,
         };
-        caller.nearest(&self.roster, &self.regions, now)
+        caller.nearest(&self.members, &self.regions, now)
     }
 }
--- a/crates/damaskvane-routing/src/peers/relay.rs
+++ b/crates/damaskvane-routing/src/peers/relay.rs
@@ -1,21 +1,21 @@
-//! An instance that hands changes of the store on.
+//! Selects the instances that forward changes of the store to other instances.
 
 use std::net;
 
 use damaskvane_core::ids;
 use damaskvane_core::time::TimeMs;
 
-use crate::peers::roster::Roster;
+use crate::peers::member_table::MemberTable;
 use crate::peers::{Heartbeat, Phase};
 
-/// An instance that others hear changes from.
+/// An instance that forwards changes of the store, or watches the store for its region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relay {
-    /// The instance.
+    /// Identifier of the instance.
     pub instance: ids::InstanceId,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: ids::AvailabilityZoneId,
-    /// Where other instances reach it.
+    /// Address for other instances.
     pub address: net::SocketAddr,
 }
 
@@ -29,31 +29,33 @@
     }
 }
 
-/// The first instances of a zone, ready ones or, as long as there is none, starting ones.
+/// Returns the first `max_relays` ready instances of a zone, or the first starting instances if none is ready.
 pub(super) fn of_zone(
-    roster: &Roster,
+    members: &MemberTable,
     now: TimeMs,
     zone: &ids::AvailabilityZoneId,
-    most: usize,
+    max_relays: usize,
 ) -> Vec<Relay> {
     ready_or_starting(|phase| {
-        let first = roster.alive_in(now, zone, phase).take(most);
+        let first = members.alive_in(now, zone, phase).take(max_relays);
         first.map(Relay::of).collect()
     })
 }
 
-/// The first instance of each of the first zones with one, ready ones or, as long as there is none, starting ones.
+/// Returns the first ready instance of each zone, for the first `max_relays` zones that have one.
+///
+/// If no instance of these zones is ready, starting instances are returned instead.
 pub(super) fn of_first_zones<'a>(
-    roster: &Roster,
+    members: &MemberTable,
     now: TimeMs,
     zones: impl Iterator<Item = &'a ids::AvailabilityZoneId>,
-    most: usize,
+    max_relays: usize,
 ) -> Vec<Relay> {
     let zones: Vec<_> = zones.collect();
     ready_or_starting(|phase| {
         let zones = zones.iter();
-        let first = zones.filter_map(|zone| roster.alive_in(now, zone, phase).next());
-        first.take(most).map(Relay::of).collect()
+        let first = zones.filter_map(|zone| members.alive_in(now, zone, phase).next());
+        first.take(max_relays).map(Relay::of).collect()
     })
 }
 
--- a/crates/damaskvane-routing/src/peers/settings.rs
+++ b/crates/damaskvane-routing/src/peers/settings.rs
@@ -1,40 +1,44 @@
-//! Periods of heartbeats and digests, and how long silence is excused.
+//! Periods and timeouts of heartbeats and digests, and the number of instances in each role.
 
-/// Periods of heartbeats.
+/// Periods, timeouts and numbers of recipients of the messages between instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// The pause between two heartbeats.
+    /// Period of heartbeats.
     pub heartbeat_ms: u64,
-    /// The silence after which an instance is no longer named: three heartbeats, so that one lost datagram
-    /// and a late one do no harm.
-    pub silence_ms: u64,
-    /// The silence after which an instance of another zone is no longer named: a heartbeat within its zone,
-    /// a digest that comes every second heartbeat, and 800 ms for a digest that was lost.
-    pub other_zone_silence_ms: u64,
-    /// Instances of a zone that tell the other zones of it, each with every second heartbeat: when one is
-    /// lost, the other's digests still come within the silence.
-    pub speakers_per_zone: usize,
-    /// Instances of each other zone that a digest goes to, to be handed on: while two of them are lost, the
-    /// third one still hears it.
+    /// Time without a heartbeat after which an instance of the same zone counts as dead: three heartbeats, so that one
+    /// lost datagram and one late datagram are tolerated.
+    pub heartbeat_timeout_ms: u64,
+    /// Time after which an instance of another zone counts as dead: the period of heartbeats within that zone, the
+    /// period of digests, which is two heartbeats, and 800 ms for a lost digest.
+    pub other_zone_timeout_ms: u64,
+    /// Number of aggregators of a zone, each of which sends a digest with every second heartbeat: if one aggregator
+    /// fails, the digests of the other still arrive within the timeout.
+    pub aggregators_per_zone: usize,
+    /// Number of instances in each other zone to which a digest is sent, to be forwarded there: if two of them are
+    /// down, the third still receives the digest.
     pub digest_receivers_per_zone: usize,
-    /// The silence after which the next instance of a zone speaks for it: a heartbeat and a half. Two more
-    /// that speak for a moment cost some bytes, none at all makes a zone look dead to all others.
-    pub speaker_silence_ms: u64,
-    /// Every so many heartbeats one goes to listed instances of other zones that were never heard.
-    pub beats_between_greetings: u64,
-    /// Every so many heartbeats, or as many as there are instances if these are more, one goes to all: what an
-    /// instance missed while it was cut off from a zone that others joined is mended after 25.6 s, and after
-    /// 5.6 minutes in a fleet of 420.
-    pub beats_between_repairs: u64,
-    /// How long after its start an instance that neither found nor heard others waits to be ready: writing its
-    /// record and reading the list take two calls, 8 ms on a calm store and about a second on one that is 60
-    /// times slower.
+    /// Time without a heartbeat after which the next instance of the zone replaces an aggregator: one and a half
+    /// heartbeats. Two extra aggregators for a short time cost a few bytes, but a zone without any looks dead to all
+    /// other zones.
+    pub aggregator_timeout_ms: u64,
+    /// Number of heartbeats after which one is also sent to listed instances of other zones of which no heartbeat was
+    /// received.
+    pub heartbeats_between_announcements: u64,
+    /// Number of heartbeats after which one is sent to all instances. The number of instances is used instead if it is
+    /// higher. After a network partition, an instance thus learns of instances that joined another zone meanwhile:
+    /// within 25.6 s, or within 5.6 minutes in a fleet of 420 instances.
+    pub heartbeats_between_broadcasts: u64,
+    /// Time after its start at which an instance may become ready without its record in the store, the platform's list
+    /// or a heartbeat of another instance. Writing the record and reading the list take two calls: 8 ms on an idle
+    /// store, and about one second on a store that is 60 times slower.
     pub join_timeout_ms: u64,
-    /// Instances to reckon with before the platform's list was read.
+    /// Minimum number of instances that is assumed until the platform's list has been read.
     pub assumed_instances: usize,
-    /// Instances of a zone that hand changes on in it: the second one serves when the first is lost.
+    /// Number of instances of a zone that forward changes of the store within the zone: the second is a standby for the
+    /// first.
     pub relays_per_zone: usize,
-    /// Instances of a region that watch the store, in zones apart: the second one serves when the first is lost.
+    /// Number of instances of a region that watch the store, each in another zone: the second is a standby for the
+    /// first.
     pub watchers_per_region: usize,
 }
 
@@ -42,13 +46,13 @@
     fn default() -> Self {
         Self {
             heartbeat_ms: 800,
-            silence_ms: 2_600,
-            other_zone_silence_ms: 3_200,
-            speakers_per_zone: 2,
+            heartbeat_timeout_ms: 2_600,
+            other_zone_timeout_ms: 3_200,
+            aggregators_per_zone: 2,
             digest_receivers_per_zone: 3,
-            speaker_silence_ms: 1_200,
-            beats_between_greetings: 8,
-            beats_between_repairs: 32,
+            aggregator_timeout_ms: 1_200,
+            heartbeats_between_announcements: 8,
+            heartbeats_between_broadcasts: 32,
             join_timeout_ms: 1_500,
             assumed_instances: 16,
             relays_per_zone: 2,
