--- a/crates/damaskvane-gateway/src/http.rs
+++ b/crates/damaskvane-gateway/src/http.rs
@@ -10,4 +10,4 @@
 
 pub use body::{BodyKind, BodyReader, MalformedBody, Piece};
 pub use connection::{Connection, ReadError};
-pub use head::{AnswerHead, MalformedHead};
+pub use head::{MalformedHead, ResponseHead};
--- a/crates/damaskvane-gateway/src/http/connection.rs
+++ b/crates/damaskvane-gateway/src/http/connection.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 
 use crate::http::body::{BodyReader, Piece};
-use crate::http::head::AnswerHead;
+use crate::http::head::ResponseHead;
 
 /// The first size of a read buffer: holds most heads with a short body.
 const BUFFER_BYTES: usize = 4_096;
@@ -134,9 +134,9 @@
     /// # Errors
     ///
     /// Fails if the connection ends first or the bytes are no answer.
-    pub async fn read_head(&mut self) -> Result<AnswerHead, ReadError> {
+    pub async fn read_head(&mut self) -> Result<ResponseHead, ReadError> {
         loop {
-            let head = AnswerHead::take(&mut self.buffer).map_err(|_| ReadError::Malformed)?;
+            let head = ResponseHead::take(&mut self.buffer).map_err(|_| ReadError::Malformed)?;
             if let Some(head) = head {
                 return Ok(head);
             }
--- a/crates/damaskvane-gateway/src/http/head.rs
+++ b/crates/damaskvane-gateway/src/http/head.rs
@@ -12,7 +12,7 @@
 
 /// Status and headers of an answer, and how its body ends.
 #[derive(Debug)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Its length in bytes.
     pub bytes: usize,
     /// The status.
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MalformedHead;
 
-impl AnswerHead {
+impl ResponseHead {
     /// Takes the next head off the buffer; `None` while it isn't complete.
     ///
     /// # Errors
@@ -54,7 +54,7 @@
     }
 }
 
-fn parse(buffer: &[u8]) -> Result<Option<(usize, AnswerHead)>, MalformedHead> {
+fn parse(buffer: &[u8]) -> Result<Option<(usize, ResponseHead)>, MalformedHead> {
     let mut slots = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut response = httparse::Response::new(&mut slots);
     let length = match response.parse(buffer) {
@@ -73,7 +73,7 @@
     let body = body_kind(status, &headers)?;
     let connection = text(&headers, &header::CONNECTION).unwrap_or_default();
     let closes = connection.to_ascii_lowercase().contains("close");
-    let head = AnswerHead {
+    let head = ResponseHead {
         bytes: length,
         status,
         body,
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 
 use crate::costs::{Distance, Flow, Opening};
-use crate::http::{self, AnswerHead, BodyReader, ReadError};
+use crate::http::{self, BodyReader, ReadError, ResponseHead};
 use crate::node::Node;
 use crate::upstream::{Answer, AnswerBody, OutgoingRequest, request};
 
@@ -217,7 +217,7 @@
         ExchangeOutcome::without_answer(ExchangeEnd::Malformed)
     }
 
-    fn is_own(&self, head: &AnswerHead) -> bool {
+    fn is_own(&self, head: &ResponseHead) -> bool {
         let names = self.node.adapter.headers();
         let answered = head.headers.get(&names.request_id);
         match (&self.request.request_id, answered) {
@@ -230,7 +230,7 @@
     async fn read_own(
         &self,
         mut connection: http::Connection,
-        head: AnswerHead,
+        head: ResponseHead,
         is_reusable: bool,
     ) -> ExchangeOutcome {
         let (end, report) = self.judge(&head);
@@ -287,7 +287,7 @@
         }
     }
 
-    fn judge(&self, head: &AnswerHead) -> (ExchangeEnd, ServerReport) {
+    fn judge(&self, head: &ResponseHead) -> (ExchangeEnd, ServerReport) {
         let names = self.node.adapter.headers();
         let load = head.headers.get(&names.load);
         let report = ServerReport {
@@ -324,7 +324,7 @@
     })
 }
 
-fn retry_after_ms(head: &AnswerHead) -> Option<u64> {
+fn retry_after_ms(head: &ResponseHead) -> Option<u64> {
     let text = head.headers.get(header::RETRY_AFTER)?.to_str().ok()?;
     let seconds: f64 = text.trim().parse().ok()?;
     (seconds.is_finite() && seconds >= 0.0).then_some((seconds * 1_000.0) as u64)
--- a/crates/damaskvane-gateway/tests/fuzz.rs
+++ b/crates/damaskvane-gateway/tests/fuzz.rs
@@ -1,7 +1,7 @@
 //! Whatever a backend server sends, reading it ends, and never with a panic.
 
 use bytes::BytesMut;
-use damaskvane_gateway::http::{AnswerHead, BodyKind, BodyReader, Piece};
+use damaskvane_gateway::http::{BodyKind, BodyReader, Piece, ResponseHead};
 use proptest::prelude::*;
 
 fn kinds() -> impl Strategy<Value = BodyKind> {
@@ -34,7 +34,7 @@
     fn heads_end(bytes in answers()) {
         let mut buffer = BytesMut::from(&bytes[..]);
         let before = buffer.len();
-        if let Ok(Some(_)) = AnswerHead::take(&mut buffer) {
+        if let Ok(Some(_)) = ResponseHead::take(&mut buffer) {
             prop_assert!(buffer.len() < before);
         }
     }
