--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -19,7 +19,7 @@
 use crate::decision_log::Matter;
 use crate::node::Node;
 use crate::stop::Stop;
-use crate::upstream::{self, AnswerBody, OutgoingRequest};
+use crate::upstream::{self, OutgoingRequest, ResponseBody};
 
 /// When a client should come back while the instance knows no configuration.
 const STARTING_RETRY_AFTER_MS: u64 = 500;
@@ -28,7 +28,7 @@
     node: &Rc<Node>,
     caller: net::IpAddr,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let started = node.now();
     let _guard = Stop::request(node);
     let names = node.adapter.headers();
@@ -56,7 +56,7 @@
     pending: &PendingRequest<'_>,
     caller: net::IpAddr,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let (node, started) = (pending.node, pending.started);
     let Some(configuration) = node.configuration() else {
         pending.turned_away("starting");
--- a/crates/damaskvane-gateway/src/clients/listener.rs
+++ b/crates/damaskvane-gateway/src/clients/listener.rs
@@ -20,7 +20,7 @@
 use crate::clients::{dispatch, reply};
 use crate::node::Node;
 use crate::stop::StopPhase;
-use crate::upstream::AnswerBody;
+use crate::upstream::ResponseBody;
 use crate::{lookups, metrics};
 
 /// Connections that may wait to be accepted: a full queue drops the opening packet, which a client sends
@@ -142,7 +142,7 @@
     service: Service,
     caller: net::IpAddr,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let mut response = match service {
         Service::Clients => dispatch::answer(node, caller, request).await,
         Service::LookUps => lookups::look_up(node, &request),
--- a/crates/damaskvane-gateway/src/clients/reply.rs
+++ b/crates/damaskvane-gateway/src/clients/reply.rs
@@ -7,18 +7,18 @@
 use hyper::{Response, StatusCode};
 
 use crate::node::Node;
-use crate::upstream::{Answer, AnswerBody};
+use crate::upstream::{Answer, ResponseBody};
 
 /// An answer of the instance itself.
-pub(super) fn own(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
-    let body = AnswerBody::whole(Bytes::from_static(text.as_bytes()));
+pub(super) fn own(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let body = ResponseBody::whole(Bytes::from_static(text.as_bytes()));
     let mut response = Response::new(body);
     *response.status_mut() = status;
     response
 }
 
 /// The word that the request has not run and never will, with when to come back.
-pub(super) fn not_run(text: &'static str, retry_after_ms: u64) -> Response<AnswerBody> {
+pub(super) fn not_run(text: &'static str, retry_after_ms: u64) -> Response<ResponseBody> {
     let mut response = own(StatusCode::SERVICE_UNAVAILABLE, text);
     let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
     if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -28,7 +28,7 @@
 }
 
 /// A backend server's answer, unchanged.
-pub(super) fn from_server(answer: Answer) -> Response<AnswerBody> {
+pub(super) fn from_server(answer: Answer) -> Response<ResponseBody> {
     let mut response = Response::new(answer.body);
     if let Ok(status) = StatusCode::from_u16(answer.status) {
         *response.status_mut() = status;
--- a/crates/damaskvane-gateway/src/clients/run.rs
+++ b/crates/damaskvane-gateway/src/clients/run.rs
@@ -20,7 +20,7 @@
 use crate::crashes;
 use crate::decision_log::Matter;
 use crate::node::Node;
-use crate::upstream::{Answer, AnswerBody, Exchange, ExchangeOutcome, OutgoingRequest};
+use crate::upstream::{Answer, Exchange, ExchangeOutcome, OutgoingRequest, ResponseBody};
 
 /// When a client should come back whose request no server took.
 pub(super) const TURNED_AWAY_RETRY_AFTER_MS: u64 = 200;
@@ -45,7 +45,7 @@
 
 impl Run<'_> {
     /// Sends the request to one server after another, as far as that is allowed and helps.
-    pub(super) async fn run(mut self) -> Response<AnswerBody> {
+    pub(super) async fn run(mut self) -> Response<ResponseBody> {
         let mut last: Option<ExchangeOutcome> = None;
         loop {
             let pick = match self.reserved.take() {
@@ -250,7 +250,7 @@
         state.placer.record_answer(now, &mut state.pool, &answered);
     }
 
-    fn timed_out(&mut self) -> Response<AnswerBody> {
+    fn timed_out(&mut self) -> Response<ResponseBody> {
         if let Some(answer) = self.failure.take() {
             return reply::from_server(answer);
         }
@@ -262,7 +262,7 @@
     }
 
     /// Answers after the last exchange: the server's answer, or the instance's own word.
-    fn answer_last(&mut self, last: Option<ExchangeOutcome>) -> Response<AnswerBody> {
+    fn answer_last(&mut self, last: Option<ExchangeOutcome>) -> Response<ResponseBody> {
         let Some(last) = last else {
             return self.turned_away(TURNED_AWAY_RETRY_AFTER_MS);
         };
@@ -280,7 +280,7 @@
     }
 
     /// Answers where no further server can be asked.
-    fn give_up(&mut self, last: Option<ExchangeOutcome>, refusal: Refusal) -> Response<AnswerBody> {
+    fn give_up(&mut self, last: Option<ExchangeOutcome>, refusal: Refusal) -> Response<ResponseBody> {
         if last.is_some() {
             return self.answer_last(last);
         }
@@ -293,13 +293,13 @@
         )
     }
 
-    fn turned_away(&self, retry_after_ms: u64) -> Response<AnswerBody> {
+    fn turned_away(&self, retry_after_ms: u64) -> Response<ResponseBody> {
         reply::count_refusal(self.node, "turned_away");
         self.log_end("turned_away", Some(retry_after_ms));
         reply::not_run("no server took the request\n", retry_after_ms)
     }
 
-    fn unknown(&self) -> Response<AnswerBody> {
+    fn unknown(&self) -> Response<ResponseBody> {
         self.log_end("unknown", None);
         reply::own(StatusCode::BAD_GATEWAY, "the server's answer was lost\n")
     }
--- a/crates/damaskvane-gateway/src/lookups.rs
+++ b/crates/damaskvane-gateway/src/lookups.rs
@@ -11,7 +11,7 @@
 use rand::seq::SliceRandom;
 
 use crate::node::Node;
-use crate::upstream::AnswerBody;
+use crate::upstream::ResponseBody;
 
 /// How long clients keep an answer. Some keep it three times as long: a stopping instance is served by
 /// no new client after that.
@@ -21,7 +21,7 @@
 
 /// Answers the platform's question whether the instance is ready.
 #[must_use]
-pub fn ready(node: &Rc<Node>, request: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn ready(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path();
     if !node.adapter.is_ready_call(request.method(), path) {
         return status(StatusCode::NOT_FOUND);
@@ -34,7 +34,7 @@
 
 /// Answers a look-up.
 #[must_use]
-pub fn look_up(node: &Rc<Node>, request: &Request<Incoming>) -> Response<AnswerBody> {
+pub fn look_up(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
     let Some(look_up) = node.adapter.look_up(request.method(), request.uri()) else {
         return status(StatusCode::NOT_FOUND);
     };
@@ -59,7 +59,7 @@
     let body = node
         .adapter
         .look_up_answer(&addresses, TTL_MS.min(ttl_max_ms));
-    let mut response = Response::new(AnswerBody::whole(body));
+    let mut response = Response::new(ResponseBody::whole(body));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("application/json"),
@@ -85,8 +85,8 @@
     allowed
 }
 
-fn status(code: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+fn status(code: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(Bytes::new()));
     *response.status_mut() = code;
     response
 }
--- a/crates/damaskvane-gateway/src/metrics.rs
+++ b/crates/damaskvane-gateway/src/metrics.rs
@@ -13,7 +13,7 @@
 use crate::costs::Costs;
 use crate::node::Node;
 use crate::store::Source;
-use crate::upstream::AnswerBody;
+use crate::upstream::ResponseBody;
 
 /// Upper bounds of the latency histograms, in seconds: from a hop within a zone to the longest deadline.
 const LATENCY_BUCKETS_S: [f64; 12] = [
@@ -196,7 +196,7 @@
 
 /// Answers a request for the metrics.
 #[must_use]
-pub fn answer(node: &Rc<Node>) -> Response<AnswerBody> {
+pub fn answer(node: &Rc<Node>) -> Response<ResponseBody> {
     let now = node.now();
     {
         let state = node.state.borrow();
@@ -212,5 +212,5 @@
             .store_age_ms
             .set(i64::try_from(age_ms).unwrap_or(i64::MAX));
     }
-    Response::new(AnswerBody::whole(Bytes::from(node.metrics.text())))
+    Response::new(ResponseBody::whole(Bytes::from(node.metrics.text())))
 }
--- a/crates/damaskvane-gateway/src/upstream/answer.rs
+++ b/crates/damaskvane-gateway/src/upstream/answer.rs
@@ -11,7 +11,7 @@
 
 /// The body of an answer: whole, or arriving.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it; taken when it is sent.
     Whole(Option<Bytes>),
     /// Pieces as they come. An error breaks the client's connection off, so that a cut answer never looks
@@ -19,7 +19,7 @@
     Arriving(mpsc::Receiver<io::Result<Bytes>>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body that is there as a whole.
     #[must_use]
     pub const fn whole(bytes: Bytes) -> Self {
@@ -27,7 +27,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -72,5 +72,5 @@
     /// The headers, without those that concern one connection.
     pub headers: HeaderMap,
     /// The body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -14,7 +14,7 @@
 use crate::costs::{Distance, Flow, Opening};
 use crate::http::{self, BodyReader, ReadError, ResponseHead};
 use crate::node::Node;
-use crate::upstream::{Answer, AnswerBody, OutgoingRequest, request};
+use crate::upstream::{Answer, OutgoingRequest, ResponseBody, request};
 
 /// How long a connection may take to open: a lost opening packet is sent again after a second, and by then
 /// another server has answered.
@@ -269,9 +269,9 @@
                     let mut idle = self.node.idle.borrow_mut();
                     idle.keep(now, &self.pick.server, connection, idle_s);
                 }
-                AnswerBody::whole(bytes)
+                ResponseBody::whole(bytes)
             }
-            Err(start) => AnswerBody::Arriving(pump(connection, body, start)),
+            Err(start) => ResponseBody::Arriving(pump(connection, body, start)),
         };
         let answer = Answer {
             status: head.status,
