--- a/crates/damaskvane-gateway/src/http/head.rs
+++ b/crates/damaskvane-gateway/src/http/head.rs
@@ -22,7 +22,7 @@
     /// How the body ends.
     pub body: BodyKind,
     /// Whether the sender keeps the connection open.
-    pub keeps_open: bool,
+    pub is_keep_alive: bool,
     /// How long the sender keeps it open without a request, if it says.
     pub idle_s: Option<u64>,
 }
@@ -77,7 +77,7 @@
         bytes: length,
         status,
         body,
-        keeps_open: is_http_11 && !closes && body != BodyKind::UntilClose,
+        is_keep_alive: is_http_11 && !closes && body != BodyKind::UntilClose,
         idle_s: keep_alive_s(&headers),
         headers,
     };
--- a/crates/damaskvane-gateway/src/store/client.rs
+++ b/crates/damaskvane-gateway/src/store/client.rs
@@ -119,7 +119,7 @@
         let mut body = BodyReader::new(head.body);
         let body = connection.read_body(&mut body, MAX_RESPONSE_BYTES).await?;
         let body = body.map_err(|_| CallError::Malformed)?;
-        if head.keeps_open {
+        if head.is_keep_alive {
             self.connection = Some(connection);
         }
         let status = StatusCode::from_u16(head.status).map_err(|_| CallError::Malformed)?;
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -257,14 +257,14 @@
                 };
             }
         };
-        let keeps_open = head.keeps_open && is_reusable;
+        let is_keep_alive = head.is_keep_alive && is_reusable;
         let idle_s = head.idle_s;
         let mut headers = head.headers;
         request::strip_connection_headers(&mut headers);
         let body = match whole {
             Ok(bytes) => {
                 self.carried(bytes.len());
-                if keeps_open && connection.is_clean() {
+                if is_keep_alive && connection.is_clean() {
                     let now = self.node.now();
                     let mut idle = self.node.idle.borrow_mut();
                     idle.keep(now, &self.pick.server, connection, idle_s);
--- a/crates/damaskvane-gateway/tests/http.rs
+++ b/crates/damaskvane-gateway/tests/http.rs
@@ -31,7 +31,7 @@
         let mut body = BodyReader::new(head.body);
         let whole = connection.read_body(&mut body, 1 << 20).await?;
         let whole = whole.expect("a short body");
-        Ok((head.status, whole.to_vec(), head.keeps_open))
+        Ok((head.status, whole.to_vec(), head.is_keep_alive))
     });
     writing.join().expect("the writer ends");
     result
