--- a/crates/damaskvane-gateway/src/http/head.rs
+++ b/crates/damaskvane-gateway/src/http/head.rs
@@ -24,7 +24,7 @@
     /// Whether the sender keeps the connection open.
     pub is_keep_alive: bool,
     /// How long the sender keeps it open without a request, if it says.
-    pub idle_s: Option<u64>,
+    pub idle_timeout_s: Option<u64>,
 }
 
 /// Why a head can't be used.
@@ -78,7 +78,7 @@
         status,
         body,
         is_keep_alive: is_http_11 && !closes && body != BodyKind::UntilClose,
-        idle_s: keep_alive_s(&headers),
+        idle_timeout_s: keep_alive_s(&headers),
         headers,
     };
     Ok(Some((length, head)))
--- a/crates/damaskvane-gateway/src/probes.rs
+++ b/crates/damaskvane-gateway/src/probes.rs
@@ -96,7 +96,7 @@
     if read.is_ok() && head.is_keep_alive && connection.is_clean() {
         let now = node.now();
         let mut idle = node.idle.borrow_mut();
-        idle.keep(now, &probe.server, connection, head.idle_s);
+        idle.keep(now, &probe.server, connection, head.idle_timeout_s);
     }
     let left = text(&names.warmup_left_ms).and_then(|text| text.trim().parse::<f64>().ok());
     Some(ProbeResult::Healthy {
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -258,7 +258,7 @@
             }
         };
         let is_keep_alive = head.is_keep_alive && is_reusable;
-        let idle_s = head.idle_s;
+        let idle_timeout_s = head.idle_timeout_s;
         let mut headers = head.headers;
         request::strip_connection_headers(&mut headers);
         let body = match whole {
@@ -267,7 +267,7 @@
                 if is_keep_alive && connection.is_clean() {
                     let now = self.node.now();
                     let mut idle = self.node.idle.borrow_mut();
-                    idle.keep(now, &self.pick.server, connection, idle_s);
+                    idle.keep(now, &self.pick.server, connection, idle_timeout_s);
                 }
                 ResponseBody::whole(bytes)
             }
--- a/crates/damaskvane-gateway/src/upstream/idle.rs
+++ b/crates/damaskvane-gateway/src/upstream/idle.rs
@@ -45,16 +45,16 @@
         None
     }
 
-    /// Keeps a connection whose server closes it after `idle_s` without a request.
+    /// Keeps a connection whose server closes it after `idle_timeout_s` without a request.
     pub fn keep(
         &mut self,
         now: TimeMs,
         server: &ids::BackendServerId,
         connection: http::Connection,
-        idle_s: Option<u64>,
+        idle_timeout_s: Option<u64>,
     ) {
-        let idle_ms = idle_s.map_or(UNNAMED_IDLE_MS, |idle_s| {
-            (idle_s * 1_000).saturating_sub(CLOSE_MARGIN_MS)
+        let idle_ms = idle_timeout_s.map_or(UNNAMED_IDLE_MS, |idle_timeout_s| {
+            (idle_timeout_s * 1_000).saturating_sub(CLOSE_MARGIN_MS)
         });
         let kept = self.kept.entry(server.clone()).or_default();
         if idle_ms > 0 && kept.len() < MOST_KEPT {
