--- a/crates/damaskvane-gateway/src/http/connection.rs
+++ b/crates/damaskvane-gateway/src/http/connection.rs
@@ -191,7 +191,7 @@
 
     /// Whether the connection is open with nothing on it that belongs to no request.
     #[must_use]
-    pub fn is_clean(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         if !self.buffer.is_empty() {
             return false;
         }
--- a/crates/damaskvane-gateway/src/probes.rs
+++ b/crates/damaskvane-gateway/src/probes.rs
@@ -93,7 +93,7 @@
     if head.status != 200 {
         return Some(ProbeResult::Unhealthy);
     }
-    if read.is_ok() && head.is_keep_alive && connection.is_clean() {
+    if read.is_ok() && head.is_keep_alive && connection.is_reusable() {
         let now = node.now();
         let mut idle = node.idle.borrow_mut();
         idle.keep(now, &probe.server, connection, head.idle_timeout_s);
--- a/crates/damaskvane-gateway/src/store/client.rs
+++ b/crates/damaskvane-gateway/src/store/client.rs
@@ -104,7 +104,7 @@
 
     async fn exchange(&mut self, request: &StoreRequest) -> Result<Bytes, CallError> {
         let reusable = self.connection.take();
-        let mut connection = match reusable.filter(http::Connection::is_clean) {
+        let mut connection = match reusable.filter(http::Connection::is_reusable) {
             Some(connection) => connection,
             None => {
                 let address = self.node.settings().store_address;
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -264,7 +264,7 @@
         let body = match whole {
             Ok(bytes) => {
                 self.carried(bytes.len());
-                if is_keep_alive && connection.is_clean() {
+                if is_keep_alive && connection.is_reusable() {
                     let now = self.node.now();
                     let mut idle = self.node.idle.borrow_mut();
                     idle.keep(now, &self.pick.server, connection, idle_timeout_s);
--- a/crates/damaskvane-gateway/src/upstream/idle.rs
+++ b/crates/damaskvane-gateway/src/upstream/idle.rs
@@ -38,7 +38,7 @@
     pub fn take(&mut self, now: TimeMs, server: &ids::BackendServerId) -> Option<http::Connection> {
         let kept = self.kept.get_mut(server)?;
         while let Some(last) = kept.pop() {
-            if now < last.until && last.connection.is_clean() {
+            if now < last.until && last.connection.is_reusable() {
                 return Some(last.connection);
             }
         }
