--- a/crates/damaskvane-gateway/src/clients.rs
+++ b/crates/damaskvane-gateway/src/clients.rs
@@ -9,4 +9,4 @@
 mod reply;
 mod run;
 
-pub use listener::{Service, listen};
+pub use listener::{ListenerKind, listen};
--- a/crates/damaskvane-gateway/src/clients/listener.rs
+++ b/crates/damaskvane-gateway/src/clients/listener.rs
@@ -39,7 +39,7 @@
 
 /// What a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Service {
+pub enum ListenerKind {
     /// Clients' requests.
     Clients,
     /// Clients' look-ups.
@@ -55,7 +55,11 @@
 /// # Errors
 ///
 /// Fails if the address can't be used.
-pub async fn listen(node: Rc<Node>, address: net::SocketAddr, service: Service) -> io::Result<()> {
+pub async fn listen(
+    node: Rc<Node>,
+    address: net::SocketAddr,
+    service: ListenerKind,
+) -> io::Result<()> {
     let listener = bind(address)?;
     let most = node.settings().max_descriptors;
     let most = most.saturating_sub(RESERVED_DESCRIPTORS).max(64);
@@ -97,7 +101,7 @@
     tokio::net::TcpListener::from_std(socket.into())
 }
 
-async fn serve(node: &Rc<Node>, stream: TcpStream, caller: net::IpAddr, service: Service) {
+async fn serve(node: &Rc<Node>, stream: TcpStream, caller: net::IpAddr, service: ListenerKind) {
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(&stream);
     let _ = socket.set_tcp_user_timeout(Some(CLIENT_SILENCE));
@@ -139,16 +143,16 @@
 
 async fn handle(
     node: &Rc<Node>,
-    service: Service,
+    service: ListenerKind,
     caller: net::IpAddr,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     let mut response = match service {
-        Service::Clients => dispatch::answer(node, caller, request).await,
-        Service::LookUps => lookups::look_up(node, &request),
-        Service::Ready => lookups::ready(node, &request),
-        Service::Metrics if request.method() == hyper::Method::GET => metrics::answer(node),
-        Service::Metrics => reply::own(StatusCode::METHOD_NOT_ALLOWED, "use GET\n"),
+        ListenerKind::Clients => dispatch::answer(node, caller, request).await,
+        ListenerKind::LookUps => lookups::look_up(node, &request),
+        ListenerKind::Ready => lookups::ready(node, &request),
+        ListenerKind::Metrics if request.method() == hyper::Method::GET => metrics::answer(node),
+        ListenerKind::Metrics => reply::own(StatusCode::METHOD_NOT_ALLOWED, "use GET\n"),
     };
     if node.stop.is_leaving() {
         let close = HeaderValue::from_static("close");
--- a/crates/damaskvane-gateway/src/clients/run.rs
+++ b/crates/damaskvane-gateway/src/clients/run.rs
@@ -280,7 +280,11 @@
     }
 
     /// Answers where no further server can be asked.
-    fn give_up(&mut self, last: Option<ExchangeOutcome>, refusal: Refusal) -> Response<ResponseBody> {
+    fn give_up(
+        &mut self,
+        last: Option<ExchangeOutcome>,
+        refusal: Refusal,
+    ) -> Response<ResponseBody> {
         if last.is_some() {
             return self.answer_last(last);
         }
--- a/crates/damaskvane-gateway/src/process.rs
+++ b/crates/damaskvane-gateway/src/process.rs
@@ -11,7 +11,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::adapter::Adapter;
-use crate::clients::{self, Service};
+use crate::clients::{self, ListenerKind};
 use crate::metrics::Metrics;
 use crate::node::Node;
 use crate::settings::GatewaySettings;
@@ -91,9 +91,17 @@
     let (sender, failures) = flume::unbounded();
     let settings = node.settings();
     let listeners = [
-        (Some(settings.client_address), Service::Clients, "clients"),
-        (settings.lookup_address, Service::LookUps, "look-ups"),
-        (Some(settings.ready_address), Service::Ready, "readiness"),
+        (
+            Some(settings.client_address),
+            ListenerKind::Clients,
+            "clients",
+        ),
+        (settings.lookup_address, ListenerKind::LookUps, "look-ups"),
+        (
+            Some(settings.ready_address),
+            ListenerKind::Ready,
+            "readiness",
+        ),
     ];
     for (address, service, purpose) in listeners {
         let Some(address) = address else {
@@ -166,7 +174,7 @@
 /// metrics are missing: a process that ended over it would end at every start, on every machine.
 async fn serve_metrics(node: Rc<Node>, address: std::net::SocketAddr) {
     let log = node.log.log.clone();
-    if let Err(error) = clients::listen(node, address, Service::Metrics).await {
+    if let Err(error) = clients::listen(node, address, ListenerKind::Metrics).await {
         slog::warn!(log, "metrics can't be read"; "address" => %address, "error" => %error);
     }
 }
