--- a/crates/damaskvane-gateway/src/clients/listener.rs
+++ b/crates/damaskvane-gateway/src/clients/listener.rs
@@ -43,7 +43,7 @@
     /// Clients' requests.
     Clients,
     /// Clients' look-ups.
-    LookUps,
+    Lookups,
     /// The platform's question for readiness.
     Ready,
     /// Metrics.
@@ -149,7 +149,7 @@
 ) -> Response<ResponseBody> {
     let mut response = match service {
         ListenerKind::Clients => dispatch::answer(node, caller, request).await,
-        ListenerKind::LookUps => lookups::look_up(node, &request),
+        ListenerKind::Lookups => lookups::look_up(node, &request),
         ListenerKind::Ready => lookups::ready(node, &request),
         ListenerKind::Metrics if request.method() == hyper::Method::GET => metrics::answer(node),
         ListenerKind::Metrics => reply::own(StatusCode::METHOD_NOT_ALLOWED, "use GET\n"),
--- a/crates/damaskvane-gateway/src/process.rs
+++ b/crates/damaskvane-gateway/src/process.rs
@@ -96,7 +96,7 @@
             ListenerKind::Clients,
             "clients",
         ),
-        (settings.lookup_address, ListenerKind::LookUps, "look-ups"),
+        (settings.lookup_address, ListenerKind::Lookups, "look-ups"),
         (
             Some(settings.ready_address),
             ListenerKind::Ready,
