--- a/crates/damaskvane-gateway/src/http.rs
+++ b/crates/damaskvane-gateway/src/http.rs
@@ -1,8 +1,8 @@
-//! Reading and writing HTTP/1.1 on a connection that this instance opened.
+//! HTTP/1.1 on connections that this instance opens: writing requests and parsing responses.
 //!
-//! Backend servers send more than well-formed answers: late ones, second ones, cut ones, ones without a
-//! length. Telling them apart needs the bytes, so the reading is done here over `httparse`; a client
-//! library would hand the first answer that comes to whoever waits.
+//! Backend servers also send late, duplicate and truncated responses and responses without a length.
+//! Distinguishing them requires access to the bytes, so this module parses responses itself, with
+//! `httparse`. An HTTP client library would return the first response that arrives to the pending request.
 
 mod body;
 mod connection;
--- a/crates/damaskvane-gateway/src/http/body.rs
+++ b/crates/damaskvane-gateway/src/http/body.rs
@@ -1,15 +1,15 @@
-//! The body of an answer, piece by piece.
+//! Incremental decoding of a response body.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyKind {
-    /// After so many bytes.
+    /// The body ends after this number of bytes (`Content-Length`).
     Length(u64),
-    /// With an empty chunk.
+    /// The body is sent in chunks and ends with an empty chunk.
     Chunked,
-    /// With the connection.
+    /// The body ends when the sender closes the connection.
     UntilClose,
 }
 
@@ -21,71 +21,71 @@
     Trailers,
 }
 
-/// Takes a body off a buffer.
+/// Decodes one body from a read buffer.
 #[derive(Debug)]
 pub struct BodyReader {
     kind: BodyKind,
-    left: u64,
+    remaining: u64,
     chunk: ChunkState,
     is_done: bool,
 }
 
-/// What the buffer holds of the body.
+/// The result of one decoding step.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// Some bytes.
+    /// The next bytes of the body, without chunk framing.
     Data(Bytes),
-    /// The end.
+    /// The body is complete.
     End,
-    /// Nothing yet.
+    /// The buffer holds no further bytes of the body; more have to be read from the connection.
     NeedsMore,
 }
 
-/// The longest line of chunk framing.
-const MOST_LINE_BYTES: usize = 1_024;
+/// Maximum length of a line of chunk framing, in bytes.
+const MAX_LINE_BYTES: usize = 1_024;
 
-/// The framing of a body is broken.
+/// The error for a body with invalid chunk framing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MalformedBody;
 
 impl BodyReader {
-    /// A reader at the start of a body.
+    /// Creates a reader for a body of which nothing has been read.
     #[must_use]
     pub const fn new(kind: BodyKind) -> Self {
-        let left = match kind {
+        let remaining = match kind {
             BodyKind::Length(length) => length,
             BodyKind::Chunked | BodyKind::UntilClose => 0,
         };
         Self {
             kind,
-            left,
+            remaining,
             chunk: ChunkState::Size,
             is_done: false,
         }
     }
 
-    /// Whether the end of the connection, now, ends the body as it should.
+    /// Returns whether the body is complete when the sender closes the connection.
     #[must_use]
     pub const fn may_end_by_close(&self) -> bool {
         matches!(self.kind, BodyKind::UntilClose)
     }
 
-    /// Takes what the buffer holds of the body.
+    /// Removes the next bytes of the body from the front of `buffer` and returns them.
     ///
     /// # Errors
     ///
-    /// Fails if the framing is broken.
+    /// Returns [`MalformedBody`] if the chunk framing is invalid.
     pub fn take(&mut self, buffer: &mut BytesMut) -> Result<Piece, MalformedBody> {
         if self.is_done {
             return Ok(Piece::End);
         }
         match self.kind {
             BodyKind::Length(_) => {
-                if self.left == 0 {
+                if self.remaining == 0 {
                     self.is_done = true;
                     return Ok(Piece::End);
                 }
-                Ok(take_up_to(&mut self.left, buffer))
+                Ok(take_up_to(&mut self.remaining, buffer))
             }
             BodyKind::UntilClose if buffer.is_empty() => Ok(Piece::NeedsMore),
             BodyKind::UntilClose => Ok(Piece::Data(buffer.split().freeze())),
@@ -107,9 +107,9 @@
                         ChunkState::Data(size)
                     };
                 }
-                ChunkState::Data(left) => {
-                    let piece = take_up_to(left, buffer);
-                    if *left == 0 {
+                ChunkState::Data(remaining) => {
+                    let piece = take_up_to(remaining, buffer);
+                    if *remaining == 0 {
                         self.chunk = ChunkState::DataEnd;
                     }
                     return Ok(piece);
@@ -137,18 +137,19 @@
     }
 }
 
-fn take_up_to(left: &mut u64, buffer: &mut BytesMut) -> Piece {
+fn take_up_to(remaining: &mut u64, buffer: &mut BytesMut) -> Piece {
     if buffer.is_empty() {
         return Piece::NeedsMore;
     }
-    let length = usize::try_from(*left).map_or(buffer.len(), |left| left.min(buffer.len()));
-    *left -= length as u64;
+    let length =
+        usize::try_from(*remaining).map_or(buffer.len(), |remaining| remaining.min(buffer.len()));
+    *remaining -= length as u64;
     Piece::Data(buffer.split_to(length).freeze())
 }
 
 fn take_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, MalformedBody> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
-        return if buffer.len() > MOST_LINE_BYTES {
+        return if buffer.len() > MAX_LINE_BYTES {
             Err(MalformedBody)
         } else {
             Ok(None)
--- a/crates/damaskvane-gateway/src/http/connection.rs
+++ b/crates/damaskvane-gateway/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that this instance opened.
+//! A connection that this instance opens to an HTTP server: a backend server or the store.
 
 use core::mem::MaybeUninit;
 use core::time::Duration;
@@ -12,18 +12,18 @@
 use crate::http::body::{BodyReader, Piece};
 use crate::http::head::ResponseHead;
 
-/// The first size of a read buffer: holds most heads with a short body.
+/// Initial size of a read buffer, in bytes. Most response heads with a short body fit.
 const BUFFER_BYTES: usize = 4_096;
 
-/// How long a server that has begun to answer may still take to read the rest of a long request.
-const EARLY_PATIENCE: Duration = Duration::from_millis(200);
+/// How long this instance keeps writing the rest of a long request after the response has begun.
+const EARLY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Why no answer could be read.
+/// Why a response could not be read.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The connection ended or broke.
+    /// The connection was closed or failed before the response was complete.
     Io(io::Error),
-    /// The bytes are no answer in the protocol.
+    /// The received bytes are not a valid HTTP/1.1 response.
     Malformed,
 }
 
@@ -33,83 +33,84 @@
     }
 }
 
-/// A connection with the bytes that were read and not yet used.
+/// An open connection with a buffer of bytes that were read and not yet parsed.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
-    /// Whether something was sent whose answer has not been read whole.
-    is_asking: bool,
+    /// Whether a request was written whose response has not been read completely.
+    awaits_response: bool,
 }
 
-/// A connection on which an answer is awaited is reset, not closed.
+/// Resets the connection instead of closing it while a response is outstanding.
 ///
-/// The kernel goes on sending what an ordinary close leaves unsent, for seconds: a request that was given up
-/// in a cut between two zones reached its server 7 s later, when that had long said that it leaves.
+/// After an ordinary close the kernel keeps sending unsent bytes for seconds. During a partition between two
+/// zones, an abandoned request reached its server 7 s later, long after the server had announced its shutdown.
 impl Drop for Connection {
     fn drop(&mut self) {
-        if self.is_asking {
-            // Where the option can't be set the connection is broken already.
+        if self.awaits_response {
+            // Setting the option fails only on a connection that is already broken.
             let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
 impl Connection {
-    /// Opens a connection, within `connect_timeout`.
+    /// Opens a connection to `address` within `connect_timeout`.
     ///
-    /// After `silence` without a word from the other end's kernel the connection breaks by itself.
-    /// Connections can go silent for good without a reset, and a machine behind a partition doesn't
-    /// answer; an exchange on such a connection would otherwise hang until its deadline.
+    /// The connection fails if the peer's kernel acknowledges nothing for `silence_timeout`. A connection can
+    /// stop delivering packets without a reset, and a machine behind a network partition doesn't respond; an
+    /// exchange on such a connection would otherwise hang until its deadline.
     ///
     /// # Errors
     ///
-    /// Fails if nobody takes the connection in time.
+    /// Returns an error if the connection isn't established within `connect_timeout` or a socket option can't
+    /// be set.
     pub async fn open(
         address: net::SocketAddr,
         connect_timeout: Duration,
-        silence: Duration,
+        silence_timeout: Duration,
     ) -> io::Result<Self> {
         let opening = TcpStream::connect(address);
         let stream = tokio::time::timeout(connect_timeout, opening)
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         stream.set_nodelay(true)?;
-        bound_silence(&stream, silence)?;
+        set_silence_timeout(&stream, silence_timeout)?;
         Ok(Self {
             stream,
             buffer: BytesMut::with_capacity(BUFFER_BYTES),
-            is_asking: false,
+            awaits_response: false,
         })
     }
 
-    /// Writes all bytes.
+    /// Writes a request, without reading meanwhile.
     ///
     /// # Errors
     ///
-    /// Fails if the connection is broken.
+    /// Returns an error if the connection is broken.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.is_asking = true;
+        self.awaits_response = true;
         self.stream.write_all(bytes).await
     }
 
-    /// Writes a long request while it listens for an early answer; returns whether all was written.
+    /// Writes a long request while reading an early response; returns whether all bytes were written.
     ///
-    /// A server may answer before it has read the whole body, and go on reading or not. One that doesn't
-    /// would block a writer that doesn't listen until the deadline; one that does gets the rest, since other
-    /// bytes in its place would be taken for a part of the body.
+    /// A server may respond before it has read the whole body, and then either stop or continue reading.
+    /// If the server stops, a writer that doesn't read would block until the deadline. If the server continues,
+    /// the rest of the body has to be sent, because the server would take any other bytes for part of the body.
     ///
     /// # Errors
     ///
-    /// Fails if the connection is broken.
-    pub async fn write_listening(&mut self, mut bytes: Bytes) -> io::Result<bool> {
-        self.is_asking = true;
+    /// Returns an error if the connection is broken.
+    pub async fn write_while_reading(&mut self, mut bytes: Bytes) -> io::Result<bool> {
+        self.awaits_response = true;
         let (mut reader, mut writer) = self.stream.split();
-        let mut end = None;
+        let mut deadline = None;
         while !bytes.is_empty() {
-            let patience = async {
-                match end {
-                    Some(end) => tokio::time::sleep_until(end).await,
+            let timeout = async {
+                match deadline {
+                    Some(deadline) => tokio::time::sleep_until(deadline).await,
                     None => core::future::pending().await,
                 }
             };
@@ -121,19 +122,19 @@
                     if read? == 0 {
                         return Ok(false);
                     }
-                    end.get_or_insert_with(|| tokio::time::Instant::now() + EARLY_PATIENCE);
+                    deadline.get_or_insert_with(|| tokio::time::Instant::now() + EARLY_RESPONSE_TIMEOUT);
                 }
-                () = patience => return Ok(false),
+                () = timeout => return Ok(false),
             }
         }
         Ok(true)
     }
 
-    /// Reads the head of the next answer.
+    /// Reads the head of the next response.
     ///
     /// # Errors
     ///
-    /// Fails if the connection ends first or the bytes are no answer.
+    /// Returns an error if the connection ends before the head is complete or the head is malformed.
     pub async fn read_head(&mut self) -> Result<ResponseHead, ReadError> {
         loop {
             let head = ResponseHead::take(&mut self.buffer).map_err(|_| ReadError::Malformed)?;
@@ -146,11 +147,11 @@
         }
     }
 
-    /// Reads the next piece of a body; `None` at its end.
+    /// Reads the next bytes of a body; returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// Fails if the body is cut short or its framing is broken.
+    /// Returns an error if the body is truncated or its chunk framing is invalid.
     pub async fn read_piece(&mut self, body: &mut BodyReader) -> Result<Option<Bytes>, ReadError> {
         loop {
             match body.take(&mut self.buffer) {
@@ -168,46 +169,46 @@
         }
     }
 
-    /// Reads a body of at most `most_bytes`; `Err` holds what was read if it is longer.
+    /// Reads a body of at most `max_bytes`; the inner `Err` holds the bytes read so far of a longer body.
     ///
     /// # Errors
     ///
-    /// As [`Connection::read_piece`].
+    /// Returns the errors of [`Connection::read_piece`].
     pub async fn read_body(
         &mut self,
         body: &mut BodyReader,
-        most_bytes: usize,
+        max_bytes: usize,
     ) -> Result<Result<Bytes, Bytes>, ReadError> {
         let mut whole = BytesMut::new();
         while let Some(piece) = self.read_piece(body).await? {
             whole.extend_from_slice(&piece);
-            if whole.len() > most_bytes {
+            if whole.len() > max_bytes {
                 return Ok(Err(whole.freeze()));
             }
         }
-        self.is_asking = false;
+        self.awaits_response = false;
         Ok(Ok(whole.freeze()))
     }
 
-    /// Whether the connection is open with nothing on it that belongs to no request.
+    /// Returns whether the connection is open and holds no unread bytes, so that the next request may use it.
     #[must_use]
     pub fn is_reusable(&self) -> bool {
         if !self.buffer.is_empty() {
             return false;
         }
-        // The event loop may not have seen yet that the other end closed; the kernel has.
+        // The event loop may not have processed the peer's close yet, but the kernel knows of it.
         let mut byte = [MaybeUninit::uninit()];
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut byte);
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-fn bound_silence(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+fn set_silence_timeout(stream: &TcpStream, silence_timeout: Duration) -> io::Result<()> {
     let socket = socket2::SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(silence))?;
-    let probes = socket2::TcpKeepalive::new()
+    socket.set_tcp_user_timeout(Some(silence_timeout))?;
+    let keepalive = socket2::TcpKeepalive::new()
         .with_time(Duration::from_secs(1))
         .with_interval(Duration::from_secs(1))
         .with_retries(2);
-    socket.set_tcp_keepalive(&probes)
+    socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/damaskvane-gateway/src/http/head.rs
+++ b/crates/damaskvane-gateway/src/http/head.rs
@@ -1,49 +1,51 @@
-//! The head of an answer.
+//! Parsing of response heads.
 
 use bytes::BytesMut;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 
 use crate::http::body::BodyKind;
 
-/// Most headers of an answer.
-const MOST_HEADERS: usize = 64;
-/// Largest head of an answer.
-const MOST_HEAD_BYTES: usize = 32_768;
+/// Maximum number of headers of a response.
+const MAX_HEADERS: usize = 64;
+/// Maximum length of a response head, in bytes.
+const MAX_HEAD_BYTES: usize = 32_768;
 
-/// Status and headers of an answer, and how its body ends.
+/// The status and headers of a response, with the body framing and connection options derived from them.
 #[derive(Debug)]
 pub struct ResponseHead {
-    /// Its length in bytes.
+    /// The length of the head in bytes.
     pub bytes: usize,
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The headers.
+    /// All headers, including those that apply only to this connection.
     pub headers: HeaderMap,
-    /// How the body ends.
+    /// How the end of the body is determined.
     pub body: BodyKind,
-    /// Whether the sender keeps the connection open.
+    /// Whether the sender keeps the connection open after the response.
     pub is_keep_alive: bool,
-    /// How long the sender keeps it open without a request, if it says.
+    /// The sender's idle timeout for the connection, in seconds, if its `Keep-Alive` header names one.
     pub idle_timeout_s: Option<u64>,
 }
 
-/// Why a head can't be used.
+/// The error for bytes that are not a valid response head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MalformedHead;
 
 impl ResponseHead {
-    /// Takes the next head off the buffer; `None` while it isn't complete.
+    /// Removes the next head from the front of `buffer`; returns `None` while the head isn't complete.
+    ///
+    /// Interim responses are skipped.
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are no answer in the protocol.
+    /// Returns [`MalformedHead`] if the bytes are not a valid response head or switch protocols (101).
     pub fn take(buffer: &mut BytesMut) -> Result<Option<Self>, MalformedHead> {
         loop {
             let Some((length, head)) = parse(buffer)? else {
                 return Ok(None);
             };
             let _ = buffer.split_to(length);
-            // Interim answers (100, 103) say nothing that a client needs.
+            // Interim responses (100, 103) hold nothing that a client needs.
             if !(100..200).contains(&head.status) {
                 return Ok(Some(head));
             }
@@ -55,11 +57,11 @@
 }
 
 fn parse(buffer: &[u8]) -> Result<Option<(usize, ResponseHead)>, MalformedHead> {
-    let mut slots = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let mut response = httparse::Response::new(&mut slots);
+    let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut header_slots);
     let length = match response.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() < MOST_HEAD_BYTES => return Ok(None),
+        Ok(httparse::Status::Partial) if buffer.len() < MAX_HEAD_BYTES => return Ok(None),
         Ok(httparse::Status::Partial) | Err(_) => return Err(MalformedHead),
     };
     let status = response.code.ok_or(MalformedHead)?;
@@ -71,20 +73,20 @@
         headers.append(name, value);
     }
     let body = body_kind(status, &headers)?;
-    let connection = text(&headers, &header::CONNECTION).unwrap_or_default();
+    let connection = header_text(&headers, &header::CONNECTION).unwrap_or_default();
     let closes = connection.to_ascii_lowercase().contains("close");
     let head = ResponseHead {
         bytes: length,
         status,
         body,
         is_keep_alive: is_http_11 && !closes && body != BodyKind::UntilClose,
-        idle_timeout_s: keep_alive_s(&headers),
+        idle_timeout_s: keep_alive_timeout_s(&headers),
         headers,
     };
     Ok(Some((length, head)))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
@@ -104,7 +106,7 @@
     let Some(first) = lengths.next() else {
         return Ok(BodyKind::UntilClose);
     };
-    // Two lengths that differ leave open where the next answer begins.
+    // With two different lengths, the start of the next response is ambiguous.
     if lengths.any(|other| other != first) {
         return Err(MalformedHead);
     }
@@ -112,8 +114,8 @@
     length.map(BodyKind::Length).ok_or(MalformedHead)
 }
 
-fn keep_alive_s(headers: &HeaderMap) -> Option<u64> {
-    let value = text(headers, &HeaderName::from_static("keep-alive"))?;
+fn keep_alive_timeout_s(headers: &HeaderMap) -> Option<u64> {
+    let value = header_text(headers, &HeaderName::from_static("keep-alive"))?;
     let mut parts = value.split(',').map(str::trim);
     parts.find_map(|part| part.strip_prefix("timeout=")?.parse().ok())
 }
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -144,7 +144,7 @@
         let was_written = if bytes.len() <= SHORT_REQUEST_BYTES {
             connection.write(&bytes).await.map(|()| true)
         } else {
-            connection.write_listening(bytes).await
+            connection.write_while_reading(bytes).await
         };
         let is_whole = match was_written {
             Ok(is_whole) => is_whole,
