--- a/crates/damaskvane-gateway/src/clients.rs
+++ b/crates/damaskvane-gateway/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections, and the way of a request through the instance.
+//! Clients' connections, and the handling of their requests from the first byte to the response.
 
 mod body;
 mod dispatch;
@@ -7,6 +7,6 @@
 mod listener;
 mod pending;
 mod reply;
-mod run;
+mod routed_request;
 
 pub use listener::{ListenerKind, listen};
--- a/crates/damaskvane-gateway/src/clients/body.rs
+++ b/crates/damaskvane-gateway/src/clients/body.rs
@@ -1,4 +1,4 @@
-//! Reads a client's body within its bounds.
+//! Reading of request bodies within the limits on size and memory.
 
 use core::pin::Pin;
 use std::future;
@@ -9,22 +9,22 @@
 
 use crate::node::Node;
 
-/// Why a body wasn't read.
+/// Why a request body was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BodyError {
-    /// It is longer than the limit.
+    /// The body is longer than the configured limit.
     TooLarge,
-    /// The client broke off or its framing is wrong.
+    /// The client closed the connection or the body's framing is invalid.
     Broken,
-    /// The bodies of all requests at work fill the memory set aside for them.
-    NoRoom,
+    /// The bodies of all requests in progress fill the memory reserved for bodies.
+    MemoryExhausted,
 }
 
-/// The part of the process's memory that bodies of requests may fill. A process above its limit is killed with
-/// everything that it has at work.
-const MEMORY_SHARE: u64 = 4;
+/// Request bodies may fill the process's memory limit divided by this number. A process above its memory limit
+/// is killed, and all its requests in progress are lost.
+const BODY_MEMORY_DIVISOR: u64 = 4;
 
-/// Counts the bytes of one body as held until it is dropped.
+/// The bytes of one body, counted in the node's `held_bytes` until this guard is dropped.
 #[derive(Debug)]
 pub(super) struct HeldBytes {
     node: Rc<Node>,
@@ -40,10 +40,10 @@
     }
 
     fn add(&mut self, bytes: usize) -> Result<(), BodyError> {
-        let most = self.node.settings().memory_mb * (1 << 20) / MEMORY_SHARE;
+        let max_held = self.node.settings().memory_mb * (1 << 20) / BODY_MEMORY_DIVISOR;
         let held = self.node.held_bytes.get() + bytes;
-        if held as u64 > most {
-            return Err(BodyError::NoRoom);
+        if held as u64 > max_held {
+            return Err(BodyError::MemoryExhausted);
         }
         self.node.held_bytes.set(held);
         self.bytes += bytes;
@@ -58,17 +58,17 @@
     }
 }
 
-/// Reads a whole body; `None` where the client announced none.
+/// Reads a complete body of at most `max_bytes`; returns `None` if the client announced no body.
 pub(super) async fn read(
     mut body: Incoming,
-    most_bytes: usize,
+    max_bytes: usize,
     held: &mut HeldBytes,
 ) -> Result<Option<Bytes>, BodyError> {
     if body.is_end_stream() && body.size_hint().exact() == Some(0) {
         return Ok(None);
     }
     let announced = body.size_hint().lower();
-    if usize::try_from(announced).map_or(true, |announced| announced > most_bytes) {
+    if usize::try_from(announced).map_or(true, |announced| announced > max_bytes) {
         return Err(BodyError::TooLarge);
     }
     let mut whole = BytesMut::new();
@@ -79,7 +79,7 @@
         };
         let frame = frame.map_err(|_| BodyError::Broken)?;
         if let Ok(data) = frame.into_data() {
-            if whole.len() + data.len() > most_bytes {
+            if whole.len() + data.len() > max_bytes {
                 return Err(BodyError::TooLarge);
             }
             held.add(data.len())?;
--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -1,4 +1,6 @@
-//! The way of one request: its route, its body, its service; `run.rs` takes it from there.
+//! Preparation of a client's request: selects the route, reads the body and selects the service.
+//!
+//! The module `routed_request` then sends the request to backend servers.
 
 use std::net;
 use std::rc::Rc;
@@ -14,19 +16,21 @@
 
 use crate::clients::body::{self, BodyError};
 use crate::clients::pending::PendingRequest;
-use crate::clients::{head, reply, run};
+use crate::clients::{head, reply, routed_request};
 use crate::crashes;
 use crate::decision_log::Matter;
 use crate::node::Node;
 use crate::stop::Stop;
 use crate::upstream::{self, OutgoingRequest, ResponseBody};
 
-/// When a client should come back while the instance knows no configuration.
+/// Retry delay sent to clients while the instance has no configuration or no memory for bodies, in
+/// milliseconds.
 const STARTING_RETRY_AFTER_MS: u64 = 500;
-/// Answers a client's request.
-pub(super) async fn answer(
+
+/// Handles a client's request, and records its outcome and duration in the metrics.
+pub(super) async fn respond(
     node: &Rc<Node>,
-    caller: net::IpAddr,
+    client_address: net::IpAddr,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     let started = node.now();
@@ -34,8 +38,8 @@
     let names = node.adapter.headers();
     let request_id = head::text(request.headers(), &names.request_id).map(str::to_owned);
     let pending = PendingRequest::new(node, request_id, started);
-    let response = route_and_run(&pending, caller, request).await;
-    pending.answered();
+    let response = route_and_run(&pending, client_address, request).await;
+    pending.mark_answered();
     let status = response.status();
     let took_s = node.now().since(started).get() as f64 / 1_000.0;
     let outcome = match status.as_u16() {
@@ -54,47 +58,48 @@
 
 async fn route_and_run(
     pending: &PendingRequest<'_>,
-    caller: net::IpAddr,
+    client_address: net::IpAddr,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     let (node, started) = (pending.node, pending.started);
     let Some(configuration) = node.configuration() else {
-        pending.turned_away("starting");
+        pending.record_rejection("starting");
         return reply::not_run("no configuration is known yet\n", STARTING_RETRY_AFTER_MS);
     };
     let (parts, incoming) = request.into_parts();
     let host = head::host_of(&parts.headers, &parts.uri);
     let route = configuration.route(&host, parts.uri.path()).cloned();
     let Some(route) = route else {
-        pending.turned_away("no_route");
-        return reply::own(StatusCode::NOT_FOUND, "no route takes this host and path\n");
+        pending.record_rejection("no_route");
+        return reply::from_instance(StatusCode::NOT_FOUND, "no route takes this host and path\n");
     };
     let names = node.adapter.headers();
-    let wanted_ms = head::number(&parts.headers, &names.deadline_ms).unwrap_or(route.timeout_ms);
-    let deadline = started + SpanMs::new(wanted_ms.min(route.timeout_ms));
-    let most_bytes = configuration.limits().body_bytes;
+    let requested_ms = head::number(&parts.headers, &names.deadline_ms).unwrap_or(route.timeout_ms);
+    let deadline = started + SpanMs::new(requested_ms.min(route.timeout_ms));
+    let max_bytes = configuration.limits().body_bytes;
     let mut held = body::HeldBytes::new(node);
-    let reading = body::read(incoming, most_bytes, &mut held);
-    let Ok(read) = tokio::time::timeout(run::remaining(node, deadline), reading).await else {
-        pending.turned_away("slow_body");
+    let reading = body::read(incoming, max_bytes, &mut held);
+    let Ok(read) = tokio::time::timeout(routed_request::remaining(node, deadline), reading).await
+    else {
+        pending.record_rejection("slow_body");
         return reply::not_run("the body did not arrive in time\n", 0);
     };
     let body = match read {
         Ok(body) => body,
         Err(BodyError::TooLarge) => {
-            pending.turned_away("body_too_large");
-            return reply::own(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+            pending.record_rejection("body_too_large");
+            return reply::from_instance(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
         }
-        Err(BodyError::NoRoom) => {
-            pending.turned_away("no_memory");
+        Err(BodyError::MemoryExhausted) => {
+            pending.record_rejection("no_memory");
             return reply::not_run(
                 "too many long requests are at work\n",
                 STARTING_RETRY_AFTER_MS,
             );
         }
         Err(BodyError::Broken) => {
-            pending.turned_away("body_broken");
-            return reply::own(StatusCode::BAD_REQUEST, "the body is broken\n");
+            pending.record_rejection("body_broken");
+            return reply::from_instance(StatusCode::BAD_REQUEST, "the body is broken\n");
         }
     };
     let object = head::object_of(&parts.headers, &names.object_cookie);
@@ -111,28 +116,28 @@
         headers,
         body,
         request_id: pending.request_id.clone(),
-        caller,
+        client_address,
     };
-    if let Some(left) = quarantine_left(pending, &outgoing).await {
-        pending.turned_away("quarantined");
+    if let Some(remaining) = remaining_quarantine(pending, &outgoing).await {
+        pending.record_rejection("quarantined");
         return reply::not_run(
             "this request has crashed backend servers; an operator can let it go\n",
-            left.get(),
+            remaining.get(),
         );
     }
-    let Some(part) = next_part(node, &route) else {
-        pending.turned_away("no_destination");
+    let Some(destination) = next_destination(node, &route) else {
+        pending.record_rejection("no_destination");
         return reply::not_run(
             "the route has no destination\n",
-            run::TURNED_AWAY_RETRY_AFTER_MS,
+            routed_request::REJECTED_RETRY_AFTER_MS,
         );
     };
-    let service = part.clone();
+    let service = destination.clone();
     let object = object
         .filter(|_| route.has_affinity)
         .map(|object| placement::object_hash(&service, &route.name, &object));
-    note_request(node, &service, &route, object);
-    run::Run {
+    record_request(node, &service, &route, object);
+    routed_request::RoutedRequest {
         node,
         pending,
         configuration: &configuration,
@@ -144,14 +149,14 @@
         progress: Progress::new(route.kind, route.attempts.max(1)),
         tried: Vec::new(),
         reserved: None,
-        failure: None,
+        failed_response: None,
     }
     .run()
     .await
 }
 
-/// How much longer the request is refused because it crashes what runs it.
-async fn quarantine_left(
+/// Returns how much longer the request is quarantined for crashing backend servers; `None` if it may run.
+async fn remaining_quarantine(
     pending: &PendingRequest<'_>,
     outgoing: &OutgoingRequest,
 ) -> Option<SpanMs> {
@@ -160,24 +165,24 @@
         return None;
     }
     let fingerprint = outgoing.fingerprint();
-    let left = crashes::verdict(node, fingerprint).await?;
+    let remaining = crashes::verdict(node, fingerprint).await?;
     node.log
         .request(node.now(), Matter::Failure, |log, left_out| {
             slog::info!(log, "request is known to crash servers";
             "request_id" => outgoing.request_id.as_deref(), "fingerprint" => %fingerprint,
-            "refused_for_ms" => left.get(), "lines_left_out" => left_out);
+            "refused_for_ms" => remaining.get(), "lines_left_out" => left_out);
         });
-    Some(left)
+    Some(remaining)
 }
 
-fn next_part(node: &Rc<Node>, route: &Route) -> Option<ids::ServiceId> {
+fn next_destination(node: &Rc<Node>, route: &Route) -> Option<ids::ServiceId> {
     let mut state = node.state.borrow_mut();
     let index = state.splits.next(&route.name, &route.destinations)?;
-    let part = route.destinations.get(index)?;
-    Some(part.service.clone())
+    let destination = route.destinations.get(index)?;
+    Some(destination.service.clone())
 }
 
-fn note_request(node: &Rc<Node>, service: &ids::ServiceId, route: &Route, object: Option<u64>) {
+fn record_request(node: &Rc<Node>, service: &ids::ServiceId, route: &Route, object: Option<u64>) {
     let now = node.now();
     let settings = node.settings().retry_budget();
     let mut state = node.state.borrow_mut();
--- a/crates/damaskvane-gateway/src/clients/head.rs
+++ b/crates/damaskvane-gateway/src/clients/head.rs
@@ -1,19 +1,19 @@
-//! What the head of a client's request says.
+//! Reading of headers, host and object from the head of a client's request.
 
 use hyper::header::{self, HeaderMap};
 
-/// A header as text.
+/// Returns a header's value; `None` if the header is missing or holds other than visible ASCII characters.
 pub(super) fn text<'a>(headers: &'a HeaderMap, name: &header::HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A header as a whole number; fractions are cut off.
+/// Returns a header's value as a non-negative whole number; fractions are truncated.
 pub(super) fn number(headers: &HeaderMap, name: &header::HeaderName) -> Option<u64> {
     let value: f64 = text(headers, name)?.trim().parse().ok()?;
     (value.is_finite() && value >= 0.0).then_some(value as u64)
 }
 
-/// The host of a request, in lower case and without a port.
+/// Returns the host of a request in lower case, without the port.
 pub(super) fn host_of(headers: &HeaderMap, uri: &hyper::Uri) -> String {
     let host = uri.host().or_else(|| text(headers, &header::HOST));
     let host = host.unwrap_or_default();
@@ -21,7 +21,7 @@
     without_port.to_ascii_lowercase()
 }
 
-/// The object that a request's cookie names.
+/// Returns the object that the cookie named `cookie` holds.
 pub(super) fn object_of(headers: &HeaderMap, cookie: &str) -> Option<String> {
     headers
         .get_all(header::COOKIE)
--- a/crates/damaskvane-gateway/src/clients/head_timer.rs
+++ b/crates/damaskvane-gateway/src/clients/head_timer.rs
@@ -1,8 +1,8 @@
-//! Bounds the time in which a client sends the head of a request.
+//! Timeout for the head of a client's request.
 //!
-//! The HTTP library has one time-out for the head and for the silence before it. Clients may stay silent on
-//! a kept connection far longer than they may take for a head; with the long bound alone, clients that
-//! begin a request and never finish it would hold their connections that long.
+//! The HTTP library has a single timeout for the head and for the idle time before it. Clients may leave a
+//! connection idle far longer than they may take to send a head. With the longer timeout alone, clients that
+//! begin a request and never finish it would occupy their connections for the idle timeout.
 
 use core::pin::Pin;
 use core::task::{Context, Poll};
@@ -16,32 +16,32 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// When the head that is being read has begun.
+/// Measures how long the head of the current request has been arriving on one connection.
 #[derive(Debug, Default)]
 pub(super) struct HeadTimer {
-    begun_at: Cell<Option<Instant>>,
+    started_at: Cell<Option<Instant>>,
     is_in_request: Cell<bool>,
-    begun: Notify,
+    started: Notify,
 }
 
 impl HeadTimer {
-    /// The head is whole, and the request is at work.
-    pub(super) fn request_begins(&self) {
+    /// Stops the timer: the head is complete, and the request is being handled.
+    pub(super) fn request_started(&self) {
         self.is_in_request.set(true);
-        self.begun_at.set(None);
+        self.started_at.set(None);
     }
 
-    /// The request is answered.
-    pub(super) fn request_ends(&self) {
+    /// Records that the response is ready; the next received bytes start the timer again.
+    pub(super) fn request_finished(&self) {
         self.is_in_request.set(false);
     }
 
-    /// Returns once a head has taken longer than the time-out.
+    /// Returns once a head has taken longer than `timeout`.
     pub(super) async fn expired(&self, timeout: Duration) {
         loop {
-            self.begun.notified().await;
-            while let Some(begun_at) = self.begun_at.get() {
-                let due = begun_at + timeout;
+            self.started.notified().await;
+            while let Some(started_at) = self.started_at.get() {
+                let due = started_at + timeout;
                 if Instant::now() >= due {
                     return;
                 }
@@ -50,15 +50,15 @@
         }
     }
 
-    fn bytes_came(&self) {
-        if !self.is_in_request.get() && self.begun_at.get().is_none() {
-            self.begun_at.set(Some(Instant::now()));
-            self.begun.notify_one();
+    fn bytes_received(&self) {
+        if !self.is_in_request.get() && self.started_at.get().is_none() {
+            self.started_at.set(Some(Instant::now()));
+            self.started.notify_one();
         }
     }
 }
 
-/// A client's connection that tells the timer when bytes come.
+/// A client's connection that starts the timer when bytes arrive.
 #[derive(Debug)]
 pub(super) struct TimedStream {
     stream: TcpStream,
@@ -80,7 +80,7 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.timer.bytes_came();
+            self.timer.bytes_received();
         }
         polled
     }
--- a/crates/damaskvane-gateway/src/clients/listener.rs
+++ b/crates/damaskvane-gateway/src/clients/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections and hands their requests on.
+//! Accepts connections and passes their requests to the handler of the listening socket.
 
 use core::convert::Infallible;
 use core::pin::pin;
@@ -23,46 +23,46 @@
 use crate::upstream::ResponseBody;
 use crate::{lookups, metrics};
 
-/// Connections that may wait to be accepted: a full queue drops the opening packet, which a client sends
-/// again only after a second.
+/// Maximum number of connections that wait to be accepted. The kernel drops the SYN packet of a connection if
+/// the queue is full, and a client retransmits the packet only after a second.
 const BACKLOG: i32 = 1_024;
-/// The wait after the system refused to accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Most headers of a request.
-const MOST_HEADERS: usize = 100;
-/// The smallest read buffer that the HTTP library takes.
-const LEAST_BUFFER_BYTES: usize = 8_192;
-/// How long sent bytes may stay unacknowledged before a client counts as gone.
-const CLIENT_SILENCE: Duration = Duration::from_secs(10);
-/// Descriptors that are kept for backend servers, the store and files.
+/// Delay before accepting again after the operating system returned an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Maximum number of headers of a request.
+const MAX_HEADERS: usize = 100;
+/// The smallest read buffer that the HTTP library permits, in bytes.
+const MIN_BUFFER_BYTES: usize = 8_192;
+/// How long sent bytes may stay unacknowledged before the client is considered disconnected.
+const CLIENT_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
+/// File descriptors that are reserved for backend servers, the store and files.
 const RESERVED_DESCRIPTORS: usize = 1_200;
 
-/// What a listener serves.
+/// The purpose of a listening socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerKind {
-    /// Clients' requests.
+    /// Serves clients' requests.
     Clients,
-    /// Clients' look-ups.
+    /// Serves clients' lookups of the address to connect to.
     Lookups,
-    /// The platform's question for readiness.
+    /// Serves the platform's readiness probes.
     Ready,
-    /// Metrics.
+    /// Serves the metrics of this instance.
     Metrics,
 }
 
-/// Accepts connections until the instance closes.
+/// Accepts and serves connections until the instance is in the phase [`StopPhase::Closing`].
 ///
 /// # Errors
 ///
-/// Fails if the address can't be used.
+/// Returns an error if the address can't be bound.
 pub async fn listen(
     node: Rc<Node>,
     address: net::SocketAddr,
-    service: ListenerKind,
+    kind: ListenerKind,
 ) -> io::Result<()> {
     let listener = bind(address)?;
-    let most = node.settings().max_descriptors;
-    let most = most.saturating_sub(RESERVED_DESCRIPTORS).max(64);
+    let max_open = node.settings().max_descriptors;
+    let max_open = max_open.saturating_sub(RESERVED_DESCRIPTORS).max(64);
     let open = Rc::new(Cell::new(0_usize));
     let mut phases = node.stop.subscribe();
     loop {
@@ -70,18 +70,18 @@
             accepted = listener.accept() => accepted,
             _ = phases.wait_for(|phase| *phase == StopPhase::Closing) => return Ok(()),
         };
-        let Ok((stream, caller)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+        let Ok((stream, client_address)) = accepted else {
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if open.get() >= most {
+        if open.get() >= max_open {
             continue;
         }
         open.set(open.get() + 1);
         let node = Rc::clone(&node);
         let open = Rc::clone(&open);
         tokio::task::spawn_local(async move {
-            serve(&node, stream, caller.ip(), service).await;
+            serve(&node, stream, client_address.ip(), kind).await;
             open.set(open.get() - 1);
         });
     }
@@ -93,7 +93,7 @@
         socket2::Type::STREAM,
         None,
     )?;
-    // A restarted process must get the address of the one before at once.
+    // A restarted process must be able to bind the address of its predecessor immediately.
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
@@ -101,12 +101,17 @@
     tokio::net::TcpListener::from_std(socket.into())
 }
 
-async fn serve(node: &Rc<Node>, stream: TcpStream, caller: net::IpAddr, service: ListenerKind) {
+async fn serve(
+    node: &Rc<Node>,
+    stream: TcpStream,
+    client_address: net::IpAddr,
+    kind: ListenerKind,
+) {
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(&stream);
-    let _ = socket.set_tcp_user_timeout(Some(CLIENT_SILENCE));
-    let probes = socket2::TcpKeepalive::new().with_time(CLIENT_SILENCE);
-    let _ = socket.set_tcp_keepalive(&probes);
+    let _ = socket.set_tcp_user_timeout(Some(CLIENT_SILENCE_TIMEOUT));
+    let keepalive = socket2::TcpKeepalive::new().with_time(CLIENT_SILENCE_TIMEOUT);
+    let _ = socket.set_tcp_keepalive(&keepalive);
     let limits = node
         .configuration()
         .map(|configuration| configuration.limits())
@@ -116,9 +121,9 @@
         let node = Rc::clone(node);
         let timer = Rc::clone(&timer);
         async move {
-            timer.request_begins();
-            let response = handle(&node, service, caller, request).await;
-            timer.request_ends();
+            timer.request_started();
+            let response = handle(&node, kind, client_address, request).await;
+            timer.request_finished();
             Ok::<_, Infallible>(response)
         }
     });
@@ -126,8 +131,8 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER_BYTES))
-        .max_headers(MOST_HEADERS)
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES))
+        .max_headers(MAX_HEADERS)
         .serve_connection(TokioIo::new(stream), handler);
     let mut connection = pin!(connection);
     let mut phases = node.stop.subscribe();
@@ -137,22 +142,22 @@
         _ = phases.wait_for(|phase| *phase == StopPhase::Closing) => {}
     }
     connection.as_mut().graceful_shutdown();
-    // What broke a connection at its end concerns only its client, which sees it.
+    // An error at the end of a connection concerns only the client, which notices the error itself.
     let _ = connection.await;
 }
 
 async fn handle(
     node: &Rc<Node>,
-    service: ListenerKind,
-    caller: net::IpAddr,
+    kind: ListenerKind,
+    client_address: net::IpAddr,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let mut response = match service {
-        ListenerKind::Clients => dispatch::answer(node, caller, request).await,
+    let mut response = match kind {
+        ListenerKind::Clients => dispatch::respond(node, client_address, request).await,
         ListenerKind::Lookups => lookups::look_up(node, &request),
         ListenerKind::Ready => lookups::ready(node, &request),
         ListenerKind::Metrics if request.method() == hyper::Method::GET => metrics::answer(node),
-        ListenerKind::Metrics => reply::own(StatusCode::METHOD_NOT_ALLOWED, "use GET\n"),
+        ListenerKind::Metrics => reply::from_instance(StatusCode::METHOD_NOT_ALLOWED, "use GET\n"),
     };
     if node.stop.is_leaving() {
         let close = HeaderValue::from_static("close");
--- a/crates/damaskvane-gateway/src/clients/pending.rs
+++ b/crates/damaskvane-gateway/src/clients/pending.rs
@@ -1,4 +1,4 @@
-//! A request that has no answer yet: what the log tells if it never gets one.
+//! Logging of requests that end without a backend server's response.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,17 +10,17 @@
 use crate::decision_log::Matter;
 use crate::node::Node;
 
-/// A request that has no answer yet.
+/// Guard that logs a client's request if the client disconnects before the response.
 ///
-/// A client that leaves drops the future that works for it. Without this guard its request would vanish from
-/// the log, and a missing answer would look like a fault of the instance.
+/// When a client disconnects, the future that handles its request is dropped. Without this guard the request
+/// would be missing from the log, and its missing response would look like a fault of the instance.
 #[derive(Debug)]
 pub(super) struct PendingRequest<'a> {
     pub(super) node: &'a Rc<Node>,
     pub(super) request_id: Option<String>,
     pub(super) started: TimeMs,
     is_answered: bool,
-    /// The server that it was sent to last.
+    /// The server to which the request was sent last.
     sent_to: RefCell<Option<ids::BackendServerId>>,
 }
 
@@ -39,18 +39,18 @@
         }
     }
 
-    /// Notes that the client is about to get an answer.
-    pub(super) fn answered(mut self) {
+    /// Records that the response is ready, and drops the guard.
+    pub(super) fn mark_answered(mut self) {
         self.is_answered = true;
     }
 
-    /// Notes where the request is sent.
-    pub(super) fn note_sent(&self, server: &ids::BackendServerId) {
+    /// Records the server to which the request is about to be sent.
+    pub(super) fn record_server(&self, server: &ids::BackendServerId) {
         *self.sent_to.borrow_mut() = Some(server.clone());
     }
 
-    /// Notes that the request was turned away before a server was chosen.
-    pub(super) fn turned_away(&self, reason: &str) {
+    /// Counts and logs that the request is rejected before a server is selected.
+    pub(super) fn record_rejection(&self, reason: &str) {
         reply::count_refusal(self.node, reason);
         self.log(reason);
     }
--- a/crates/damaskvane-gateway/src/clients/reply.rs
+++ b/crates/damaskvane-gateway/src/clients/reply.rs
@@ -1,4 +1,4 @@
-//! The instance's own answers to clients.
+//! Responses to clients: those that this instance creates, and those of backend servers.
 
 use std::rc::Rc;
 
@@ -7,19 +7,19 @@
 use hyper::{Response, StatusCode};
 
 use crate::node::Node;
-use crate::upstream::{Answer, ResponseBody};
+use crate::upstream::{BackendResponse, ResponseBody};
 
-/// An answer of the instance itself.
-pub(super) fn own(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+/// Returns a response that this instance creates.
+pub(super) fn from_instance(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let body = ResponseBody::whole(Bytes::from_static(text.as_bytes()));
     let mut response = Response::new(body);
     *response.status_mut() = status;
     response
 }
 
-/// The word that the request has not run and never will, with when to come back.
+/// Returns the response that the request has not run and will not run, with a `Retry-After` header.
 pub(super) fn not_run(text: &'static str, retry_after_ms: u64) -> Response<ResponseBody> {
-    let mut response = own(StatusCode::SERVICE_UNAVAILABLE, text);
+    let mut response = from_instance(StatusCode::SERVICE_UNAVAILABLE, text);
     let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(header::RETRY_AFTER, value);
@@ -27,17 +27,17 @@
     response
 }
 
-/// A backend server's answer, unchanged.
-pub(super) fn from_server(answer: Answer) -> Response<ResponseBody> {
-    let mut response = Response::new(answer.body);
-    if let Ok(status) = StatusCode::from_u16(answer.status) {
+/// Converts a backend server's response without changing its status, headers or body.
+pub(super) fn from_server(backend_response: BackendResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(backend_response.body);
+    if let Ok(status) = StatusCode::from_u16(backend_response.status) {
         *response.status_mut() = status;
     }
-    *response.headers_mut() = answer.headers;
+    *response.headers_mut() = backend_response.headers;
     response
 }
 
-/// Counts a request that no server has answered.
+/// Counts a refused request, by reason.
 pub(super) fn count_refusal(node: &Rc<Node>, reason: &str) {
     node.metrics.refusals.with_label_values(&[reason]).inc();
 }
--- a/crates/damaskvane-gateway/src/clients/run.rs
+++ b/crates/damaskvane-gateway/src/clients/routed_request.rs
@@ -1,4 +1,4 @@
-//! The exchanges of one request, until it has its answer.
+//! Sending of one request to backend servers, with retries, until its response is determined.
 
 use core::pin::pin;
 use core::time::Duration;
@@ -20,31 +20,34 @@
 use crate::crashes;
 use crate::decision_log::Matter;
 use crate::node::Node;
-use crate::upstream::{Answer, Exchange, ExchangeOutcome, OutgoingRequest, ResponseBody};
+use crate::upstream::{BackendResponse, Exchange, ExchangeOutcome, OutgoingRequest, ResponseBody};
 
-/// When a client should come back whose request no server took.
-pub(super) const TURNED_AWAY_RETRY_AFTER_MS: u64 = 200;
+/// Retry delay sent to a client whose request no server accepted, in milliseconds, if no server named one.
+pub(super) const REJECTED_RETRY_AFTER_MS: u64 = 200;
 
-/// A request whose service is known.
-pub(super) struct Run<'a> {
+/// A request with its selected service, and the state of its attempts.
+pub(super) struct RoutedRequest<'a> {
     pub(super) node: &'a Rc<Node>,
     pub(super) pending: &'a PendingRequest<'a>,
     pub(super) configuration: &'a Configuration,
     pub(super) route: &'a Route,
     pub(super) service: ids::ServiceId,
+    /// The hash of the request's object, if the route has affinity.
     pub(super) object: Option<u64>,
     pub(super) outgoing: &'a OutgoingRequest,
     pub(super) deadline: TimeMs,
     pub(super) progress: Progress,
+    /// The servers to which an attempt was made, in order.
     pub(super) tried: Vec<ids::BackendServerId>,
-    /// The next server, where it was chosen and paid for before the last exchange was given up.
+    /// The next server, if it was selected and charged to the retry budget before the last exchange was
+    /// abandoned.
     pub(super) reserved: Option<Pick>,
-    /// The answer of the last server that failed: the client gets it where no other server does better.
-    pub(super) failure: Option<Answer>,
+    /// The response of the last server that failed; the client gets it if no other server succeeds.
+    pub(super) failed_response: Option<BackendResponse>,
 }
 
-impl Run<'_> {
-    /// Sends the request to one server after another, as far as that is allowed and helps.
+impl RoutedRequest<'_> {
+    /// Sends the request to one server after another until one responds or no further attempt is allowed.
     pub(super) async fn run(mut self) -> Response<ResponseBody> {
         let mut last: Option<ExchangeOutcome> = None;
         loop {
@@ -52,29 +55,29 @@
                 Some(pick) => pick,
                 None => match self.choose() {
                     Choice::Send(pick) => {
-                        if last.is_some() && !self.may_pay(last.as_ref()) {
-                            return self.answer_last(last);
+                        if last.is_some() && !self.spend_retry_budget(last.as_ref()) {
+                            return self.final_response(last);
                         }
                         pick
                     }
-                    Choice::Refuse(refusal) => return self.give_up(last, refusal),
+                    Choice::Refuse(refusal) => return self.refuse(last, refusal),
                 },
             };
             let Some(mut outcome) = self.attempt(&pick).await else {
                 self.tried.push(pick.server);
-                return self.timed_out();
+                return self.respond_timeout();
             };
             self.progress.note(outcome.end);
-            self.note(&pick, &outcome);
+            self.record_exchange(&pick, &outcome);
             if outcome.end == ExchangeEnd::Failed {
-                self.failure = outcome.answer.take();
+                self.failed_response = outcome.response.take();
             }
             if outcome.end == ExchangeEnd::Answered {
-                return self.answer_last(Some(outcome));
+                return self.final_response(Some(outcome));
             }
             self.tried.push(pick.server);
             if !self.progress.may_try_again() || self.is_quarantined().await {
-                return self.answer_last(Some(outcome));
+                return self.final_response(Some(outcome));
             }
             last = Some(outcome);
         }
@@ -98,9 +101,11 @@
             .choose(now, &state.pool, self.configuration, &request, instances)
     }
 
-    /// Whether another try fits the budget. One that follows an unreachable server is no retry: nothing
-    /// of the request has arrived anywhere.
-    fn may_pay(&self, last: Option<&ExchangeOutcome>) -> bool {
+    /// Takes one retry from the service's budget; returns whether the next attempt is allowed.
+    ///
+    /// An attempt after unreachable servers is free: it isn't a retry, because no server has received any
+    /// part of the request.
+    fn spend_retry_budget(&self, last: Option<&ExchangeOutcome>) -> bool {
         let was_abandoned = last.is_some_and(|last| last.end == ExchangeEnd::Abandoned);
         if !self.progress.was_sent() && !was_abandoned {
             return true;
@@ -115,7 +120,7 @@
             self.node.metrics.retries.with_label_values(&[after]).inc();
             let log = &self.node.log;
             log.request(now, Matter::Failure, |log, left_out| {
-                slog::info!(log, "tried again";
+                slog::info!(log, "request retried";
                     "request_id" => self.outgoing.request_id.as_deref(), "after" => after,
                     "instances" => instances, "lines_left_out" => left_out);
             });
@@ -125,10 +130,10 @@
         may
     }
 
-    /// One exchange; `None` if the time is over.
+    /// Runs one exchange; returns `None` if the request's deadline passes.
     async fn attempt(&mut self, pick: &Pick) -> Option<ExchangeOutcome> {
         let started = self.node.now();
-        self.pending.note_sent(&pick.server);
+        self.pending.record_server(&pick.server);
         let exchange = Exchange {
             node: self.node,
             request: self.outgoing,
@@ -137,29 +142,33 @@
             is_retry: self.progress.was_sent(),
         };
         let mut running = pin!(exchange.run());
-        let left = remaining(self.node, self.deadline);
-        let patience_ms =
-            retry::patience_ms(self.route, pick, &self.progress, left.as_millis() as u64);
-        if let Some(patience_ms) = patience_ms {
-            let patience = Duration::from_millis(patience_ms);
-            if let Ok(outcome) = tokio::time::timeout(patience, running.as_mut()).await {
+        let remaining_time = remaining(self.node, self.deadline);
+        let timeout_ms = retry::patience_ms(
+            self.route,
+            pick,
+            &self.progress,
+            remaining_time.as_millis() as u64,
+        );
+        if let Some(timeout_ms) = timeout_ms {
+            let timeout = Duration::from_millis(timeout_ms);
+            if let Ok(outcome) = tokio::time::timeout(timeout, running.as_mut()).await {
                 return Some(outcome);
             }
-            self.reserved = self.reserve(pick, started);
+            self.reserved = self.reserve_alternative(pick, started);
             if self.reserved.is_some() {
                 return Some(ExchangeOutcome::abandoned());
             }
         }
-        let left = remaining(self.node, self.deadline);
-        tokio::time::timeout(left, running).await.ok()
+        let remaining_time = remaining(self.node, self.deadline);
+        tokio::time::timeout(remaining_time, running).await.ok()
     }
 
-    /// The server that is asked in place of one from which nobody hears anything.
+    /// Selects a server to replace one that has responded to no request since the exchange started.
     ///
-    /// A server that went silent answers nothing until the deadline, while another could still answer an
-    /// idempotent request. One that answers others is only busy: asking elsewhere too would add to the
-    /// load that made it late.
-    fn reserve(&mut self, pick: &Pick, started: TimeMs) -> Option<Pick> {
+    /// A server that has stopped responding would use up the deadline, while another server could still
+    /// respond to an idempotent request. A server that responds to other requests is only busy: a second
+    /// attempt elsewhere would add to the load that made the server late.
+    fn reserve_alternative(&mut self, pick: &Pick, started: TimeMs) -> Option<Pick> {
         if self.node.stop.is_leaving() || self.has_answered_since(pick, started) {
             return None;
         }
@@ -169,7 +178,7 @@
         let Choice::Send(next) = choice else {
             return None;
         };
-        self.may_pay(Some(&ExchangeOutcome::abandoned()))
+        self.spend_retry_budget(Some(&ExchangeOutcome::abandoned()))
             .then_some(next)
     }
 
@@ -179,28 +188,28 @@
         server.is_some_and(|server| server.answered_at() >= started)
     }
 
-    /// Takes in what an exchange says of its server.
-    fn note(&self, pick: &Pick, outcome: &ExchangeOutcome) {
+    /// Records the outcome of an exchange in metrics, response time estimates and log.
+    fn record_exchange(&self, pick: &Pick, outcome: &ExchangeOutcome) {
         let now = self.node.now();
         let end = outcome.end.as_str();
         self.node.metrics.exchanges.with_label_values(&[end]).inc();
-        self.note_evidence(pick, outcome.end);
+        self.record_crash_evidence(pick, outcome.end);
         if outcome.end == ExchangeEnd::Answered {
-            self.learn(now, pick, outcome);
+            self.record_response_time(now, pick, outcome);
         }
         let after_ms = now.since(self.pending.started).get();
         let is_in_time = after_ms <= self.route.objective_ms;
-        let matter = if outcome.end == ExchangeEnd::Answered && is_in_time {
+        let log_kind = if outcome.end == ExchangeEnd::Answered && is_in_time {
             Matter::Success
         } else {
             Matter::Failure
         };
         let load = outcome.report.load;
-        self.node.log.request(now, matter, |log, left_out| {
+        self.node.log.request(now, log_kind, |log, left_out| {
             slog::info!(log, "exchange ended";
                 "request_id" => self.outgoing.request_id.as_deref(),
                 "route" => &self.route.name, "backend_server" => %pick.server, "server_zone" => %pick.zone, "object" => self.object,
-                "outcome" => end, "status" => outcome.answer.as_ref().map(|answer| answer.status),
+                "outcome" => end, "status" => outcome.response.as_ref().map(|response| response.status),
                 "load" => pick.load, "rank" => pick.rank, "expected_ms" => pick.expected_ms,
                 "took_ms" => outcome.took_ms, "after_ms" => after_ms, "objective_ms" => self.route.objective_ms,
                 "was_sent" => pick.was_sent, "remembered_ms" => pick.remembered_ms, "first_ms" => pick.first_ms,
@@ -212,8 +221,8 @@
         });
     }
 
-    /// Takes the end of an exchange as evidence for or against the request itself.
-    fn note_evidence(&self, pick: &Pick, end: ExchangeEnd) {
+    /// Records the end of an exchange as evidence of whether the request crashes servers.
+    fn record_crash_evidence(&self, pick: &Pick, end: ExchangeEnd) {
         let crashes = &self.node.crashes;
         match end {
             ExchangeEnd::Broken => {
@@ -234,7 +243,7 @@
         verdict.await.is_some()
     }
 
-    fn learn(&self, now: TimeMs, pick: &Pick, outcome: &ExchangeOutcome) {
+    fn record_response_time(&self, now: TimeMs, pick: &Pick, outcome: &ExchangeOutcome) {
         let Some(took_ms) = outcome.took_ms else {
             return;
         };
@@ -250,65 +259,65 @@
         state.placer.record_answer(now, &mut state.pool, &answered);
     }
 
-    fn timed_out(&mut self) -> Response<ResponseBody> {
-        if let Some(answer) = self.failure.take() {
-            return reply::from_server(answer);
+    fn respond_timeout(&mut self) -> Response<ResponseBody> {
+        if let Some(response) = self.failed_response.take() {
+            return reply::from_server(response);
         }
-        self.log_end("timeout", None);
-        reply::own(
+        self.log_not_served("timeout", None);
+        reply::from_instance(
             StatusCode::GATEWAY_TIMEOUT,
             "the server did not answer in time\n",
         )
     }
 
-    /// Answers after the last exchange: the server's answer, or the instance's own word.
-    fn answer_last(&mut self, last: Option<ExchangeOutcome>) -> Response<ResponseBody> {
+    /// Returns the response after the last exchange: a server's response, or an error of this instance.
+    fn final_response(&mut self, last: Option<ExchangeOutcome>) -> Response<ResponseBody> {
         let Some(last) = last else {
-            return self.turned_away(TURNED_AWAY_RETRY_AFTER_MS);
+            return self.reject(REJECTED_RETRY_AFTER_MS);
         };
-        if let Some(answer) = last.answer.filter(|_| last.end == ExchangeEnd::Answered) {
-            return reply::from_server(answer);
+        if let Some(response) = last.response.filter(|_| last.end == ExchangeEnd::Answered) {
+            return reply::from_server(response);
         }
-        if let Some(answer) = self.failure.take() {
-            return reply::from_server(answer);
+        if let Some(response) = self.failed_response.take() {
+            return reply::from_server(response);
         }
         if self.progress.is_proven_not_run() {
-            let after = last.retry_after_ms.unwrap_or(TURNED_AWAY_RETRY_AFTER_MS);
-            return self.turned_away(after);
+            let after = last.retry_after_ms.unwrap_or(REJECTED_RETRY_AFTER_MS);
+            return self.reject(after);
         }
-        self.unknown()
+        self.respond_outcome_unknown()
     }
 
-    /// Answers where no further server can be asked.
-    fn give_up(
+    /// Returns the response if no further server can be selected.
+    fn refuse(
         &mut self,
         last: Option<ExchangeOutcome>,
         refusal: Refusal,
     ) -> Response<ResponseBody> {
         if last.is_some() {
-            return self.answer_last(last);
+            return self.final_response(last);
         }
         let reason = refusal.reason.as_str();
         reply::count_refusal(self.node, reason);
-        self.log_end(reason, Some(refusal.retry_after_ms));
+        self.log_not_served(reason, Some(refusal.retry_after_ms));
         reply::not_run(
             "no server can take the request now\n",
             refusal.retry_after_ms,
         )
     }
 
-    fn turned_away(&self, retry_after_ms: u64) -> Response<ResponseBody> {
+    fn reject(&self, retry_after_ms: u64) -> Response<ResponseBody> {
         reply::count_refusal(self.node, "turned_away");
-        self.log_end("turned_away", Some(retry_after_ms));
+        self.log_not_served("turned_away", Some(retry_after_ms));
         reply::not_run("no server took the request\n", retry_after_ms)
     }
 
-    fn unknown(&self) -> Response<ResponseBody> {
-        self.log_end("unknown", None);
-        reply::own(StatusCode::BAD_GATEWAY, "the server's answer was lost\n")
+    fn respond_outcome_unknown(&self) -> Response<ResponseBody> {
+        self.log_not_served("unknown", None);
+        reply::from_instance(StatusCode::BAD_GATEWAY, "the server's answer was lost\n")
     }
 
-    fn log_end(&self, reason: &str, retry_after_ms: Option<u64>) {
+    fn log_not_served(&self, reason: &str, retry_after_ms: Option<u64>) {
         let now = self.node.now();
         self.node
             .log
@@ -326,7 +335,7 @@
     }
 }
 
-/// The time left.
+/// Returns the time until the deadline; zero if it has passed.
 pub(super) fn remaining(node: &Rc<Node>, deadline: TimeMs) -> Duration {
     deadline.since(node.now()).to_duration()
 }
--- a/crates/damaskvane-gateway/src/upstream.rs
+++ b/crates/damaskvane-gateway/src/upstream.rs
@@ -1,11 +1,11 @@
-//! Connections to and exchanges with backend servers.
+//! Exchanges with backend servers, and the connections that carry them.
 
-mod answer;
 mod exchange;
 mod idle;
 mod request;
+mod response;
 
-pub use answer::{Answer, ResponseBody};
 pub use exchange::{Exchange, ExchangeOutcome};
 pub use idle::IdleConnections;
 pub use request::{OutgoingRequest, strip_connection_headers};
+pub use response::{BackendResponse, ResponseBody};
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with one backend server.
+//! One exchange: sending a request to one backend server and reading its response.
 
 use core::time::Duration;
 use std::io;
@@ -14,69 +14,71 @@
 use crate::costs::{Distance, Flow, Opening};
 use crate::http::{self, BodyReader, ReadError, ResponseHead};
 use crate::node::Node;
-use crate::upstream::{Answer, OutgoingRequest, ResponseBody, request};
+use crate::upstream::{BackendResponse, OutgoingRequest, ResponseBody, request};
 
-/// How long a connection may take to open: a lost opening packet is sent again after a second, and by then
-/// another server has answered.
+/// Timeout for opening a connection. The kernel retransmits a lost SYN packet only after a second, and by then
+/// another server has responded.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// The silence after which a connection is given up: longer than two retransmissions on a lossy link.
-const SILENCE: Duration = Duration::from_millis(1_500);
-/// Bodies up to this size are read whole before the client gets any of them, so that a cut answer can be
-/// tried again.
-const WHOLE_BODY_BYTES: usize = 262_144;
-/// Requests up to this size fit the socket's buffers and are written without listening meanwhile.
+/// Time without an acknowledgement after which a connection fails; longer than two retransmissions on a lossy
+/// link.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Response bodies up to this size are read completely before any byte is sent to the client, so that the
+/// request can be retried after a truncated response.
+const MAX_BUFFERED_BODY_BYTES: usize = 262_144;
+/// Requests up to this size fit the socket's buffers and are written without reading at the same time.
 const SHORT_REQUEST_BYTES: usize = 16_384;
-/// Most answers to other requests that are skipped on one connection.
-const MOST_SKIPPED: usize = 3;
-/// Pieces of a long body that may wait for the client.
-const PIECES_AHEAD: usize = 4;
+/// Maximum number of responses to other requests that are skipped on one connection.
+const MAX_SKIPPED_RESPONSES: usize = 3;
+/// Maximum number of pieces of a long response body that are queued for the client.
+const MAX_QUEUED_PIECES: usize = 4;
 
-/// How an exchange ended, with the answer if there is one for the client.
+/// How an exchange ended, with the server's response if it was received.
 #[derive(Debug)]
 pub struct ExchangeOutcome {
-    /// What the end says of the server.
+    /// How the exchange ended; determines the server's health rating and whether a retry is allowed.
     pub end: ExchangeEnd,
-    /// What the server says of itself.
+    /// The load that the server reported with its response.
     pub report: ServerReport,
-    /// The server's answer; whether the client gets it is decided by the caller.
-    pub answer: Option<Answer>,
-    /// When the server wants to be asked again, where it turned the request away.
+    /// The server's response; the caller decides whether the client gets it.
+    pub response: Option<BackendResponse>,
+    /// The delay from the response's `Retry-After` header, in milliseconds. Servers set it when they reject a
+    /// request.
     pub retry_after_ms: Option<u64>,
-    /// The time it took.
+    /// The duration of the exchange in milliseconds; `None` if the server is no longer known.
     pub took_ms: Option<u64>,
 }
 
 impl ExchangeOutcome {
-    /// The exchange was given up while the server was at work.
+    /// Returns the outcome of an exchange that was abandoned before the server responded.
     #[must_use]
     pub fn abandoned() -> Self {
-        Self::without_answer(ExchangeEnd::Abandoned)
+        Self::no_response(ExchangeEnd::Abandoned)
     }
 
-    fn without_answer(end: ExchangeEnd) -> Self {
+    fn no_response(end: ExchangeEnd) -> Self {
         Self {
             end,
             report: ServerReport::default(),
-            answer: None,
+            response: None,
             retry_after_ms: None,
             took_ms: None,
         }
     }
 }
 
-/// Keeps the count of requests at the server right, however the exchange ends.
+/// Guard that removes an exchange from its server's running requests when the exchange ends or is dropped.
 ///
-/// A client that leaves drops the whole future; without this guard the request would count as running at
-/// the server for good, and the server would look full.
+/// When a client disconnects, the future that handles its request is dropped. Without this guard the request
+/// would count as running at the server permanently, and the server would appear full.
 #[derive(Debug)]
-struct Running {
+struct RunningExchange {
     node: Rc<Node>,
     pick: Pick,
     id: ExchangeId,
     is_open: bool,
 }
 
-impl Running {
+impl RunningExchange {
     fn start(node: &Rc<Node>, pick: &Pick) -> Self {
         let id = node.next_exchange();
         let now = node.now();
@@ -100,7 +102,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningExchange {
     fn drop(&mut self) {
         if self.is_open {
             self.end(ExchangeEnd::Abandoned, ServerReport::default());
@@ -108,132 +110,135 @@
     }
 }
 
-/// An exchange that is about to start.
+/// An exchange that has not started yet.
 #[derive(Debug)]
 pub struct Exchange<'a> {
-    /// What all tasks share.
+    /// The state shared by all tasks of this instance.
     pub node: &'a Rc<Node>,
-    /// The request.
+    /// The request to send.
     pub request: &'a OutgoingRequest,
-    /// The server.
+    /// The selected server, with the estimates made at its selection.
     pub pick: &'a Pick,
-    /// When the time for the request ends.
+    /// The deadline of the request.
     pub deadline: TimeMs,
-    /// Whether the request was sent elsewhere before.
+    /// Whether the request was sent to a server before.
     pub is_retry: bool,
 }
 
 impl Exchange<'_> {
-    /// Sends the request and waits for its answer.
+    /// Sends the request and waits for the response.
     pub async fn run(self) -> ExchangeOutcome {
-        let mut running = Running::start(self.node, self.pick);
+        let mut running = RunningExchange::start(self.node, self.pick);
         let mut outcome = self.exchange().await;
         outcome.took_ms = running.end(outcome.end, outcome.report);
         outcome
     }
 
     async fn exchange(&self) -> ExchangeOutcome {
-        let Ok((mut connection, is_kept)) = self.connect().await else {
-            return ExchangeOutcome::without_answer(ExchangeEnd::Unreachable);
+        let Ok((mut connection, is_reused)) = self.connect().await else {
+            return ExchangeOutcome::no_response(ExchangeEnd::Unreachable);
         };
         let names = self.node.adapter.headers();
         let bytes = self
             .request
-            .to_bytes(names, &self.pick.server, self.left().get());
-        self.carried(bytes.len());
-        let was_written = if bytes.len() <= SHORT_REQUEST_BYTES {
+            .to_bytes(names, &self.pick.server, self.remaining().get());
+        self.count_bytes(bytes.len());
+        let written = if bytes.len() <= SHORT_REQUEST_BYTES {
             connection.write(&bytes).await.map(|()| true)
         } else {
             connection.write_while_reading(bytes).await
         };
-        let is_whole = match was_written {
-            Ok(is_whole) => is_whole,
-            Err(error) => return ExchangeOutcome::without_answer(broken(&error)),
+        let is_written = match written {
+            Ok(is_written) => is_written,
+            Err(error) => return ExchangeOutcome::no_response(classify_io_error(&error)),
         };
-        self.read(connection, is_whole, is_kept).await
+        self.read_response(connection, is_written, is_reused).await
     }
 
-    fn carried(&self, bytes: usize) {
+    fn count_bytes(&self, bytes: usize) {
         let flow = Flow::of_pick(self.pick, self.is_retry);
         let distance = Distance::to_zone(self.node, &self.pick.zone);
         self.node.metrics.costs.carried(flow, distance, bytes);
     }
 
-    fn left(&self) -> SpanMs {
+    fn remaining(&self) -> SpanMs {
         self.deadline.since(self.node.now())
     }
 
     async fn connect(&self) -> io::Result<(http::Connection, bool)> {
         let now = self.node.now();
-        let had_kept = self.node.idle.borrow().has(&self.pick.server);
-        let kept = self.node.idle.borrow_mut().take(now, &self.pick.server);
-        if let Some(connection) = kept {
+        let had_idle = self.node.idle.borrow().has(&self.pick.server);
+        let idle_connection = self.node.idle.borrow_mut().take(now, &self.pick.server);
+        if let Some(connection) = idle_connection {
             return Ok((connection, true));
         }
-        let reason = if had_kept {
+        let reason = if had_idle {
             Opening::KeptClosed
         } else {
             Opening::NoneKept
         };
         self.node.metrics.costs.opened(reason);
-        let timeout = CONNECT_TIMEOUT.min(self.left().to_duration());
-        let opened = http::Connection::open(self.pick.address, timeout, SILENCE).await?;
+        let timeout = CONNECT_TIMEOUT.min(self.remaining().to_duration());
+        let opened = http::Connection::open(self.pick.address, timeout, SILENCE_TIMEOUT).await?;
         let took_ms = self.node.now().since(now).get() as f64;
         let mut state = self.node.state.borrow_mut();
         state.placer.round_trips.record(&self.pick.zone, took_ms);
         Ok((opened, false))
     }
 
-    /// Reads answers until the one to this request comes.
-    async fn read(
+    /// Reads responses until the one to this request arrives.
+    async fn read_response(
         &self,
         mut connection: http::Connection,
-        is_whole: bool,
-        is_kept: bool,
+        is_written: bool,
+        is_reused: bool,
     ) -> ExchangeOutcome {
-        let mut is_reusable = is_whole;
-        for _ in 0..=MOST_SKIPPED {
+        let mut may_reuse = is_written;
+        for _ in 0..=MAX_SKIPPED_RESPONSES {
             let head = match connection.read_head().await {
                 Ok(head) => head,
-                Err(error) => return ExchangeOutcome::without_answer(unread(&error)),
+                Err(error) => return ExchangeOutcome::no_response(classify_read_error(&error)),
             };
-            if self.is_own(&head) {
-                return self.read_own(connection, head, is_reusable).await;
+            if self.matches_request(&head) {
+                return self.finish_response(connection, head, may_reuse).await;
             }
-            // A second answer to an earlier request: it is read and dropped, and the answer to this one
-            // may still follow. Only a kept connection can carry one.
+            // A duplicate response to an earlier request is read and dropped, since the response to this
+            // request may still follow. Duplicates occur only on reused connections.
             self.node.metrics.foreign_answers.inc();
-            is_reusable = false;
-            if !is_kept || head.body == http::BodyKind::UntilClose {
+            may_reuse = false;
+            if !is_reused || head.body == http::BodyKind::UntilClose {
                 break;
             }
             let mut body = BodyReader::new(head.body);
-            match connection.read_body(&mut body, WHOLE_BODY_BYTES).await {
+            match connection
+                .read_body(&mut body, MAX_BUFFERED_BODY_BYTES)
+                .await
+            {
                 Ok(Ok(_)) => {}
                 Ok(Err(_)) => break,
-                Err(error) => return ExchangeOutcome::without_answer(unread(&error)),
+                Err(error) => return ExchangeOutcome::no_response(classify_read_error(&error)),
             }
         }
-        ExchangeOutcome::without_answer(ExchangeEnd::Malformed)
+        ExchangeOutcome::no_response(ExchangeEnd::Malformed)
     }
 
-    fn is_own(&self, head: &ResponseHead) -> bool {
+    fn matches_request(&self, head: &ResponseHead) -> bool {
         let names = self.node.adapter.headers();
-        let answered = head.headers.get(&names.request_id);
-        match (&self.request.request_id, answered) {
-            (Some(own), Some(answered)) => own.as_bytes() == answered.as_bytes(),
+        let received = head.headers.get(&names.request_id);
+        match (&self.request.request_id, received) {
+            (Some(sent), Some(received)) => sent.as_bytes() == received.as_bytes(),
             (Some(_), None) => false,
-            (None, answered) => answered.is_none(),
+            (None, received) => received.is_none(),
         }
     }
 
-    async fn read_own(
+    async fn finish_response(
         &self,
         mut connection: http::Connection,
         head: ResponseHead,
-        is_reusable: bool,
+        may_reuse: bool,
     ) -> ExchangeOutcome {
-        let (end, report) = self.judge(&head);
+        let (end, report) = self.classify_response(&head);
         let retry_after_ms = retry_after_ms(&head);
         let has_no_body = self.request.method == hyper::Method::HEAD;
         let kind = if has_no_body {
@@ -241,29 +246,32 @@
         } else {
             head.body
         };
-        self.carried(head.bytes);
+        self.count_bytes(head.bytes);
         let mut body = BodyReader::new(kind);
-        let whole = match connection.read_body(&mut body, WHOLE_BODY_BYTES).await {
+        let whole = match connection
+            .read_body(&mut body, MAX_BUFFERED_BODY_BYTES)
+            .await
+        {
             Ok(whole) => whole,
             Err(error) => {
                 let end = match end {
-                    // The word that the request did not run stands in the head, which came whole.
+                    // The head was received completely, and it states that the request did not run.
                     ExchangeEnd::Shed | ExchangeEnd::Misdirected => end,
-                    _ => unread(&error),
+                    _ => classify_read_error(&error),
                 };
                 return ExchangeOutcome {
                     report,
-                    ..ExchangeOutcome::without_answer(end)
+                    ..ExchangeOutcome::no_response(end)
                 };
             }
         };
-        let is_keep_alive = head.is_keep_alive && is_reusable;
+        let is_keep_alive = head.is_keep_alive && may_reuse;
         let idle_timeout_s = head.idle_timeout_s;
         let mut headers = head.headers;
         request::strip_connection_headers(&mut headers);
         let body = match whole {
             Ok(bytes) => {
-                self.carried(bytes.len());
+                self.count_bytes(bytes.len());
                 if is_keep_alive && connection.is_reusable() {
                     let now = self.node.now();
                     let mut idle = self.node.idle.borrow_mut();
@@ -271,9 +279,9 @@
                 }
                 ResponseBody::whole(bytes)
             }
-            Err(start) => ResponseBody::Arriving(pump(connection, body, start)),
+            Err(first) => ResponseBody::Streaming(stream_body(connection, body, first)),
         };
-        let answer = Answer {
+        let response = BackendResponse {
             status: head.status,
             headers,
             body,
@@ -281,13 +289,13 @@
         ExchangeOutcome {
             end,
             report,
-            answer: Some(answer),
+            response: Some(response),
             retry_after_ms,
             took_ms: None,
         }
     }
 
-    fn judge(&self, head: &ResponseHead) -> (ExchangeEnd, ServerReport) {
+    fn classify_response(&self, head: &ResponseHead) -> (ExchangeEnd, ServerReport) {
         let names = self.node.adapter.headers();
         let load = head.headers.get(&names.load);
         let report = ServerReport {
@@ -299,7 +307,8 @@
         } else if head.headers.contains_key(&names.not_run) {
             ExchangeEnd::Shed
         } else if (200..300).contains(&head.status) {
-            // A success without the server's signature, or in another encoding, is not what it made.
+            // A success without the server's signature, or with a content encoding, isn't the server's unchanged
+            // response.
             let is_encoded = head.headers.contains_key(header::CONTENT_ENCODING);
             if is_signed && !is_encoded {
                 ExchangeEnd::Answered
@@ -330,7 +339,7 @@
     (seconds.is_finite() && seconds >= 0.0).then_some((seconds * 1_000.0) as u64)
 }
 
-fn broken(error: &io::Error) -> ExchangeEnd {
+fn classify_io_error(error: &io::Error) -> ExchangeEnd {
     if error.kind() == io::ErrorKind::TimedOut {
         ExchangeEnd::Silent
     } else {
@@ -338,24 +347,25 @@
     }
 }
 
-fn unread(error: &ReadError) -> ExchangeEnd {
+fn classify_read_error(error: &ReadError) -> ExchangeEnd {
     match error {
-        ReadError::Io(error) => broken(error),
+        ReadError::Io(error) => classify_io_error(error),
         ReadError::Malformed => ExchangeEnd::Malformed,
     }
 }
 
-/// Hands a long body on piece by piece; the connection closes with it.
-fn pump(
+/// Streams a long body to the client piece by piece; the connection is closed afterwards.
+fn stream_body(
     mut connection: http::Connection,
     mut body: BodyReader,
-    start: Bytes,
+    first: Bytes,
 ) -> mpsc::Receiver<io::Result<Bytes>> {
-    let (sender, receiver) = mpsc::channel(PIECES_AHEAD);
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_PIECES);
     tokio::task::spawn_local(async move {
-        let mut next = Some(start);
+        let mut next = Some(first);
         while let Some(piece) = next {
-            // A client that left takes no more; the connection is dropped, and the server's work with it.
+            // The client has disconnected: returning drops the connection, so that the server can stop the
+            // request.
             if sender.send(Ok(piece)).await.is_err() {
                 return;
             }
--- a/crates/damaskvane-gateway/src/upstream/idle.rs
+++ b/crates/damaskvane-gateway/src/upstream/idle.rs
@@ -1,4 +1,4 @@
-//! Kept connections to backend servers.
+//! Pool of idle connections to backend servers.
 
 use std::collections::HashMap;
 
@@ -7,45 +7,54 @@
 
 use crate::http;
 
-/// How long a connection is kept whose server names no time: shorter than common servers' time-outs.
-const UNNAMED_IDLE_MS: u64 = 4_000;
-/// How much earlier than its server a connection is given up. A request that crosses the server's close
-/// may have run or not, which no client can act on.
+/// How long an idle connection is kept if its server announces no idle timeout, in milliseconds. This is
+/// shorter than the timeouts of common servers.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 4_000;
+/// How long before the server's idle timeout this instance drops a connection, in milliseconds. If the server
+/// closes a connection while a request is sent, the request may or may not have run, and the client can't
+/// find out which.
 const CLOSE_MARGIN_MS: u64 = 1_000;
-/// Most kept connections to one server; more than one instance's share of the requests it runs.
-const MOST_KEPT: usize = 16;
+/// Maximum number of idle connections to one server; more than one instance's share of the requests that a
+/// server runs at the same time.
+const MAX_IDLE_PER_SERVER: usize = 16;
 
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     connection: http::Connection,
-    until: TimeMs,
+    expires_at: TimeMs,
 }
 
-/// The connections that wait for a next request, by server.
+/// The idle connections of this instance, by backend server.
 #[derive(Debug, Default)]
 pub struct IdleConnections {
-    kept: HashMap<ids::BackendServerId, Vec<Kept>>,
+    connections: HashMap<ids::BackendServerId, Vec<IdleConnection>>,
 }
 
 impl IdleConnections {
-    /// Whether any connection to a server is kept, good or not.
+    /// Returns whether any connection to `server` is in the pool, including expired and closed ones.
     #[must_use]
     pub fn has(&self, server: &ids::BackendServerId) -> bool {
-        self.kept.get(server).is_some_and(|kept| !kept.is_empty())
+        self.connections
+            .get(server)
+            .is_some_and(|connections| !connections.is_empty())
     }
 
-    /// Takes the connection that was used last, if one is still good.
+    /// Removes and returns the most recently used connection to `server` that is still usable.
+    ///
+    /// Expired and closed connections found before it are dropped.
     pub fn take(&mut self, now: TimeMs, server: &ids::BackendServerId) -> Option<http::Connection> {
-        let kept = self.kept.get_mut(server)?;
-        while let Some(last) = kept.pop() {
-            if now < last.until && last.connection.is_reusable() {
+        let connections = self.connections.get_mut(server)?;
+        while let Some(last) = connections.pop() {
+            if now < last.expires_at && last.connection.is_reusable() {
                 return Some(last.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose server closes it after `idle_timeout_s` without a request.
+    /// Adds a connection that `server` closes after `idle_timeout_s` seconds without a request.
+    ///
+    /// The connection is closed instead if the timeout is too short or the server's pool is full.
     pub fn keep(
         &mut self,
         now: TimeMs,
@@ -53,38 +62,41 @@
         connection: http::Connection,
         idle_timeout_s: Option<u64>,
     ) {
-        let idle_ms = idle_timeout_s.map_or(UNNAMED_IDLE_MS, |idle_timeout_s| {
+        let idle_timeout_ms = idle_timeout_s.map_or(DEFAULT_IDLE_TIMEOUT_MS, |idle_timeout_s| {
             (idle_timeout_s * 1_000).saturating_sub(CLOSE_MARGIN_MS)
         });
-        let kept = self.kept.entry(server.clone()).or_default();
-        if idle_ms > 0 && kept.len() < MOST_KEPT {
-            let until = now + SpanMs::new(idle_ms);
-            kept.push(Kept { connection, until });
+        let connections = self.connections.entry(server.clone()).or_default();
+        if idle_timeout_ms > 0 && connections.len() < MAX_IDLE_PER_SERVER {
+            let expires_at = now + SpanMs::new(idle_timeout_ms);
+            connections.push(IdleConnection {
+                connection,
+                expires_at,
+            });
         }
     }
 
-    /// Closes all connections to a server.
+    /// Closes all idle connections to `server`.
     pub fn drop_server(&mut self, server: &ids::BackendServerId) {
-        self.kept.remove(server);
+        self.connections.remove(server);
     }
 
-    /// Closes what has waited too long.
+    /// Closes the connections that have exceeded their idle timeout.
     pub fn expire(&mut self, now: TimeMs) {
-        self.kept.retain(|_, kept| {
-            kept.retain(|entry| now < entry.until);
-            !kept.is_empty()
+        self.connections.retain(|_, connections| {
+            connections.retain(|entry| now < entry.expires_at);
+            !connections.is_empty()
         });
     }
 
-    /// The number of kept connections.
+    /// Returns the number of idle connections to all servers.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.kept.values().map(Vec::len).sum()
+        self.connections.values().map(Vec::len).sum()
     }
 
-    /// Whether none is kept.
+    /// Returns whether there is no idle connection to any server.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.connections.is_empty()
     }
 }
--- a/crates/damaskvane-gateway/src/upstream/request.rs
+++ b/crates/damaskvane-gateway/src/upstream/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, as it goes on to a backend server.
+//! The request that is forwarded from a client to a backend server.
 
 use std::io::Write;
 use std::net;
@@ -10,8 +10,9 @@
 
 use crate::adapter::HeaderNames;
 
-/// Headers that concern one connection, by RFC 9110, 7.6.1, and the framing that is written anew.
-const ONE_CONNECTION: [HeaderName; 8] = [
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1), and framing headers that this instance
+/// writes itself.
+const CONNECTION_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::TE,
     header::TRAILER,
@@ -24,7 +25,7 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// Drops the headers that concern one connection, those that `Connection` names included.
+/// Removes the headers that apply to a single connection, including those listed in `Connection`.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -33,52 +34,52 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&ONE_CONNECTION) {
+    for name in named.iter().chain(&CONNECTION_HEADERS) {
         headers.remove(name);
     }
     headers.remove(KEEP_ALIVE);
     headers.remove(PROXY_CONNECTION);
 }
 
-/// A request with its body, ready to be sent any number of times.
+/// A client's request with its complete body; it can be sent to several servers in turn.
 #[derive(Debug)]
 pub struct OutgoingRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: hyper::Method,
-    /// Path and query.
+    /// The request target: path and query.
     pub target: String,
-    /// The client's headers, without those that concern one connection.
+    /// The client's headers, without those that apply only to the client's connection.
     pub headers: HeaderMap,
-    /// The body; `None` where the client announced none.
+    /// The body; `None` if the client announced no body.
     pub body: Option<Bytes>,
-    /// The client's name for this try.
+    /// The client's identifier for this attempt, if the request has one; servers repeat it in the response.
     pub request_id: Option<String>,
-    /// Where the client connected from.
-    pub caller: net::IpAddr,
+    /// The IP address from which the client connected.
+    pub client_address: net::IpAddr,
 }
 
 impl OutgoingRequest {
-    /// What makes it the same request when its caller sends it again, under whatever name.
+    /// Returns a hash by which a request is recognized when the client sends it again with another request ID.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
-        let caller = self.caller.to_string();
+        let client_address = self.client_address.to_string();
         let host = self.headers.get(header::HOST);
         let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
-        let fields = [&caller, host, self.method.as_str(), &self.target];
+        let fields = [&client_address, host, self.method.as_str(), &self.target];
         Fingerprint::of_fields(fields, self.body.as_deref().unwrap_or_default())
     }
 
-    /// The bytes of the request for one server, with the time left.
+    /// Serializes the request for `server`, with `remaining_ms` as the deadline header.
     #[must_use]
     pub fn to_bytes(
         &self,
         names: &HeaderNames,
         server: &ids::BackendServerId,
-        left_ms: u64,
+        remaining_ms: u64,
     ) -> Bytes {
         let body_length = self.body.as_ref().map_or(0, Bytes::len);
         let mut bytes = Vec::with_capacity(512 + body_length);
-        put(
+        append(
             &mut bytes,
             format_args!("{} {} HTTP/1.1\r\n", self.method, self.target),
         );
@@ -91,16 +92,16 @@
             bytes.extend_from_slice(value.as_bytes());
             bytes.extend_from_slice(b"\r\n");
         }
-        put(
+        append(
             &mut bytes,
-            format_args!("{}: {left_ms}\r\n", names.deadline_ms),
+            format_args!("{}: {remaining_ms}\r\n", names.deadline_ms),
         );
-        put(
+        append(
             &mut bytes,
             format_args!("{}: {server}\r\n", names.expected_server),
         );
         if let Some(body) = &self.body {
-            put(
+            append(
                 &mut bytes,
                 format_args!("content-length: {}\r\n", body.len()),
             );
@@ -113,7 +114,7 @@
     }
 }
 
-fn put(bytes: &mut Vec<u8>, text: core::fmt::Arguments<'_>) {
-    // Writing to memory doesn't fail.
+fn append(bytes: &mut Vec<u8>, text: core::fmt::Arguments<'_>) {
+    // Writing to a vector doesn't fail.
     let _ = bytes.write_fmt(text);
 }
--- a/crates/damaskvane-gateway/src/upstream/answer.rs
+++ b/crates/damaskvane-gateway/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! An answer on its way to a client.
+//! The response that is forwarded from a backend server to a client.
 
 use core::pin::Pin;
 use core::task::{Context, Poll};
@@ -9,18 +9,18 @@
 use hyper::header::HeaderMap;
 use tokio::sync::mpsc;
 
-/// The body of an answer: whole, or arriving.
+/// The body of a response to a client: complete, or streamed from the backend server.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All of it; taken when it is sent.
+    /// The complete body; `None` after it was sent.
     Whole(Option<Bytes>),
-    /// Pieces as they come. An error breaks the client's connection off, so that a cut answer never looks
-    /// complete.
-    Arriving(mpsc::Receiver<io::Result<Bytes>>),
+    /// Pieces of the body as they arrive. An error closes the client's connection, so that a truncated
+    /// response never looks complete.
+    Streaming(mpsc::Receiver<io::Result<Bytes>>),
 }
 
 impl ResponseBody {
-    /// A body that is there as a whole.
+    /// Creates a body from its complete content.
     #[must_use]
     pub const fn whole(bytes: Bytes) -> Self {
         Self::Whole(Some(bytes))
@@ -40,7 +40,7 @@
                 let frame = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(frame.map(|bytes| Ok(Frame::data(bytes))))
             }
-            Self::Arriving(pieces) => {
+            Self::Streaming(pieces) => {
                 let piece = pieces.poll_recv(context);
                 piece.map(|piece| piece.map(|piece| piece.map(Frame::data)))
             }
@@ -50,7 +50,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Self::Arriving(_) => false,
+            Self::Streaming(_) => false,
         }
     }
 
@@ -59,18 +59,18 @@
             Self::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Arriving(_) => SizeHint::default(),
+            Self::Streaming(_) => SizeHint::default(),
         }
     }
 }
 
-/// What a backend server made of a request.
+/// A backend server's response to a request.
 #[derive(Debug)]
-pub struct Answer {
-    /// The status.
+pub struct BackendResponse {
+    /// The HTTP status code.
     pub status: u16,
-    /// The headers, without those that concern one connection.
+    /// The headers, without those that apply only to the connection with the backend server.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body; complete if it is short, otherwise streamed.
     pub body: ResponseBody,
 }
