--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -33,7 +33,7 @@
 
 /// A client's question where to connect.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LookUp {
+pub struct Lookup {
     /// The host it wants to reach.
     pub host: String,
     /// Its region, if it names one.
@@ -172,7 +172,7 @@
     fn is_ready_call(&self, method: &hyper::Method, path: &str) -> bool;
 
     /// A client's question where to connect, if this is one.
-    fn look_up(&self, method: &hyper::Method, uri: &hyper::Uri) -> Option<LookUp>;
+    fn look_up(&self, method: &hyper::Method, uri: &hyper::Uri) -> Option<Lookup>;
 
     /// The body that answers a look-up.
     fn look_up_answer(&self, addresses: &[net::SocketAddr], ttl_ms: u64) -> Bytes;
