--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -175,7 +175,7 @@
     fn look_up(&self, method: &hyper::Method, uri: &hyper::Uri) -> Option<Lookup>;
 
     /// The body that answers a look-up.
-    fn look_up_answer(&self, addresses: &[net::SocketAddr], ttl_ms: u64) -> Bytes;
+    fn lookup_body(&self, addresses: &[net::SocketAddr], ttl_ms: u64) -> Bytes;
 
     /// The call that lists a collection; `may_be_stale` makes it cheaper and up to seconds old.
     fn list(&self, of: Collection, after: Option<&str>, may_be_stale: bool) -> StoreRequest;
--- a/crates/damaskvane-gateway/src/lookups.rs
+++ b/crates/damaskvane-gateway/src/lookups.rs
@@ -58,7 +58,7 @@
     let ttl_max_ms = (node.settings().lookup_ttl_max_s * 1_000.0) as u64;
     let body = node
         .adapter
-        .look_up_answer(&addresses, TTL_MS.min(ttl_max_ms));
+        .lookup_body(&addresses, TTL_MS.min(ttl_max_ms));
     let mut response = Response::new(ResponseBody::whole(body));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
