--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -169,7 +169,7 @@
     fn headers(&self) -> &HeaderNames;
 
     /// Whether this is the platform's question whether the instance is ready.
-    fn is_ready_call(&self, method: &hyper::Method, path: &str) -> bool;
+    fn is_readiness_check(&self, method: &hyper::Method, path: &str) -> bool;
 
     /// A client's question where to connect, if this is one.
     fn look_up(&self, method: &hyper::Method, uri: &hyper::Uri) -> Option<Lookup>;
--- a/crates/damaskvane-gateway/src/lookups.rs
+++ b/crates/damaskvane-gateway/src/lookups.rs
@@ -23,7 +23,7 @@
 #[must_use]
 pub fn ready(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path();
-    if !node.adapter.is_ready_call(request.method(), path) {
+    if !node.adapter.is_readiness_check(request.method(), path) {
         return status(StatusCode::NOT_FOUND);
     }
     match node.phase() {
