--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -196,7 +196,7 @@
     fn record_quarantine(&self, fingerprint: &Fingerprint) -> StoreRequest;
 
     /// The call that removes such a record.
-    fn lift_quarantine(&self, fingerprint: &Fingerprint) -> StoreRequest;
+    fn remove_quarantine(&self, fingerprint: &Fingerprint) -> StoreRequest;
 
     /// Reads a part of a list.
     ///
--- a/crates/damaskvane-gateway/src/crashes/record.rs
+++ b/crates/damaskvane-gateway/src/crashes/record.rs
@@ -79,7 +79,7 @@
         if crashes::refusal(node, fingerprint).is_some() {
             continue;
         }
-        let request = node.adapter.lift_quarantine(&fingerprint);
+        let request = node.adapter.remove_quarantine(&fingerprint);
         match client.call(&request, CALL_TIMEOUT).await {
             Ok(_) | Err(CallError::Status(StatusCode::NOT_FOUND)) => {
                 crashes::note_lifted(node, fingerprint);
