--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -127,7 +127,7 @@
     /// Reads a part of a collection.
     List,
     /// Reads the instances of a zone, cheaply.
-    Look,
+    ListZone,
     /// Waits for changes.
     Watch,
     /// Finds out whether the store answers, cheaply.
@@ -142,7 +142,7 @@
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::List => "list",
-            Self::Look => "look",
+            Self::ListZone => "look",
             Self::Watch => "watch",
             Self::Contact => "contact",
             Self::Write => "write",
