--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -131,7 +131,7 @@
     /// Waits for changes.
     Watch,
     /// Finds out whether the store answers, cheaply.
-    Contact,
+    Ping,
     /// Writes something.
     Write,
 }
@@ -144,7 +144,7 @@
             Self::List => "list",
             Self::ListZone => "look",
             Self::Watch => "watch",
-            Self::Contact => "contact",
+            Self::Ping => "contact",
             Self::Write => "write",
         }
     }
