--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -187,7 +187,7 @@
     fn list_zone(&self, zone: &ids::AvailabilityZoneId, after: Option<&str>) -> StoreRequest;
 
     /// The cheapest call that shows whether the store answers.
-    fn contact(&self, record: &peers::ListedInstance) -> StoreRequest;
+    fn ping(&self, record: &peers::ListedInstance) -> StoreRequest;
 
     /// The calls that store an instance's record: the first creates it, the second replaces it.
     fn register(&self, record: &peers::ListedInstance) -> [StoreRequest; 2];
