--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -26,7 +26,7 @@
     /// A server's own name.
     pub server_id: HeaderName,
     /// How much longer a server is cold.
-    pub warmup_left_ms: HeaderName,
+    pub warmup_remaining_ms: HeaderName,
     /// The cookie that names the object of a request.
     pub object_cookie: String,
 }
--- a/crates/damaskvane-gateway/src/probes.rs
+++ b/crates/damaskvane-gateway/src/probes.rs
@@ -98,7 +98,7 @@
         let mut idle = node.idle.borrow_mut();
         idle.keep(now, &probe.server, connection, head.idle_timeout_s);
     }
-    let left = text(&names.warmup_left_ms).and_then(|text| text.trim().parse::<f64>().ok());
+    let left = text(&names.warmup_remaining_ms).and_then(|text| text.trim().parse::<f64>().ok());
     Some(ProbeResult::Healthy {
         warmup_left_ms: left.map_or(0, |left| left.max(0.0) as u64),
     })
