--- a/crates/damaskvane-gateway/src/costs.rs
+++ b/crates/damaskvane-gateway/src/costs.rs
@@ -172,7 +172,7 @@
 impl Flow {
     /// What a request to this server is carried for.
     #[must_use]
-    pub const fn of_pick(pick: &Pick, is_retry: bool) -> Self {
+    pub const fn for_pick(pick: &Pick, is_retry: bool) -> Self {
         if is_retry {
             Self::Retry
         } else if pick.rank == 0 {
