--- a/crates/damaskvane-gateway/src/costs.rs
+++ b/crates/damaskvane-gateway/src/costs.rs
@@ -50,7 +50,7 @@
 
 /// Why a connection to a backend server was opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Opening {
+pub enum OpenReason {
     /// None was kept.
     NoneKept,
     /// Those that were kept had been closed.
@@ -77,10 +77,10 @@
     (Flow::Incident, "incident"),
     (Flow::Feed, "feed"),
 ];
-const OPENINGS: [(Opening, &str); 3] = [
-    (Opening::NoneKept, "none_kept"),
-    (Opening::KeptClosed, "kept_closed"),
-    (Opening::Probe, "probe"),
+const OPENINGS: [(OpenReason, &str); 3] = [
+    (OpenReason::NoneKept, "none_kept"),
+    (OpenReason::KeptClosed, "kept_closed"),
+    (OpenReason::Probe, "probe"),
 ];
 
 /// The counters, and the names under which the log tells them.
@@ -134,7 +134,7 @@
     }
 
     /// Notes a connection that is opened.
-    pub fn opened(&self, reason: Opening) {
+    pub fn opened(&self, reason: OpenReason) {
         self.openings[reason as usize].inc();
     }
 
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -11,7 +11,7 @@
 use hyper::header;
 use tokio::sync::mpsc;
 
-use crate::costs::{Distance, Flow, Opening};
+use crate::costs::{Distance, Flow, OpenReason};
 use crate::http::{self, BodyReader, ReadError, ResponseHead};
 use crate::node::Node;
 use crate::upstream::{BackendResponse, OutgoingRequest, ResponseBody, request};
@@ -173,9 +173,9 @@
             return Ok((connection, true));
         }
         let reason = if had_idle {
-            Opening::KeptClosed
+            OpenReason::KeptClosed
         } else {
-            Opening::NoneKept
+            OpenReason::NoneKept
         };
         self.node.metrics.costs.opened(reason);
         let timeout = CONNECT_TIMEOUT.min(self.remaining().to_duration());
