--- a/crates/damaskvane-gateway/src/costs.rs
+++ b/crates/damaskvane-gateway/src/costs.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenReason {
     /// None was kept.
-    NoneKept,
+    NoIdleConnection,
     /// Those that were kept had been closed.
     KeptClosed,
     /// The server was probed.
@@ -78,7 +78,7 @@
     (Flow::Feed, "feed"),
 ];
 const OPENINGS: [(OpenReason, &str); 3] = [
-    (OpenReason::NoneKept, "none_kept"),
+    (OpenReason::NoIdleConnection, "none_kept"),
     (OpenReason::KeptClosed, "kept_closed"),
     (OpenReason::Probe, "probe"),
 ];
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -175,7 +175,7 @@
         let reason = if had_idle {
             OpenReason::KeptClosed
         } else {
-            OpenReason::NoneKept
+            OpenReason::NoIdleConnection
         };
         self.node.metrics.costs.opened(reason);
         let timeout = CONNECT_TIMEOUT.min(self.remaining().to_duration());
