--- a/crates/damaskvane-gateway/src/costs.rs
+++ b/crates/damaskvane-gateway/src/costs.rs
@@ -54,7 +54,7 @@
     /// None was kept.
     NoIdleConnection,
     /// Those that were kept had been closed.
-    KeptClosed,
+    IdleConnectionsClosed,
     /// The server was probed.
     Probe,
 }
@@ -79,7 +79,7 @@
 ];
 const OPENINGS: [(OpenReason, &str); 3] = [
     (OpenReason::NoIdleConnection, "none_kept"),
-    (OpenReason::KeptClosed, "kept_closed"),
+    (OpenReason::IdleConnectionsClosed, "kept_closed"),
     (OpenReason::Probe, "probe"),
 ];
 
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -173,7 +173,7 @@
             return Ok((connection, true));
         }
         let reason = if had_idle {
-            OpenReason::KeptClosed
+            OpenReason::IdleConnectionsClosed
         } else {
             OpenReason::NoIdleConnection
         };
