--- a/crates/damaskvane-gateway/src/costs.rs
+++ b/crates/damaskvane-gateway/src/costs.rs
@@ -134,7 +134,7 @@
     }
 
     /// Notes a connection that is opened.
-    pub fn opened(&self, reason: OpenReason) {
+    pub fn record_connection(&self, reason: OpenReason) {
         self.openings[reason as usize].inc();
     }
 
--- a/crates/damaskvane-gateway/src/probes.rs
+++ b/crates/damaskvane-gateway/src/probes.rs
@@ -45,7 +45,7 @@
 
 async fn run_one(node: Rc<Node>, probe: DueProbe) {
     node.metrics.probes.inc();
-    node.metrics.costs.opened(OpenReason::Probe);
+    node.metrics.costs.record_connection(OpenReason::Probe);
     node.idle.borrow_mut().drop_server(&probe.server);
     let asked = tokio::time::timeout(PROBE_TIMEOUT, ask(&node, &probe)).await;
     let result = asked.ok().flatten().unwrap_or(ProbeResult::NoAnswer);
