--- a/crates/damaskvane-gateway/src/costs.rs
+++ b/crates/damaskvane-gateway/src/costs.rs
@@ -128,7 +128,7 @@
     }
 
     /// Notes bytes, heads included and what the transport adds left out.
-    pub fn carried(&self, flow: Flow, distance: Distance, bytes: usize) {
+    pub fn record_bytes(&self, flow: Flow, distance: Distance, bytes: usize) {
         let place = flow as usize * DISTANCES.len() + distance as usize;
         self.bytes[place].inc_by(bytes as u64);
     }
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -227,7 +227,7 @@
     for recipient in recipients {
         let distance = Distance::to_instance(node, recipient.ip());
         let costs = &node.metrics.costs;
-        costs.carried(message.flow(), distance, bytes.len());
+        costs.record_bytes(message.flow(), distance, bytes.len());
         // A recipient that can't be reached now is told by the next message.
         let _ = socket.send_to(&bytes, recipient).await;
     }
--- a/crates/damaskvane-gateway/src/store/feed/serve.rs
+++ b/crates/damaskvane-gateway/src/store/feed/serve.rs
@@ -116,7 +116,7 @@
     let bytes = frames::send(stream, frame).await?;
     if let Ok(address) = stream.peer_addr() {
         let distance = Distance::to_instance(node, address.ip());
-        node.metrics.costs.carried(Flow::Feed, distance, bytes);
+        node.metrics.costs.record_bytes(Flow::Feed, distance, bytes);
     }
     Ok(())
 }
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -158,7 +158,7 @@
     fn count_bytes(&self, bytes: usize) {
         let flow = Flow::for_pick(self.pick, self.is_retry);
         let distance = Distance::to_zone(self.node, &self.pick.zone);
-        self.node.metrics.costs.carried(flow, distance, bytes);
+        self.node.metrics.costs.record_bytes(flow, distance, bytes);
     }
 
     fn remaining(&self) -> SpanMs {
