--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -161,7 +161,7 @@
     outgoing: &OutgoingRequest,
 ) -> Option<SpanMs> {
     let node = pending.node;
-    if node.crashes.is_quiet() {
+    if node.crashes.is_empty() {
         return None;
     }
     let fingerprint = outgoing.fingerprint();
--- a/crates/damaskvane-gateway/src/clients/routed_request.rs
+++ b/crates/damaskvane-gateway/src/clients/routed_request.rs
@@ -228,7 +228,7 @@
             ExchangeEnd::Broken => {
                 crashes::note_broken(self.node, &pick.server, self.outgoing.fingerprint());
             }
-            ExchangeEnd::Answered | ExchangeEnd::Failed if !crashes.is_quiet() => {
+            ExchangeEnd::Answered | ExchangeEnd::Failed if !crashes.is_empty() => {
                 crashes::note_completed(self.node, self.outgoing.fingerprint());
             }
             _ => {}
@@ -236,7 +236,7 @@
     }
 
     async fn is_quarantined(&self) -> bool {
-        if self.node.crashes.is_quiet() {
+        if self.node.crashes.is_empty() {
             return false;
         }
         let verdict = crashes::verdict(self.node, self.outgoing.fingerprint());
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -68,7 +68,7 @@
 impl Crashes {
     /// Whether no request needs to be judged.
     #[must_use]
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.list.borrow().is_empty() && self.broken.borrow().is_empty()
     }
 
