--- a/crates/damaskvane-gateway/src/clients/routed_request.rs
+++ b/crates/damaskvane-gateway/src/clients/routed_request.rs
@@ -239,7 +239,7 @@
         if self.node.crashes.is_empty() {
             return false;
         }
-        let verdict = crashes::verdict(self.node, self.outgoing.fingerprint());
+        let verdict = crashes::resolve_refusal(self.node, self.outgoing.fingerprint());
         verdict.await.is_some()
     }
 
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -83,7 +83,7 @@
 ///
 /// A caller that sends a request again at once would take one server after the other before the first death is
 /// proven. A request that broke twice waits for the proof, which takes a probe's way there and back.
-pub async fn verdict(node: &Node, fingerprint: Fingerprint) -> Option<SpanMs> {
+pub async fn resolve_refusal(node: &Node, fingerprint: Fingerprint) -> Option<SpanMs> {
     let proven = async {
         while is_in_doubt(node, fingerprint) {
             node.crashes.proof.notified().await;
