--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -109,7 +109,7 @@
 }
 
 /// Notes that the connection of an exchange broke after its request was written.
-pub fn note_broken(node: &Node, server: &ids::BackendServerId, fingerprint: Fingerprint) {
+pub fn record_broken_exchange(node: &Node, server: &ids::BackendServerId, fingerprint: Fingerprint) {
     let mut broken = node.crashes.broken.borrow_mut();
     broken.note(node.now(), server, fingerprint);
     node.probe_wanted.notify_one();
