--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -116,7 +116,7 @@
 }
 
 /// Notes that a server where exchanges broke is alive.
-pub fn note_alive(node: &Node, server: &ids::BackendServerId) {
+pub fn record_server_alive(node: &Node, server: &ids::BackendServerId) {
     node.crashes.broken.borrow_mut().note_alive(server);
     node.crashes.proof.notify_waiters();
 }
--- a/crates/damaskvane-gateway/src/probes.rs
+++ b/crates/damaskvane-gateway/src/probes.rs
@@ -55,7 +55,7 @@
             crashes::note_death(&node, &probe.server, "probe");
         }
         ProbeResult::Healthy { .. } | ProbeResult::Unhealthy => {
-            crashes::note_alive(&node, &probe.server);
+            crashes::record_server_alive(&node, &probe.server);
         }
         ProbeResult::NoAnswer => {}
     }
