--- a/crates/damaskvane-gateway/src/clients/routed_request.rs
+++ b/crates/damaskvane-gateway/src/clients/routed_request.rs
@@ -229,7 +229,7 @@
                 crashes::record_broken_exchange(self.node, &pick.server, self.outgoing.fingerprint());
             }
             ExchangeEnd::Answered | ExchangeEnd::Failed if !crashes.is_empty() => {
-                crashes::note_completed(self.node, self.outgoing.fingerprint());
+                crashes::record_completed(self.node, self.outgoing.fingerprint());
             }
             _ => {}
         }
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -122,7 +122,7 @@
 }
 
 /// Notes that a request was run to its end, which clears it.
-pub fn note_completed(node: &Node, fingerprint: Fingerprint) {
+pub fn record_completed(node: &Node, fingerprint: Fingerprint) {
     let mut list = node.crashes.list.borrow_mut();
     list.note_completed(node.now(), fingerprint);
 }
