--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -128,7 +128,7 @@
 }
 
 /// Notes that a server was found dead; whatever broke there a moment ago is suspect.
-pub fn note_death(node: &Node, server: &ids::BackendServerId, proof: &str) {
+pub fn record_server_death(node: &Node, server: &ids::BackendServerId, proof: &str) {
     let now = node.now();
     let suspects = node.crashes.broken.borrow_mut().take_dead(now, server);
     for suspects in suspects.chunks(MOST_SUSPECTS) {
--- a/crates/damaskvane-gateway/src/probes.rs
+++ b/crates/damaskvane-gateway/src/probes.rs
@@ -52,7 +52,7 @@
     let now = node.now();
     match result {
         ProbeResult::Refused | ProbeResult::OtherServer => {
-            crashes::note_death(&node, &probe.server, "probe");
+            crashes::record_server_death(&node, &probe.server, "probe");
         }
         ProbeResult::Healthy { .. } | ProbeResult::Unhealthy => {
             crashes::record_server_alive(&node, &probe.server);
--- a/crates/damaskvane-gateway/src/store/applier.rs
+++ b/crates/damaskvane-gateway/src/store/applier.rs
@@ -184,7 +184,7 @@
                 self.node.idle.borrow_mut().drop_server(id);
             }
             if let Change::Restarted(id) = change {
-                crashes::note_death(&self.node, id, "restart");
+                crashes::record_server_death(&self.node, id, "restart");
             }
             slog::info!(self.node.log.log, "backend server";
                 "backend_server" => %change.server(), "change" => change.as_str(),
