--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -180,7 +180,7 @@
 }
 
 /// Takes in that the store has a record of a request.
-pub fn note_recorded(node: &Node, fingerprint: Fingerprint) {
+pub fn apply_stored_quarantine(node: &Node, fingerprint: Fingerprint) {
     node.crashes.recorded.borrow_mut().insert(fingerprint);
     let mut list = node.crashes.list.borrow_mut();
     if list.note_recorded(node.now(), fingerprint) {
@@ -205,7 +205,7 @@
         note_lifted(node, *fingerprint);
     }
     for fingerprint in recorded {
-        note_recorded(node, *fingerprint);
+        apply_stored_quarantine(node, *fingerprint);
     }
 }
 
--- a/crates/damaskvane-gateway/src/crashes/record.rs
+++ b/crates/damaskvane-gateway/src/crashes/record.rs
@@ -53,7 +53,7 @@
         match client.call(&request, CALL_TIMEOUT).await {
             // Another instance was faster.
             Ok(_) | Err(CallError::Status(StatusCode::CONFLICT)) => {
-                crashes::note_recorded(node, finding.fingerprint);
+                crashes::apply_stored_quarantine(node, finding.fingerprint);
             }
             Err(error) => {
                 slog::warn!(node.log.log, "quarantine isn't recorded";
--- a/crates/damaskvane-gateway/src/store/applier.rs
+++ b/crates/damaskvane-gateway/src/store/applier.rs
@@ -104,7 +104,7 @@
             }
             Collection::Quarantine => match (event.record, event.name.parse()) {
                 (Some(Record::Quarantined(fingerprint)), _) => {
-                    crashes::note_recorded(&self.node, fingerprint);
+                    crashes::apply_stored_quarantine(&self.node, fingerprint);
                 }
                 (Some(Record::Unusable(reason)), _) => self.log_unusable(&event.name, &reason),
                 (None, Ok(fingerprint)) => crashes::note_lifted(&self.node, fingerprint),
