--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -190,7 +190,7 @@
 }
 
 /// Takes in that a record was removed: its time is over, or an operator lets the request go.
-pub fn note_lifted(node: &Node, fingerprint: Fingerprint) {
+pub fn apply_removed_quarantine(node: &Node, fingerprint: Fingerprint) {
     if node.crashes.recorded.borrow_mut().remove(&fingerprint) {
         let mut list = node.crashes.list.borrow_mut();
         list.clear(node.now(), fingerprint);
@@ -202,7 +202,7 @@
 pub fn replace_recorded(node: &Node, recorded: &BTreeSet<Fingerprint>) {
     let before = node.crashes.recorded.borrow().clone();
     for fingerprint in before.difference(recorded) {
-        note_lifted(node, *fingerprint);
+        apply_removed_quarantine(node, *fingerprint);
     }
     for fingerprint in recorded {
         apply_stored_quarantine(node, *fingerprint);
--- a/crates/damaskvane-gateway/src/crashes/record.rs
+++ b/crates/damaskvane-gateway/src/crashes/record.rs
@@ -82,7 +82,7 @@
         let request = node.adapter.remove_quarantine(&fingerprint);
         match client.call(&request, CALL_TIMEOUT).await {
             Ok(_) | Err(CallError::Status(StatusCode::NOT_FOUND)) => {
-                crashes::note_lifted(node, fingerprint);
+                crashes::apply_removed_quarantine(node, fingerprint);
             }
             // It is tried again after the next period.
             Err(error) => slog::warn!(node.log.log, "quarantine isn't lifted";
