--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -199,7 +199,7 @@
 }
 
 /// Takes in all records of the store.
-pub fn replace_recorded(node: &Node, recorded: &BTreeSet<Fingerprint>) {
+pub fn replace_stored_quarantines(node: &Node, recorded: &BTreeSet<Fingerprint>) {
     let before = node.crashes.recorded.borrow().clone();
     for fingerprint in before.difference(recorded) {
         apply_removed_quarantine(node, *fingerprint);
--- a/crates/damaskvane-gateway/src/store/applier.rs
+++ b/crates/damaskvane-gateway/src/store/applier.rs
@@ -58,7 +58,7 @@
             }
             Collection::Quarantine => {
                 let recorded = items.iter().filter_map(|item| item.name.parse().ok());
-                crashes::replace_recorded(&self.node, &recorded.collect());
+                crashes::replace_stored_quarantines(&self.node, &recorded.collect());
             }
             Collection::Instances => {
                 self.instances.clear();
