--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -18,7 +18,7 @@
 use crate::clients::pending::PendingRequest;
 use crate::clients::{head, reply, routed_request};
 use crate::crashes;
-use crate::decision_log::Matter;
+use crate::decision_log::RequestOutcome;
 use crate::node::Node;
 use crate::stop::Stop;
 use crate::upstream::{self, OutgoingRequest, ResponseBody};
@@ -167,7 +167,7 @@
     let fingerprint = outgoing.fingerprint();
     let remaining = crashes::verdict(node, fingerprint).await?;
     node.log
-        .request(node.now(), Matter::Failure, |log, left_out| {
+        .request(node.now(), RequestOutcome::Failure, |log, left_out| {
             slog::info!(log, "request is known to crash servers";
             "request_id" => outgoing.request_id.as_deref(), "fingerprint" => %fingerprint,
             "refused_for_ms" => remaining.get(), "lines_left_out" => left_out);
--- a/crates/damaskvane-gateway/src/clients/pending.rs
+++ b/crates/damaskvane-gateway/src/clients/pending.rs
@@ -7,7 +7,7 @@
 use damaskvane_core::time::TimeMs;
 
 use crate::clients::reply;
-use crate::decision_log::Matter;
+use crate::decision_log::RequestOutcome;
 use crate::node::Node;
 
 /// Guard that logs a client's request if the client disconnects before the response.
@@ -60,7 +60,7 @@
         let version = self.node.configuration().map(|found| found.version().get());
         self.node
             .log
-            .request(now, Matter::Failure, |log, left_out| {
+            .request(now, RequestOutcome::Failure, |log, left_out| {
                 slog::info!(log, "request not served";
                     "request_id" => self.request_id.as_deref(), "reason" => reason,
                     "backend_server" => self.sent_to.borrow().as_ref().map(ToString::to_string),
--- a/crates/damaskvane-gateway/src/clients/routed_request.rs
+++ b/crates/damaskvane-gateway/src/clients/routed_request.rs
@@ -18,7 +18,7 @@
 use crate::clients::pending::PendingRequest;
 use crate::clients::reply;
 use crate::crashes;
-use crate::decision_log::Matter;
+use crate::decision_log::RequestOutcome;
 use crate::node::Node;
 use crate::upstream::{BackendResponse, Exchange, ExchangeOutcome, OutgoingRequest, ResponseBody};
 
@@ -119,7 +119,7 @@
             let after = last.map_or("none", |last| last.end.as_str());
             self.node.metrics.retries.with_label_values(&[after]).inc();
             let log = &self.node.log;
-            log.request(now, Matter::Failure, |log, left_out| {
+            log.request(now, RequestOutcome::Failure, |log, left_out| {
                 slog::info!(log, "request retried";
                     "request_id" => self.outgoing.request_id.as_deref(), "after" => after,
                     "instances" => instances, "lines_left_out" => left_out);
@@ -200,9 +200,9 @@
         let after_ms = now.since(self.pending.started).get();
         let is_in_time = after_ms <= self.route.objective_ms;
         let log_kind = if outcome.end == ExchangeEnd::Answered && is_in_time {
-            Matter::Success
+            RequestOutcome::Success
         } else {
-            Matter::Failure
+            RequestOutcome::Failure
         };
         let load = outcome.report.load;
         self.node.log.request(now, log_kind, |log, left_out| {
@@ -321,7 +321,7 @@
         let now = self.node.now();
         self.node
             .log
-            .request(now, Matter::Failure, |log, left_out| {
+            .request(now, RequestOutcome::Failure, |log, left_out| {
                 slog::info!(log, "request not served";
                 "request_id" => self.outgoing.request_id.as_deref(),
                 "route" => &self.route.name, "service" => %self.service, "object" => self.object, "reason" => reason,
--- a/crates/damaskvane-gateway/src/decision_log.rs
+++ b/crates/damaskvane-gateway/src/decision_log.rs
@@ -54,7 +54,7 @@
 
 /// What a line on a request may be about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Matter {
+pub enum RequestOutcome {
     /// It was late, failed or was refused, or a try of it failed.
     Failure,
     /// It was served in time.
@@ -89,11 +89,11 @@
     }
 
     /// Writes a line on a request, if its budget allows.
-    pub fn request(&self, now: TimeMs, matter: Matter, write: impl FnOnce(&slog::Logger, u64)) {
+    pub fn request(&self, now: TimeMs, matter: RequestOutcome, write: impl FnOnce(&slog::Logger, u64)) {
         let settings = self.settings.get();
         let (budget, per_s) = match matter {
-            Matter::Failure => (&self.failures, settings.failures_per_s),
-            Matter::Success => (&self.successes, settings.successes_per_s),
+            RequestOutcome::Failure => (&self.failures, settings.failures_per_s),
+            RequestOutcome::Success => (&self.successes, settings.successes_per_s),
         };
         let left_out = budget.borrow_mut().take(now, per_s);
         if let Some(left_out) = left_out {
