--- a/crates/damaskvane-gateway/src/decision_log.rs
+++ b/crates/damaskvane-gateway/src/decision_log.rs
@@ -89,7 +89,7 @@
     }
 
     /// Writes a line on a request, if its budget allows.
-    pub fn request(&self, now: TimeMs, matter: RequestOutcome, write: impl FnOnce(&slog::Logger, u64)) {
+    pub fn log_request(&self, now: TimeMs, matter: RequestOutcome, write: impl FnOnce(&slog::Logger, u64)) {
         let settings = self.settings.get();
         let (budget, per_s) = match matter {
             RequestOutcome::Failure => (&self.failures, settings.failures_per_s),
