--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -34,7 +34,7 @@
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     let started = node.now();
-    let _guard = Stop::request(node);
+    let _guard = Stop::track_request(node);
     let names = node.adapter.headers();
     let request_id = head::text(request.headers(), &names.request_id).map(str::to_owned);
     let pending = PendingRequest::new(node, request_id, started);
--- a/crates/damaskvane-gateway/src/stop.rs
+++ b/crates/damaskvane-gateway/src/stop.rs
@@ -61,7 +61,7 @@
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn request(node: &Rc<Node>) -> RequestGuard {
+    pub fn track_request(node: &Rc<Node>) -> RequestGuard {
         let stop = &node.stop;
         stop.requests.set(stop.requests.get() + 1);
         RequestGuard(Rc::clone(node))
