--- a/crates/damaskvane-gateway/src/clients/pending.rs
+++ b/crates/damaskvane-gateway/src/clients/pending.rs
@@ -73,7 +73,7 @@
 impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.node.metrics.clients_left.inc();
+            self.node.metrics.client_disconnects.inc();
             self.log("client_left");
         }
     }
--- a/crates/damaskvane-gateway/src/metrics.rs
+++ b/crates/damaskvane-gateway/src/metrics.rs
@@ -37,7 +37,7 @@
     /// Answers that belonged to another request.
     pub foreign_answers: IntCounter,
     /// Clients that left before their answer.
-    pub clients_left: IntCounter,
+    pub client_disconnects: IntCounter,
     /// What users pay for, by cause.
     pub costs: Costs,
     /// Calls on the store by collection, purpose and outcome.
@@ -86,7 +86,7 @@
             retries_denied: make.counter("retries_denied_total", "Tries without budget")?,
             exchanges: make.counters("exchanges_total", "Exchanges with servers", &["end"])?,
             foreign_answers: make.counter("foreign_answers_total", "Answers to other requests")?,
-            clients_left: make.counter(
+            client_disconnects: make.counter(
                 "clients_left_total",
                 "Clients that left before their answer",
             )?,
