--- a/crates/damaskvane-gateway/src/metrics.rs
+++ b/crates/damaskvane-gateway/src/metrics.rs
@@ -35,7 +35,7 @@
     /// Exchanges by their end.
     pub exchanges: IntCounterVec,
     /// Answers that belonged to another request.
-    pub foreign_answers: IntCounter,
+    pub mismatched_responses: IntCounter,
     /// Clients that left before their answer.
     pub client_disconnects: IntCounter,
     /// What users pay for, by cause.
@@ -85,7 +85,7 @@
             retries: make.counters("retries_total", "Further tries", &["after"])?,
             retries_denied: make.counter("retries_denied_total", "Tries without budget")?,
             exchanges: make.counters("exchanges_total", "Exchanges with servers", &["end"])?,
-            foreign_answers: make.counter("foreign_answers_total", "Answers to other requests")?,
+            mismatched_responses: make.counter("foreign_answers_total", "Answers to other requests")?,
             client_disconnects: make.counter(
                 "clients_left_total",
                 "Clients that left before their answer",
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -204,7 +204,7 @@
             }
             // A duplicate response to an earlier request is read and dropped, since the response to this
             // request may still follow. Duplicates occur only on reused connections.
-            self.node.metrics.foreign_answers.inc();
+            self.node.metrics.mismatched_responses.inc();
             may_reuse = false;
             if !is_reused || head.body == http::BodyKind::UntilClose {
                 break;
