--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -48,7 +48,7 @@
         _ => "failed",
     };
     node.metrics
-        .answers
+        .responses
         .with_label_values(&[status.as_str()])
         .inc();
     let histogram = node.metrics.request_s.with_label_values(&[outcome]);
--- a/crates/damaskvane-gateway/src/metrics.rs
+++ b/crates/damaskvane-gateway/src/metrics.rs
@@ -25,7 +25,7 @@
 pub struct Metrics {
     registry: Registry,
     /// Answers to clients by status.
-    pub answers: IntCounterVec,
+    pub responses: IntCounterVec,
     /// Refusals by reason.
     pub refusals: IntCounterVec,
     /// Further tries by the end of the try before.
@@ -80,7 +80,7 @@
             registry: &registry,
         };
         Ok(Self {
-            answers: make.counters("answers_total", "Answers to clients", &["status"])?,
+            responses: make.counters("answers_total", "Answers to clients", &["status"])?,
             refusals: make.counters("refusals_total", "Requests refused", &["reason"])?,
             retries: make.counters("retries_total", "Further tries", &["after"])?,
             retries_denied: make.counter("retries_denied_total", "Tries without budget")?,
