--- a/crates/damaskvane-gateway/src/metrics.rs
+++ b/crates/damaskvane-gateway/src/metrics.rs
@@ -196,7 +196,7 @@
 
 /// Answers a request for the metrics.
 #[must_use]
-pub fn answer(node: &Rc<Node>) -> Response<ResponseBody> {
+pub fn response(node: &Rc<Node>) -> Response<ResponseBody> {
     let now = node.now();
     {
         let state = node.state.borrow();
