--- a/crates/damaskvane-gateway/src/lookups.rs
+++ b/crates/damaskvane-gateway/src/lookups.rs
@@ -21,7 +21,7 @@
 
 /// Answers the platform's question whether the instance is ready.
 #[must_use]
-pub fn ready(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
+pub fn readiness_response(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path();
     if !node.adapter.is_readiness_check(request.method(), path) {
         return status(StatusCode::NOT_FOUND);
