--- a/crates/damaskvane-gateway/src/lookups.rs
+++ b/crates/damaskvane-gateway/src/lookups.rs
@@ -34,7 +34,7 @@
 
 /// Answers a look-up.
 #[must_use]
-pub fn look_up(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
+pub fn lookup_response(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
     let Some(look_up) = node.adapter.look_up(request.method(), request.uri()) else {
         return status(StatusCode::NOT_FOUND);
     };
