--- a/crates/damaskvane-gateway/src/node.rs
+++ b/crates/damaskvane-gateway/src/node.rs
@@ -157,7 +157,7 @@
 
     /// Names this start of the instance.
     #[must_use]
-    pub fn start_key(&self) -> IncarnationKey {
+    pub fn incarnation_key(&self) -> IncarnationKey {
         IncarnationKey::new(&self.settings().instance, self.incarnation)
     }
 
--- a/crates/damaskvane-gateway/src/store/feed/subscribe.rs
+++ b/crates/damaskvane-gateway/src/store/feed/subscribe.rs
@@ -127,7 +127,7 @@
 fn handle_store_age(node: &Rc<Node>, store_age_ms: u64, answered: Option<IncarnationKey>) -> bool {
     let now = node.now();
     // The report originates from this instance: it carries no new information and would circulate in a ring.
-    let is_own_report = answered == Some(node.start_key());
+    let is_own_report = answered == Some(node.incarnation_key());
     let age = if is_own_report {
         SpanMs::new(u64::MAX)
     } else {
--- a/crates/damaskvane-gateway/src/store/health_check.rs
+++ b/crates/damaskvane-gateway/src/store/health_check.rs
@@ -76,7 +76,7 @@
 fn handle_answer(node: &Rc<Node>) {
     let now = node.now();
     node.store.record_direct_answer(now);
-    handle_recovery(node, node.store.record_answer(now, node.start_key()));
+    handle_recovery(node, node.store.record_answer(now, node.incarnation_key()));
 }
 
 /// Handles the recovery of the store, which answered this instance or its relay after an outage.
