--- a/crates/damaskvane-gateway/src/node.rs
+++ b/crates/damaskvane-gateway/src/node.rs
@@ -183,7 +183,7 @@
     }
 
     /// A name for the next exchange.
-    pub fn next_exchange(&self) -> ExchangeId {
+    pub fn next_exchange_id(&self) -> ExchangeId {
         let id = self.exchanges.get() + 1;
         self.exchanges.set(id);
         ExchangeId(id)
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -80,7 +80,7 @@
 
 impl RunningExchange {
     fn start(node: &Rc<Node>, pick: &Pick) -> Self {
-        let id = node.next_exchange();
+        let id = node.next_exchange_id();
         let now = node.now();
         if let Some(mut server) = node.state.borrow_mut().pool.server_mut(&pick.server) {
             server.note_sent(now, id, pick.expected_ms);
