--- a/crates/damaskvane-gateway/src/clients/body.rs
+++ b/crates/damaskvane-gateway/src/clients/body.rs
@@ -24,7 +24,7 @@
 /// is killed, and all its requests in progress are lost.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 
-/// The bytes of one body, counted in the node's `held_bytes` until this guard is dropped.
+/// The bytes of one body, counted in the node's `buffered_body_bytes` until this guard is dropped.
 #[derive(Debug)]
 pub(super) struct HeldBytes {
     node: Rc<Node>,
@@ -41,11 +41,11 @@
 
     fn add(&mut self, bytes: usize) -> Result<(), BodyError> {
         let max_held = self.node.settings().memory_mb * (1 << 20) / BODY_MEMORY_DIVISOR;
-        let held = self.node.held_bytes.get() + bytes;
+        let held = self.node.buffered_body_bytes.get() + bytes;
         if held as u64 > max_held {
             return Err(BodyError::MemoryExhausted);
         }
-        self.node.held_bytes.set(held);
+        self.node.buffered_body_bytes.set(held);
         self.bytes += bytes;
         Ok(())
     }
@@ -53,7 +53,7 @@
 
 impl Drop for HeldBytes {
     fn drop(&mut self) {
-        let held = &self.node.held_bytes;
+        let held = &self.node.buffered_body_bytes;
         held.set(held.get().saturating_sub(self.bytes));
     }
 }
--- a/crates/damaskvane-gateway/src/node.rs
+++ b/crates/damaskvane-gateway/src/node.rs
@@ -72,7 +72,7 @@
     /// The log.
     pub log: DecisionLog,
     /// Bytes of requests' bodies that are held.
-    pub held_bytes: Cell<usize>,
+    pub buffered_body_bytes: Cell<usize>,
     started: Instant,
     exchanges: Cell<u64>,
 }
@@ -130,7 +130,7 @@
             incarnation,
             metrics,
             log,
-            held_bytes: Cell::new(0),
+            buffered_body_bytes: Cell::new(0),
             started: Instant::now(),
             exchanges: Cell::new(0),
         }
