--- a/crates/damaskvane-gateway/src/node.rs
+++ b/crates/damaskvane-gateway/src/node.rs
@@ -173,7 +173,7 @@
 
     /// The instance's record in the store.
     #[must_use]
-    pub fn record(&self) -> ListedInstance {
+    pub fn own_record(&self) -> ListedInstance {
         let settings = self.settings();
         ListedInstance {
             instance: settings.instance.clone(),
