--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -1,4 +1,6 @@
-//! The port that a platform's adapter implements, and the typed messages that cross it.
+//! The [`Adapter`] trait that a platform implements, and the types of its methods.
+//!
+//! An adapter translates between the platform's protocols and the types of this crate.
 
 use std::net;
 
@@ -8,57 +10,57 @@
 use damaskvane_routing::{configuration, peers, pool};
 use hyper::header::HeaderName;
 
-/// The headers that clients and backend servers use beside the usual ones.
+/// Names of the platform's own HTTP headers and of its object cookie.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Names one try of a client; backend servers repeat it.
+    /// Identifies one attempt of a client; backend servers return the value in the response.
     pub request_id: HeaderName,
-    /// Milliseconds that the client, or this instance, will wait.
+    /// Milliseconds for which the sender of a request (client or entry instance) waits for the response.
     pub deadline_ms: HeaderName,
-    /// The server that a request is meant for; any other one turns it away.
+    /// Id of the backend server that a request is addressed to; any other server rejects the request.
     pub expected_server: HeaderName,
-    /// A server's word that it did not run the request.
+    /// Set by a backend server on the response to a request that it did not execute.
     pub not_run: HeaderName,
-    /// Shows that a server made the answer.
+    /// Marks a response as created by a backend server.
     pub signature: HeaderName,
-    /// A server's load.
+    /// Current load of the backend server that responds.
     pub load: HeaderName,
-    /// A server's own name.
+    /// Id of the backend server that responds.
     pub server_id: HeaderName,
-    /// How much longer a server is cold.
+    /// Milliseconds until the backend server is warmed up.
     pub warmup_remaining_ms: HeaderName,
-    /// The cookie that names the object of a request.
+    /// Name of the cookie that holds the object of a request.
     pub object_cookie: String,
 }
 
-/// A client's question where to connect.
+/// A client's request for the addresses of entry instances.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lookup {
-    /// The host it wants to reach.
+    /// Host that the client wants to reach.
     pub host: String,
-    /// Its region, if it names one.
+    /// Region of the client; `None` if the request has none.
     pub region: Option<ids::RegionId>,
-    /// Its availability zone, if it names one.
+    /// Availability zone of the client; `None` if the request has none.
     pub zone: Option<ids::AvailabilityZoneId>,
 }
 
-/// What is kept in the store, by kind.
+/// A kind of objects in the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Collection {
-    /// The operators' configuration.
+    /// Routes and services, as set by the operators.
     Configuration,
-    /// The backend servers' entries.
+    /// One entry for each backend server.
     Servers,
-    /// The zones that are to get no requests.
+    /// Availability zones that must not receive requests.
     Evacuations,
-    /// The entry instances' own records.
+    /// One record for each entry instance, written by that instance.
     Instances,
-    /// Requests that are refused because they crash what runs them.
+    /// Fingerprints of requests that are refused because they crash backend servers.
     Quarantine,
 }
 
 impl Collection {
-    /// The collection as a word for logs and counters.
+    /// Returns the label for logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -71,73 +73,73 @@
     }
 }
 
-/// One object of the store, decoded.
+/// One decoded object of the store.
 #[derive(Debug)]
 pub enum Record {
-    /// The whole configuration.
+    /// The complete configuration.
     Configuration(Box<configuration::Configuration>),
-    /// A backend server's entry.
+    /// The entry of a backend server.
     Server(pool::ServerEntry),
-    /// A zone that is evacuated.
+    /// An availability zone that must not receive requests.
     Evacuation(ids::AvailabilityZoneId),
-    /// An entry instance.
+    /// The record of an entry instance.
     Instance(peers::ListedInstance),
-    /// A request that is refused.
+    /// The fingerprint of a refused request.
     Quarantined(Fingerprint),
-    /// Something that can't be used, with the reason.
+    /// An object that can't be decoded, with the reason.
     Unusable(String),
 }
 
-/// A change of one object; no record where it was removed.
+/// A change of one object in the store.
 #[derive(Debug)]
 pub struct Event {
-    /// The object's name.
+    /// Name of the object within its collection.
     pub name: String,
-    /// What it holds now.
+    /// Current content of the object; `None` if it was removed.
     pub record: Option<Record>,
 }
 
-/// A part of a list.
+/// One page of a collection's listing.
 #[derive(Debug)]
 pub struct Page {
-    /// The objects.
+    /// Objects of this page.
     pub items: Vec<Event>,
-    /// The name after which the list goes on.
+    /// Name after which the next page begins; `None` on the last page.
     pub continue_after: Option<String>,
-    /// The store's revision.
+    /// Revision of the store at which the page was read.
     pub revision: u64,
 }
 
-/// What a watch returned.
+/// The changes that a watch call returned.
 #[derive(Debug)]
 pub struct Changes {
-    /// The changes, in order.
+    /// Changes in the order in which they were made.
     pub events: Vec<Event>,
-    /// Where to watch on from.
+    /// Revision from which the next watch call continues.
     pub revision: u64,
 }
 
-/// the answer of the store can't be read: {0}; check that the address in the settings is the store's
+/// the store's response can't be decoded: {0}; check that store_address in the settings is the store's address
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct DecodeError(pub String);
 
-/// What a call on the store is for.
+/// The purpose of a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StorePurpose {
-    /// Reads a part of a collection.
+    /// Lists a collection, page by page.
     List,
-    /// Reads the instances of a zone, cheaply.
+    /// Lists the instances of a zone; cheap, since the result may be seconds old.
     ListZone,
-    /// Waits for changes.
+    /// Waits for changes of a collection.
     Watch,
-    /// Finds out whether the store answers, cheaply.
+    /// Checks whether the store responds, at the lowest cost.
     Ping,
-    /// Writes something.
+    /// Creates, replaces or removes an object.
     Write,
 }
 
 impl StorePurpose {
-    /// The purpose as a word for counters.
+    /// Returns the label for metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -150,65 +152,72 @@
     }
 }
 
-/// A call on the store.
+/// An HTTP request to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreRequest {
-    /// What it is for.
+    /// Purpose of the call, for metrics.
     pub purpose: StorePurpose,
-    /// The HTTP method.
+    /// HTTP method in upper case.
     pub method: &'static str,
-    /// Path and query.
+    /// Path and query string.
     pub path: String,
-    /// The body, if there is one.
+    /// Request body; empty if the call has none.
     pub body: Bytes,
 }
 
-/// Translates between a platform and the product.
+/// Translates between a platform's protocols and this crate's types.
 pub trait Adapter {
-    /// The headers of requests and answers.
+    /// Returns the names of the platform's headers.
     fn headers(&self) -> &HeaderNames;
 
-    /// Whether this is the platform's question whether the instance is ready.
+    /// Returns whether a request is the platform's readiness check of this instance.
     fn is_readiness_check(&self, method: &hyper::Method, path: &str) -> bool;
 
-    /// A client's question where to connect, if this is one.
+    /// Decodes a client's lookup; returns `None` for any other request.
     fn look_up(&self, method: &hyper::Method, uri: &hyper::Uri) -> Option<Lookup>;
 
-    /// The body that answers a look-up.
+    /// Encodes the response body of a lookup; `ttl_ms` is how long the client may use the addresses.
     fn lookup_body(&self, addresses: &[net::SocketAddr], ttl_ms: u64) -> Bytes;
 
-    /// The call that lists a collection; `may_be_stale` makes it cheaper and up to seconds old.
-    fn list(&self, of: Collection, after: Option<&str>, may_be_stale: bool) -> StoreRequest;
+    /// Builds the call that lists a collection after the name `after`.
+    ///
+    /// With `may_be_stale` the call costs the store less, and the result may be seconds old.
+    fn list(&self, collection: Collection, after: Option<&str>, may_be_stale: bool) -> StoreRequest;
 
-    /// The call that waits for changes.
-    fn watch(&self, of: Collection, revision: u64, wait_ms: u64) -> StoreRequest;
+    /// Builds the call that waits at most `wait_ms` for changes after a revision.
+    fn watch(&self, collection: Collection, revision: u64, wait_ms: u64) -> StoreRequest;
 
-    /// The cheap call that lists instances from the first one of a zone on; what it returns may be seconds old.
+    /// Builds the cheap call that lists instances, starting at the first one of a zone.
+    ///
+    /// The result may be seconds old.
     fn list_zone(&self, zone: &ids::AvailabilityZoneId, after: Option<&str>) -> StoreRequest;
 
-    /// The cheapest call that shows whether the store answers.
+    /// Builds the cheapest call that checks whether the store responds.
     fn ping(&self, record: &peers::ListedInstance) -> StoreRequest;
 
-    /// The calls that store an instance's record: the first creates it, the second replaces it.
+    /// Builds the calls that write an instance's record: the first creates the record, the second replaces it.
     fn register(&self, record: &peers::ListedInstance) -> [StoreRequest; 2];
 
-    /// The call that records a request as refused; it fails with a conflict where it is recorded already.
+    /// Builds the call that stores a quarantine record.
+    ///
+    /// The store responds with a conflict if the record exists already.
     fn record_quarantine(&self, fingerprint: &Fingerprint) -> StoreRequest;
 
-    /// The call that removes such a record.
+    /// Builds the call that removes a quarantine record.
     fn remove_quarantine(&self, fingerprint: &Fingerprint) -> StoreRequest;
 
-    /// Reads a part of a list.
+    /// Decodes one page of a listing.
     ///
     /// # Errors
     ///
-    /// Fails if the body as a whole can't be read; single objects come as [`Record::Unusable`].
-    fn page(&self, of: Collection, body: &[u8]) -> Result<Page, DecodeError>;
+    /// Fails if the body as a whole can't be decoded; a single object that can't be decoded is returned as
+    /// [`Record::Unusable`].
+    fn page(&self, collection: Collection, body: &[u8]) -> Result<Page, DecodeError>;
 
-    /// Reads what a watch returned.
+    /// Decodes the response to a watch call.
     ///
     /// # Errors
     ///
     /// As [`Adapter::page`].
-    fn changes(&self, of: Collection, body: &[u8]) -> Result<Changes, DecodeError>;
+    fn changes(&self, collection: Collection, body: &[u8]) -> Result<Changes, DecodeError>;
 }
--- a/crates/damaskvane-gateway/src/decision_log.rs
+++ b/crates/damaskvane-gateway/src/decision_log.rs
@@ -1,21 +1,21 @@
-//! Bounded log lines of decisions.
+//! Rate-limited log lines on requests.
 //!
-//! Lines are written by a thread of their own behind a bounded queue, so that a slow reader costs lines and
-//! never a request. Lines on requests have a budget a second; failures have a larger one than successes,
-//! so that under load the failures stay. What is left out is counted and told in the next line.
+//! A separate thread writes the lines from a bounded queue, so that a slow reader of the log loses lines but never
+//! delays a request. Lines on requests have a budget for each second. Failures have a larger budget than successes,
+//! so that failures are still logged under load. The next line reports how many lines were omitted.
 
 use std::cell::{Cell, RefCell};
 
 use damaskvane_core::time::TimeMs;
 use serde::Deserialize;
 
-/// How many lines are written on requests.
+/// Limits on the number of log lines on requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct DecisionLogSettings {
-    /// Lines a second on requests that were late, failed or were refused.
+    /// Lines for each second on requests that were late, failed or were refused.
     pub failures_per_s: u32,
-    /// Lines a second on requests that were served in time.
+    /// Lines for each second on requests that were served in time.
     pub successes_per_s: u32,
 }
 
@@ -29,14 +29,14 @@
 }
 
 #[derive(Debug, Default)]
-struct Budget {
+struct LineBudget {
     second: u64,
     written: u32,
-    left_out: u64,
+    omitted: u64,
 }
 
-impl Budget {
-    /// Whether a line may be written; if so, how many were left out before it.
+impl LineBudget {
+    /// Takes one line of the budget; returns the number of lines omitted before it, or `None` if the budget is used up.
     fn take(&mut self, now: TimeMs, per_s: u32) -> Option<u64> {
         let second = now.get() / 1_000;
         if second != self.second {
@@ -44,35 +44,35 @@
             self.written = 0;
         }
         if self.written >= per_s {
-            self.left_out += 1;
+            self.omitted += 1;
             return None;
         }
         self.written += 1;
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.omitted))
     }
 }
 
-/// What a line on a request may be about.
+/// Outcome of a request, which selects the budget of its log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was late, failed or was refused, or a try of it failed.
+    /// The request was late, failed or was refused, or one of its attempts failed.
     Failure,
-    /// It was served in time.
+    /// The request was served in time.
     Success,
 }
 
-/// The log, with the budgets of its lines.
+/// The log of a process, with the budgets of lines on requests.
 #[derive(Debug)]
 pub struct DecisionLog {
-    /// For lines that are always written: changes of what the process believes.
+    /// Logger for lines without a budget: changes of the process's state.
     pub log: slog::Logger,
     settings: Cell<DecisionLogSettings>,
-    failures: RefCell<Budget>,
-    successes: RefCell<Budget>,
+    failures: RefCell<LineBudget>,
+    successes: RefCell<LineBudget>,
 }
 
 impl DecisionLog {
-    /// A log with full budgets.
+    /// Creates a log with unused budgets.
     #[must_use]
     pub fn new(log: slog::Logger, settings: DecisionLogSettings) -> Self {
         Self {
@@ -83,21 +83,21 @@
         }
     }
 
-    /// Takes over changed settings.
+    /// Replaces the limits.
     pub fn set_settings(&self, settings: DecisionLogSettings) {
         self.settings.set(settings);
     }
 
-    /// Writes a line on a request, if its budget allows.
-    pub fn log_request(&self, now: TimeMs, matter: RequestOutcome, write: impl FnOnce(&slog::Logger, u64)) {
+    /// Calls `write` with the logger and the number of omitted lines, if the budget of the outcome allows a line.
+    pub fn log_request(&self, now: TimeMs, outcome: RequestOutcome, write: impl FnOnce(&slog::Logger, u64)) {
         let settings = self.settings.get();
-        let (budget, per_s) = match matter {
+        let (budget, per_s) = match outcome {
             RequestOutcome::Failure => (&self.failures, settings.failures_per_s),
             RequestOutcome::Success => (&self.successes, settings.successes_per_s),
         };
-        let left_out = budget.borrow_mut().take(now, per_s);
-        if let Some(left_out) = left_out {
-            write(&self.log, left_out);
+        let omitted = budget.borrow_mut().take(now, per_s);
+        if let Some(omitted) = omitted {
+            write(&self.log, omitted);
         }
     }
 }
--- a/crates/damaskvane-gateway/src/lib.rs
+++ b/crates/damaskvane-gateway/src/lib.rs
@@ -1,27 +1,27 @@
-//! The event loop of an entry instance that runs on somebody else's platform.
+//! The event loop of an entry instance that runs on a third-party platform.
 //!
-//! One thread serves look-ups, carries requests and follows the platform's store. All decisions are made
-//! by `damaskvane-routing`; what is spoken with clients, backend servers and the store is translated by
-//! an [`adapter::Adapter`], so that no other module knows the platform's names.
+//! One thread serves lookups, forwards requests and follows the platform's store. `damaskvane-routing` makes all
+//! decisions. An [`adapter::Adapter`] translates the protocols of clients, backend servers and the store, so that no
+//! other module depends on the platform's names.
 //!
 //! # Crate guide
 //!
-//! - [`adapter`]: the port that a platform's adapter implements, and the typed messages that cross it.
+//! - [`adapter`]: the trait that a platform implements, and the types of its methods.
 //! - [`settings`]: the settings file.
-//! - [`node`]: what all tasks share.
-//! - [`clients`]: clients' connections, and the way of a request through the instance.
-//! - [`lookups`]: look-ups and readiness.
+//! - [`node`]: state that all tasks share.
+//! - [`clients`]: clients' connections, and the processing of their requests.
+//! - [`lookups`]: responses to lookups and readiness checks.
 //! - [`upstream`]: connections to and exchanges with backend servers.
-//! - [`crashes`]: requests that crash what runs them.
-//! - [`http`]: reading answers from a connection.
-//! - [`store`]: what the platform's store says, followed by watches.
-//! - [`peers`]: heartbeats between instances.
-//! - [`probes`]: health probes of servers in doubt.
+//! - [`crashes`]: quarantine of requests that crash backend servers.
+//! - [`http`]: HTTP/1.1 on connections that this instance opened.
+//! - [`store`]: lists, watches and relayed changes of the platform's store.
+//! - [`peers`]: datagrams between instances: heartbeats, digests and reports.
+//! - [`probes`]: health probes of backend servers.
 //! - [`stop`]: the planned stop.
-//! - [`costs`]: what the instance causes that its users pay for, by cause.
-//! - [`metrics`]: counters and histograms, and their listener.
-//! - [`decision_log`]: bounded log lines of decisions.
-//! - [`process`]: puts all of it together.
+//! - [`costs`]: counters of transferred bytes and opened connections.
+//! - [`metrics`]: metrics, and the response that exports them.
+//! - [`decision_log`]: rate-limited log lines on requests.
+//! - [`process`]: starts, reconfigures and stops an instance.
 
 pub mod adapter;
 pub mod clients;
--- a/crates/damaskvane-gateway/src/settings.rs
+++ b/crates/damaskvane-gateway/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings file: TOML, read at the start and again whenever it changes.
+//! Settings of an entry instance, from a TOML file that is read at the start and reloaded when it changes.
 //!
-//! Keys that are not known here are ignored, so that a newer template serves an older program.
+//! Unknown keys are ignored, so that an older program accepts a newer template.
 
 use std::collections::HashMap;
 use std::net;
@@ -16,65 +16,66 @@
 /// Settings of an entry instance.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct GatewaySettings {
-    /// The instance's name.
+    /// Name of the instance, which stays the same when the instance restarts.
     pub instance: ids::InstanceId,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: ids::AvailabilityZoneId,
-    /// Its region.
+    /// Region of the instance.
     pub region: ids::RegionId,
-    /// The region of each availability zone.
+    /// Region of each availability zone.
     pub regions: HashMap<ids::AvailabilityZoneId, ids::RegionId>,
-    /// Where clients connect.
+    /// Address on which clients' requests are served.
     pub client_address: net::SocketAddr,
-    /// Where the platform asks for readiness.
+    /// Address on which the platform's readiness checks are served.
     pub ready_address: net::SocketAddr,
-    /// Where clients look up.
+    /// Address on which clients' lookups are served; not served if absent.
     pub lookup_address: Option<net::SocketAddr>,
-    /// Where other instances send heartbeats.
+    /// Address on which messages of other instances are received, and store changes are served to them.
     pub peer_address: net::SocketAddr,
-    /// Instances that may know the others while the store is away; each is asked at the port of `peer_address`,
-    /// where all instances listen.
+    /// Instances from which the others can be learnt while the store is unavailable.
+    ///
+    /// Each is contacted at the port of `peer_address`, on which all instances listen.
     #[serde(default)]
     pub seeds: Vec<net::SocketAddr>,
-    /// Where metrics are read.
+    /// Address on which metrics are served; not served if absent.
     pub metrics_address: Option<net::SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: net::SocketAddr,
-    /// How long the store keeps its history.
+    /// Seconds for which the store retains its history of changes.
     #[serde(default = "default_store_history_s")]
     pub store_history_s: f64,
-    /// How long the platform must have been in order before its bounds count.
+    /// Milliseconds for which the platform must have worked without faults before its limits apply.
     pub contact_ms: f64,
-    /// How long a planned stop may take before the process is killed.
+    /// Seconds that a planned stop may take before the platform kills the process.
     pub grace_s: f64,
-    /// The bound on retries: for each request.
+    /// Limit on retries: retries allowed for each request.
     pub retry_ratio: f64,
-    /// The bound on retries: on top, for all instances together.
+    /// Limit on retries: additional retries allowed for all instances together.
     pub retry_slack: f64,
-    /// The bound on retries: its window.
+    /// Limit on retries: window in seconds.
     pub retry_window_s: f64,
-    /// The bound on cold servers: factor on what they declare.
+    /// Limit on cold servers: factor on the rate that a server declares.
     pub cold_factor: f64,
-    /// The bound on cold servers: requests on top.
+    /// Limit on cold servers: additional requests allowed.
     pub cold_slack: f64,
-    /// The longest time to live of a look-up's answer.
+    /// Longest time to live of a lookup's response, in seconds.
     pub lookup_ttl_max_s: f64,
-    /// Most open descriptors of the process.
+    /// Largest number of open file descriptors of the process.
     pub max_descriptors: usize,
-    /// Memory of the process, in megabytes.
+    /// Memory available to the process, in megabytes.
     pub memory_mb: u64,
-    /// How much is logged.
+    /// Lowest level of log lines that are written.
     #[serde(default)]
     pub log_level: damaskvane_telemetry::logging::Level,
-    /// How many lines are written on requests.
+    /// Limits on the number of log lines on requests.
     #[serde(default)]
     pub decision_log: DecisionLogSettings,
-    /// Placement and admission.
+    /// Settings of placement and admission.
     #[serde(default)]
     pub placement: placement::PlacementSettings,
 }
 
-/// What a store keeps whose settings don't say it.
+/// Returns the assumed history of a store, in seconds, if the settings have no `store_history_s`.
 const fn default_store_history_s() -> f64 {
     20.0
 }
@@ -86,7 +87,8 @@
     ///
     /// # Errors
     ///
-    /// Names the file, the key, the value and what to do about it.
+    /// Fails if the file can't be read, is not valid TOML or has a value out of range; the error names the file, and
+    /// for a value its key and the remedy.
     pub fn load(path: impl AsRef<path::Path>) -> Result<Self, SettingsError> {
         let file = path.as_ref().display().to_string();
         let text =
@@ -97,11 +99,11 @@
         Self::parse(&file, &text)
     }
 
-    /// Checks settings that are already in memory; `file` only appears in errors.
+    /// Parses and checks the text of a settings file; `file` is only used in errors.
     ///
     /// # Errors
     ///
-    /// As [`GatewaySettings::load`].
+    /// Fails if the text is not valid TOML or has a value out of range.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|error| SettingsError::Malformed {
             file: file.to_owned(),
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Settings of the pool.
+    /// Returns the settings of the server pool.
     #[must_use]
     pub fn pool(&self) -> pool::PoolSettings {
         pool::PoolSettings {
@@ -145,11 +147,11 @@
                 ..limit::ColdRateSettings::default()
             },
             regions: self.regions.clone(),
-            lapse_grace_ms: lapse_grace_ms(self.contact_ms),
+            lapse_grace_ms: expiry_grace_ms(self.contact_ms),
         }
     }
 
-    /// Settings of the retry budgets.
+    /// Returns the settings of the retry budgets.
     #[must_use]
     pub fn retry_budget(&self) -> limit::RetryBudgetSettings {
         limit::RetryBudgetSettings {
@@ -160,37 +162,38 @@
         }
     }
 
-    /// How long a watch on the store may wait.
+    /// Returns the longest wait of a watch call on the store, in milliseconds.
     ///
-    /// A watch that waits for longer than the store keeps its history may return without its changes: everything
-    /// is read anew, and all instances that hear from this one leave it meanwhile.
+    /// A watch that waits longer than the store retains its history may miss changes. This instance would then have
+    /// to list everything again, and the instances that receive its changes would meanwhile switch to another source.
     #[must_use]
     pub fn watch_wait_ms(&self) -> u64 {
-        const LONGEST_MS: f64 = 25_000.0;
+        const MAX_WAIT_MS: f64 = 25_000.0;
         const HISTORY_SHARE: f64 = 0.75;
-        (self.store_history_s * 1_000.0 * HISTORY_SHARE).min(LONGEST_MS) as u64
+        (self.store_history_s * 1_000.0 * HISTORY_SHARE).min(MAX_WAIT_MS) as u64
     }
 
-    /// Where other instances may be found before the platform's list was read.
+    /// Returns the peer addresses of the seed instances, for use before the instances are listed from the store.
     pub fn seed_addresses(&self) -> impl Iterator<Item = net::SocketAddr> {
         let port = self.peer_address.port();
         let seeds = self.seeds.iter();
         seeds.map(move |seed| net::SocketAddr::new(seed.ip(), port))
     }
 
-    /// Settings of heartbeats.
+    /// Returns the settings of heartbeats and membership.
     #[must_use]
     pub fn peers(&self) -> peers::PeerSettings {
         peers::PeerSettings::default()
     }
 }
 
-/// The time that entries which lapsed while the store was away may be missing after its return is seen.
+/// Returns how long server entries that expired during a store outage may stay missing after the return is detected,
+/// in milliseconds.
 ///
-/// They are back within about two seconds. The return itself may be seen a second late, and servers that
-/// are gone must be left before the platform's bounds count again.
-fn lapse_grace_ms(contact_ms: f64) -> u64 {
-    const BACK_WITHIN_MS: f64 = 2_000.0;
-    const SEEN_LATE_MS: f64 = 1_100.0;
-    (contact_ms - SEEN_LATE_MS).clamp(0.0, BACK_WITHIN_MS) as u64
+/// The entries are back within about two seconds of the return. The return may be detected a second late, and removed
+/// servers must get no more requests when the platform's limits apply again, after `contact_ms`.
+fn expiry_grace_ms(contact_ms: f64) -> u64 {
+    const MAX_RETURN_MS: f64 = 2_000.0;
+    const DETECTION_DELAY_MS: f64 = 1_100.0;
+    (contact_ms - DETECTION_DELAY_MS).clamp(0.0, MAX_RETURN_MS) as u64
 }
