--- a/crates/damaskvane-gateway/src/costs.rs
+++ b/crates/damaskvane-gateway/src/costs.rs
@@ -1,6 +1,6 @@
-//! What the instance causes that its users pay for, by cause: bytes between zones, calls on the store, connections.
+//! Counters of what operators pay for: transferred bytes by flow and distance, and opened connections by reason.
 //!
-//! Counters are found by place, not by name, so that counting costs a request nothing that one would notice.
+//! Each counter is found by its index, not by its labels, so that counting adds no noticeable cost to a request.
 
 use std::net;
 
@@ -10,93 +10,93 @@
 
 use crate::node::Node;
 
-/// How far apart two ends are.
+/// Network distance between this instance and the other end of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Distance {
-    /// In one availability zone.
-    Zone,
-    /// In two zones of a region.
-    Region,
-    /// In two regions.
-    Far,
+    /// Both ends are in one availability zone.
+    SameZone,
+    /// The ends are in two availability zones of one region.
+    SameRegion,
+    /// The ends are in two regions, or the zone of the other end is not known.
+    OtherRegion,
 }
 
-/// What bytes are carried for.
+/// Purpose for which bytes are transferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flow {
-    /// A request at the first server of its object, and its answer.
+    /// A request to the first-ranked server of its object, and the response.
     Placed,
-    /// The same at another server.
+    /// A request to another server, and the response.
     Overflow,
-    /// A second try.
+    /// A retried request, and the response.
     Retry,
-    /// Heartbeats.
+    /// Heartbeats between instances.
     Heartbeat,
-    /// Instances that started or changed their phase.
-    News,
-    /// Digests of zones.
+    /// Membership updates: instances that started or changed their phase.
+    MembershipUpdate,
+    /// Digests of a zone's instances.
     Digest,
-    /// What is told of servers.
-    Servers,
-    /// Reports of what clients asked for.
-    Asked,
-    /// Verdicts on popular objects.
-    Verdicts,
-    /// Requests that crashed servers.
+    /// Reports on the load and health of backend servers.
+    ServerReports,
+    /// Reports on which objects clients request.
+    PopularityReport,
+    /// Decisions on which objects are popular.
+    PopularityDecisions,
+    /// Notices of crash incidents.
     Incident,
-    /// Changes of the store that are handed on.
+    /// Store changes that are forwarded to other instances of the zone.
     Feed,
 }
 
-/// Why a connection to a backend server was opened.
+/// Reason for which a connection to a backend server was opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenReason {
-    /// None was kept.
+    /// There was no idle connection to the server.
     NoIdleConnection,
-    /// Those that were kept had been closed.
+    /// All idle connections to the server had been closed.
     IdleConnectionsClosed,
-    /// The server was probed.
+    /// A health probe needs a new connection.
     Probe,
 }
 
 const DISTANCES: [(Distance, &str); 3] = [
-    (Distance::Zone, "zone"),
-    (Distance::Region, "region"),
-    (Distance::Far, "far"),
+    (Distance::SameZone, "zone"),
+    (Distance::SameRegion, "region"),
+    (Distance::OtherRegion, "far"),
 ];
 const FLOWS: [(Flow, &str); 11] = [
     (Flow::Placed, "placed"),
     (Flow::Overflow, "overflow"),
     (Flow::Retry, "retry"),
     (Flow::Heartbeat, "heartbeat"),
-    (Flow::News, "news"),
+    (Flow::MembershipUpdate, "news"),
     (Flow::Digest, "digest"),
-    (Flow::Servers, "servers"),
-    (Flow::Asked, "asked"),
-    (Flow::Verdicts, "verdicts"),
+    (Flow::ServerReports, "servers"),
+    (Flow::PopularityReport, "asked"),
+    (Flow::PopularityDecisions, "verdicts"),
     (Flow::Incident, "incident"),
     (Flow::Feed, "feed"),
 ];
-const OPENINGS: [(OpenReason, &str); 3] = [
+const OPEN_REASONS: [(OpenReason, &str); 3] = [
     (OpenReason::NoIdleConnection, "none_kept"),
     (OpenReason::IdleConnectionsClosed, "kept_closed"),
     (OpenReason::Probe, "probe"),
 ];
 
-/// The counters, and the names under which the log tells them.
+/// Counters of transferred bytes and opened connections, with their names in the log.
 #[derive(Debug)]
 pub struct Costs {
     bytes: Vec<IntCounter>,
-    openings: Vec<IntCounter>,
+    connections: Vec<IntCounter>,
     names: Vec<String>,
 }
 
 impl Costs {
-    /// All counters at zero.
+    /// Creates all counters at zero and registers them.
     ///
     /// # Errors
     ///
-    /// Fails if the registry has metrics of these names.
+    /// Fails if the registry already has metrics of these names.
     pub fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let labels = &["flow", "distance"];
         let bytes = IntCounterVec::new(
@@ -104,14 +104,14 @@
             labels,
         )?;
         registry.register(Box::new(bytes.clone()))?;
-        let openings = IntCounterVec::new(
+        let connections = IntCounterVec::new(
             Opts::new("openings_total", "Connections opened to servers"),
             &["reason"],
         )?;
-        registry.register(Box::new(openings.clone()))?;
+        registry.register(Box::new(connections.clone()))?;
         let mut costs = Self {
             bytes: Vec::new(),
-            openings: Vec::new(),
+            connections: Vec::new(),
             names: Vec::new(),
         };
         for (_, flow) in FLOWS {
@@ -120,57 +120,57 @@
                 costs.names.push(format!("bytes.{flow}.{distance}"));
             }
         }
-        for (_, reason) in OPENINGS {
-            costs.openings.push(openings.with_label_values(&[reason]));
+        for (_, reason) in OPEN_REASONS {
+            costs.connections.push(connections.with_label_values(&[reason]));
             costs.names.push(format!("openings.{reason}"));
         }
         Ok(costs)
     }
 
-    /// Notes bytes, heads included and what the transport adds left out.
+    /// Counts transferred bytes: HTTP heads are included, the transport's overhead is not.
     pub fn record_bytes(&self, flow: Flow, distance: Distance, bytes: usize) {
-        let place = flow as usize * DISTANCES.len() + distance as usize;
-        self.bytes[place].inc_by(bytes as u64);
+        let index = flow as usize * DISTANCES.len() + distance as usize;
+        self.bytes[index].inc_by(bytes as u64);
     }
 
-    /// Notes a connection that is opened.
+    /// Counts an opened connection.
     pub fn record_connection(&self, reason: OpenReason) {
-        self.openings[reason as usize].inc();
+        self.connections[reason as usize].inc();
     }
 
-    /// All counters that are not zero, by name.
-    pub fn figures(&self) -> impl Iterator<Item = (&str, u64)> {
-        let counters = self.bytes.iter().chain(&self.openings);
+    /// Returns the name and value of each counter above zero.
+    pub fn nonzero_totals(&self) -> impl Iterator<Item = (&str, u64)> {
+        let counters = self.bytes.iter().chain(&self.connections);
         let named = self.names.iter().map(String::as_str).zip(counters);
-        let figures = named.map(|(name, counter)| (name, counter.get()));
-        figures.filter(|(_, count)| *count > 0)
+        let totals = named.map(|(name, counter)| (name, counter.get()));
+        totals.filter(|(_, count)| *count > 0)
     }
 }
 
 impl Distance {
-    /// How far a zone is from the instance's own.
+    /// Returns the distance from this instance's zone to another zone.
     #[must_use]
     pub fn to_zone(node: &Node, zone: &ids::AvailabilityZoneId) -> Self {
         let settings = node.settings();
         if *zone == settings.zone {
-            Self::Zone
+            Self::SameZone
         } else if settings.regions.get(zone) == Some(&settings.region) {
-            Self::Region
+            Self::SameRegion
         } else {
-            Self::Far
+            Self::OtherRegion
         }
     }
 
-    /// How far another instance is; one that isn't known counts as far.
+    /// Returns the distance to another instance; [`Distance::OtherRegion`] if the instance is not known.
     #[must_use]
     pub fn to_instance(node: &Node, address: net::IpAddr) -> Self {
         let zone = node.state.borrow().members.zone_at(address).cloned();
-        zone.map_or(Self::Far, |zone| Self::to_zone(node, &zone))
+        zone.map_or(Self::OtherRegion, |zone| Self::to_zone(node, &zone))
     }
 }
 
 impl Flow {
-    /// What a request to this server is carried for.
+    /// Returns the flow of a request to the picked server.
     #[must_use]
     pub const fn for_pick(pick: &Pick, is_retry: bool) -> Self {
         if is_retry {
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -1,8 +1,8 @@
-//! Requests that crash what runs them: noticed here, told to all instances, recorded in the store, refused.
+//! Quarantine of requests that crash backend servers.
 //!
-//! A request whose connection breaks is a suspect once its server is found dead. Two such deaths make it
-//! refused everywhere, for a while. All instances hear of each death by datagram, and the store keeps the
-//! record of a refused request, so that instances which were cut off or restarted learn of it too.
+//! A request whose connection broke becomes a suspect when its server is found dead. After two such deaths all
+//! instances refuse the request for a limited time. Instances notify each other of each death by datagram. The
+//! store keeps a record of each refused request, so that instances that were partitioned or restarted refuse it too.
 
 mod record;
 
@@ -21,119 +21,123 @@
 
 use crate::node::Node;
 
-pub use record::keep as keep_records;
+pub use record::maintain as maintain_records;
 
-/// How long a request that broke twice waits for proof: a probe's time-out would be 0.8 s, and by then most
-/// callers have left; a connection within a region is refused in 30 ms.
-const PROOF_PATIENCE: Duration = Duration::from_millis(300);
-/// Suspects in one notice, so that it fits a datagram: 66 bytes each.
-pub const MOST_SUSPECTS: usize = 16;
+/// Longest wait of a request that broke twice for the result of a probe.
+///
+/// A connection within a region is refused in 30 ms. The timeout of a probe, 0.8 s, would be too long: most clients
+/// have disconnected by then.
+const PROBE_RESULT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Largest number of suspects in one incident, so that the message fits a datagram: 66 bytes each.
+pub const MAX_SUSPECTS_PER_INCIDENT: usize = 16;
 
-/// A request that this instance has come to refuse, to be recorded in the store.
+/// A refused request whose quarantine record is not yet in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Finding {
+struct PendingRecord {
     fingerprint: Fingerprint,
-    /// Whether the last incident was seen here; otherwise whoever saw it records it first.
+    /// Whether this instance detected the last incident; otherwise the instance that did writes the record first.
     is_own: bool,
 }
 
-/// What this instance knows of requests that crash what runs them.
+/// Refused requests, broken exchanges and pending notices of this instance.
 #[derive(Debug)]
-pub struct Crashes {
+pub struct CrashTracker {
     list: RefCell<Quarantine>,
     broken: RefCell<BrokenExchanges>,
-    /// Requests of which the store has a record.
-    recorded: RefCell<BTreeSet<Fingerprint>>,
-    serial: Cell<u64>,
-    /// Tells that a server was found dead or alive.
-    proof: Notify,
+    /// Requests that have a quarantine record in the store.
+    stored: RefCell<BTreeSet<Fingerprint>>,
+    last_serial: Cell<u64>,
+    /// Wakes waiting requests when a server was found dead or alive.
+    server_state_known: Notify,
     notices: (flume::Sender<Incident>, flume::Receiver<Incident>),
-    findings: (flume::Sender<Finding>, flume::Receiver<Finding>),
+    pending_records: (flume::Sender<PendingRecord>, flume::Receiver<PendingRecord>),
 }
 
-impl Default for Crashes {
+impl Default for CrashTracker {
     fn default() -> Self {
         Self {
             list: RefCell::new(Quarantine::new(QuarantineSettings::default())),
             broken: RefCell::default(),
-            recorded: RefCell::default(),
-            serial: Cell::new(0),
-            proof: Notify::new(),
+            stored: RefCell::default(),
+            last_serial: Cell::new(0),
+            server_state_known: Notify::new(),
             notices: flume::unbounded(),
-            findings: flume::unbounded(),
+            pending_records: flume::unbounded(),
         }
     }
 }
 
-impl Crashes {
-    /// Whether no request needs to be judged.
+impl CrashTracker {
+    /// Returns whether no request is refused or suspect and no exchange has broken.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.list.borrow().is_empty() && self.broken.borrow().is_empty()
     }
 
-    /// Notices for the other instances, in order.
+    /// Returns the queue of incidents that are to be sent to the other instances.
     #[must_use]
     pub const fn notices(&self) -> &flume::Receiver<Incident> {
         &self.notices.1
     }
 }
 
-/// How much longer a request is refused, once it is known whether the servers where it broke have died.
+/// Waits for the probes of the servers where a request broke; returns how much longer the request is refused.
 ///
-/// A caller that sends a request again at once would take one server after the other before the first death is
-/// proven. A request that broke twice waits for the proof, which takes a probe's way there and back.
+/// Returns `None` if the request may run. A request that broke twice waits for the round trip of a probe. Otherwise
+/// a client that retries at once would crash one server after the other before the first death is confirmed.
 pub async fn resolve_refusal(node: &Node, fingerprint: Fingerprint) -> Option<SpanMs> {
-    let proven = async {
-        while is_in_doubt(node, fingerprint) {
-            node.crashes.proof.notified().await;
+    let probed = async {
+        while awaits_probe(node, fingerprint) {
+            node.crashes.server_state_known.notified().await;
         }
     };
-    // Without a proof in time the request runs: most broken connections are harmless.
-    let _ = tokio::time::timeout(PROOF_PATIENCE, proven).await;
+    // Without a probe result in time the request runs: most broken connections are harmless.
+    let _ = tokio::time::timeout(PROBE_RESULT_TIMEOUT, probed).await;
     refusal(node, fingerprint)
 }
 
-fn is_in_doubt(node: &Node, fingerprint: Fingerprint) -> bool {
+fn awaits_probe(node: &Node, fingerprint: Fingerprint) -> bool {
     let broken = node.crashes.broken.borrow();
-    let unproven = broken.in_doubt(node.now(), fingerprint);
+    let unprobed = broken.in_doubt(node.now(), fingerprint);
     let list = node.crashes.list.borrow();
-    list.may_be_refused(fingerprint, unproven)
+    list.may_be_refused(fingerprint, unprobed)
 }
 
-/// How much longer a request is refused; none if it may run.
+/// Returns how much longer a request is refused; `None` if the request may run.
 #[must_use]
 pub fn refusal(node: &Node, fingerprint: Fingerprint) -> Option<SpanMs> {
     let list = node.crashes.list.borrow();
     list.refusal(node.now(), fingerprint)
 }
 
-/// Notes that the connection of an exchange broke after its request was written.
+/// Records that a connection broke after the request was written, and requests a probe of the server.
 pub fn record_broken_exchange(node: &Node, server: &ids::BackendServerId, fingerprint: Fingerprint) {
     let mut broken = node.crashes.broken.borrow_mut();
     broken.note(node.now(), server, fingerprint);
-    node.probe_wanted.notify_one();
+    node.probe_requested.notify_one();
 }
 
-/// Notes that a server where exchanges broke is alive.
+/// Records that a server with broken exchanges is alive.
 pub fn record_server_alive(node: &Node, server: &ids::BackendServerId) {
     node.crashes.broken.borrow_mut().note_alive(server);
-    node.crashes.proof.notify_waiters();
+    node.crashes.server_state_known.notify_waiters();
 }
 
-/// Notes that a request was run to its end, which clears it.
+/// Records that a request was completed, which removes its suspicion.
 pub fn record_completed(node: &Node, fingerprint: Fingerprint) {
     let mut list = node.crashes.list.borrow_mut();
     list.note_completed(node.now(), fingerprint);
 }
 
-/// Notes that a server was found dead; whatever broke there a moment ago is suspect.
+/// Records that a server was found dead; each request that broke there a moment ago becomes a suspect.
+///
+/// `proof` says in the log how the death was detected.
 pub fn record_server_death(node: &Node, server: &ids::BackendServerId, proof: &str) {
     let now = node.now();
     let suspects = node.crashes.broken.borrow_mut().take_dead(now, server);
-    for suspects in suspects.chunks(MOST_SUSPECTS) {
-        let serial = node.crashes.serial.get() + 1;
-        node.crashes.serial.set(serial);
+    for suspects in suspects.chunks(MAX_SUSPECTS_PER_INCIDENT) {
+        let serial = node.crashes.last_serial.get() + 1;
+        node.crashes.last_serial.set(serial);
         let reporter = Home::new(node.settings().instance.clone(), node.incarnation);
         let incident = Incident {
             id: IncidentId { reporter, serial },
@@ -142,28 +146,28 @@
             age: SpanMs::ZERO,
         };
         node.metrics.crash_incidents.inc();
-        slog::warn!(node.log.log, "backend server died with requests on it";
-            "backend_server" => %server, "proof" => proof, "suspects" => names(suspects));
-        take_in(node, &incident, true);
+        slog::warn!(node.log.log, "backend server died while running requests";
+            "backend_server" => %server, "proof" => proof, "suspects" => join_fingerprints(suspects));
+        apply_incident(node, &incident, true);
         // The receiver lives as long as the node.
         let _ = node.crashes.notices.0.send(incident);
     }
-    node.crashes.proof.notify_waiters();
+    node.crashes.server_state_known.notify_waiters();
 }
 
-/// Forgets what is over: as long as anything is kept, each request is judged.
+/// Removes expired refusals and broken exchanges; as long as one is kept, each request has to be checked.
 fn expire(node: &Node) {
     let now = node.now();
     node.crashes.list.borrow_mut().expire(now);
     node.crashes.broken.borrow_mut().expire(now);
 }
 
-/// Takes in an incident that another instance tells of.
-pub fn take_told(node: &Node, incident: &Incident) {
-    take_in(node, incident, false);
+/// Applies an incident that another instance reported.
+pub fn apply_peer_incident(node: &Node, incident: &Incident) {
+    apply_incident(node, incident, false);
 }
 
-fn take_in(node: &Node, incident: &Incident, is_own: bool) {
+fn apply_incident(node: &Node, incident: &Incident, is_own: bool) {
     let mut list = node.crashes.list.borrow_mut();
     let refused = list.note_incident(node.now(), incident);
     drop(list);
@@ -171,17 +175,17 @@
         slog::warn!(node.log.log, "request is quarantined";
             "fingerprint" => %fingerprint, "last_server" => %incident.server,
             "told_by" => %incident.id.reporter);
-        let finding = Finding {
+        let pending = PendingRecord {
             fingerprint,
             is_own,
         };
-        let _ = node.crashes.findings.0.send(finding);
+        let _ = node.crashes.pending_records.0.send(pending);
     }
 }
 
-/// Takes in that the store has a record of a request.
+/// Applies a quarantine record of the store.
 pub fn apply_stored_quarantine(node: &Node, fingerprint: Fingerprint) {
-    node.crashes.recorded.borrow_mut().insert(fingerprint);
+    node.crashes.stored.borrow_mut().insert(fingerprint);
     let mut list = node.crashes.list.borrow_mut();
     if list.note_recorded(node.now(), fingerprint) {
         slog::warn!(node.log.log, "request is quarantined";
@@ -189,27 +193,27 @@
     }
 }
 
-/// Takes in that a record was removed: its time is over, or an operator lets the request go.
+/// Applies the removal of a quarantine record: the record expired or an operator removed it.
 pub fn apply_removed_quarantine(node: &Node, fingerprint: Fingerprint) {
-    if node.crashes.recorded.borrow_mut().remove(&fingerprint) {
+    if node.crashes.stored.borrow_mut().remove(&fingerprint) {
         let mut list = node.crashes.list.borrow_mut();
         list.clear(node.now(), fingerprint);
-        slog::info!(node.log.log, "quarantine is lifted"; "fingerprint" => %fingerprint);
+        slog::info!(node.log.log, "request is released from quarantine"; "fingerprint" => %fingerprint);
     }
 }
 
-/// Takes in all records of the store.
-pub fn replace_stored_quarantines(node: &Node, recorded: &BTreeSet<Fingerprint>) {
-    let before = node.crashes.recorded.borrow().clone();
-    for fingerprint in before.difference(recorded) {
+/// Replaces the known quarantine records by the store's complete set.
+pub fn replace_stored_quarantines(node: &Node, stored: &BTreeSet<Fingerprint>) {
+    let before = node.crashes.stored.borrow().clone();
+    for fingerprint in before.difference(stored) {
         apply_removed_quarantine(node, *fingerprint);
     }
-    for fingerprint in recorded {
+    for fingerprint in stored {
         apply_stored_quarantine(node, *fingerprint);
     }
 }
 
-fn names(fingerprints: &[Fingerprint]) -> String {
+fn join_fingerprints(fingerprints: &[Fingerprint]) -> String {
     let names: Vec<String> = fingerprints.iter().map(ToString::to_string).collect();
     names.join(" ")
 }
--- a/crates/damaskvane-gateway/src/crashes/record.rs
+++ b/crates/damaskvane-gateway/src/crashes/record.rs
@@ -1,7 +1,7 @@
-//! Records of refused requests in the store.
+//! Writes and removes quarantine records in the store.
 //!
-//! What is only told between instances is lost when all of them are killed, and a request that had crashed
-//! two servers would crash two more before it is known again.
+//! Without a record, a quarantine is lost when all instances are killed, and the request would crash two more
+//! servers before it is refused again.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -10,33 +10,34 @@
 use hyper::StatusCode;
 
 use crate::adapter::Collection;
-use crate::crashes::{self, Finding};
+use crate::crashes::{self, PendingRecord};
 use crate::node::Node;
 use crate::store::{CallError, Source, StoreClient};
 
-/// How long a call may take.
+/// Timeout of a call to the store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The pause after a failure.
-const PAUSE: Duration = Duration::from_millis(500);
-/// How long an instance waits for the record of the one that saw the last incident, before it writes the
-/// record itself: a call on the store and the change on its way, 0.1 s on a calm day.
-const OTHERS_FIRST: Duration = Duration::from_millis(1_000);
-/// The pause between two looks for records whose time is over.
-const EXPIRY_PERIOD: Duration = Duration::from_secs(10);
+/// Delay before a failed write is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Delay before an instance writes a record that the instance which detected the last incident should write.
+///
+/// The record normally arrives within 0.1 s: one call to the store and the forwarded change.
+const PEER_WRITE_DELAY: Duration = Duration::from_millis(1_000);
+/// Interval between two checks for expired records.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Records refused requests, and removes records whose time is over, until the process ends.
-pub async fn keep(node: Rc<Node>) {
+/// Writes records of refused requests and removes expired records, until the process ends.
+pub async fn maintain(node: Rc<Node>) {
     let mut client = StoreClient::new(Rc::clone(&node), Collection::Quarantine);
-    let findings = node.crashes.findings.1.clone();
+    let pending_records = node.crashes.pending_records.1.clone();
     loop {
         tokio::select! {
-            finding = findings.recv_async() => {
-                let Ok(finding) = finding else {
+            pending = pending_records.recv_async() => {
+                let Ok(pending) = pending else {
                     return;
                 };
-                record(&node, &mut client, finding).await;
+                record(&node, &mut client, pending).await;
             }
-            () = tokio::time::sleep(EXPIRY_PERIOD) => {
+            () = tokio::time::sleep(EXPIRY_INTERVAL) => {
                 crashes::expire(&node);
                 remove_expired(&node, &mut client).await;
             }
@@ -44,38 +45,40 @@
     }
 }
 
-async fn record(node: &Rc<Node>, client: &mut StoreClient, finding: Finding) {
-    if !finding.is_own {
-        tokio::time::sleep(OTHERS_FIRST).await;
+async fn record(node: &Rc<Node>, client: &mut StoreClient, pending: PendingRecord) {
+    if !pending.is_own {
+        tokio::time::sleep(PEER_WRITE_DELAY).await;
     }
-    let request = node.adapter.record_quarantine(&finding.fingerprint);
-    while !is_recorded(node, finding.fingerprint) {
+    let request = node.adapter.record_quarantine(&pending.fingerprint);
+    while !is_stored(node, pending.fingerprint) {
         match client.call(&request, CALL_TIMEOUT).await {
-            // Another instance was faster.
+            // A conflict means that another instance has written the record.
             Ok(_) | Err(CallError::Status(StatusCode::CONFLICT)) => {
-                crashes::apply_stored_quarantine(node, finding.fingerprint);
+                crashes::apply_stored_quarantine(node, pending.fingerprint);
             }
             Err(error) => {
-                slog::warn!(node.log.log, "quarantine isn't recorded";
-                    "fingerprint" => %finding.fingerprint, "error" => %error);
+                slog::warn!(node.log.log, "quarantine record can't be written";
+                    "fingerprint" => %pending.fingerprint, "error" => %error);
                 node.store.until_up().await;
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn is_recorded(node: &Node, fingerprint: Fingerprint) -> bool {
-    node.crashes.recorded.borrow().contains(&fingerprint)
+fn is_stored(node: &Node, fingerprint: Fingerprint) -> bool {
+    node.crashes.stored.borrow().contains(&fingerprint)
 }
 
-/// Only instances that watch the store themselves remove records: two calls a zone for each.
+/// Removes expired records, if this instance watches the store itself.
+///
+/// This limits the removal to two calls in each zone for a record.
 async fn remove_expired(node: &Rc<Node>, client: &mut StoreClient) {
     if node.store.source() != Source::Store {
         return;
     }
-    let recorded = node.crashes.recorded.borrow().clone();
-    for fingerprint in recorded {
+    let stored = node.crashes.stored.borrow().clone();
+    for fingerprint in stored {
         if crashes::refusal(node, fingerprint).is_some() {
             continue;
         }
@@ -84,8 +87,8 @@
             Ok(_) | Err(CallError::Status(StatusCode::NOT_FOUND)) => {
                 crashes::apply_removed_quarantine(node, fingerprint);
             }
-            // It is tried again after the next period.
-            Err(error) => slog::warn!(node.log.log, "quarantine isn't lifted";
+            // The removal is retried after the next interval.
+            Err(error) => slog::warn!(node.log.log, "quarantine record can't be removed";
                 "fingerprint" => %fingerprint, "error" => %error),
         }
     }
--- a/crates/damaskvane-gateway/src/lookups.rs
+++ b/crates/damaskvane-gateway/src/lookups.rs
@@ -1,4 +1,4 @@
-//! Look-ups and readiness.
+//! Responses to clients' lookups and to the platform's readiness checks.
 
 use std::rc::Rc;
 
@@ -13,47 +13,48 @@
 use crate::node::Node;
 use crate::upstream::ResponseBody;
 
-/// How long clients keep an answer. Some keep it three times as long: a stopping instance is served by
-/// no new client after that.
+/// Time for which clients may use the addresses of a response.
+///
+/// Some clients use them three times as long. After that no new client connects to a stopping instance.
 const TTL_MS: u64 = 1_000;
-/// Most addresses in one answer, by the clients' protocol.
-const MOST_ADDRESSES: usize = 64;
+/// Largest number of addresses in one response that the clients' protocol allows.
+const MAX_ADDRESSES: usize = 64;
 
-/// Answers the platform's question whether the instance is ready.
+/// Returns the response to a readiness check.
 #[must_use]
 pub fn readiness_response(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path();
     if !node.adapter.is_readiness_check(request.method(), path) {
-        return status(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     match node.phase() {
-        Phase::Ready => status(StatusCode::OK),
-        Phase::Starting | Phase::Leaving => status(StatusCode::SERVICE_UNAVAILABLE),
+        Phase::Ready => empty_response(StatusCode::OK),
+        Phase::Starting | Phase::Leaving => empty_response(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
-/// Answers a look-up.
+/// Returns the response to a lookup.
 #[must_use]
 pub fn lookup_response(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
-    let Some(look_up) = node.adapter.look_up(request.method(), request.uri()) else {
-        return status(StatusCode::NOT_FOUND);
+    let Some(lookup) = node.adapter.look_up(request.method(), request.uri()) else {
+        return empty_response(StatusCode::NOT_FOUND);
     };
-    let _timer = node.metrics.look_up_s.start_timer();
-    node.metrics.look_ups.inc();
-    let allowed = allowed_regions(node, &look_up.host);
+    let _timer = node.metrics.lookup_s.start_timer();
+    node.metrics.lookups.inc();
+    let allowed = allowed_regions(node, &lookup.host);
     let phase = node.phase();
     let mut addresses = {
         let members = &mut node.state.borrow_mut().members;
         members.set_own_phase(node.now(), phase);
-        let (zone, region) = (look_up.zone.as_ref(), look_up.region.as_ref());
+        let (zone, region) = (lookup.zone.as_ref(), lookup.region.as_ref());
         members.look_up(node.now(), zone, region, &allowed)
     };
     if addresses.is_empty() {
-        return status(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    if addresses.len() > MOST_ADDRESSES {
+    if addresses.len() > MAX_ADDRESSES {
         addresses.shuffle(&mut rand::rng());
-        addresses.truncate(MOST_ADDRESSES);
+        addresses.truncate(MAX_ADDRESSES);
     }
     let ttl_max_ms = (node.settings().lookup_ttl_max_s * 1_000.0) as u64;
     let body = node
@@ -67,25 +68,25 @@
     response
 }
 
-/// The regions that may serve all of a host; empty where any may.
+/// Returns the regions that may serve all routes of a host; empty if every region may, or if none may serve them all.
 fn allowed_regions(node: &Rc<Node>, host: &str) -> Vec<ids::RegionId> {
     let Some(configuration) = node.configuration() else {
         return Vec::new();
     };
-    let mut bound = configuration
+    let mut restricted = configuration
         .routes_of(host)
         .filter(|route| !route.allowed_regions.is_empty());
-    let Some(first) = bound.next() else {
+    let Some(first) = restricted.next() else {
         return Vec::new();
     };
     let mut allowed = first.allowed_regions.clone();
-    for route in bound {
+    for route in restricted {
         allowed.retain(|region| route.allows(region));
     }
     allowed
 }
 
-fn status(code: StatusCode) -> Response<ResponseBody> {
+fn empty_response(code: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::whole(Bytes::new()));
     *response.status_mut() = code;
     response
--- a/crates/damaskvane-gateway/src/metrics.rs
+++ b/crates/damaskvane-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, and the listener where they are read.
+//! Counters, gauges and histograms of a process, and the response that exports them.
 
 use std::rc::Rc;
 
@@ -20,109 +20,110 @@
     0.001, 0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3.0, 8.0,
 ];
 
-/// The counters of a process.
+/// All metrics of a process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Answers to clients by status.
+    /// Responses to clients by HTTP status.
     pub responses: IntCounterVec,
-    /// Refusals by reason.
+    /// Refused requests by reason.
     pub refusals: IntCounterVec,
-    /// Further tries by the end of the try before.
+    /// Retries by the end of the attempt before.
     pub retries: IntCounterVec,
-    /// Further tries that the budget did not allow.
+    /// Retries that the retry budget did not allow.
     pub retries_denied: IntCounter,
-    /// Exchanges by their end.
+    /// Exchanges with backend servers by their end.
     pub exchanges: IntCounterVec,
-    /// Answers that belonged to another request.
+    /// Responses that belonged to another request.
     pub mismatched_responses: IntCounter,
-    /// Clients that left before their answer.
+    /// Clients that disconnected before their response.
     pub client_disconnects: IntCounter,
-    /// What users pay for, by cause.
+    /// Transferred bytes and opened connections.
     pub costs: Costs,
-    /// Calls on the store by collection, purpose and outcome.
+    /// Calls to the store by collection, purpose and outcome.
     pub store_calls: IntCounterVec,
     /// Health probes sent.
     pub probes: IntCounter,
-    /// Deaths of backend servers with requests of this instance on them.
+    /// Deaths of backend servers that were running requests of this instance.
     pub crash_incidents: IntCounter,
-    /// Datagrams that are no message of this protocol.
-    pub unread_datagrams: IntCounter,
-    /// Look-ups answered.
-    pub look_ups: IntCounter,
-    /// Time from a request's head to its answer, by outcome.
+    /// Datagrams that could not be decoded.
+    pub invalid_datagrams: IntCounter,
+    /// Clients' lookups that were received.
+    pub lookups: IntCounter,
+    /// Seconds from a request's head to its response, by outcome.
     pub request_s: HistogramVec,
-    /// Time of a look-up's answer.
-    pub look_up_s: Histogram,
-    /// Time of calls on the store that don't wait for changes.
+    /// Seconds to process a lookup.
+    pub lookup_s: Histogram,
+    /// Seconds of calls to the store, without calls that wait for changes.
     pub store_s: Histogram,
-    /// The version of the configuration in force.
+    /// Version of the configuration in force.
     pub configuration_version: IntGauge,
-    /// Backend servers known.
+    /// Number of known backend servers.
     pub servers: IntGauge,
-    /// Entry instances that look-ups may name.
+    /// Number of entry instances that lookups may return.
     pub instances: IntGauge,
-    /// Whether changes come from a relay of the zone.
-    pub hears_from_relay: IntGauge,
-    /// Milliseconds since the store last answered.
+    /// 1 if this instance receives store changes from a relay of its zone, 0 if it watches the store.
+    pub uses_relay: IntGauge,
+    /// Milliseconds since the last response of the store.
     pub store_age_ms: IntGauge,
 }
 
 impl Metrics {
-    /// All counters at zero.
+    /// Creates all metrics at zero.
     ///
     /// # Errors
     ///
     /// Fails if two metrics have the same name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new_custom(Some("damaskvane".to_owned()), None)?;
-        let make = Maker {
+        let factory = MetricFactory {
             registry: &registry,
         };
         Ok(Self {
-            responses: make.counters("answers_total", "Answers to clients", &["status"])?,
-            refusals: make.counters("refusals_total", "Requests refused", &["reason"])?,
-            retries: make.counters("retries_total", "Further tries", &["after"])?,
-            retries_denied: make.counter("retries_denied_total", "Tries without budget")?,
-            exchanges: make.counters("exchanges_total", "Exchanges with servers", &["end"])?,
-            mismatched_responses: make.counter("foreign_answers_total", "Answers to other requests")?,
-            client_disconnects: make.counter(
+            responses: factory.counters("answers_total", "Answers to clients", &["status"])?,
+            refusals: factory.counters("refusals_total", "Requests refused", &["reason"])?,
+            retries: factory.counters("retries_total", "Further tries", &["after"])?,
+            retries_denied: factory.counter("retries_denied_total", "Tries without budget")?,
+            exchanges: factory.counters("exchanges_total", "Exchanges with servers", &["end"])?,
+            mismatched_responses: factory.counter("foreign_answers_total", "Answers to other requests")?,
+            client_disconnects: factory.counter(
                 "clients_left_total",
                 "Clients that left before their answer",
             )?,
             costs: Costs::new(&registry)?,
-            store_calls: make.counters(
+            store_calls: factory.counters(
                 "store_calls_total",
                 "Calls",
                 &["collection", "purpose", "outcome"],
             )?,
-            probes: make.counter("probes_total", "Health probes")?,
-            crash_incidents: make.counter(
+            probes: factory.counter("probes_total", "Health probes")?,
+            crash_incidents: factory.counter(
                 "crash_incidents_total",
                 "Servers that died with requests on them",
             )?,
-            unread_datagrams: make
+            invalid_datagrams: factory
                 .counter("unread_datagrams_total", "Datagrams that are no message")?,
-            look_ups: make.counter("look_ups_total", "Look-ups answered")?,
-            request_s: make.histograms("request_seconds", "Time of requests", &["outcome"])?,
-            look_up_s: make.histogram("look_up_seconds", "Time of look-ups")?,
-            store_s: make.histogram("store_seconds", "Time of store calls")?,
-            configuration_version: make.gauge("configuration_version", "Version in force")?,
-            servers: make.gauge("servers", "Backend servers known")?,
-            instances: make.gauge("instances", "Instances that look-ups may name")?,
-            hears_from_relay: make.gauge("hears_from_relay", "Whether a relay tells of changes")?,
-            store_age_ms: make.gauge("store_age_milliseconds", "Since the store answered")?,
+            lookups: factory.counter("look_ups_total", "Look-ups answered")?,
+            request_s: factory.histograms("request_seconds", "Time of requests", &["outcome"])?,
+            lookup_s: factory.histogram("look_up_seconds", "Time of look-ups")?,
+            store_s: factory.histogram("store_seconds", "Time of store calls")?,
+            configuration_version: factory.gauge("configuration_version", "Version in force")?,
+            servers: factory.gauge("servers", "Backend servers known")?,
+            instances: factory.gauge("instances", "Instances that look-ups may name")?,
+            uses_relay: factory.gauge("hears_from_relay", "Whether a relay tells of changes")?,
+            store_age_ms: factory.gauge("store_age_milliseconds", "Since the store answered")?,
             registry,
         })
     }
 
-    /// Calls on the store by collection, purpose and outcome, and what else users pay for: name and count since the
-    /// start, for the log.
+    /// Returns what operators pay for, as names and totals since the start for the log.
+    ///
+    /// Holds transferred bytes, opened connections, and calls to the store by collection, purpose and outcome.
     #[must_use]
-    pub fn cost_figures(&self) -> String {
-        let mut figures: Vec<String> = self
+    pub fn cost_summary(&self) -> String {
+        let mut totals: Vec<String> = self
             .costs
-            .figures()
+            .nonzero_totals()
             .map(|(name, count)| format!("{name}={count}"))
             .collect();
         for family in self.store_calls.collect() {
@@ -130,27 +131,27 @@
                 let labels = metric.get_label().iter();
                 let labels: Vec<&str> = labels.map(prometheus::proto::LabelPair::value).collect();
                 let count = metric.get_counter().get_value();
-                figures.push(format!("calls.{}={count}", labels.join(".")));
+                totals.push(format!("calls.{}={count}", labels.join(".")));
             }
         }
-        figures.join(" ")
+        totals.join(" ")
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing to memory doesn't fail, and names were checked when they were registered.
+        // Writing to memory can't fail, and the names were checked at the registration.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
 }
 
-struct Maker<'a> {
+struct MetricFactory<'a> {
     registry: &'a Registry,
 }
 
-impl Maker<'_> {
+impl MetricFactory<'_> {
     fn counters(
         &self,
         name: &str,
@@ -194,7 +195,7 @@
     }
 }
 
-/// Answers a request for the metrics.
+/// Updates the gauges and returns the response with all metrics.
 #[must_use]
 pub fn response(node: &Rc<Node>) -> Response<ResponseBody> {
     let now = node.now();
@@ -202,7 +203,7 @@
         let state = node.state.borrow();
         let metrics = &node.metrics;
         let is_relayed = node.store.source() == Source::Relay;
-        metrics.hears_from_relay.set(i64::from(is_relayed));
+        metrics.uses_relay.set(i64::from(is_relayed));
         metrics.servers.set(state.pool.len() as i64);
         metrics
             .instances
--- a/crates/damaskvane-gateway/src/node.rs
+++ b/crates/damaskvane-gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an instance share.
+//! State that all tasks of an instance share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 
 use crate::adapter::Adapter;
-use crate::crashes::Crashes;
+use crate::crashes::CrashTracker;
 use crate::decision_log::DecisionLog;
 use crate::metrics::Metrics;
 use crate::settings::GatewaySettings;
@@ -24,57 +24,57 @@
 use crate::store::{Feed, Journal, StoreHealth};
 use crate::upstream::IdleConnections;
 
-/// What is believed and decided from.
+/// Current view of the configuration, servers and instances, and the state of routing decisions.
 #[derive(Debug)]
 pub struct State {
-    /// The configuration in force, once one is known.
+    /// Configuration in force; `None` until the first one is received.
     pub configuration: Option<Rc<Configuration>>,
-    /// The backend servers.
+    /// Known backend servers.
     pub pool: ServerPool,
-    /// Whether the servers were listed since the start.
+    /// Whether the backend servers were listed completely since the start.
     pub are_servers_listed: bool,
-    /// Places requests.
+    /// Selects the backend server of a request.
     pub placer: Placer,
-    /// The sequences of weighted routes.
+    /// Positions in the sequences of weighted routes.
     pub splits: Splits,
-    /// Retries of each service.
+    /// Retry budget of each service.
     pub budgets: HashMap<ids::ServiceId, RetryBudget>,
-    /// The other instances.
+    /// Table of all entry instances.
     pub members: Members,
 }
 
-/// Everything that tasks of one instance share; they all run on one thread.
+/// Shared state of one instance's tasks, which all run on one thread.
 pub struct Node {
-    /// Translates between the platform and the product.
+    /// Adapter to the platform's protocols.
     pub adapter: Box<dyn Adapter>,
-    /// The settings in force.
+    /// Settings in force.
     pub settings: RefCell<Rc<GatewaySettings>>,
-    /// What is believed.
+    /// View of servers and instances, and the state of routing.
     pub state: RefCell<State>,
-    /// Kept connections to backend servers.
+    /// Idle connections to backend servers.
     pub idle: RefCell<IdleConnections>,
-    /// The state of the planned stop.
+    /// State of the planned stop.
     pub stop: Stop,
-    /// Whether the store answers.
+    /// Availability of the store, and the source of changes.
     pub store: StoreHealth,
-    /// The changes heard, for other instances of the zone.
+    /// Recent store changes, for other instances of the zone.
     pub journal: Journal,
-    /// The changes that come from a relay.
+    /// Store changes received from a relay.
     pub feed: Feed,
-    /// Requests that crash what runs them.
-    pub crashes: Crashes,
-    /// Asks for a look at the probes that are due, before the next one by time.
-    pub probe_wanted: Notify,
-    /// Which start of the instance this is.
+    /// Requests that crash backend servers.
+    pub crashes: CrashTracker,
+    /// Wakes the probe task before its next periodic check.
+    pub probe_requested: Notify,
+    /// Identifies this run of the instance's process.
     pub incarnation: ids::Incarnation,
-    /// Counters and histograms.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// The log.
+    /// Log of the process.
     pub log: DecisionLog,
-    /// Bytes of requests' bodies that are held.
+    /// Bytes of request bodies that are buffered now.
     pub buffered_body_bytes: Cell<usize>,
     started: Instant,
-    exchanges: Cell<u64>,
+    last_exchange: Cell<u64>,
 }
 
 impl core::fmt::Debug for Node {
@@ -86,7 +86,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates the state of an instance that has received nothing from the store or its peers.
     #[must_use]
     pub fn new(
         adapter: Box<dyn Adapter>,
@@ -125,53 +125,53 @@
             store: StoreHealth::default(),
             journal: Journal::default(),
             feed: Feed::default(),
-            crashes: Crashes::default(),
-            probe_wanted: Notify::new(),
+            crashes: CrashTracker::default(),
+            probe_requested: Notify::new(),
             incarnation,
             metrics,
             log,
             buffered_body_bytes: Cell::new(0),
             started: Instant::now(),
-            exchanges: Cell::new(0),
+            last_exchange: Cell::new(0),
         }
     }
 
-    /// The time since the start of the process.
+    /// Returns the time since the node was created, in milliseconds.
     #[must_use]
     pub fn now(&self) -> TimeMs {
         let elapsed_ms = self.started.elapsed().as_millis();
         TimeMs::new(u64::try_from(elapsed_ms).unwrap_or(u64::MAX))
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     #[must_use]
     pub fn settings(&self) -> Rc<GatewaySettings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` until the first one is received.
     #[must_use]
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.state.borrow().configuration.clone()
     }
 
-    /// Names this start of the instance.
+    /// Returns the key of this instance's incarnation.
     #[must_use]
     pub fn incarnation_key(&self) -> IncarnationKey {
         IncarnationKey::new(&self.settings().instance, self.incarnation)
     }
 
-    /// Which of the instances that hand changes on in the zone this one is, if it is one.
+    /// Returns this instance's rank among the relays of its zone; `None` if this instance is not a relay.
     #[must_use]
     pub fn relay_rank(&self) -> Option<usize> {
         let settings = self.settings();
         let members = &self.state.borrow().members;
         let relays = members.relays(self.now(), &settings.zone);
-        let is_own = |relay: &Relay| relay.instance == settings.instance;
-        relays.iter().position(is_own)
+        let is_this_instance = |relay: &Relay| relay.instance == settings.instance;
+        relays.iter().position(is_this_instance)
     }
 
-    /// The instance's record in the store.
+    /// Returns this instance's record for the store.
     #[must_use]
     pub fn own_record(&self) -> ListedInstance {
         let settings = self.settings();
@@ -182,14 +182,14 @@
         }
     }
 
-    /// A name for the next exchange.
+    /// Returns an id for the next exchange with a backend server.
     pub fn next_exchange_id(&self) -> ExchangeId {
-        let id = self.exchanges.get() + 1;
-        self.exchanges.set(id);
+        let id = self.last_exchange.get() + 1;
+        self.last_exchange.set(id);
         ExchangeId(id)
     }
 
-    /// Where the instance stands in its life.
+    /// Returns the phase of this instance.
     #[must_use]
     pub fn phase(&self) -> Phase {
         if self.stop.is_leaving() {
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -1,7 +1,7 @@
-//! Heartbeats between instances, digests of them between zones, and notices of crashes, as datagrams.
+//! Exchange of heartbeats, digests, reports and crash notices between entry instances by UDP.
 //!
-//! A heartbeat is worth nothing once the next one comes, so a lost one needs no second sending, and a
-//! peer that reads slowly can't hold a sender up. That is why datagrams carry them.
+//! Each heartbeat replaces the one before, so that a lost heartbeat need not be sent again. With datagrams, a peer
+//! that reads slowly can't block the sender.
 
 mod message;
 
@@ -21,59 +21,62 @@
 use crate::node::Node;
 use crate::stop::StopPhase;
 
-/// The pause between two words on servers, for each instance that hears them: what an instance sends stays the
-/// same in a zone of any size.
-const TOLD_PAUSE_PER_LISTENER: Duration = Duration::from_millis(30);
-/// The least pause between two words on servers.
-const LEAST_TOLD_PAUSE: Duration = Duration::from_millis(250);
-/// Servers in one word: a dozen bytes each.
-const MOST_TOLD_SERVERS: usize = 12;
-/// The least pause between two reports of what clients asked for, and the pause for each instance of the zone: those
-/// that speak for it get as many in a zone of any size.
-const LEAST_ASKED_PAUSE: Duration = Duration::from_millis(1_000);
-const ASKED_PAUSE_PER_LISTENER: Duration = Duration::from_millis(30);
-/// How often an incident is told: a datagram may be lost, and a recipient may stand still for a moment.
-const INCIDENT_TOLD_TIMES: u32 = 3;
-/// The pause between two tellings.
-const INCIDENT_TOLD_PAUSE: Duration = Duration::from_millis(400);
-/// Entries of a digest in one datagram, so that it is not split on its way: 13 bytes each.
-const MOST_ENTRIES: usize = 64;
-/// A digest goes out with every so many heartbeats; the other speaker of the zone sends one in between.
-const BEATS_PER_DIGEST: u64 = 2;
-/// The pause between two looks for news of the own zone.
-const NEWS_PAUSE: Duration = Duration::from_millis(250);
-/// Heartbeats in one datagram of news, so that it is not split on its way: about a hundred bytes each.
-const MOST_NEWS: usize = 12;
-/// The pause between two heartbeats until clients are taken: the others learn of the instance, and it
-/// of them, before the first client asks.
-const STARTING_PERIOD: Duration = Duration::from_millis(150);
-/// Largest datagram.
-const MOST_BYTES: usize = 1_400;
+/// Interval between two server reports, multiplied by the number of recipients: an instance sends at the same rate in
+/// a zone of any size.
+const REPORT_INTERVAL_PER_RECIPIENT: Duration = Duration::from_millis(30);
+/// Shortest interval between two server reports.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Largest number of servers in one report: about 12 bytes each.
+const MAX_SERVERS_PER_REPORT: usize = 12;
+/// Shortest interval between two popularity reports.
+const MIN_POPULARITY_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Interval between two popularity reports, multiplied by the number of other instances in the zone: the aggregators
+/// receive reports at the same rate in a zone of any size.
+const POPULARITY_INTERVAL_PER_RECIPIENT: Duration = Duration::from_millis(30);
+/// How many times an incident is sent: a datagram may be lost, and a recipient may be paused for a moment.
+const INCIDENT_SEND_COUNT: u32 = 3;
+/// Interval between two sendings of an incident.
+const INCIDENT_RESEND_INTERVAL: Duration = Duration::from_millis(400);
+/// Largest number of digest entries in one datagram, so that the datagram is not fragmented: 13 bytes each.
+const MAX_DIGEST_ENTRIES: usize = 64;
+/// Number of heartbeats for each digest; the other aggregator of the zone sends a digest in between.
+const HEARTBEATS_PER_DIGEST: u64 = 2;
+/// Interval between two checks for membership updates of this instance's zone.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
+/// Largest number of heartbeats in one membership update, so that the datagram is not fragmented: about 100 bytes
+/// each.
+const MAX_HEARTBEATS_PER_UPDATE: usize = 12;
+/// Interval between two heartbeats of a starting instance.
+///
+/// The short interval makes this instance and its peers known to each other before clients are accepted.
+const STARTUP_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
+/// Largest datagram in bytes.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// Sends and receives heartbeats until the process ends.
+/// Sends heartbeats and digests and starts the other tasks of this module, until the process ends.
 ///
 /// # Errors
 ///
-/// Fails if the address can't be used.
+/// Fails if the peer address can't be bound.
 pub async fn run(node: Rc<Node>) -> io::Result<()> {
     let socket = Rc::new(UdpSocket::bind(node.settings().peer_address).await?);
     tokio::task::spawn_local(receive(Rc::clone(&node), Rc::clone(&socket)));
-    tokio::task::spawn_local(tell_servers(Rc::clone(&node), Rc::clone(&socket)));
-    tokio::task::spawn_local(tell_incidents(Rc::clone(&node), Rc::clone(&socket)));
-    tokio::task::spawn_local(tell_news(Rc::clone(&node), Rc::clone(&socket)));
-    tokio::task::spawn_local(tell_asked(Rc::clone(&node), Rc::clone(&socket)));
+    tokio::task::spawn_local(send_server_reports(Rc::clone(&node), Rc::clone(&socket)));
+    tokio::task::spawn_local(send_incidents(Rc::clone(&node), Rc::clone(&socket)));
+    tokio::task::spawn_local(send_membership_updates(Rc::clone(&node), Rc::clone(&socket)));
+    tokio::task::spawn_local(exchange_popularity(Rc::clone(&node), Rc::clone(&socket)));
     let period = Duration::from_millis(node.settings().peers().heartbeat_ms);
     let mut phases = node.stop.subscribe();
     let mut serial = 0;
     let mut last_phase = None;
     loop {
         serial += 1;
-        let heartbeat = own(&node, serial);
+        let heartbeat = own_heartbeat(&node, serial);
         let phase = heartbeat.phase;
         let (now, recipients) = {
             let now = node.now();
             let mut state = node.state.borrow_mut();
-            state.members.apply_heartbeat(now, heartbeat.clone());
+            state.members.note(now, heartbeat.clone());
             (now, state.members.recipients(now, serial))
         };
         if last_phase != Some(phase) {
@@ -81,18 +84,18 @@
             last_phase = Some(phase);
         }
         send(&node, &socket, &Message::Heartbeat(heartbeat), &recipients).await;
-        if serial.is_multiple_of(BEATS_PER_DIGEST) {
+        if serial.is_multiple_of(HEARTBEATS_PER_DIGEST) {
             send_digest(&node, &socket).await;
         }
         tokio::select! {
-            () = tokio::time::sleep(if phase == Phase::Starting { STARTING_PERIOD } else { period }) => {}
-            // The others must hear of a stop at once: until then they send clients here.
+            () = tokio::time::sleep(if phase == Phase::Starting { STARTUP_HEARTBEAT_INTERVAL } else { period }) => {}
+            // Peers must learn of a stop at once: until then their lookup responses send clients here.
             _ = phases.wait_for(|stop| *stop != StopPhase::Serving && phase != Phase::Leaving) => {}
         }
     }
 }
 
-fn own(node: &Node, serial: u64) -> Heartbeat {
+fn own_heartbeat(node: &Node, serial: u64) -> Heartbeat {
     let settings = node.settings();
     Heartbeat {
         instance: settings.instance.clone(),
@@ -112,9 +115,9 @@
         (members.digest(now), members.digest_recipients(now))
     };
     let entries = digest.map(|digest| digest.entries).unwrap_or_default();
-    for entries in entries.chunks(MOST_ENTRIES) {
+    for entries in entries.chunks(MAX_DIGEST_ENTRIES) {
         let message = Message::Digest {
-            is_handed_on: false,
+            is_forwarded: false,
             digest: Digest {
                 entries: entries.to_vec(),
             },
@@ -123,24 +126,24 @@
     }
 }
 
-/// Tells other zones of instances of the own one that have started or changed their phase, until the process ends.
-async fn tell_news(node: Rc<Node>, socket: Rc<UdpSocket>) {
+/// Sends other zones the instances of this zone that have started or changed their phase, until the process ends.
+async fn send_membership_updates(node: Rc<Node>, socket: Rc<UdpSocket>) {
     loop {
-        tokio::time::sleep(NEWS_PAUSE).await;
+        tokio::time::sleep(UPDATE_INTERVAL).await;
         loop {
             let now = node.now();
             let (heartbeats, recipients) = {
                 let members = &mut node.state.borrow_mut().members;
                 (
-                    members.take_membership_updates(now, MOST_NEWS),
+                    members.take_membership_updates(now, MAX_HEARTBEATS_PER_UPDATE),
                     members.digest_recipients(now),
                 )
             };
             if heartbeats.is_empty() {
                 break;
             }
-            let message = Message::News {
-                is_handed_on: false,
+            let message = Message::MembershipUpdate {
+                is_forwarded: false,
                 heartbeats,
             };
             send(&node, &socket, &message, &recipients).await;
@@ -148,67 +151,69 @@
     }
 }
 
-/// Tells the zone's other instances of busy and unwell servers, until the process ends.
-async fn tell_servers(node: Rc<Node>, socket: Rc<UdpSocket>) {
-    let mut pause = LEAST_TOLD_PAUSE;
+/// Reports busy and unhealthy servers to the zone's other instances, until the process ends.
+async fn send_server_reports(node: Rc<Node>, socket: Rc<UdpSocket>) {
+    let mut interval = MIN_REPORT_INTERVAL;
     loop {
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
         let now = node.now();
-        let (told, neighbours) = {
+        let (reports, neighbours) = {
             let mut state = node.state.borrow_mut();
-            let told = state.pool.tell_servers(now, MOST_TOLD_SERVERS);
-            (told, state.members.neighbours(now))
+            let reports = state.pool.tell_servers(now, MAX_SERVERS_PER_REPORT);
+            (reports, state.members.neighbours(now))
         };
-        let listeners = u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
-        pause = LEAST_TOLD_PAUSE.max(TOLD_PAUSE_PER_LISTENER.saturating_mul(listeners));
-        if !told.is_empty() {
-            send(&node, &socket, &Message::Servers(told), &neighbours).await;
+        let recipient_count = u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
+        interval = MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_RECIPIENT.saturating_mul(recipient_count));
+        if !reports.is_empty() {
+            send(&node, &socket, &Message::ServerReports(reports), &neighbours).await;
         }
     }
 }
 
-/// Reports what clients asked for to those that speak for the zone, or judges as one of them, until the process ends.
-async fn tell_asked(node: Rc<Node>, socket: Rc<UdpSocket>) {
-    let mut pause = LEAST_ASKED_PAUSE;
+/// Reports the requested objects to the zone's aggregators, until the process ends.
+///
+/// An aggregator applies its own report, decides which objects are popular, and sends the decisions to its zone.
+async fn exchange_popularity(node: Rc<Node>, socket: Rc<UdpSocket>) {
+    let mut interval = MIN_POPULARITY_INTERVAL;
     loop {
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(interval).await;
         let now = node.now();
         let (message, recipients) = {
             let mut state = node.state.borrow_mut();
             let report = state.placer.take_popularity_report();
             let neighbours = state.members.neighbours(now);
-            let listeners = u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
-            pause = LEAST_ASKED_PAUSE.max(ASKED_PAUSE_PER_LISTENER.saturating_mul(listeners));
+            let recipient_count = u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
+            interval = MIN_POPULARITY_INTERVAL.max(POPULARITY_INTERVAL_PER_RECIPIENT.saturating_mul(recipient_count));
             if state.members.is_aggregator(now) {
                 state.placer.apply_popularity_report(now, &report);
-                let verdicts = state.placer.decide_popularity(now);
-                let by = node.settings().instance.clone();
-                state.placer.apply_popularity_decisions(now, &by, &verdicts);
-                (Message::Verdicts { by, verdicts }, neighbours)
+                let decisions = state.placer.decide_popularity(now);
+                let aggregator = node.settings().instance.clone();
+                state.placer.apply_popularity_decisions(now, &aggregator, &decisions);
+                (Message::PopularityDecisions { aggregator, decisions }, neighbours)
             } else {
-                (Message::Asked(report), state.members.other_aggregators(now))
+                (Message::PopularityReport(report), state.members.other_aggregators(now))
             }
         };
         send(&node, &socket, &message, &recipients).await;
     }
 }
 
-/// Tells the other instances of each incident, until the process ends.
-async fn tell_incidents(node: Rc<Node>, socket: Rc<UdpSocket>) {
+/// Sends each incident to the other instances, until the process ends.
+async fn send_incidents(node: Rc<Node>, socket: Rc<UdpSocket>) {
     while let Ok(incident) = node.crashes.notices().recv_async().await {
-        let telling = tell(Rc::clone(&node), Rc::clone(&socket), incident);
-        tokio::task::spawn_local(telling);
+        let sending = send_incident(Rc::clone(&node), Rc::clone(&socket), incident);
+        tokio::task::spawn_local(sending);
     }
 }
 
-async fn tell(node: Rc<Node>, socket: Rc<UdpSocket>, incident: Incident) {
-    let seen_at = node.now();
-    for time in 0..INCIDENT_TOLD_TIMES {
-        if time > 0 {
-            tokio::time::sleep(INCIDENT_TOLD_PAUSE).await;
+async fn send_incident(node: Rc<Node>, socket: Rc<UdpSocket>, incident: Incident) {
+    let detected_at = node.now();
+    for attempt in 0..INCIDENT_SEND_COUNT {
+        if attempt > 0 {
+            tokio::time::sleep(INCIDENT_RESEND_INTERVAL).await;
         }
         let incident = Incident {
-            age: node.now().since(seen_at),
+            age: node.now().since(detected_at),
             ..incident.clone()
         };
         let recipients = node.state.borrow().members.others();
@@ -220,7 +225,7 @@
     let bytes = match message.encode() {
         Ok(bytes) => bytes,
         Err(error) => {
-            slog::error!(node.log.log, "a message to other instances can't be encoded"; "error" => %error);
+            slog::error!(node.log.log, "message to peers can't be encoded"; "error" => %error);
             return;
         }
     };
@@ -228,117 +233,104 @@
         let distance = Distance::to_instance(node, recipient.ip());
         let costs = &node.metrics.costs;
         costs.record_bytes(message.flow(), distance, bytes.len());
-        // A recipient that can't be reached now is told by the next message.
+        // A recipient that can't be reached now receives a later message.
         let _ = socket.send_to(&bytes, recipient).await;
     }
 }
 
 async fn receive(node: Rc<Node>, socket: Rc<UdpSocket>) {
-    let mut buffer = [0; MOST_BYTES];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            // An earlier datagram found nobody; the socket goes on working.
+            // The error reports that an earlier datagram had no receiver; the socket remains usable.
             continue;
         };
         match Message::decode(&buffer[..length]) {
             Some(Message::Heartbeat(heartbeat)) => {
-                answer(&node, &socket, &heartbeat).await;
-                if take_heartbeat(&node, heartbeat.clone()) {
-                    introduce(&node, &socket, &heartbeat).await;
+                reply_to_heartbeat(&node, &socket, &heartbeat).await;
+                if apply_heartbeat(&node, heartbeat.clone()) {
+                    send_introduction(&node, &socket, &heartbeat).await;
                 }
             }
             Some(Message::Digest {
-                is_handed_on,
+                is_forwarded,
                 digest,
             }) => {
-                if !is_handed_on {
+                if !is_forwarded {
                     let message = Message::Digest {
-                        is_handed_on: true,
+                        is_forwarded: true,
                         digest: digest.clone(),
                     };
-                    hand_on(&node, &socket, &message).await;
+                    forward_in_zone(&node, &socket, &message).await;
                 }
                 let now = node.now();
                 node.state.borrow_mut().members.apply_digest(now, &digest);
             }
-            Some(Message::News {
-                is_handed_on,
+            Some(Message::MembershipUpdate {
+                is_forwarded,
                 heartbeats,
             }) => {
-                if !is_handed_on {
-                    let message = Message::News {
-                        is_handed_on: true,
+                if !is_forwarded {
+                    let message = Message::MembershipUpdate {
+                        is_forwarded: true,
                         heartbeats: heartbeats.clone(),
                     };
-                    hand_on(&node, &socket, &message).await;
+                    forward_in_zone(&node, &socket, &message).await;
                 }
                 for heartbeat in heartbeats {
-                    take_heartbeat(&node, heartbeat);
+                    apply_heartbeat(&node, heartbeat);
                 }
             }
-            Some(Message::Incident(incident)) => crashes::take_told(&node, &incident),
-            Some(Message::Servers(told)) => {
+            Some(Message::Incident(incident)) => crashes::apply_peer_incident(&node, &incident),
+            Some(Message::ServerReports(reports)) => {
                 let now = node.now();
-                node.state.borrow_mut().pool.note_told(now, &told);
+                node.state.borrow_mut().pool.note_told(now, &reports);
             }
-            Some(Message::Asked(report)) => {
+            Some(Message::PopularityReport(report)) => {
                 let now = node.now();
                 let mut state = node.state.borrow_mut();
                 if state.members.is_aggregator(now) {
                     state.placer.apply_popularity_report(now, &report);
                 }
             }
-            Some(Message::Verdicts { by, verdicts }) => {
+            Some(Message::PopularityDecisions { aggregator, decisions }) => {
                 let now = node.now();
                 let placer = &mut node.state.borrow_mut().placer;
-                placer.apply_popularity_decisions(now, &by, &verdicts);
+                placer.apply_popularity_decisions(now, &aggregator, &decisions);
             }
-            None => node.metrics.unread_datagrams.inc(),
+            None => node.metrics.invalid_datagrams.inc(),
         }
     }
 }
 
-/// Answers an instance that is looking for others.
-async fn answer(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
-    let own = node
-        .state
-        .borrow()
-        .members
-        .reply_to_heartbeat(heartbeat)
-        .cloned();
+/// Replies with this instance's heartbeat to an instance that searches for peers.
+async fn reply_to_heartbeat(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
+    let own = node.state.borrow().members.reply_to_heartbeat(heartbeat).cloned();
     if let Some(own) = own {
         let recipients = [heartbeat.peer_address];
         send(node, socket, &Message::Heartbeat(own), &recipients).await;
     }
 }
 
-/// Tells an instance of the own zone that has just started of those of other zones.
-async fn introduce(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
+/// Sends the instances of other zones to an instance of this zone that has just started.
+async fn send_introduction(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
     let now = node.now();
-    let introduction = node
-        .state
-        .borrow()
-        .members
-        .heartbeats_for_new_instance(now, heartbeat);
-    for heartbeats in introduction.chunks(MOST_NEWS) {
-        let message = Message::News {
-            is_handed_on: true,
+    let introduction = node.state.borrow().members.introduction(now, heartbeat);
+    for heartbeats in introduction.chunks(MAX_HEARTBEATS_PER_UPDATE) {
+        let message = Message::MembershipUpdate {
+            is_forwarded: true,
             heartbeats: heartbeats.to_vec(),
         };
         send(node, socket, &message, &[heartbeat.peer_address]).await;
     }
 }
 
-/// Takes in a heartbeat; returns whether the instance is new, or back under a new start.
-fn take_heartbeat(node: &Node, heartbeat: Heartbeat) -> bool {
+/// Applies a heartbeat; returns whether the instance is new or has a new incarnation.
+fn apply_heartbeat(node: &Node, heartbeat: Heartbeat) -> bool {
     let instance = heartbeat.instance.clone();
     let phase = heartbeat.phase;
     let now = node.now();
-    let is_new = node
-        .state
-        .borrow_mut()
-        .members
-        .apply_heartbeat(now, heartbeat);
+    let is_new = node.state.borrow_mut().members.note(now, heartbeat);
     if is_new {
         slog::info!(node.log.log, "instance started";
             "peer" => %instance, "phase" => ?phase);
@@ -346,11 +338,11 @@
     is_new
 }
 
-/// Tells the own zone what another one says, if this instance speaks for its zone.
-async fn hand_on(node: &Node, socket: &UdpSocket, message: &Message) {
+/// Forwards a message of another zone to this instance's zone, if this instance is an aggregator.
+async fn forward_in_zone(node: &Node, socket: &UdpSocket, message: &Message) {
     let now = node.now();
-    let listeners = node.state.borrow().members.digest_forward_recipients(now);
-    if !listeners.is_empty() {
-        send(node, socket, message, &listeners).await;
+    let recipients = node.state.borrow().members.digest_forward_recipients(now);
+    if !recipients.is_empty() {
+        send(node, socket, message, &recipients).await;
     }
 }
--- a/crates/damaskvane-gateway/src/peers/message.rs
+++ b/crates/damaskvane-gateway/src/peers/message.rs
@@ -1,4 +1,6 @@
-//! The datagrams between instances and their form on the wire.
+//! Messages between entry instances, and their encoding as datagrams.
+//!
+//! The `Wire` types are the encoded form. Postcard encodes fields and variants by position.
 
 use std::net;
 
@@ -11,68 +13,69 @@
 
 use crate::costs::Flow;
 
-/// Tells the protocol from others on the port, and its form from other ones: it changes with the messages.
+/// First field of each datagram; identifies the protocol and its version, and changes whenever a message changes.
 const MAGIC: u32 = 0x6476_7033;
 
-/// Something that one instance tells another.
+/// A message from one entry instance to another.
 #[derive(Debug, Clone)]
 pub enum Message {
-    /// Where the sender stands.
+    /// Addresses and phase of the sender.
     Heartbeat(Heartbeat),
-    /// What a zone says of its instances.
+    /// State of the instances of a zone, sent by an aggregator of the zone.
     Digest {
-        /// Whether an instance of the recipient's zone hands it on.
-        is_handed_on: bool,
-        /// What it says.
+        /// Whether the sender is in the recipient's zone, so that the recipient does not forward the message.
+        is_forwarded: bool,
+        /// Entries of the zone's instances.
         digest: Digest,
     },
-    /// Instances of a zone that have started, or changed their phase.
-    News {
-        /// Whether an instance of the recipient's zone hands it on.
-        is_handed_on: bool,
-        /// Their heartbeats.
+    /// Instances that have started or changed their phase; also sent to a new instance, with all ready instances of other
+    /// zones.
+    MembershipUpdate {
+        /// Whether the sender is in the recipient's zone, so that the recipient does not forward the message.
+        is_forwarded: bool,
+        /// Latest heartbeats of these instances.
         heartbeats: Vec<Heartbeat>,
     },
-    /// A server died with requests on it.
+    /// The death of a backend server that was running requests.
     Incident(Incident),
-    /// Servers that have a queue, are slow or fail, or no longer so.
-    Servers(Vec<ToldServer>),
-    /// What the sender's clients asked for.
-    Asked(PopularityReport),
-    /// Which objects have a server in each zone, from one that speaks for the zone.
-    Verdicts {
-        /// Who has judged.
-        by: ids::InstanceId,
-        /// What it found.
-        verdicts: Vec<PopularityDecision>,
+    /// Backend servers that are queueing, slow or failing, or have recovered.
+    ServerReports(Vec<ToldServer>),
+    /// Samples of the objects that the sender's clients request, by route.
+    PopularityReport(PopularityReport),
+    /// Decisions on which objects are popular enough to have a server in each zone.
+    PopularityDecisions {
+        /// The aggregator that has made the decisions.
+        aggregator: ids::InstanceId,
+        /// For each route, the share of its objects that have a server in each zone.
+        decisions: Vec<PopularityDecision>,
     },
 }
 
 impl Message {
-    /// What its bytes are carried for.
+    /// Returns the flow under which the message's bytes are counted.
     #[must_use]
     pub const fn flow(&self) -> Flow {
         match self {
             Self::Heartbeat(_) => Flow::Heartbeat,
             Self::Digest { .. } => Flow::Digest,
-            Self::News { .. } => Flow::News,
+            Self::MembershipUpdate { .. } => Flow::MembershipUpdate,
             Self::Incident(_) => Flow::Incident,
-            Self::Servers(_) => Flow::Servers,
-            Self::Asked(_) => Flow::Asked,
-            Self::Verdicts { .. } => Flow::Verdicts,
+            Self::ServerReports(_) => Flow::ServerReports,
+            Self::PopularityReport(_) => Flow::PopularityReport,
+            Self::PopularityDecisions { .. } => Flow::PopularityDecisions,
         }
     }
 
-    /// The bytes of a datagram.
+    /// Encodes the message as a datagram.
     ///
     /// # Errors
     ///
-    /// Fails only if the message can't be encoded at all.
+    /// Fails if postcard can't encode the message.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_allocvec(&(MAGIC, Wire::of(self)))
     }
 
-    /// Reads a datagram; `None` for bytes that are no message of this protocol.
+    /// Decodes a datagram; returns `None` if the bytes are not a message of this protocol and version.
     #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (magic, wire): (u32, Wire) = postcard::from_bytes(bytes).ok()?;
@@ -84,19 +87,27 @@
 enum Wire {
     Heartbeat(HeartbeatWire),
     Digest {
-        is_handed_on: bool,
+        #[serde(rename = "is_handed_on")]
+        is_forwarded: bool,
         entries: Vec<EntryWire>,
     },
-    News {
-        is_handed_on: bool,
+    #[serde(rename = "News")]
+    MembershipUpdate {
+        #[serde(rename = "is_handed_on")]
+        is_forwarded: bool,
         heartbeats: Vec<HeartbeatWire>,
     },
     Incident(Incident),
-    Servers(Vec<ServerWire>),
-    Asked(Vec<SampleWire>),
-    Verdicts {
-        by: ids::InstanceId,
-        verdicts: Vec<(u32, u8)>,
+    #[serde(rename = "Servers")]
+    ServerReports(Vec<ServerWire>),
+    #[serde(rename = "Asked")]
+    PopularityReport(Vec<SampleWire>),
+    #[serde(rename = "Verdicts")]
+    PopularityDecisions {
+        #[serde(rename = "by")]
+        aggregator: ids::InstanceId,
+        #[serde(rename = "verdicts")]
+        decisions: Vec<(u32, u8)>,
     },
 }
 
@@ -120,7 +131,7 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 struct EntryWire {
-    /// A hash, whose bytes are shorter as they are than as a number of variable length.
+    /// Hash as raw bytes, which are shorter than the hash as an integer of variable length.
     key: [u8; 8],
     serial: u64,
     phase: u8,
@@ -153,25 +164,25 @@
         match message {
             Message::Heartbeat(heartbeat) => Self::Heartbeat(HeartbeatWire::of(heartbeat)),
             Message::Digest {
-                is_handed_on,
+                is_forwarded,
                 digest,
             } => Self::Digest {
-                is_handed_on: *is_handed_on,
+                is_forwarded: *is_forwarded,
                 entries: digest.entries.iter().map(EntryWire::of).collect(),
             },
-            Message::News {
-                is_handed_on,
+            Message::MembershipUpdate {
+                is_forwarded,
                 heartbeats,
-            } => Self::News {
-                is_handed_on: *is_handed_on,
+            } => Self::MembershipUpdate {
+                is_forwarded: *is_forwarded,
                 heartbeats: heartbeats.iter().map(HeartbeatWire::of).collect(),
             },
             Message::Incident(incident) => Self::Incident(incident.clone()),
-            Message::Servers(told) => Self::Servers(told.iter().map(ServerWire::of).collect()),
-            Message::Asked(report) => Self::Asked(report.iter().map(SampleWire::of).collect()),
-            Message::Verdicts { by, verdicts } => Self::Verdicts {
-                by: by.clone(),
-                verdicts: verdicts
+            Message::ServerReports(reports) => Self::ServerReports(reports.iter().map(ServerWire::of).collect()),
+            Message::PopularityReport(report) => Self::PopularityReport(report.iter().map(SampleWire::of).collect()),
+            Message::PopularityDecisions { aggregator, decisions } => Self::PopularityDecisions {
+                aggregator: aggregator.clone(),
+                decisions: decisions
                     .iter()
                     .map(|one| (one.route.get(), one.steps))
                     .collect(),
@@ -183,36 +194,36 @@
         Some(match self {
             Self::Heartbeat(heartbeat) => Message::Heartbeat(heartbeat.into_heartbeat()?),
             Self::Digest {
-                is_handed_on,
+                is_forwarded,
                 entries,
             } => Message::Digest {
-                is_handed_on,
+                is_forwarded,
                 digest: Digest {
-                    // An entry in a phase of a later version is left out; the others hold.
+                    // Skips entries with a phase of a later version; the other entries are valid.
                     entries: entries.into_iter().filter_map(EntryWire::read).collect(),
                 },
             },
-            Self::News {
-                is_handed_on,
+            Self::MembershipUpdate {
+                is_forwarded,
                 heartbeats,
-            } => Message::News {
-                is_handed_on,
-                // One in a phase of a later version is left out; the others hold.
+            } => Message::MembershipUpdate {
+                is_forwarded,
+                // Skips heartbeats with a phase of a later version; the other heartbeats are valid.
                 heartbeats: heartbeats
                     .into_iter()
                     .filter_map(HeartbeatWire::into_heartbeat)
                     .collect(),
             },
             Self::Incident(incident) => Message::Incident(incident),
-            Self::Servers(told) => {
-                Message::Servers(told.into_iter().map(ServerWire::into_told).collect())
+            Self::ServerReports(reports) => {
+                Message::ServerReports(reports.into_iter().map(ServerWire::into_report).collect())
             }
-            Self::Asked(samples) => {
-                Message::Asked(samples.into_iter().map(SampleWire::into_sample).collect())
+            Self::PopularityReport(samples) => {
+                Message::PopularityReport(samples.into_iter().map(SampleWire::into_sample).collect())
             }
-            Self::Verdicts { by, verdicts } => Message::Verdicts {
-                by,
-                verdicts: verdicts
+            Self::PopularityDecisions { aggregator, decisions } => Message::PopularityDecisions {
+                aggregator,
+                decisions: decisions
                     .into_iter()
                     .map(|(route, steps)| PopularityDecision {
                         route: RouteKey::from_wire(route),
@@ -233,7 +244,7 @@
             zone: heartbeat.zone.clone(),
             client_address: heartbeat.client_address,
             peer_address: heartbeat.peer_address,
-            phase: phase_number(heartbeat.phase),
+            phase: encode_phase(heartbeat.phase),
         }
     }
 
@@ -245,7 +256,7 @@
             zone: self.zone,
             client_address: self.client_address,
             peer_address: self.peer_address,
-            phase: phase_of(self.phase)?,
+            phase: decode_phase(self.phase)?,
         })
     }
 }
@@ -255,7 +266,7 @@
         Self {
             key: entry.key.get().to_le_bytes(),
             serial: entry.serial,
-            phase: phase_number(entry.phase),
+            phase: encode_phase(entry.phase),
             age_ms: entry.age_ms,
         }
     }
@@ -264,7 +275,7 @@
         Some(DigestEntry {
             key: IncarnationKey::from_wire(u64::from_le_bytes(self.key)),
             serial: self.serial,
-            phase: phase_of(self.phase)?,
+            phase: decode_phase(self.phase)?,
             age_ms: self.age_ms,
         })
     }
@@ -286,23 +297,23 @@
 }
 
 impl ServerWire {
-    fn of(told: &ToldServer) -> Self {
+    fn of(report: &ToldServer) -> Self {
         Self {
-            server: told.server.get(),
-            load: told.load.map(|load| LoadWire {
+            server: report.server.get(),
+            load: report.load.map(|load| LoadWire {
                 running: load.running,
                 waiting: load.waiting,
                 slots: load.slots,
             }),
-            health: told.health.map(|health| HealthWire {
+            health: report.health.map(|health| HealthWire {
                 slowness_percent: (health.slowness * 100.0) as u16,
                 failure_percent: (health.failure_share * 100.0) as u8,
             }),
-            age_ms: told.age_ms,
+            age_ms: report.age_ms,
         }
     }
 
-    fn into_told(self) -> ToldServer {
+    fn into_report(self) -> ToldServer {
         ToldServer {
             server: ServerKey::from_wire(self.server),
             load: self.load.map(|load| LoadReport {
@@ -319,7 +330,7 @@
     }
 }
 
-const fn phase_number(phase: Phase) -> u8 {
+const fn encode_phase(phase: Phase) -> u8 {
     match phase {
         Phase::Starting => 0,
         Phase::Ready => 1,
@@ -327,7 +338,7 @@
     }
 }
 
-const fn phase_of(number: u8) -> Option<Phase> {
+const fn decode_phase(number: u8) -> Option<Phase> {
     match number {
         0 => Some(Phase::Starting),
         1 => Some(Phase::Ready),
--- a/crates/damaskvane-gateway/src/probes.rs
+++ b/crates/damaskvane-gateway/src/probes.rs
@@ -1,4 +1,4 @@
-//! Health probes of servers in doubt.
+//! Health probes of backend servers whose state is uncertain.
 
 use core::time::Duration;
 use std::io;
@@ -11,20 +11,20 @@
 use crate::http::{self, BodyReader};
 use crate::node::Node;
 
-/// The pause between two looks whether a probe is due.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
-/// How long a probe may take: a server that needs longer is too busy to be given back work.
+/// Interval between two checks for due probes.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a probe: a server that needs longer is too busy to receive requests again.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Largest body of a probe's answer.
-const MOST_BODY_BYTES: usize = 16_384;
+/// Largest body of a probe's response, in bytes.
+const MAX_BODY_BYTES: usize = 16_384;
 
-/// Sends probes as they fall due, and lets go what has expired, until the process ends.
+/// Sends due probes and removes expired servers and idle connections, until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
-        let _ = tokio::time::timeout(LOOK_PAUSE, node.probe_wanted.notified()).await;
+        let _ = tokio::time::timeout(POLL_INTERVAL, node.probe_requested.notified()).await;
         let now = node.now();
-        let gone = node.state.borrow_mut().pool.expire(now);
-        for change in gone {
+        let expired = node.state.borrow_mut().pool.expire(now);
+        for change in expired {
             slog::info!(node.log.log, "backend server";
                 "backend_server" => %change.server(), "change" => change.as_str(),
                 "reason" => "missing after an outage of the store");
@@ -38,17 +38,17 @@
             Some(service.health_path.clone())
         });
         for probe in due {
-            tokio::task::spawn_local(run_one(Rc::clone(&node), probe));
+            tokio::task::spawn_local(run_probe(Rc::clone(&node), probe));
         }
     }
 }
 
-async fn run_one(node: Rc<Node>, probe: DueProbe) {
+async fn run_probe(node: Rc<Node>, probe: DueProbe) {
     node.metrics.probes.inc();
     node.metrics.costs.record_connection(OpenReason::Probe);
     node.idle.borrow_mut().drop_server(&probe.server);
-    let asked = tokio::time::timeout(PROBE_TIMEOUT, ask(&node, &probe)).await;
-    let result = asked.ok().flatten().unwrap_or(ProbeResult::NoAnswer);
+    let outcome = tokio::time::timeout(PROBE_TIMEOUT, send_probe(&node, &probe)).await;
+    let result = outcome.ok().flatten().unwrap_or(ProbeResult::NoAnswer);
     let now = node.now();
     match result {
         ProbeResult::Refused | ProbeResult::OtherServer => {
@@ -67,7 +67,7 @@
         "backend_server" => %probe.server, "result" => ?result);
 }
 
-async fn ask(node: &Rc<Node>, probe: &DueProbe) -> Option<ProbeResult> {
+async fn send_probe(node: &Rc<Node>, probe: &DueProbe) -> Option<ProbeResult> {
     let opened = http::Connection::open(probe.address, PROBE_TIMEOUT, PROBE_TIMEOUT).await;
     let mut connection = match opened {
         Ok(connection) => connection,
@@ -83,7 +83,7 @@
     connection.write(request.as_bytes()).await.ok()?;
     let head = connection.read_head().await.ok()?;
     let mut body = BodyReader::new(head.body);
-    let read = connection.read_body(&mut body, MOST_BODY_BYTES).await;
+    let read = connection.read_body(&mut body, MAX_BODY_BYTES).await;
     let names = node.adapter.headers();
     let text = |name| head.headers.get(name)?.to_str().ok();
     let is_itself = text(&names.server_id).is_none_or(|id| id == probe.server.as_str());
@@ -98,8 +98,8 @@
         let mut idle = node.idle.borrow_mut();
         idle.keep(now, &probe.server, connection, head.idle_timeout_s);
     }
-    let left = text(&names.warmup_remaining_ms).and_then(|text| text.trim().parse::<f64>().ok());
+    let remaining_ms = text(&names.warmup_remaining_ms).and_then(|text| text.trim().parse::<f64>().ok());
     Some(ProbeResult::Healthy {
-        warmup_left_ms: left.map_or(0, |left| left.max(0.0) as u64),
+        warmup_left_ms: remaining_ms.map_or(0, |remaining_ms| remaining_ms.max(0.0) as u64),
     })
 }
--- a/crates/damaskvane-gateway/src/process.rs
+++ b/crates/damaskvane-gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! Puts all parts of an instance together.
+//! Starts, reconfigures and stops an instance.
 
 use core::time::Duration;
 use std::io;
@@ -17,37 +17,37 @@
 use crate::settings::GatewaySettings;
 use crate::{crashes, peers, probes, stop, store};
 
-/// How often the settings file is looked at: it may change without a signal.
-const SETTINGS_PERIOD: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is read, since it may change without a signal.
+const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The pause between two lines on costs.
-const COSTS_PERIOD: Duration = Duration::from_secs(5);
+/// Interval between two log lines on costs.
+const COSTS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Why an instance can't run.
+/// Errors that end an instance.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum ProcessError {
     /// {0}
     Settings(#[from] settings::SettingsError),
-    /// the address {address} for {purpose} can't be used: {error}; check it in the settings
+    /// can't listen on address {address} for {purpose}: {error}; check the address in the settings
     Listen {
-        /// The address.
+        /// Address from the settings.
         address: std::net::SocketAddr,
-        /// What it is for.
+        /// What the listener serves.
         purpose: &'static str,
-        /// What the system said.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// the system refuses what the process needs: {0}
+    /// the operating system refused a resource of the process: {0}
     System(#[from] io::Error),
     /// two metrics have the same name: {0}
     Metrics(#[from] prometheus::Error),
 }
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance until SIGTERM or SIGINT is received and the planned stop is complete.
 ///
 /// # Errors
 ///
-/// Fails if settings, addresses or the system don't allow it.
+/// Fails if the settings are invalid, an address can't be used, or the operating system refuses a resource.
 pub fn run(adapter: Box<dyn Adapter>, settings_file: &Path) -> Result<(), ProcessError> {
     let settings = GatewaySettings::load(settings_file)?;
     let log =
@@ -80,13 +80,13 @@
             }
         }
     }
-    slog::info!(node.log.log, "planned stop begins"; "requests" => node.stop.requests());
+    slog::info!(node.log.log, "planned stop begins"; "requests" => node.stop.active_requests());
     stop::run(&node).await;
-    slog::info!(node.log.log, "stop"; "requests" => node.stop.requests());
+    slog::info!(node.log.log, "stop"; "requests" => node.stop.active_requests());
     Ok(())
 }
 
-/// Starts all tasks; what ends one of them for good arrives on the channel.
+/// Starts all tasks; returns the channel that receives the error of a listener that ends.
 fn start(node: &Rc<Node>) -> flume::Receiver<ProcessError> {
     let (sender, failures) = flume::unbounded();
     let settings = node.settings();
@@ -121,10 +121,10 @@
         });
     }
     let address = settings.peer_address;
-    let feeding = store::serve_feed(Rc::clone(node));
+    let feed = store::serve_feed(Rc::clone(node));
     let feed_sender = sender.clone();
     tokio::task::spawn_local(async move {
-        if let Err(error) = feeding.await {
+        if let Err(error) = feed.await {
             let failure = ProcessError::Listen {
                 address,
                 purpose: "changes",
@@ -133,9 +133,9 @@
             let _ = feed_sender.send(failure);
         }
     });
-    let beating = peers::run(Rc::clone(node));
+    let heartbeats = peers::run(Rc::clone(node));
     tokio::task::spawn_local(async move {
-        if let Err(error) = beating.await {
+        if let Err(error) = heartbeats.await {
             let failure = ProcessError::Listen {
                 address,
                 purpose: "heartbeats",
@@ -152,69 +152,70 @@
     tokio::task::spawn_local(store::watch_freshness(Rc::clone(node)));
     tokio::task::spawn_local(store::register(Rc::clone(node)));
     tokio::task::spawn_local(probes::run(Rc::clone(node)));
-    tokio::task::spawn_local(crashes::keep_records(Rc::clone(node)));
-    tokio::task::spawn_local(tell_costs(Rc::clone(node)));
+    tokio::task::spawn_local(crashes::maintain_records(Rc::clone(node)));
+    tokio::task::spawn_local(log_costs(Rc::clone(node)));
     if let Some(address) = settings.metrics_address {
         tokio::task::spawn_local(serve_metrics(Rc::clone(node), address));
     }
     failures
 }
 
-/// Writes a line on what the instance has caused since its start that is paid for, until the process ends.
-async fn tell_costs(node: Rc<Node>) {
+/// Periodically logs the costs since the start, until the process ends.
+async fn log_costs(node: Rc<Node>) {
     loop {
-        tokio::time::sleep(COSTS_PERIOD).await;
-        slog::info!(node.log.log, "costs"; "figures" => node.metrics.cost_figures());
+        tokio::time::sleep(COSTS_INTERVAL).await;
+        slog::info!(node.log.log, "costs"; "figures" => node.metrics.cost_summary());
     }
 }
 
-/// Serves the metrics if their port is free; the last listener to start.
+/// Serves the metrics if their port is free.
 ///
-/// The port is fixed while the platform draws all others. Where they meet, clients are served and the
-/// metrics are missing: a process that ended over it would end at every start, on every machine.
+/// The metrics port is fixed, and the platform chooses all other ports. This listener starts last: if the ports
+/// collide, the process serves clients without metrics. A process that ended on the collision would end at every
+/// start, on every machine.
 async fn serve_metrics(node: Rc<Node>, address: std::net::SocketAddr) {
     let log = node.log.log.clone();
     if let Err(error) = clients::listen(node, address, ListenerKind::Metrics).await {
-        slog::warn!(log, "metrics can't be read"; "address" => %address, "error" => %error);
+        slog::warn!(log, "metrics can't be served"; "address" => %address, "error" => %error);
     }
 }
 
-/// Which start this is: the time of day, which two starts of one instance differ in.
+/// Returns the incarnation of this process: the Unix time in milliseconds, which differs between two starts.
 fn incarnation() -> ids::Incarnation {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since_epoch.map_or(0, |elapsed| elapsed.as_millis());
     ids::Incarnation::new(u64::try_from(millis).unwrap_or(u64::MAX))
 }
 
-/// Reads the settings again on SIGHUP, and from time to time, since they may change without a signal.
+/// Reloads the settings on SIGHUP, and periodically, since the file may change without a signal.
 async fn watch_settings(node: Rc<Node>, file: PathBuf) {
     let mut hangup = signal(SignalKind::hangup());
     if let Err(error) = &hangup {
-        slog::warn!(node.log.log, "SIGHUP can't be received; settings are read by time only";
+        slog::warn!(node.log.log, "SIGHUP can't be received; settings are reloaded only periodically";
             "error" => %error);
     }
     loop {
-        let asked = async {
+        let hangup_received = async {
             match &mut hangup {
                 Ok(hangup) => hangup.recv().await,
                 Err(_) => core::future::pending().await,
             }
         };
-        let was_asked = tokio::select! {
-            _ = asked => true,
-            () = tokio::time::sleep(SETTINGS_PERIOD) => false,
+        let is_signalled = tokio::select! {
+            _ = hangup_received => true,
+            () = tokio::time::sleep(SETTINGS_INTERVAL) => false,
         };
         match GatewaySettings::load(&file) {
-            Ok(settings) if settings != *node.settings() => apply(&node, settings),
-            Ok(_) if was_asked => slog::info!(node.log.log, "reload"; "changed" => false),
+            Ok(settings) if settings != *node.settings() => apply_settings(&node, settings),
+            Ok(_) if is_signalled => slog::info!(node.log.log, "reload"; "changed" => false),
             Ok(_) => {}
-            // The settings in force stay: a file that is being written is complete at the next look.
+            // Keeps the settings in force: a file that is being written is complete at the next read.
             Err(error) => slog::warn!(node.log.log, "reload failed"; "error" => %error),
         }
     }
 }
 
-fn apply(node: &Rc<Node>, settings: GatewaySettings) {
+fn apply_settings(node: &Rc<Node>, settings: GatewaySettings) {
     slog::info!(node.log.log, "reload"; "changed" => true);
     let mut state = node.state.borrow_mut();
     state.pool.set_settings(settings.pool());
--- a/crates/damaskvane-gateway/src/stop.rs
+++ b/crates/damaskvane-gateway/src/stop.rs
@@ -1,8 +1,8 @@
-//! The planned stop.
+//! The planned stop of an instance.
 //!
-//! Look-ups stop naming the instance at once, and clients that still have its address are served for a
-//! while, each answer with the word that the connection closes. Then the listener and all idle
-//! connections close, what is at work finishes, and the process ends before it would be killed.
+//! Lookups no longer return the instance. Clients that still have its address are served for a while; each response
+//! announces that the connection closes. Then the listener and all idle connections close, running requests finish,
+//! and the process ends before the platform would kill it.
 
 use core::time::Duration;
 use std::cell::Cell;
@@ -12,80 +12,81 @@
 
 use crate::node::Node;
 
-/// How long clients may still come after the stop began: look-ups' answers live this long at most for
-/// most clients. Requests that come later may not end within the grace time.
+/// Seconds for which clients are still served after the stop began.
+///
+/// Most clients use the addresses of a lookup for at most this time. Later requests may not end within the grace time.
 const SERVING_S: f64 = 2.6;
-/// The part of the grace time that is kept as a reserve for the end of the process.
+/// Seconds of the grace time that are reserved for the end of the process.
 const RESERVE_S: f64 = 0.5;
-/// The pause between two looks whether all requests have ended.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between two checks whether all requests have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far the stop has got.
+/// Phase of the planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopPhase {
-    /// No stop.
+    /// No stop has begun.
     Serving,
-    /// The instance is no longer named and asks clients to leave.
+    /// Lookups no longer return the instance, and responses close their connections.
     Leaving,
-    /// No connection takes another request.
+    /// No connection accepts another request.
     Closing,
 }
 
-/// The state of the stop, and the requests that it waits for.
+/// Phase of the stop, and the number of requests that the stop waits for.
 #[derive(Debug)]
 pub struct Stop {
     phase: watch::Sender<StopPhase>,
-    requests: Cell<usize>,
+    active_requests: Cell<usize>,
 }
 
 impl Default for Stop {
     fn default() -> Self {
         Self {
             phase: watch::Sender::new(StopPhase::Serving),
-            requests: Cell::new(0),
+            active_requests: Cell::new(0),
         }
     }
 }
 
 impl Stop {
-    /// Whether a stop has begun.
+    /// Returns whether a stop has begun.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         *self.phase.borrow() != StopPhase::Serving
     }
 
-    /// Follows the phases.
+    /// Returns a receiver of phase changes.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<StopPhase> {
         self.phase.subscribe()
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as running until the guard is dropped.
     pub fn track_request(node: &Rc<Node>) -> RequestGuard {
         let stop = &node.stop;
-        stop.requests.set(stop.requests.get() + 1);
+        stop.active_requests.set(stop.active_requests.get() + 1);
         RequestGuard(Rc::clone(node))
     }
 
-    /// Requests at work.
+    /// Returns the number of running requests.
     #[must_use]
-    pub fn requests(&self) -> usize {
-        self.requests.get()
+    pub fn active_requests(&self) -> usize {
+        self.active_requests.get()
     }
 }
 
-/// A request at work.
+/// Counts one running request; its drop ends the count.
 #[derive(Debug)]
 pub struct RequestGuard(Rc<Node>);
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        let requests = &self.0.stop.requests;
+        let requests = &self.0.stop.active_requests;
         requests.set(requests.get().saturating_sub(1));
     }
 }
 
-/// Stops the instance; returns when the process may end.
+/// Runs the planned stop; returns when the process may end.
 pub async fn run(node: &Rc<Node>) {
     let grace_s = node.settings().grace_s;
     let begun = tokio::time::Instant::now();
@@ -94,10 +95,10 @@
     let serving = Duration::from_secs_f64(SERVING_S.min(grace_s / 2.0));
     tokio::time::sleep_until(begun + serving).await;
     node.stop.phase.send_replace(StopPhase::Closing);
-    // Answers that were just made still have to be written.
-    tokio::time::sleep(LOOK_PAUSE).await;
-    while node.stop.requests() > 0 && tokio::time::Instant::now() < end {
-        tokio::time::sleep(LOOK_PAUSE).await;
+    // Responses that were just created still have to be written.
+    tokio::time::sleep(POLL_INTERVAL).await;
+    while node.stop.active_requests() > 0 && tokio::time::Instant::now() < end {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    tokio::time::sleep(LOOK_PAUSE).await;
+    tokio::time::sleep(POLL_INTERVAL).await;
 }
--- a/crates/damaskvane-gateway/tests/datagrams.rs
+++ b/crates/damaskvane-gateway/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between instances: what was sent arrives, and whatever else arrives does no harm.
+//! Encodes and decodes the datagrams between instances, including truncated and arbitrary bytes.
 
 use damaskvane_core::ids;
 use damaskvane_core::time::SpanMs;
@@ -11,8 +11,8 @@
 use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, ToldServer};
 use proptest::prelude::*;
 
-/// The largest datagram that an instance reads.
-const MOST_BYTES: usize = 1_400;
+/// Largest datagram that an instance receives, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 fn heartbeat() -> Message {
     Message::Heartbeat(Heartbeat {
@@ -34,7 +34,7 @@
         age_ms: 2_599,
     };
     Message::Digest {
-        is_handed_on: true,
+        is_forwarded: true,
         digest: Digest {
             entries: (0..entries as u64).map(entry).collect(),
         },
@@ -48,22 +48,22 @@
         id: IncidentId {
             reporter: "an-instance-with-a-rather-long-name-1/1796272099402"
                 .parse()
-                .expect("a start"),
+                .expect("an incarnation"),
             serial: u64::MAX,
         },
         server: "i-7f3a91c2".parse().expect("a name"),
-        suspects: (0..crashes::MOST_SUSPECTS).map(suspect).collect(),
+        suspects: (0..crashes::MAX_SUSPECTS_PER_INCIDENT).map(suspect).collect(),
         age: SpanMs::new(800),
     })
 }
 
-fn servers() -> Message {
+fn server_reports() -> Message {
     let load = LoadReport {
         running: 6,
         waiting: 18,
         slots: 6,
     };
-    let told = |number| ToldServer {
+    let report = |number| ToldServer {
         server: ServerKey::from_wire(u32::MAX - number),
         load: Some(load),
         health: Some(ToldHealth {
@@ -72,36 +72,36 @@
         }),
         age_ms: 250,
     };
-    Message::Servers((0..12).map(told).collect())
+    Message::ServerReports((0..12).map(report).collect())
 }
 
-fn news() -> Message {
+fn membership_update() -> Message {
     let Message::Heartbeat(heartbeat) = heartbeat() else {
         panic!("a heartbeat");
     };
-    Message::News {
-        is_handed_on: true,
+    Message::MembershipUpdate {
+        is_forwarded: true,
         heartbeats: vec![heartbeat; 12],
     }
 }
 
-fn asked() -> Message {
+fn popularity_report() -> Message {
     let objects = |route: u32| (0..12).map(move |number| (u32::MAX - number - route, 1_000));
     let sample = |route| ObjectSample::from_wire(0, objects(route));
     let report = (0..6).map(|route| (RouteKey::from_wire(u32::MAX - route), sample(route)));
-    Message::Asked(report.collect())
+    Message::PopularityReport(report.collect())
 }
 
-fn verdicts() -> Message {
-    let verdict = |route| PopularityDecision {
+fn popularity_decisions() -> Message {
+    let decision = |route| PopularityDecision {
         route: RouteKey::from_wire(u32::MAX - route),
         steps: POPULARITY_STEPS,
     };
-    Message::Verdicts {
-        by: "an-instance-with-a-rather-long-name-1"
+    Message::PopularityDecisions {
+        aggregator: "an-instance-with-a-rather-long-name-1"
             .parse()
             .expect("a name"),
-        verdicts: (0..64).map(verdict).collect(),
+        decisions: (0..64).map(decision).collect(),
     }
 }
 
@@ -110,15 +110,15 @@
         heartbeat(),
         digest(64),
         incident(),
-        servers(),
-        news(),
-        asked(),
-        verdicts(),
+        server_reports(),
+        membership_update(),
+        popularity_report(),
+        popularity_decisions(),
     ]
 }
 
 #[test]
-fn what_is_sent_arrives() {
+fn messages_survive_encoding_and_decoding() {
     for message in messages() {
         let bytes = message.encode().expect("bytes");
         let read = Message::decode(&bytes).expect("a message");
@@ -126,19 +126,19 @@
     }
 }
 
-/// A message longer than the largest datagram is cut on its way and read by nobody: instances of a large zone
-/// would look dead to all others.
+/// A message longer than the largest datagram is truncated by the receiver and can't be decoded: all instances of a
+/// large zone would appear dead to the other instances.
 #[test]
 fn the_largest_messages_fit_a_datagram() {
     for message in messages() {
-        assert!(message.encode().expect("bytes").len() <= MOST_BYTES);
+        assert!(message.encode().expect("bytes").len() <= MAX_DATAGRAM_BYTES);
     }
 }
 
-/// Another program, or another version of this one, sends to the port. Half a message taken for a whole one would
-/// make instances look dead or alive.
+/// Another program, or another version of this program, sends to the port. A truncated message that is decoded as a
+/// complete one would make instances appear dead or alive.
 #[test]
-fn a_cut_message_and_one_of_another_protocol_are_not_read() {
+fn truncated_messages_and_other_protocols_are_rejected() {
     for message in messages() {
         let bytes = message.encode().expect("bytes");
         for length in 0..bytes.len() {
@@ -154,7 +154,7 @@
     #![proptest_config(ProptestConfig { cases: 4_000, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn any_bytes_are_read_without_a_panic(
+    fn arbitrary_bytes_are_decoded_without_a_panic(
         which in 0_usize..4,
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
         tail in prop::collection::vec(any::<u8>(), 0..8),
