--- a/crates/damaskvane-gateway/tests/fuzz.rs
+++ b/crates/damaskvane-gateway/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Whatever a backend server sends, reading it ends, and never with a panic.
+//! Parses arbitrary bytes as backend servers' responses: parsing must end, without a panic.
 
 use bytes::BytesMut;
 use damaskvane_gateway::http::{BodyKind, BodyReader, Piece, ResponseHead};
@@ -12,8 +12,8 @@
     ]
 }
 
-/// Bytes that look like an answer more often than chance would have it.
-fn answers() -> impl Strategy<Value = Vec<u8>> {
+/// Concatenates parts of valid responses and random bytes, so that many inputs resemble a response.
+fn responses() -> impl Strategy<Value = Vec<u8>> {
     let part = prop_oneof![
         Just(b"HTTP/1.1 200 OK\r\n".to_vec()),
         Just(b"Content-Length: 3\r\n".to_vec()),
@@ -31,7 +31,7 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn heads_end(bytes in answers()) {
+    fn parsed_heads_consume_bytes(bytes in responses()) {
         let mut buffer = BytesMut::from(&bytes[..]);
         let before = buffer.len();
         if let Ok(Some(_)) = ResponseHead::take(&mut buffer) {
@@ -40,7 +40,7 @@
     }
 
     #[test]
-    fn bodies_end_and_never_yield_more_than_came(kind in kinds(), bytes in answers()) {
+    fn bodies_end_and_yield_no_more_than_was_received(kind in kinds(), bytes in responses()) {
         let mut buffer = BytesMut::from(&bytes[..]);
         let mut body = BodyReader::new(kind);
         let mut taken = 0;
--- a/crates/damaskvane-gateway/tests/http.rs
+++ b/crates/damaskvane-gateway/tests/http.rs
@@ -1,4 +1,4 @@
-//! Reading answers of backend servers, byte by byte.
+//! Reads backend servers' responses from a connection, in pieces of several sizes.
 
 use std::io::Write;
 use std::net;
@@ -6,7 +6,8 @@
 
 use damaskvane_gateway::http::{BodyReader, Connection, ReadError};
 
-/// Reads one answer that arrives in pieces of so many bytes.
+/// Reads one response that arrives in pieces of `piece` bytes; returns its status, its body, and whether the
+/// connection stays open.
 fn read(bytes: &'static [u8], piece: usize) -> Result<(u16, Vec<u8>, bool), ReadError> {
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -14,7 +15,7 @@
         let (mut stream, _) = listener.accept().expect("a connection");
         stream.set_nodelay(true).expect("an option");
         for piece in bytes.chunks(piece) {
-            // The reader may have found fault and closed.
+            // The reader may have rejected the response and closed the connection.
             if stream.write_all(piece).is_err() {
                 return;
             }
@@ -40,8 +41,8 @@
 const PIECES: [usize; 3] = [1, 7, 10_000];
 
 #[test]
-fn whole_answers_are_read_however_they_arrive() {
-    let answers: [(&[u8], &[u8]); 5] = [
+fn complete_responses_are_read_in_pieces_of_any_size() {
+    let responses: [(&[u8], &[u8]); 5] = [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", b"hello"),
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nT: r\r\n\r\n",
@@ -54,25 +55,26 @@
             b"ok",
         ),
     ];
-    for (bytes, body) in answers {
+    for (bytes, body) in responses {
         for piece in PIECES {
-            let (status, read_body, _) = read(bytes, piece).expect("a whole answer");
+            let (status, read_body, _) = read(bytes, piece).expect("a complete response");
             assert!(status == 200 || status == 204);
             assert_eq!(read_body, body);
         }
     }
 }
 
-/// A server breaks off in the middle of its answer. What came must not pass for the whole.
+/// A server closes the connection in the middle of its response. The received part must not be accepted as the
+/// complete response.
 #[test]
-fn cut_answers_are_never_taken_for_whole() {
-    let answers: [&[u8]; 4] = [
+fn truncated_responses_are_errors() {
+    let responses: [&[u8]; 4] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel",
         b"HTTP/1.1 200 OK\r\nContent-Le",
     ];
-    for bytes in answers {
+    for bytes in responses {
         for piece in PIECES {
             assert!(
                 read(bytes, piece).is_err(),
@@ -83,17 +85,18 @@
     }
 }
 
-/// Bytes that are no answer, or whose end can't be told, would let one client read what belongs to another.
+/// Bytes that are not a response, or a response of ambiguous length, would let one client read the data of another
+/// client.
 #[test]
-fn answers_without_a_certain_end_are_malformed() {
-    let answers: [&[u8]; 5] = [
+fn responses_of_ambiguous_length_are_malformed() {
+    let responses: [&[u8]; 5] = [
         b"no answer at all\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!",
         b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\nhello\r\n0\r\n\r\n",
     ];
-    for bytes in answers {
+    for bytes in responses {
         let result = read(bytes, 10_000);
         assert!(
             matches!(result, Err(ReadError::Malformed)),
@@ -104,18 +107,18 @@
 }
 
 #[test]
-fn a_sender_that_closes_or_ends_with_the_connection_is_not_kept() {
+fn a_connection_that_the_server_closes_is_not_reused() {
     let closing = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-    assert!(!read(closing, 100).expect("an answer").2);
-    assert!(!read(b"HTTP/1.1 200 OK\r\n\r\n", 100).expect("an answer").2);
+    assert!(!read(closing, 100).expect("a response").2);
+    assert!(!read(b"HTTP/1.1 200 OK\r\n\r\n", 100).expect("a response").2);
     let keeping = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    assert!(read(keeping, 100).expect("an answer").2);
+    assert!(read(keeping, 100).expect("a response").2);
 }
 
-/// A request is given up while its bytes are held up on the way, as in a cut between two zones. A connection
-/// that is closed in the usual way goes on sending them, and a server that has left since gets the request.
+/// A request is abandoned while its bytes are delayed by the network, as in a partition between two zones. After an
+/// ordinary close the system would still send the bytes, and a server that has left since would get the request.
 #[test]
-fn a_request_that_was_given_up_is_not_delivered_later() {
+fn an_abandoned_request_is_not_delivered_later() {
     const REQUEST_BYTES: usize = 64 << 20;
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -128,15 +131,15 @@
         let mut connection = Connection::open(address, second, second)
             .await
             .expect("a connection");
-        // Nobody reads, so the bytes fill the buffers and the write hangs.
+        // The listener does not read, so that the bytes fill the buffers and the write blocks.
         let request = vec![b'x'; REQUEST_BYTES];
         let writing = connection.write(&request);
-        let held_up = tokio::time::timeout(Duration::from_millis(300), writing).await;
-        assert!(held_up.is_err(), "the buffers took {REQUEST_BYTES} bytes");
+        let blocked = tokio::time::timeout(Duration::from_millis(300), writing).await;
+        assert!(blocked.is_err(), "the buffers took {REQUEST_BYTES} bytes");
     });
     let (mut stream, _) = listener.accept().expect("a connection");
     let mut arrived = Vec::new();
     let end = std::io::Read::read_to_end(&mut stream, &mut arrived);
-    let end = end.expect_err("the connection is broken off");
+    let end = end.expect_err("the connection is reset");
     assert_eq!(end.kind(), std::io::ErrorKind::ConnectionReset);
 }
--- a/crates/damaskvane-gateway/tests/settings.rs
+++ b/crates/damaskvane-gateway/tests/settings.rs
@@ -1,8 +1,8 @@
-//! What follows from the settings file.
+//! Values derived from the settings file, and its errors.
 
 use damaskvane_gateway::settings::GatewaySettings;
 
-/// The text of a settings file with one more line.
+/// Returns the text of a settings file with one additional line.
 fn text(line: &str) -> String {
     format!(
         r#"instance = "east-a-1"
@@ -31,21 +31,21 @@
 }
 
 fn settings(line: &str) -> GatewaySettings {
-    GatewaySettings::parse("test.toml", &text(line)).expect("sound settings")
+    GatewaySettings::parse("test.toml", &text(line)).expect("valid settings")
 }
 
-/// A watch waits without a change until the store has forgotten the revision that it began at. It returns
-/// without an answer, everything is read anew, and all that hear from this instance turn to the store
-/// themselves, at the same moment on every machine.
+/// A watch that waits until the store has discarded its starting revision returns without a result. The instance then
+/// lists everything again, and all instances that receive its changes call the store, at the same moment on every
+/// machine.
 #[test]
-fn a_watch_waits_for_less_than_the_store_keeps_its_history() {
+fn a_watch_waits_for_less_than_the_store_retains_its_history() {
     assert_eq!(settings("store_history_s = 8").watch_wait_ms(), 6_000);
     assert_eq!(settings("").watch_wait_ms(), 15_000);
     assert_eq!(settings("store_history_s = 600").watch_wait_ms(), 25_000);
 }
 
 #[test]
-fn a_number_out_of_range_names_its_key() {
+fn an_out_of_range_error_names_the_key() {
     let text = text("store_history_s = -1");
     let error = GatewaySettings::parse("test.toml", &text).expect_err("a wrong number");
     assert!(error.to_string().contains("store_history_s"));
--- a/crates/damaskvane-gateway/tests/store_health.rs
+++ b/crates/damaskvane-gateway/tests/store_health.rs
@@ -1,4 +1,4 @@
-//! How fresh an instance takes its knowledge of the store to be.
+//! Age of an instance's data from the store, and the end of watches when the store does not respond.
 
 use std::time::Duration;
 
@@ -10,20 +10,21 @@
     IncarnationKey::from_wire(1)
 }
 
-/// An instance starts while the store is away and gets everything from others. Taken to have heard from the store
-/// at its start, it would pass for a fresh source, and its listeners would stop looking for a better one.
+/// An instance starts while the store is unavailable and receives all data from other instances. If its age began at
+/// the start of the process, the instance would appear to be a fresh source, and the instances that receive changes
+/// from it would not search for a better one.
 #[test]
-fn a_store_that_never_answered_has_no_fresh_age() {
+fn the_age_is_unlimited_before_the_first_response() {
     let health = StoreHealth::default();
     assert_eq!(health.age(TimeMs::new(1_000)), SpanMs::new(u64::MAX));
     health.record_answer(TimeMs::new(2_000), key());
     assert_eq!(health.age(TimeMs::new(2_500)), SpanMs::new(500));
 }
 
-/// A watch begins while a relay says that the store is there, and the store is silent for this instance. The
-/// watch would hang for its whole waiting time; the next question that stays open ends it.
+/// A watch begins while a relay reports that the store is available, but the store does not respond to this instance.
+/// The watch would hang for its whole wait; the next call without a response has to end the watch.
 #[test]
-fn a_question_left_open_ends_watches_although_a_relay_says_that_all_is_well() {
+fn a_call_without_a_response_ends_watches_although_a_relay_reports_the_store_available() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()
@@ -32,13 +33,13 @@
         let health = StoreHealth::default();
         health.record_answer(TimeMs::new(1_000), key());
         let watching = health.until_failed_call();
-        let asking = async {
+        let calling = async {
             tokio::task::yield_now().await;
             health.record_answer(TimeMs::new(1_200), key());
             health.record_failed_call();
         };
-        let both = async { tokio::join!(watching, asking) };
+        let both = async { tokio::join!(watching, calling) };
         let ended = tokio::time::timeout(Duration::from_secs(30), both).await;
-        assert!(ended.is_ok(), "the watch goes on");
+        assert!(ended.is_ok(), "the watch has not ended");
     });
 }
