--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -167,7 +167,7 @@
     let fingerprint = outgoing.fingerprint();
     let remaining = crashes::verdict(node, fingerprint).await?;
     node.log
-        .request(node.now(), RequestOutcome::Failure, |log, left_out| {
+        .log_request(node.now(), RequestOutcome::Failure, |log, left_out| {
             slog::info!(log, "request is known to crash servers";
             "request_id" => outgoing.request_id.as_deref(), "fingerprint" => %fingerprint,
             "refused_for_ms" => remaining.get(), "lines_left_out" => left_out);
--- a/crates/damaskvane-gateway/src/clients/pending.rs
+++ b/crates/damaskvane-gateway/src/clients/pending.rs
@@ -60,7 +60,7 @@
         let version = self.node.configuration().map(|found| found.version().get());
         self.node
             .log
-            .request(now, RequestOutcome::Failure, |log, left_out| {
+            .log_request(now, RequestOutcome::Failure, |log, left_out| {
                 slog::info!(log, "request not served";
                     "request_id" => self.request_id.as_deref(), "reason" => reason,
                     "backend_server" => self.sent_to.borrow().as_ref().map(ToString::to_string),
--- a/crates/damaskvane-gateway/src/clients/routed_request.rs
+++ b/crates/damaskvane-gateway/src/clients/routed_request.rs
@@ -321,7 +321,7 @@
         let now = self.node.now();
         self.node
             .log
-            .request(now, RequestOutcome::Failure, |log, left_out| {
+            .log_request(now, RequestOutcome::Failure, |log, left_out| {
                 slog::info!(log, "request not served";
                 "request_id" => self.outgoing.request_id.as_deref(),
                 "route" => &self.route.name, "service" => %self.service, "object" => self.object, "reason" => reason,
