--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -182,7 +182,8 @@
     /// Builds the call that lists a collection after the name `after`.
     ///
     /// With `may_be_stale` the call costs the store less, and the result may be seconds old.
-    fn list(&self, collection: Collection, after: Option<&str>, may_be_stale: bool) -> StoreRequest;
+    fn list(&self, collection: Collection, after: Option<&str>, may_be_stale: bool)
+    -> StoreRequest;
 
     /// Builds the call that waits at most `wait_ms` for changes after a revision.
     fn watch(&self, collection: Collection, revision: u64, wait_ms: u64) -> StoreRequest;
--- a/crates/damaskvane-gateway/src/costs.rs
+++ b/crates/damaskvane-gateway/src/costs.rs
@@ -121,7 +121,9 @@
             }
         }
         for (_, reason) in OPEN_REASONS {
-            costs.connections.push(connections.with_label_values(&[reason]));
+            costs
+                .connections
+                .push(connections.with_label_values(&[reason]));
             costs.names.push(format!("openings.{reason}"));
         }
         Ok(costs)
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -111,7 +111,11 @@
 }
 
 /// Records that a connection broke after the request was written, and requests a probe of the server.
-pub fn record_broken_exchange(node: &Node, server: &ids::BackendServerId, fingerprint: Fingerprint) {
+pub fn record_broken_exchange(
+    node: &Node,
+    server: &ids::BackendServerId,
+    fingerprint: Fingerprint,
+) {
     let mut broken = node.crashes.broken.borrow_mut();
     broken.note(node.now(), server, fingerprint);
     node.probe_requested.notify_one();
--- a/crates/damaskvane-gateway/src/decision_log.rs
+++ b/crates/damaskvane-gateway/src/decision_log.rs
@@ -89,7 +89,12 @@
     }
 
     /// Calls `write` with the logger and the number of omitted lines, if the budget of the outcome allows a line.
-    pub fn log_request(&self, now: TimeMs, outcome: RequestOutcome, write: impl FnOnce(&slog::Logger, u64)) {
+    pub fn log_request(
+        &self,
+        now: TimeMs,
+        outcome: RequestOutcome,
+        write: impl FnOnce(&slog::Logger, u64),
+    ) {
         let settings = self.settings.get();
         let (budget, per_s) = match outcome {
             RequestOutcome::Failure => (&self.failures, settings.failures_per_s),
--- a/crates/damaskvane-gateway/src/lookups.rs
+++ b/crates/damaskvane-gateway/src/lookups.rs
@@ -57,9 +57,7 @@
         addresses.truncate(MAX_ADDRESSES);
     }
     let ttl_max_ms = (node.settings().lookup_ttl_max_s * 1_000.0) as u64;
-    let body = node
-        .adapter
-        .lookup_body(&addresses, TTL_MS.min(ttl_max_ms));
+    let body = node.adapter.lookup_body(&addresses, TTL_MS.min(ttl_max_ms));
     let mut response = Response::new(ResponseBody::whole(body));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
--- a/crates/damaskvane-gateway/src/metrics.rs
+++ b/crates/damaskvane-gateway/src/metrics.rs
@@ -85,7 +85,8 @@
             retries: factory.counters("retries_total", "Further tries", &["after"])?,
             retries_denied: factory.counter("retries_denied_total", "Tries without budget")?,
             exchanges: factory.counters("exchanges_total", "Exchanges with servers", &["end"])?,
-            mismatched_responses: factory.counter("foreign_answers_total", "Answers to other requests")?,
+            mismatched_responses: factory
+                .counter("foreign_answers_total", "Answers to other requests")?,
             client_disconnects: factory.counter(
                 "clients_left_total",
                 "Clients that left before their answer",
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -63,7 +63,10 @@
     tokio::task::spawn_local(receive(Rc::clone(&node), Rc::clone(&socket)));
     tokio::task::spawn_local(send_server_reports(Rc::clone(&node), Rc::clone(&socket)));
     tokio::task::spawn_local(send_incidents(Rc::clone(&node), Rc::clone(&socket)));
-    tokio::task::spawn_local(send_membership_updates(Rc::clone(&node), Rc::clone(&socket)));
+    tokio::task::spawn_local(send_membership_updates(
+        Rc::clone(&node),
+        Rc::clone(&socket),
+    ));
     tokio::task::spawn_local(exchange_popularity(Rc::clone(&node), Rc::clone(&socket)));
     let period = Duration::from_millis(node.settings().peers().heartbeat_ms);
     let mut phases = node.stop.subscribe();
@@ -163,9 +166,16 @@
             (reports, state.members.neighbours(now))
         };
         let recipient_count = u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
-        interval = MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_RECIPIENT.saturating_mul(recipient_count));
+        interval =
+            MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_RECIPIENT.saturating_mul(recipient_count));
         if !reports.is_empty() {
-            send(&node, &socket, &Message::ServerReports(reports), &neighbours).await;
+            send(
+                &node,
+                &socket,
+                &Message::ServerReports(reports),
+                &neighbours,
+            )
+            .await;
         }
     }
 }
@@ -183,15 +193,25 @@
             let report = state.placer.take_popularity_report();
             let neighbours = state.members.neighbours(now);
             let recipient_count = u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
-            interval = MIN_POPULARITY_INTERVAL.max(POPULARITY_INTERVAL_PER_RECIPIENT.saturating_mul(recipient_count));
+            interval = MIN_POPULARITY_INTERVAL
+                .max(POPULARITY_INTERVAL_PER_RECIPIENT.saturating_mul(recipient_count));
             if state.members.is_aggregator(now) {
                 state.placer.apply_popularity_report(now, &report);
                 let decisions = state.placer.decide_popularity(now);
                 let aggregator = node.settings().instance.clone();
                 state.placer.apply_popularity_decisions(now, &aggregator, &decisions);
-                (Message::PopularityDecisions { aggregator, decisions }, neighbours)
+                (
+                    Message::PopularityDecisions {
+                        aggregator,
+                        decisions,
+                    },
+                    neighbours,
+                )
             } else {
-                (Message::PopularityReport(report), state.members.other_aggregators(now))
+                (
+                    Message::PopularityReport(report),
+                    state.members.other_aggregators(now),
+                )
             }
         };
         send(&node, &socket, &message, &recipients).await;
@@ -293,7 +313,10 @@
                     state.placer.apply_popularity_report(now, &report);
                 }
             }
-            Some(Message::PopularityDecisions { aggregator, decisions }) => {
+            Some(Message::PopularityDecisions {
+                aggregator,
+                decisions,
+            }) => {
                 let now = node.now();
                 let placer = &mut node.state.borrow_mut().placer;
                 placer.apply_popularity_decisions(now, &aggregator, &decisions);
--- a/crates/damaskvane-gateway/src/peers/message.rs
+++ b/crates/damaskvane-gateway/src/peers/message.rs
@@ -178,9 +178,16 @@
                 heartbeats: heartbeats.iter().map(HeartbeatWire::of).collect(),
             },
             Message::Incident(incident) => Self::Incident(incident.clone()),
-            Message::ServerReports(reports) => Self::ServerReports(reports.iter().map(ServerWire::of).collect()),
-            Message::PopularityReport(report) => Self::PopularityReport(report.iter().map(SampleWire::of).collect()),
-            Message::PopularityDecisions { aggregator, decisions } => Self::PopularityDecisions {
+            Message::ServerReports(reports) => {
+                Self::ServerReports(reports.iter().map(ServerWire::of).collect())
+            }
+            Message::PopularityReport(report) => {
+                Self::PopularityReport(report.iter().map(SampleWire::of).collect())
+            }
+            Message::PopularityDecisions {
+                aggregator,
+                decisions,
+            } => Self::PopularityDecisions {
                 aggregator: aggregator.clone(),
                 decisions: decisions
                     .iter()
@@ -218,10 +225,13 @@
             Self::ServerReports(reports) => {
                 Message::ServerReports(reports.into_iter().map(ServerWire::into_report).collect())
             }
-            Self::PopularityReport(samples) => {
-                Message::PopularityReport(samples.into_iter().map(SampleWire::into_sample).collect())
-            }
-            Self::PopularityDecisions { aggregator, decisions } => Message::PopularityDecisions {
+            Self::PopularityReport(samples) => Message::PopularityReport(
+                samples.into_iter().map(SampleWire::into_sample).collect(),
+            ),
+            Self::PopularityDecisions {
+                aggregator,
+                decisions,
+            } => Message::PopularityDecisions {
                 aggregator,
                 decisions: decisions
                     .into_iter()
--- a/crates/damaskvane-gateway/src/probes.rs
+++ b/crates/damaskvane-gateway/src/probes.rs
@@ -98,7 +98,8 @@
         let mut idle = node.idle.borrow_mut();
         idle.keep(now, &probe.server, connection, head.idle_timeout_s);
     }
-    let remaining_ms = text(&names.warmup_remaining_ms).and_then(|text| text.trim().parse::<f64>().ok());
+    let remaining_ms =
+        text(&names.warmup_remaining_ms).and_then(|text| text.trim().parse::<f64>().ok());
     Some(ProbeResult::Healthy {
         warmup_left_ms: remaining_ms.map_or(0, |remaining_ms| remaining_ms.max(0.0) as u64),
     })
--- a/crates/damaskvane-gateway/tests/datagrams.rs
+++ b/crates/damaskvane-gateway/tests/datagrams.rs
@@ -52,7 +52,9 @@
             serial: u64::MAX,
         },
         server: "i-7f3a91c2".parse().expect("a name"),
-        suspects: (0..crashes::MAX_SUSPECTS_PER_INCIDENT).map(suspect).collect(),
+        suspects: (0..crashes::MAX_SUSPECTS_PER_INCIDENT)
+            .map(suspect)
+            .collect(),
         age: SpanMs::new(800),
     })
 }
