--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -198,7 +198,7 @@
 }
 
 /// Applies the removal of a quarantine record: the record expired or an operator removed it.
-pub fn apply_removed_quarantine(node: &Node, fingerprint: Fingerprint) {
+pub fn release_quarantine(node: &Node, fingerprint: Fingerprint) {
     if node.crashes.stored.borrow_mut().remove(&fingerprint) {
         let mut list = node.crashes.list.borrow_mut();
         list.clear(node.now(), fingerprint);
@@ -210,7 +210,7 @@
 pub fn replace_stored_quarantines(node: &Node, stored: &BTreeSet<Fingerprint>) {
     let before = node.crashes.stored.borrow().clone();
     for fingerprint in before.difference(stored) {
-        apply_removed_quarantine(node, *fingerprint);
+        release_quarantine(node, *fingerprint);
     }
     for fingerprint in stored {
         apply_stored_quarantine(node, *fingerprint);
--- a/crates/damaskvane-gateway/src/crashes/record.rs
+++ b/crates/damaskvane-gateway/src/crashes/record.rs
@@ -85,7 +85,7 @@
         let request = node.adapter.remove_quarantine(&fingerprint);
         match client.call(&request, CALL_TIMEOUT).await {
             Ok(_) | Err(CallError::Status(StatusCode::NOT_FOUND)) => {
-                crashes::apply_removed_quarantine(node, fingerprint);
+                crashes::release_quarantine(node, fingerprint);
             }
             // The removal is retried after the next interval.
             Err(error) => slog::warn!(node.log.log, "quarantine record can't be removed";
