--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -165,7 +165,7 @@
         return None;
     }
     let fingerprint = outgoing.fingerprint();
-    let remaining = crashes::verdict(node, fingerprint).await?;
+    let remaining = crashes::resolve_refusal(node, fingerprint).await?;
     node.log
         .log_request(node.now(), RequestOutcome::Failure, |log, left_out| {
             slog::info!(log, "request is known to crash servers";
--- a/crates/damaskvane-gateway/src/clients/listener.rs
+++ b/crates/damaskvane-gateway/src/clients/listener.rs
@@ -154,9 +154,9 @@
 ) -> Response<ResponseBody> {
     let mut response = match kind {
         ListenerKind::Clients => dispatch::respond(node, client_address, request).await,
-        ListenerKind::Lookups => lookups::look_up(node, &request),
-        ListenerKind::Ready => lookups::ready(node, &request),
-        ListenerKind::Metrics if request.method() == hyper::Method::GET => metrics::answer(node),
+        ListenerKind::Lookups => lookups::lookup_response(node, &request),
+        ListenerKind::Ready => lookups::readiness_response(node, &request),
+        ListenerKind::Metrics if request.method() == hyper::Method::GET => metrics::response(node),
         ListenerKind::Metrics => reply::from_instance(StatusCode::METHOD_NOT_ALLOWED, "use GET\n"),
     };
     if node.stop.is_leaving() {
--- a/crates/damaskvane-gateway/src/clients/routed_request.rs
+++ b/crates/damaskvane-gateway/src/clients/routed_request.rs
@@ -119,7 +119,7 @@
             let after = last.map_or("none", |last| last.end.as_str());
             self.node.metrics.retries.with_label_values(&[after]).inc();
             let log = &self.node.log;
-            log.request(now, RequestOutcome::Failure, |log, left_out| {
+            log.log_request(now, RequestOutcome::Failure, |log, left_out| {
                 slog::info!(log, "request retried";
                     "request_id" => self.outgoing.request_id.as_deref(), "after" => after,
                     "instances" => instances, "lines_left_out" => left_out);
@@ -205,7 +205,7 @@
             RequestOutcome::Failure
         };
         let load = outcome.report.load;
-        self.node.log.request(now, log_kind, |log, left_out| {
+        self.node.log.log_request(now, log_kind, |log, left_out| {
             slog::info!(log, "exchange ended";
                 "request_id" => self.outgoing.request_id.as_deref(),
                 "route" => &self.route.name, "backend_server" => %pick.server, "server_zone" => %pick.zone, "object" => self.object,
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -79,7 +79,7 @@
         let (now, recipients) = {
             let now = node.now();
             let mut state = node.state.borrow_mut();
-            state.members.note(now, heartbeat.clone());
+            state.members.apply_heartbeat(now, heartbeat.clone());
             (now, state.members.recipients(now, serial))
         };
         if last_phase != Some(phase) {
@@ -199,7 +199,9 @@
                 state.placer.apply_popularity_report(now, &report);
                 let decisions = state.placer.decide_popularity(now);
                 let aggregator = node.settings().instance.clone();
-                state.placer.apply_popularity_decisions(now, &aggregator, &decisions);
+                state
+                    .placer
+                    .apply_popularity_decisions(now, &aggregator, &decisions);
                 (
                     Message::PopularityDecisions {
                         aggregator,
@@ -328,7 +330,12 @@
 
 /// Replies with this instance's heartbeat to an instance that searches for peers.
 async fn reply_to_heartbeat(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
-    let own = node.state.borrow().members.reply_to_heartbeat(heartbeat).cloned();
+    let own = node
+        .state
+        .borrow()
+        .members
+        .reply_to_heartbeat(heartbeat)
+        .cloned();
     if let Some(own) = own {
         let recipients = [heartbeat.peer_address];
         send(node, socket, &Message::Heartbeat(own), &recipients).await;
@@ -338,7 +345,11 @@
 /// Sends the instances of other zones to an instance of this zone that has just started.
 async fn send_introduction(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
     let now = node.now();
-    let introduction = node.state.borrow().members.introduction(now, heartbeat);
+    let introduction = node
+        .state
+        .borrow()
+        .members
+        .heartbeats_for_new_instance(now, heartbeat);
     for heartbeats in introduction.chunks(MAX_HEARTBEATS_PER_UPDATE) {
         let message = Message::MembershipUpdate {
             is_forwarded: true,
@@ -353,7 +364,11 @@
     let instance = heartbeat.instance.clone();
     let phase = heartbeat.phase;
     let now = node.now();
-    let is_new = node.state.borrow_mut().members.note(now, heartbeat);
+    let is_new = node
+        .state
+        .borrow_mut()
+        .members
+        .apply_heartbeat(now, heartbeat);
     if is_new {
         slog::info!(node.log.log, "instance started";
             "peer" => %instance, "phase" => ?phase);
--- a/crates/damaskvane-gateway/src/store/applier.rs
+++ b/crates/damaskvane-gateway/src/store/applier.rs
@@ -107,7 +107,7 @@
                     crashes::apply_stored_quarantine(&self.node, fingerprint);
                 }
                 (Some(Record::Unusable(reason)), _) => self.log_unusable(&event.name, &reason),
-                (None, Ok(fingerprint)) => crashes::apply_removed_quarantine(&self.node, fingerprint),
+                (None, Ok(fingerprint)) => crashes::release_quarantine(&self.node, fingerprint),
                 _ => {}
             },
             Collection::Instances => {
--- a/crates/damaskvane-gateway/src/store/health_check.rs
+++ b/crates/damaskvane-gateway/src/store/health_check.rs
@@ -32,7 +32,7 @@
 /// Checks the store until the process ends.
 pub async fn run(node: Rc<Node>) {
     let mut client = StoreClient::new(Rc::clone(&node), Collection::Instances);
-    let request = node.adapter.contact(&node.record());
+    let request = node.adapter.ping(&node.own_record());
     loop {
         let is_relayed = node.store.source() == Source::Relay;
         if is_relayed && !node.store.is_direct_access_lost() {
--- a/crates/damaskvane-gateway/src/store/register.rs
+++ b/crates/damaskvane-gateway/src/store/register.rs
@@ -29,7 +29,7 @@
 /// All later records arrive with the changes of the collection of instances, as for the other collections.
 pub async fn register(node: Rc<Node>) {
     let mut client = StoreClient::new(Rc::clone(&node), Collection::Instances);
-    let record = node.record();
+    let record = node.own_record();
     read_zone_records(&node, &mut client, &record.zone).await;
     while let Err(error) = write_record(&node, &mut client, &record).await {
         slog::warn!(node.log.log, "cannot write the record of this instance to the store; retrying";
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -177,7 +177,7 @@
         } else {
             OpenReason::NoIdleConnection
         };
-        self.node.metrics.costs.opened(reason);
+        self.node.metrics.costs.record_connection(reason);
         let timeout = CONNECT_TIMEOUT.min(self.remaining().to_duration());
         let opened = http::Connection::open(self.pick.address, timeout, SILENCE_TIMEOUT).await?;
         let took_ms = self.node.now().since(now).get() as f64;
