--- a/crates/damaskvane-gateway/src/peers/message.rs
+++ b/crates/damaskvane-gateway/src/peers/message.rs
@@ -8,7 +8,7 @@
 use damaskvane_dispatch::quarantine::Incident;
 use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, Phase};
 use damaskvane_routing::placement::{ObjectSample, PopularityDecision, PopularityReport, RouteKey};
-use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, ToldServer};
+use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, PeerServerReport};
 use serde::{Deserialize, Serialize};
 
 use crate::costs::Flow;
@@ -39,7 +39,7 @@
     /// The death of a backend server that was running requests.
     Incident(Incident),
     /// Backend servers that are queueing, slow or failing, or have recovered.
-    ServerReports(Vec<ToldServer>),
+    ServerReports(Vec<PeerServerReport>),
     /// Samples of the objects that the sender's clients request, by route.
     PopularityReport(PopularityReport),
     /// Decisions on which objects are popular enough to have a server in each zone.
@@ -307,7 +307,7 @@
 }
 
 impl ServerWire {
-    fn of(report: &ToldServer) -> Self {
+    fn of(report: &PeerServerReport) -> Self {
         Self {
             server: report.server.get(),
             load: report.load.map(|load| LoadWire {
@@ -323,8 +323,8 @@
         }
     }
 
-    fn into_report(self) -> ToldServer {
-        ToldServer {
+    fn into_report(self) -> PeerServerReport {
+        PeerServerReport {
             server: ServerKey::from_wire(self.server),
             load: self.load.map(|load| LoadReport {
                 running: load.running,
--- a/crates/damaskvane-gateway/tests/datagrams.rs
+++ b/crates/damaskvane-gateway/tests/datagrams.rs
@@ -8,7 +8,7 @@
 use damaskvane_gateway::peers::Message;
 use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, Phase};
 use damaskvane_routing::placement::{ObjectSample, POPULARITY_STEPS, PopularityDecision, RouteKey};
-use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, ToldServer};
+use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, PeerServerReport};
 use proptest::prelude::*;
 
 /// Largest datagram that an instance receives, in bytes.
@@ -65,7 +65,7 @@
         waiting: 18,
         slots: 6,
     };
-    let report = |number| ToldServer {
+    let report = |number| PeerServerReport {
         server: ServerKey::from_wire(u32::MAX - number),
         load: Some(load),
         health: Some(ToldHealth {
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -9,8 +9,8 @@
 use crate::pool::load::OthersLoad;
 use crate::pool::speed::Slowness;
 use crate::pool::{
-    ExchangeEnd, ExchangeId, LoadReport, Reach, ServerEntry, ServerKey, ServerReport, ToldHealth,
-    ToldServer,
+    ExchangeEnd, ExchangeId, LoadReport, PeerServerReport, Reach, ServerEntry, ServerKey,
+    ServerReport, ToldHealth,
 };
 
 /// How long a server is taken to remember an object that this instance sent there.
@@ -259,7 +259,7 @@
     }
 
     /// Takes in what another instance tells of it, as far as that is newer.
-    pub(super) fn note_told(&mut self, now: TimeMs, told: &ToldServer) {
+    pub(super) fn note_told(&mut self, now: TimeMs, told: &PeerServerReport) {
         let said_at = TimeMs::new(now.get().saturating_sub(told.age_ms));
         if let Some(load) = told.load
             && said_at > self.others.noted_at()
@@ -293,11 +293,11 @@
     }
 
     /// What the zone is to hear of it: that it has a queue, is slow or fails, or no longer so.
-    pub(super) fn tell(&mut self, now: TimeMs) -> Option<ToldServer> {
+    pub(super) fn tell(&mut self, now: TimeMs) -> Option<PeerServerReport> {
         let (load, age_ms) = self.tell_load(now).unzip();
         let health = self.tell_health(now);
         let is_told = load.is_some() || health.is_some();
-        is_told.then(|| ToldServer {
+        is_told.then(|| PeerServerReport {
             server: ServerKey::of(&self.entry.id),
             load,
             health,
--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -7,8 +7,8 @@
 
 use crate::pool::server_table::ServerTable;
 use crate::pool::{
-    DueProbe, PoolSettings, ProbeResult, Reach, Server, ServerEntry, ServerHandle, ServerMut,
-    ServerState, ServiceServers, ToldServer, Topology, ZoneIndex,
+    DueProbe, PeerServerReport, PoolSettings, ProbeResult, Reach, Server, ServerEntry,
+    ServerHandle, ServerMut, ServerState, ServiceServers, Topology, ZoneIndex,
 };
 
 /// What a piece of news changed, for the log.
@@ -145,7 +145,7 @@
     }
 
     /// What the zone is to hear of busy and unwell servers, those with the longest queues first.
-    pub fn tell_servers(&mut self, now: TimeMs, most: usize) -> Vec<ToldServer> {
+    pub fn tell_servers(&mut self, now: TimeMs, most: usize) -> Vec<PeerServerReport> {
         let with_news = self.servers.with_news().iter();
         // An exchange that hangs shows nothing new until it ends, so servers in use are looked at too.
         let in_use = self.servers.in_use().iter();
@@ -163,7 +163,7 @@
     }
 
     /// Takes in what another instance of the zone tells of servers.
-    pub fn note_told(&mut self, now: TimeMs, told: &[ToldServer]) {
+    pub fn note_told(&mut self, now: TimeMs, told: &[PeerServerReport]) {
         for told in told {
             let handle = self.servers.handle_of_key(told.server);
             if let Some(mut server) = handle.and_then(|handle| self.servers.get_mut(handle)) {
--- a/crates/damaskvane-routing/src/pool/told.rs
+++ b/crates/damaskvane-routing/src/pool/told.rs
@@ -39,7 +39,7 @@
 
 /// What one instance tells another of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ToldServer {
+pub struct PeerServerReport {
     /// The server.
     pub server: ServerKey,
     /// What it said of its load, where it has a queue or no longer has one.
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use damaskvane_routing::pool::{
-    Change, ExchangeEnd, ExchangeId, LoadReport, ProbeResult, Reach, ServerEntry, ServerKey,
-    ServerPool, ServerReport, ServerState, ToldServer,
+    Change, ExchangeEnd, ExchangeId, LoadReport, PeerServerReport, ProbeResult, Reach, ServerEntry,
+    ServerKey, ServerPool, ServerReport, ServerState,
 };
 use support::{at, entry, pool, pool_of, server_id, zone};
 
@@ -275,7 +275,7 @@
     server.note_sent(at(800), ExchangeId(1), 100.0);
     server.note_end(at(1_000), ExchangeId(1), ExchangeEnd::Answered, free);
     drop(server);
-    let told = ToldServer {
+    let told = PeerServerReport {
         server: ServerKey::of(&server_id("east-a-0")),
         load: Some(load(6, 9)),
         health: None,
--- a/crates/damaskvane-routing/tests/told.rs
+++ b/crates/damaskvane-routing/tests/told.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use damaskvane_routing::pool::{
-    ExchangeEnd, ExchangeId, LoadReport, ServerKey, ServerPool, ServerReport, ToldHealth,
-    ToldServer,
+    ExchangeEnd, ExchangeId, LoadReport, PeerServerReport, ServerKey, ServerPool, ServerReport,
+    ToldHealth,
 };
 use rand::{RngExt, SeedableRng};
 use support::{at, pool_of, server_id, zone};
@@ -80,7 +80,7 @@
 #[test]
 fn own_answers_that_are_newer_go_before_failures_that_are_told() {
     let mut hearing = pool_of(&[("east-a", 1)]);
-    let failing = ToldServer {
+    let failing = PeerServerReport {
         server: ServerKey::of(&server_id("east-a-0")),
         load: None,
         health: Some(ToldHealth {
@@ -108,7 +108,7 @@
 #[test]
 fn an_older_word_on_a_servers_health_changes_nothing() {
     let mut hearing = pool_of(&[("east-a", 1)]);
-    let said = |slowness, age_ms| ToldServer {
+    let said = |slowness, age_ms| PeerServerReport {
         server: ServerKey::of(&server_id("east-a-0")),
         load: None,
         health: Some(ToldHealth {
@@ -168,7 +168,7 @@
         let report = ServerReport { load: Some(report) };
         server.note_end(now, ExchangeId(number), ExchangeEnd::Answered, report);
         drop(server);
-        let busy = ToldServer {
+        let busy = PeerServerReport {
             server: ServerKey::of(&server_id("east-a-0")),
             load: Some(load(6, 18)),
             health: None,
