--- a/crates/damaskvane-gateway/src/peers/message.rs
+++ b/crates/damaskvane-gateway/src/peers/message.rs
@@ -8,7 +8,7 @@
 use damaskvane_dispatch::quarantine::Incident;
 use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, Phase};
 use damaskvane_routing::placement::{ObjectSample, PopularityDecision, PopularityReport, RouteKey};
-use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, PeerServerReport};
+use damaskvane_routing::pool::{LoadReport, ServerKey, PeerHealthReport, PeerServerReport};
 use serde::{Deserialize, Serialize};
 
 use crate::costs::Flow;
@@ -331,7 +331,7 @@
                 waiting: load.waiting,
                 slots: load.slots,
             }),
-            health: self.health.map(|health| ToldHealth {
+            health: self.health.map(|health| PeerHealthReport {
                 slowness: f64::from(health.slowness_percent) / 100.0,
                 failure_share: f64::from(health.failure_percent) / 100.0,
             }),
--- a/crates/damaskvane-gateway/tests/datagrams.rs
+++ b/crates/damaskvane-gateway/tests/datagrams.rs
@@ -8,7 +8,7 @@
 use damaskvane_gateway::peers::Message;
 use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, Phase};
 use damaskvane_routing::placement::{ObjectSample, POPULARITY_STEPS, PopularityDecision, RouteKey};
-use damaskvane_routing::pool::{LoadReport, ServerKey, ToldHealth, PeerServerReport};
+use damaskvane_routing::pool::{LoadReport, ServerKey, PeerHealthReport, PeerServerReport};
 use proptest::prelude::*;
 
 /// Largest datagram that an instance receives, in bytes.
@@ -68,7 +68,7 @@
     let report = |number| PeerServerReport {
         server: ServerKey::from_wire(u32::MAX - number),
         load: Some(load),
-        health: Some(ToldHealth {
+        health: Some(PeerHealthReport {
             slowness: 9.5,
             failure_share: 0.5,
         }),
--- a/crates/damaskvane-routing/src/pool.rs
+++ b/crates/damaskvane-routing/src/pool.rs
@@ -37,5 +37,5 @@
 pub use service_servers::{ServiceServers, ZoneServers};
 pub use settings::PoolSettings;
 pub use speed::{Baseline, Baselines};
-pub use told::{PeerServerReport, ServerKey, ToldHealth};
+pub use told::{PeerHealthReport, PeerServerReport, ServerKey};
 pub use topology::{RegionIndex, Topology, ZoneIndex};
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -9,8 +9,8 @@
 use crate::pool::load::OthersLoad;
 use crate::pool::speed::Slowness;
 use crate::pool::{
-    ExchangeEnd, ExchangeId, LoadReport, PeerServerReport, Reach, ServerEntry, ServerKey,
-    ServerReport, ToldHealth,
+    ExchangeEnd, ExchangeId, LoadReport, PeerHealthReport, PeerServerReport, Reach, ServerEntry,
+    ServerKey, ServerReport,
 };
 
 /// How long a server is taken to remember an object that this instance sent there.
@@ -61,7 +61,7 @@
     failure_share: f64,
     failures_at: TimeMs,
     /// What another instance found, and when.
-    told: Option<(TimeMs, ToldHealth)>,
+    told: Option<(TimeMs, PeerHealthReport)>,
     /// Whether this instance has found out something of its health that the zone wasn't told.
     has_finding: bool,
     /// Whether the zone was told last that it is slow or fails.
@@ -312,13 +312,13 @@
         (is_busy || was_busy).then(|| (load, now.since(said_at).get()))
     }
 
-    fn tell_health(&mut self, now: TimeMs) -> Option<ToldHealth> {
+    fn tell_health(&mut self, now: TimeMs) -> Option<PeerHealthReport> {
         let stalled = self.stalled(now);
         let has_finding = core::mem::take(&mut self.has_finding) || stalled.is_some();
         if !has_finding {
             return None;
         }
-        let health = ToldHealth {
+        let health = PeerHealthReport {
             slowness: self.own_slowness(now).max(stalled.unwrap_or(1.0)),
             failure_share: self.own_failure_share(now),
         };
--- a/crates/damaskvane-routing/src/pool/told.rs
+++ b/crates/damaskvane-routing/src/pool/told.rs
@@ -46,14 +46,14 @@
     pub load: Option<LoadReport>,
     /// How much longer than usual it takes, and the share of its exchanges that failed, where the teller has found it
     /// slow or failing, or no longer so.
-    pub health: Option<ToldHealth>,
+    pub health: Option<PeerHealthReport>,
     /// How long ago that was, in milliseconds.
     pub age_ms: u64,
 }
 
 /// How a server does, by what one instance saw of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ToldHealth {
+pub struct PeerHealthReport {
     /// How much longer than usual it takes; 1 is usual.
     pub slowness: f64,
     /// The share of its exchanges that failed.
--- a/crates/damaskvane-routing/tests/told.rs
+++ b/crates/damaskvane-routing/tests/told.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use damaskvane_routing::pool::{
-    ExchangeEnd, ExchangeId, LoadReport, PeerServerReport, ServerKey, ServerPool, ServerReport,
-    ToldHealth,
+    ExchangeEnd, ExchangeId, LoadReport, PeerHealthReport, PeerServerReport, ServerKey, ServerPool,
+    ServerReport,
 };
 use rand::{RngExt, SeedableRng};
 use support::{at, pool_of, server_id, zone};
@@ -83,7 +83,7 @@
     let failing = PeerServerReport {
         server: ServerKey::of(&server_id("east-a-0")),
         load: None,
-        health: Some(ToldHealth {
+        health: Some(PeerHealthReport {
             slowness: 1.0,
             failure_share: 0.8,
         }),
@@ -111,7 +111,7 @@
     let said = |slowness, age_ms| PeerServerReport {
         server: ServerKey::of(&server_id("east-a-0")),
         load: None,
-        health: Some(ToldHealth {
+        health: Some(PeerHealthReport {
             slowness,
             failure_share: 0.0,
         }),
