--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -145,7 +145,7 @@
     }
 
     /// What the zone is to hear of busy and unwell servers, those with the longest queues first.
-    pub fn tell_servers(&mut self, now: TimeMs, most: usize) -> Vec<PeerServerReport> {
+    pub fn take_server_reports(&mut self, now: TimeMs, most: usize) -> Vec<PeerServerReport> {
         let with_news = self.servers.with_news().iter();
         // An exchange that hangs shows nothing new until it ends, so servers in use are looked at too.
         let in_use = self.servers.in_use().iter();
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -250,9 +250,9 @@
     server.note_sent(at(800), ExchangeId(1), 100.0);
     server.note_end(at(1_000), ExchangeId(1), ExchangeEnd::Answered, report);
     drop(server);
-    let told = seeing.tell_servers(at(1_100), 8);
+    let told = seeing.take_server_reports(at(1_100), 8);
     assert_eq!(told.len(), 1);
-    assert!(seeing.tell_servers(at(1_200), 8).is_empty());
+    assert!(seeing.take_server_reports(at(1_200), 8).is_empty());
     hearing.note_told(at(1_100), &told);
     let load_of = |name| {
         hearing
@@ -297,6 +297,9 @@
         server.note_sent(now, ExchangeId(number), 100.0);
         server.note_end(now, ExchangeId(number), ExchangeEnd::Answered, report);
         drop(server);
-        assert_eq!(pool.tell_servers(now, 8).len(), usize::from(number < 3));
+        assert_eq!(
+            pool.take_server_reports(now, 8).len(),
+            usize::from(number < 3)
+        );
     }
 }
--- a/crates/damaskvane-routing/tests/told.rs
+++ b/crates/damaskvane-routing/tests/told.rs
@@ -43,12 +43,15 @@
         let server = pool.server(&server_id("east-a-0")).expect("a server");
         server.slowness(at(now_ms))
     };
-    let told = seeing.tell_servers(at(1_400), 8);
+    let told = seeing.take_server_reports(at(1_400), 8);
     hearing.note_told(at(1_400), &told);
     assert!(slowness(&hearing, 1_500) > 3.0);
-    assert!(seeing.tell_servers(at(1_600), 8).is_empty(), "told once");
     assert!(
-        hearing.tell_servers(at(1_600), 8).is_empty(),
+        seeing.take_server_reports(at(1_600), 8).is_empty(),
+        "told once"
+    );
+    assert!(
+        hearing.take_server_reports(at(1_600), 8).is_empty(),
         "not its own finding"
     );
     let mut server = seeing.server_mut(&server_id("east-a-0")).expect("a server");
@@ -56,7 +59,7 @@
         server.note_time(at(2_000 + number), 100.0, 100.0);
     }
     drop(server);
-    let told = seeing.tell_servers(at(2_100), 8);
+    let told = seeing.take_server_reports(at(2_100), 8);
     hearing.note_told(at(2_100), &told);
     assert!(slowness(&hearing, 2_200) < 1.5);
 }
@@ -67,7 +70,7 @@
     let mut seeing = pool_of(&[("east-a", 1)]);
     let mut hearing = pool_of(&[("east-a", 1)]);
     slow(&mut seeing);
-    let told = seeing.tell_servers(at(1_400), 8);
+    let told = seeing.take_server_reports(at(1_400), 8);
     hearing.note_told(at(1_400), &told);
     let mut server = hearing
         .server_mut(&server_id("east-a-0"))
@@ -130,8 +133,8 @@
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
     server.note_sent(at(1_000), ExchangeId(1), 100.0);
     drop(server);
-    assert!(pool.tell_servers(at(1_200), 8).is_empty());
-    let told = pool.tell_servers(at(1_600), 8);
+    assert!(pool.take_server_reports(at(1_200), 8).is_empty());
+    let told = pool.take_server_reports(at(1_600), 8);
     let health = told.first().and_then(|told| told.health);
     assert!(
         health.is_some_and(|health| health.slowness > 5.0),
