--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -306,7 +306,7 @@
             Some(Message::Incident(incident)) => crashes::apply_peer_incident(&node, &incident),
             Some(Message::ServerReports(reports)) => {
                 let now = node.now();
-                node.state.borrow_mut().pool.note_told(now, &reports);
+                node.state.borrow_mut().pool.apply_server_reports(now, &reports);
             }
             Some(Message::PopularityReport(report)) => {
                 let now = node.now();
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -259,7 +259,7 @@
     }
 
     /// Takes in what another instance tells of it, as far as that is newer.
-    pub(super) fn note_told(&mut self, now: TimeMs, told: &PeerServerReport) {
+    pub(super) fn apply_server_reports(&mut self, now: TimeMs, told: &PeerServerReport) {
         let said_at = TimeMs::new(now.get().saturating_sub(told.age_ms));
         if let Some(load) = told.load
             && said_at > self.others.noted_at()
--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -163,11 +163,11 @@
     }
 
     /// Takes in what another instance of the zone tells of servers.
-    pub fn note_told(&mut self, now: TimeMs, told: &[PeerServerReport]) {
+    pub fn apply_server_reports(&mut self, now: TimeMs, told: &[PeerServerReport]) {
         for told in told {
             let handle = self.servers.handle_of_key(told.server);
             if let Some(mut server) = handle.and_then(|handle| self.servers.get_mut(handle)) {
-                server.note_told(now, told);
+                server.apply_server_reports(now, told);
             }
         }
     }
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -253,7 +253,7 @@
     let told = seeing.take_server_reports(at(1_100), 8);
     assert_eq!(told.len(), 1);
     assert!(seeing.take_server_reports(at(1_200), 8).is_empty());
-    hearing.note_told(at(1_100), &told);
+    hearing.apply_server_reports(at(1_100), &told);
     let load_of = |name| {
         hearing
             .server(&server_id(name))
@@ -281,7 +281,7 @@
         health: None,
         age_ms: 300,
     };
-    pool.note_told(at(1_200), &[told]);
+    pool.apply_server_reports(at(1_200), &[told]);
     let server = pool.server(&server_id("east-a-0")).expect("a server");
     assert!(server.load(at(1_200)) < 2.0);
 }
--- a/crates/damaskvane-routing/tests/told.rs
+++ b/crates/damaskvane-routing/tests/told.rs
@@ -44,7 +44,7 @@
         server.slowness(at(now_ms))
     };
     let told = seeing.take_server_reports(at(1_400), 8);
-    hearing.note_told(at(1_400), &told);
+    hearing.apply_server_reports(at(1_400), &told);
     assert!(slowness(&hearing, 1_500) > 3.0);
     assert!(
         seeing.take_server_reports(at(1_600), 8).is_empty(),
@@ -60,7 +60,7 @@
     }
     drop(server);
     let told = seeing.take_server_reports(at(2_100), 8);
-    hearing.note_told(at(2_100), &told);
+    hearing.apply_server_reports(at(2_100), &told);
     assert!(slowness(&hearing, 2_200) < 1.5);
 }
 
@@ -71,7 +71,7 @@
     let mut hearing = pool_of(&[("east-a", 1)]);
     slow(&mut seeing);
     let told = seeing.take_server_reports(at(1_400), 8);
-    hearing.note_told(at(1_400), &told);
+    hearing.apply_server_reports(at(1_400), &told);
     let mut server = hearing
         .server_mut(&server_id("east-a-0"))
         .expect("a server");
@@ -92,7 +92,7 @@
         }),
         age_ms: 0,
     };
-    hearing.note_told(at(1_000), &[failing]);
+    hearing.apply_server_reports(at(1_000), &[failing]);
     let mut server = hearing
         .server_mut(&server_id("east-a-0"))
         .expect("a server");
@@ -120,8 +120,8 @@
         }),
         age_ms,
     };
-    hearing.note_told(at(1_000), &[said(6.0, 0)]);
-    hearing.note_told(at(1_100), &[said(1.0, 900)]);
+    hearing.apply_server_reports(at(1_000), &[said(6.0, 0)]);
+    hearing.apply_server_reports(at(1_100), &[said(1.0, 900)]);
     let server = hearing.server(&server_id("east-a-0")).expect("a server");
     assert!(server.slowness(at(1_200)) > 4.0);
 }
@@ -177,7 +177,7 @@
             health: None,
             age_ms: 0,
         };
-        pool.note_told(now, &[busy]);
+        pool.apply_server_reports(now, &[busy]);
     }
     let topology = pool.topology();
     let zone = topology.zone(&zone("east-a")).expect("a zone");
