--- a/crates/damaskvane-routing/src/retry.rs
+++ b/crates/damaskvane-routing/src/retry.rs
@@ -27,14 +27,19 @@
 /// Some work takes longer than its objective wherever it isn't remembered. Given up at a multiple of the objective
 /// alone, it would be run twice on sound servers, at the time when they are busiest with such first runs.
 #[must_use]
-pub fn patience_ms(route: &Route, pick: &Pick, progress: &Progress, left_ms: u64) -> Option<u64> {
+pub fn attempt_timeout_ms(
+    route: &Route,
+    pick: &Pick,
+    progress: &Progress,
+    left_ms: u64,
+) -> Option<u64> {
     let mut next = progress.clone();
     next.note(ExchangeEnd::Abandoned);
     let first_ms = pick.first_ms as u64;
     let sound_ms = (pick.first_ms * PATIENCE_FACTOR) as u64;
-    let patience_ms = sound_ms.max(route.objective_ms * PATIENCE_OBJECTIVES);
-    let needed_ms = patience_ms.saturating_add(first_ms);
-    (next.may_try_again() && needed_ms <= left_ms).then_some(patience_ms)
+    let attempt_timeout_ms = sound_ms.max(route.objective_ms * PATIENCE_OBJECTIVES);
+    let needed_ms = attempt_timeout_ms.saturating_add(first_ms);
+    (next.may_try_again() && needed_ms <= left_ms).then_some(attempt_timeout_ms)
 }
 
 /// The exchanges of one request so far.
--- a/crates/damaskvane-routing/tests/retries.rs
+++ b/crates/damaskvane-routing/tests/retries.rs
@@ -91,8 +91,8 @@
 fn a_server_at_work_on_a_first_run_is_not_given_up() {
     let (route, pick) = slow_work();
     let progress = Progress::new(RouteKind::Idempotent, 2);
-    let patience_ms = retry::patience_ms(&route, &pick, &progress, 4_000);
-    assert!(patience_ms.is_some_and(|patience_ms| patience_ms >= 2_200));
+    let attempt_timeout_ms = retry::attempt_timeout_ms(&route, &pick, &progress, 4_000);
+    assert!(attempt_timeout_ms.is_some_and(|attempt_timeout_ms| attempt_timeout_ms >= 2_200));
 }
 
 /// A server has gone silent, and its caller's time is nearly over. Asking another one that can't answer in time
@@ -101,7 +101,13 @@
 fn no_other_server_is_asked_that_could_not_answer_in_time() {
     let (route, pick) = slow_work();
     let progress = Progress::new(RouteKind::Idempotent, 2);
-    assert_eq!(retry::patience_ms(&route, &pick, &progress, 3_000), None);
+    assert_eq!(
+        retry::attempt_timeout_ms(&route, &pick, &progress, 3_000),
+        None
+    );
     let booking = Progress::new(RouteKind::NonIdempotent, 2);
-    assert_eq!(retry::patience_ms(&route, &pick, &booking, 9_000), None);
+    assert_eq!(
+        retry::attempt_timeout_ms(&route, &pick, &booking, 9_000),
+        None
+    );
 }
