--- a/crates/damaskvane-bench/src/placement/world.rs
+++ b/crates/damaskvane-bench/src/placement/world.rs
@@ -271,7 +271,7 @@
             return;
         }
         self.calls[call].flight = None;
-        self.calls[call].progress.note(ended);
+        self.calls[call].progress.record(ended);
         match end {
             End::Answered => {
                 let took_ms = self.now_ms - self.calls[call].wanted.asked_ms;
--- a/crates/damaskvane-routing/src/retry.rs
+++ b/crates/damaskvane-routing/src/retry.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_routing::{configuration, pool, retry};
 //!
 //! let mut progress = retry::Progress::new(configuration::RouteKind::NonIdempotent, 2);
-//! progress.note(pool::ExchangeEnd::Broken);
+//! progress.record(pool::ExchangeEnd::Broken);
 //! assert!(!progress.may_try_again());
 //! assert!(!progress.is_proven_not_run());
 //! ```
@@ -34,7 +34,7 @@
     left_ms: u64,
 ) -> Option<u64> {
     let mut next = progress.clone();
-    next.note(ExchangeEnd::Abandoned);
+    next.record(ExchangeEnd::Abandoned);
     let first_ms = pick.first_ms as u64;
     let sound_ms = (pick.first_ms * PATIENCE_FACTOR) as u64;
     let attempt_timeout_ms = sound_ms.max(route.objective_ms * PATIENCE_OBJECTIVES);
@@ -69,7 +69,7 @@
     }
 
     /// Notes the end of an exchange.
-    pub const fn note(&mut self, end: ExchangeEnd) {
+    pub const fn record(&mut self, end: ExchangeEnd) {
         match end {
             ExchangeEnd::Unreachable => self.unreachable += 1,
             ExchangeEnd::Shed | ExchangeEnd::Misdirected => self.sent += 1,
--- a/crates/damaskvane-routing/tests/retries.rs
+++ b/crates/damaskvane-routing/tests/retries.rs
@@ -22,7 +22,7 @@
 fn a_request_that_may_have_run_is_not_repeated_and_not_called_not_run() {
     for end in MAY_HAVE_RUN {
         let mut progress = Progress::new(RouteKind::NonIdempotent, 3);
-        progress.note(end);
+        progress.record(end);
         assert!(!progress.may_try_again(), "{end:?}");
         assert!(!progress.is_proven_not_run(), "{end:?}");
     }
@@ -37,7 +37,7 @@
         ExchangeEnd::Unreachable,
     ] {
         let mut progress = Progress::new(RouteKind::NonIdempotent, 2);
-        progress.note(end);
+        progress.record(end);
         assert!(progress.may_try_again(), "{end:?}");
         assert!(progress.is_proven_not_run(), "{end:?}");
     }
@@ -48,8 +48,8 @@
 #[test]
 fn a_proof_is_lost_with_the_first_exchange_that_lacks_it() {
     let mut progress = Progress::new(RouteKind::Idempotent, 4);
-    progress.note(ExchangeEnd::Broken);
-    progress.note(ExchangeEnd::Shed);
+    progress.record(ExchangeEnd::Broken);
+    progress.record(ExchangeEnd::Shed);
     assert!(!progress.is_proven_not_run());
 }
 
@@ -57,9 +57,9 @@
 #[test]
 fn attempts_bound_the_servers_that_get_a_request() {
     let mut progress = Progress::new(RouteKind::Idempotent, 2);
-    progress.note(ExchangeEnd::Failed);
+    progress.record(ExchangeEnd::Failed);
     assert!(progress.may_try_again());
-    progress.note(ExchangeEnd::Shed);
+    progress.record(ExchangeEnd::Shed);
     assert!(!progress.may_try_again());
 }
 
