--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -141,7 +141,7 @@
 
     pub(super) fn sent(&mut self, now: TimeMs, exchange: ExchangeId, pick: &Pick) {
         if let Some(mut server) = self.pool.server_mut(&pick.server) {
-            server.note_sent(now, exchange, pick.expected_ms);
+            server.record_sent(now, exchange, pick.expected_ms);
         }
     }
 
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -83,7 +83,7 @@
         let id = node.next_exchange_id();
         let now = node.now();
         if let Some(mut server) = node.state.borrow_mut().pool.server_mut(&pick.server) {
-            server.note_sent(now, id, pick.expected_ms);
+            server.record_sent(now, id, pick.expected_ms);
         }
         Self {
             node: Rc::clone(node),
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -218,7 +218,7 @@
     }
 
     /// Notes a request that is sent now.
-    pub fn note_sent(&mut self, now: TimeMs, exchange: ExchangeId, expected_ms: f64) {
+    pub fn record_sent(&mut self, now: TimeMs, exchange: ExchangeId, expected_ms: f64) {
         self.cold_rate.note(now);
         let flight = Flight {
             sent_at: now,
--- a/crates/damaskvane-routing/tests/admission.rs
+++ b/crates/damaskvane-routing/tests/admission.rs
@@ -42,7 +42,7 @@
     };
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
     for number in 0..5 {
-        server.note_sent(at(990), ExchangeId(number), 100.0);
+        server.record_sent(at(990), ExchangeId(number), 100.0);
         server.note_end(at(1_000), ExchangeId(number), ExchangeEnd::Answered, full);
     }
     drop(server);
@@ -94,7 +94,7 @@
             let first = pick(&mut pool, "east-a", object).server;
             let mut server = pool.server_mut(&first).expect("a server");
             for number in 0..40 {
-                server.note_sent(at(999), ExchangeId(number), 100.0);
+                server.record_sent(at(999), ExchangeId(number), 100.0);
                 server.note_end(
                     at(999),
                     ExchangeId(number),
--- a/crates/damaskvane-routing/tests/placement.rs
+++ b/crates/damaskvane-routing/tests/placement.rs
@@ -265,7 +265,7 @@
     let mut pool = pool_of(&[("east-a", 3)]);
     let first = pick(&mut pool, "east-a", 3).server;
     let mut server = pool.server_mut(&first).expect("a known server");
-    server.note_sent(at(100), ExchangeId(1), 100.0);
+    server.record_sent(at(100), ExchangeId(1), 100.0);
     drop(server);
     assert_ne!(pick(&mut pool, "east-a", 3).server, first);
 }
@@ -278,7 +278,7 @@
     let first = pick(&mut pool, "east-a", 3).server;
     let mut server = pool.server_mut(&first).expect("a known server");
     for number in 0..10 {
-        server.note_sent(at(900 + number), ExchangeId(number), 100.0);
+        server.record_sent(at(900 + number), ExchangeId(number), 100.0);
         let report = ServerReport {
             load: Some(LoadReport {
                 running: 1,
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -142,7 +142,7 @@
     let mut server = pool
         .server_mut(&server_id("east-a-0"))
         .expect("a known server");
-    server.note_sent(at(now_ms), ExchangeId(now_ms), 100.0);
+    server.record_sent(at(now_ms), ExchangeId(now_ms), 100.0);
     server.note_end(at(now_ms), ExchangeId(now_ms), end, ServerReport::default());
 }
 
@@ -222,7 +222,7 @@
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
     for number in 0..10 {
         let now_ms = 1_000 + number * 2_000;
-        server.note_sent(at(now_ms - 300), ExchangeId(number), 100.0);
+        server.record_sent(at(now_ms - 300), ExchangeId(number), 100.0);
         server.note_end(at(now_ms), ExchangeId(number), ExchangeEnd::Answered, busy);
         let slots = f64::from(server.entry.slots);
         assert!(server.load(at(now_ms + 1_900)) > slots);
@@ -247,7 +247,7 @@
     let report = ServerReport {
         load: Some(load(6, 9)),
     };
-    server.note_sent(at(800), ExchangeId(1), 100.0);
+    server.record_sent(at(800), ExchangeId(1), 100.0);
     server.note_end(at(1_000), ExchangeId(1), ExchangeEnd::Answered, report);
     drop(server);
     let told = seeing.take_server_reports(at(1_100), 8);
@@ -272,7 +272,7 @@
     let free = ServerReport {
         load: Some(load(1, 0)),
     };
-    server.note_sent(at(800), ExchangeId(1), 100.0);
+    server.record_sent(at(800), ExchangeId(1), 100.0);
     server.note_end(at(1_000), ExchangeId(1), ExchangeEnd::Answered, free);
     drop(server);
     let told = PeerServerReport {
@@ -294,7 +294,7 @@
         let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
         let now = at(number * 1_000);
         let report = ServerReport { load: Some(report) };
-        server.note_sent(now, ExchangeId(number), 100.0);
+        server.record_sent(now, ExchangeId(number), 100.0);
         server.note_end(now, ExchangeId(number), ExchangeEnd::Answered, report);
         drop(server);
         assert_eq!(
--- a/crates/damaskvane-routing/tests/support/mod.rs
+++ b/crates/damaskvane-routing/tests/support/mod.rs
@@ -141,6 +141,6 @@
 pub fn fill(pool: &mut ServerPool, name: &str, count: u64) {
     let mut server = pool.server_mut(&server_id(name)).expect("a known server");
     for number in 0..count {
-        server.note_sent(at(999), ExchangeId(number), 100.0);
+        server.record_sent(at(999), ExchangeId(number), 100.0);
     }
 }
--- a/crates/damaskvane-routing/tests/told.rs
+++ b/crates/damaskvane-routing/tests/told.rs
@@ -22,7 +22,7 @@
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
     for number in 0..4 {
         let now = at(1_000 + number * 100);
-        server.note_sent(now, ExchangeId(number), 100.0);
+        server.record_sent(now, ExchangeId(number), 100.0);
         server.note_end(
             now,
             ExchangeId(number),
@@ -97,7 +97,7 @@
         .server_mut(&server_id("east-a-0"))
         .expect("a server");
     assert!(server.failure_share(at(1_050)) > 0.7);
-    server.note_sent(at(1_100), ExchangeId(1), 100.0);
+    server.record_sent(at(1_100), ExchangeId(1), 100.0);
     server.note_end(
         at(1_200),
         ExchangeId(1),
@@ -131,7 +131,7 @@
 fn a_server_whose_exchanges_hang_is_told() {
     let mut pool = pool_of(&[("east-a", 1)]);
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
-    server.note_sent(at(1_000), ExchangeId(1), 100.0);
+    server.record_sent(at(1_000), ExchangeId(1), 100.0);
     drop(server);
     assert!(pool.take_server_reports(at(1_200), 8).is_empty());
     let told = pool.take_server_reports(at(1_600), 8);
@@ -167,7 +167,7 @@
             slots: 6,
         };
         let mut server = pool.server_mut(&id).expect("a server");
-        server.note_sent(now, ExchangeId(number), 100.0);
+        server.record_sent(now, ExchangeId(number), 100.0);
         let report = ServerReport { load: Some(report) };
         server.note_end(now, ExchangeId(number), ExchangeEnd::Answered, report);
         drop(server);
