--- a/crates/damaskvane-bench/src/placement/instance.rs
+++ b/crates/damaskvane-bench/src/placement/instance.rs
@@ -158,7 +158,7 @@
         let took_ms = self
             .pool
             .server_mut(&pick.server)
-            .and_then(|mut server| server.note_end(now, exchange, end, report));
+            .and_then(|mut server| server.record_end(now, exchange, end, report));
         if let (ExchangeEnd::Answered, Some(took_ms)) = (end, took_ms) {
             let answered = AnsweredRequest {
                 route: request.route,
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -98,7 +98,7 @@
         let now = self.node.now();
         let mut state = self.node.state.borrow_mut();
         let mut server = state.pool.server_mut(&self.pick.server)?;
-        server.note_end(now, self.id, end, report)
+        server.record_end(now, self.id, end, report)
     }
 }
 
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -228,7 +228,7 @@
     }
 
     /// Notes the end of an exchange; returns how long it took, if it was under way.
-    pub fn note_end(
+    pub fn record_end(
         &mut self,
         now: TimeMs,
         exchange: ExchangeId,
--- a/crates/damaskvane-routing/tests/admission.rs
+++ b/crates/damaskvane-routing/tests/admission.rs
@@ -43,7 +43,7 @@
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
     for number in 0..5 {
         server.record_sent(at(990), ExchangeId(number), 100.0);
-        server.note_end(at(1_000), ExchangeId(number), ExchangeEnd::Answered, full);
+        server.record_end(at(1_000), ExchangeId(number), ExchangeEnd::Answered, full);
     }
     drop(server);
     assert!(matches!(choose(&mut pool, "east-a", 7), Choice::Refuse(_)));
@@ -95,7 +95,7 @@
             let mut server = pool.server_mut(&first).expect("a server");
             for number in 0..40 {
                 server.record_sent(at(999), ExchangeId(number), 100.0);
-                server.note_end(
+                server.record_end(
                     at(999),
                     ExchangeId(number),
                     ExchangeEnd::Abandoned,
--- a/crates/damaskvane-routing/tests/placement.rs
+++ b/crates/damaskvane-routing/tests/placement.rs
@@ -47,7 +47,7 @@
     let mut server = pool.server_mut(&server_id(name)).expect("a known server");
     for number in 0..count {
         let report = ServerReport::default();
-        server.note_end(
+        server.record_end(
             at(1_000),
             ExchangeId(number),
             ExchangeEnd::Abandoned,
@@ -286,7 +286,7 @@
                 slots: 6,
             }),
         };
-        server.note_end(
+        server.record_end(
             at(900 + number),
             ExchangeId(number),
             ExchangeEnd::Shed,
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -143,7 +143,7 @@
         .server_mut(&server_id("east-a-0"))
         .expect("a known server");
     server.record_sent(at(now_ms), ExchangeId(now_ms), 100.0);
-    server.note_end(at(now_ms), ExchangeId(now_ms), end, ServerReport::default());
+    server.record_end(at(now_ms), ExchangeId(now_ms), end, ServerReport::default());
 }
 
 /// A connection breaks because its server crashed and is back within a moment, cold, under the name it had.
@@ -223,7 +223,7 @@
     for number in 0..10 {
         let now_ms = 1_000 + number * 2_000;
         server.record_sent(at(now_ms - 300), ExchangeId(number), 100.0);
-        server.note_end(at(now_ms), ExchangeId(number), ExchangeEnd::Answered, busy);
+        server.record_end(at(now_ms), ExchangeId(number), ExchangeEnd::Answered, busy);
         let slots = f64::from(server.entry.slots);
         assert!(server.load(at(now_ms + 1_900)) > slots);
     }
@@ -248,7 +248,7 @@
         load: Some(load(6, 9)),
     };
     server.record_sent(at(800), ExchangeId(1), 100.0);
-    server.note_end(at(1_000), ExchangeId(1), ExchangeEnd::Answered, report);
+    server.record_end(at(1_000), ExchangeId(1), ExchangeEnd::Answered, report);
     drop(server);
     let told = seeing.take_server_reports(at(1_100), 8);
     assert_eq!(told.len(), 1);
@@ -273,7 +273,7 @@
         load: Some(load(1, 0)),
     };
     server.record_sent(at(800), ExchangeId(1), 100.0);
-    server.note_end(at(1_000), ExchangeId(1), ExchangeEnd::Answered, free);
+    server.record_end(at(1_000), ExchangeId(1), ExchangeEnd::Answered, free);
     drop(server);
     let told = PeerServerReport {
         server: ServerKey::of(&server_id("east-a-0")),
@@ -295,7 +295,7 @@
         let now = at(number * 1_000);
         let report = ServerReport { load: Some(report) };
         server.record_sent(now, ExchangeId(number), 100.0);
-        server.note_end(now, ExchangeId(number), ExchangeEnd::Answered, report);
+        server.record_end(now, ExchangeId(number), ExchangeEnd::Answered, report);
         drop(server);
         assert_eq!(
             pool.take_server_reports(now, 8).len(),
--- a/crates/damaskvane-routing/tests/told.rs
+++ b/crates/damaskvane-routing/tests/told.rs
@@ -23,7 +23,7 @@
     for number in 0..4 {
         let now = at(1_000 + number * 100);
         server.record_sent(now, ExchangeId(number), 100.0);
-        server.note_end(
+        server.record_end(
             now,
             ExchangeId(number),
             ExchangeEnd::Answered,
@@ -98,7 +98,7 @@
         .expect("a server");
     assert!(server.failure_share(at(1_050)) > 0.7);
     server.record_sent(at(1_100), ExchangeId(1), 100.0);
-    server.note_end(
+    server.record_end(
         at(1_200),
         ExchangeId(1),
         ExchangeEnd::Answered,
@@ -169,7 +169,7 @@
         let mut server = pool.server_mut(&id).expect("a server");
         server.record_sent(now, ExchangeId(number), 100.0);
         let report = ServerReport { load: Some(report) };
-        server.note_end(now, ExchangeId(number), ExchangeEnd::Answered, report);
+        server.record_end(now, ExchangeId(number), ExchangeEnd::Answered, report);
         drop(server);
         let busy = PeerServerReport {
             server: ServerKey::of(&server_id("east-a-0")),
