--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -185,7 +185,7 @@
         let route = answered.route;
         let baseline = self.baselines.of(&route.name, route.objective_ms);
         if is_cached {
-            server.note_time(now, work_ms, baseline.warm_ms);
+            server.record_work_time(now, work_ms, baseline.warm_ms);
             self.baselines
                 .note(&route.name, route.objective_ms, true, work_ms);
         } else if answered.pick.rank > 0 || answered.object.is_none() {
@@ -193,7 +193,7 @@
                 .note(&route.name, route.objective_ms, false, work_ms);
         }
         if !is_cached && work_ms > baseline.first_ms {
-            server.note_time(now, work_ms, baseline.first_ms);
+            server.record_work_time(now, work_ms, baseline.first_ms);
         }
     }
 
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -329,7 +329,7 @@
     }
 
     /// Notes how long an answered request took, without the way there and back.
-    pub fn note_time(&mut self, now: TimeMs, took_ms: f64, expected_ms: f64) {
+    pub fn record_work_time(&mut self, now: TimeMs, took_ms: f64, expected_ms: f64) {
         self.slowness.fade(now.since(self.slowness_at).get());
         self.slowness.note(took_ms, expected_ms);
         self.slowness_at = now;
--- a/crates/damaskvane-routing/tests/told.rs
+++ b/crates/damaskvane-routing/tests/told.rs
@@ -29,7 +29,7 @@
             ExchangeEnd::Answered,
             ServerReport::default(),
         );
-        server.note_time(now, 900.0, 100.0);
+        server.record_work_time(now, 900.0, 100.0);
     }
 }
 
@@ -56,7 +56,7 @@
     );
     let mut server = seeing.server_mut(&server_id("east-a-0")).expect("a server");
     for number in 0..20 {
-        server.note_time(at(2_000 + number), 100.0, 100.0);
+        server.record_work_time(at(2_000 + number), 100.0, 100.0);
     }
     drop(server);
     let told = seeing.take_server_reports(at(2_100), 8);
@@ -75,7 +75,7 @@
     let mut server = hearing
         .server_mut(&server_id("east-a-0"))
         .expect("a server");
-    server.note_time(at(1_500), 100.0, 100.0);
+    server.record_work_time(at(1_500), 100.0, 100.0);
     assert!(server.slowness(at(1_600)) < 1.2);
 }
 
