--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -177,7 +177,7 @@
             .object
             .is_some_and(|object| server.remembers(now, object));
         if let Some(object) = answered.object {
-            server.note_object(now, object);
+            server.record_object(now, object);
         }
         if is_unrepresentative {
             return;
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -337,7 +337,7 @@
     }
 
     /// Notes that the server has handled an object.
-    pub fn note_object(&mut self, now: TimeMs, object: u64) {
+    pub fn record_object(&mut self, now: TimeMs, object: u64) {
         if self.objects.len() >= MOST_OBJECTS {
             self.objects
                 .retain(|_, at| now.since(*at).get() < OBJECT_MEMORY_MS);
--- a/crates/damaskvane-routing/tests/placement.rs
+++ b/crates/damaskvane-routing/tests/placement.rs
@@ -164,7 +164,7 @@
     let book = placement::object_hash(&service, "book", "7");
     let mut pool = pool_of(&[("east-a", 1)]);
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
-    server.note_object(at(1_000), look);
+    server.record_object(at(1_000), look);
     assert!(server.remembers(at(1_100), look));
     assert!(!server.remembers(at(1_100), book));
 }
@@ -218,7 +218,7 @@
     let mut pool = pool_of(&[("east-a", 4)]);
     let first = pick(&mut pool, "east-a", 7).server;
     let mut server = pool.server_mut(&first).expect("a known server");
-    server.note_object(at(900), 7);
+    server.record_object(at(900), 7);
     drop(server);
     fill(&mut pool, first.as_str(), 13);
     assert_eq!(pick(&mut pool, "east-a", 7).server, first);
