--- a/crates/damaskvane-gateway/src/probes.rs
+++ b/crates/damaskvane-gateway/src/probes.rs
@@ -62,7 +62,7 @@
     node.state
         .borrow_mut()
         .pool
-        .note_probe(now, &probe.server, result);
+        .record_probe(now, &probe.server, result);
     slog::info!(node.log.log, "backend server probed";
         "backend_server" => %probe.server, "result" => ?result);
 }
--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -321,7 +321,7 @@
     }
 
     /// Takes in what a probe found.
-    pub fn note_probe(&mut self, now: TimeMs, id: &ids::BackendServerId, result: ProbeResult) {
+    pub fn record_probe(&mut self, now: TimeMs, id: &ids::BackendServerId, result: ProbeResult) {
         let Some(mut server) = self.server_mut(id) else {
             return;
         };
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -157,7 +157,7 @@
     let due = pool.due_probes(at(1_001), |_| Some("/health".to_owned()));
     assert_eq!(due.len(), 1);
     let healthy = ProbeResult::Healthy { warmup_left_ms: 0 };
-    pool.note_probe(at(1_050), &server_id("east-a-0"), healthy);
+    pool.record_probe(at(1_050), &server_id("east-a-0"), healthy);
     let server = pool.server(&server_id("east-a-0")).expect("a known server");
     assert!(!server.is_cold(at(1_051)));
 }
@@ -187,7 +187,7 @@
         let due = pool.due_probes(at(now_ms), |_| Some("/health".to_owned()));
         if !due.is_empty() {
             probes.push(now_ms);
-            pool.note_probe(at(now_ms), &server_id("east-a-0"), ProbeResult::NoAnswer);
+            pool.record_probe(at(now_ms), &server_id("east-a-0"), ProbeResult::NoAnswer);
         }
     }
     let pauses: Vec<u64> = probes.windows(2).map(|pair| pair[1] - pair[0]).collect();
