--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -194,5 +194,5 @@
         .budgets
         .entry(service.clone())
         .or_insert_with(|| RetryBudget::new(settings));
-    budget.note_request(now);
+    budget.record_request(now);
 }
--- a/crates/damaskvane-routing/src/limit/retry_budget.rs
+++ b/crates/damaskvane-routing/src/limit/retry_budget.rs
@@ -53,7 +53,7 @@
     }
 
     /// Notes a client's request for the service.
-    pub fn note_request(&mut self, now: TimeMs) {
+    pub fn record_request(&mut self, now: TimeMs) {
         self.requests.note(now);
         self.requests.count(now);
     }
--- a/crates/damaskvane-routing/tests/limits.rs
+++ b/crates/damaskvane-routing/tests/limits.rs
@@ -44,7 +44,7 @@
     let mut budgets: Vec<_> = (0..INSTANCES).map(|_| RetryBudget::new(settings)).collect();
     for now_ms in (0..30_000_u64).step_by(20) {
         for budget in &mut budgets {
-            budget.note_request(at(now_ms));
+            budget.record_request(at(now_ms));
             requests += 1;
             if budget.take(at(now_ms), INSTANCES) {
                 retries.push(now_ms);
