--- a/crates/damaskvane-routing/src/limit.rs
+++ b/crates/damaskvane-routing/src/limit.rs
@@ -7,7 +7,7 @@
 //! use damaskvane_routing::limit;
 //!
 //! let mut window = limit::Window::new(1_000);
-//! window.note(damaskvane_core::time::TimeMs::new(10));
+//! window.record(damaskvane_core::time::TimeMs::new(10));
 //! assert_eq!(window.count(damaskvane_core::time::TimeMs::new(900)), 1);
 //! assert_eq!(window.count(damaskvane_core::time::TimeMs::new(1_011)), 0);
 //! ```
--- a/crates/damaskvane-routing/src/limit/cold_rate.rs
+++ b/crates/damaskvane-routing/src/limit/cold_rate.rs
@@ -65,8 +65,8 @@
     }
 
     /// Notes a request that was sent.
-    pub fn note(&mut self, now: TimeMs) {
-        self.sent.note(now);
+    pub fn record(&mut self, now: TimeMs) {
+        self.sent.record(now);
         // Drops what is too old to count, so that a warm server's window stays short.
         self.sent.count(now);
     }
--- a/crates/damaskvane-routing/src/limit/retry_budget.rs
+++ b/crates/damaskvane-routing/src/limit/retry_budget.rs
@@ -54,7 +54,7 @@
 
     /// Notes a client's request for the service.
     pub fn record_request(&mut self, now: TimeMs) {
-        self.requests.note(now);
+        self.requests.record(now);
         self.requests.count(now);
     }
 
@@ -66,7 +66,7 @@
         if (self.retries.count(now) + 1) as f64 > allowed {
             return false;
         }
-        self.retries.note(now);
+        self.retries.record(now);
         true
     }
 }
--- a/crates/damaskvane-routing/src/limit/window.rs
+++ b/crates/damaskvane-routing/src/limit/window.rs
@@ -25,7 +25,7 @@
     }
 
     /// Notes an event.
-    pub fn note(&mut self, now: TimeMs) {
+    pub fn record(&mut self, now: TimeMs) {
         self.events.push_back(now);
     }
 
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -219,7 +219,7 @@
 
     /// Notes a request that is sent now.
     pub fn record_sent(&mut self, now: TimeMs, exchange: ExchangeId, expected_ms: f64) {
-        self.cold_rate.note(now);
+        self.cold_rate.record(now);
         let flight = Flight {
             sent_at: now,
             expected_ms,
--- a/crates/damaskvane-routing/tests/limits.rs
+++ b/crates/damaskvane-routing/tests/limits.rs
@@ -20,7 +20,7 @@
         let mut rate = ColdRate::default();
         for now_ms in 0..5_000 {
             if rate.has_room(at(now_ms), share) {
-                rate.note(at(now_ms));
+                rate.record(at(now_ms));
                 sent.push(now_ms);
             }
         }
