--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -187,10 +187,10 @@
         if is_cached {
             server.record_work_time(now, work_ms, baseline.warm_ms);
             self.baselines
-                .note(&route.name, route.objective_ms, true, work_ms);
+                .record(&route.name, route.objective_ms, true, work_ms);
         } else if answered.pick.rank > 0 || answered.object.is_none() {
             self.baselines
-                .note(&route.name, route.objective_ms, false, work_ms);
+                .record(&route.name, route.objective_ms, false, work_ms);
         }
         if !is_cached && work_ms > baseline.first_ms {
             server.record_work_time(now, work_ms, baseline.first_ms);
--- a/crates/damaskvane-routing/src/pool/speed.rs
+++ b/crates/damaskvane-routing/src/pool/speed.rs
@@ -53,7 +53,7 @@
     }
 
     /// Notes one request's time.
-    pub fn note(&mut self, route: &str, objective_ms: u64, is_warm: bool, took_ms: f64) {
+    pub fn record(&mut self, route: &str, objective_ms: u64, is_warm: bool, took_ms: f64) {
         let mut baseline = self.of(route, objective_ms);
         baseline.is_measured |= is_warm;
         let usual = if is_warm {
--- a/crates/damaskvane-routing/tests/retries.rs
+++ b/crates/damaskvane-routing/tests/retries.rs
@@ -73,7 +73,7 @@
     let mut placer = placer("east-a");
     for _ in 0..500 {
         let baselines = &mut placer.baselines;
-        baselines.note(&route.name, route.objective_ms, false, 1_600.0);
+        baselines.record(&route.name, route.objective_ms, false, 1_600.0);
     }
     let pool = pool_of(&[("east-a", 2)]);
     let service = service_id();
