--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -175,7 +175,7 @@
         let is_unrepresentative = answered.has_waited || server.is_cold(now);
         let is_cached = answered
             .object
-            .is_some_and(|object| server.remembers(now, object));
+            .is_some_and(|object| server.handled_recently(now, object));
         if let Some(object) = answered.object {
             server.record_object(now, object);
         }
--- a/crates/damaskvane-routing/src/placement/server_score.rs
+++ b/crates/damaskvane-routing/src/placement/server_score.rs
@@ -131,7 +131,7 @@
             is_warm: self.hit_probability >= FIRST_SERVER_HIT_PROBABILITY,
             was_sent: request
                 .object
-                .is_some_and(|object| server.remembers(now, object)),
+                .is_some_and(|object| server.handled_recently(now, object)),
             remembered_ms: self.baseline.warm_ms + self.round_trip_ms,
             passed_over: passed_over.filter(|_| rank > 0),
             load: self.load,
@@ -171,7 +171,7 @@
 ) -> f64 {
     match request.object {
         None => 0.0,
-        Some(object) if server.remembers(now, object) => SENT_OBJECT_HIT_PROBABILITY,
+        Some(object) if server.handled_recently(now, object) => SENT_OBJECT_HIT_PROBABILITY,
         Some(_) if rank == 0 => FIRST_SERVER_HIT_PROBABILITY,
         Some(_) => OTHER_SERVER_HIT_PROBABILITY,
     }
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -211,7 +211,7 @@
 
     /// Whether this instance has sent it the object lately.
     #[must_use]
-    pub fn remembers(&self, now: TimeMs, object: u64) -> bool {
+    pub fn handled_recently(&self, now: TimeMs, object: u64) -> bool {
         self.objects
             .get(&object)
             .is_some_and(|at| now.since(*at).get() < OBJECT_MEMORY_MS)
--- a/crates/damaskvane-routing/tests/placement.rs
+++ b/crates/damaskvane-routing/tests/placement.rs
@@ -165,8 +165,8 @@
     let mut pool = pool_of(&[("east-a", 1)]);
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
     server.record_object(at(1_000), look);
-    assert!(server.remembers(at(1_100), look));
-    assert!(!server.remembers(at(1_100), book));
+    assert!(server.handled_recently(at(1_100), look));
+    assert!(!server.handled_recently(at(1_100), book));
 }
 
 /// The callers of a region rise together, and so do the queues of its servers, while other regions are at ease. The
