--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -110,7 +110,7 @@
     }
 
     /// Marks the server cold for so long, if it isn't already for longer.
-    pub fn chill(&mut self, now: TimeMs, left_ms: u64) {
+    pub fn extend_warmup(&mut self, now: TimeMs, left_ms: u64) {
         self.cold_until = self.cold_until.max(now + SpanMs::new(left_ms));
     }
 
--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -208,7 +208,7 @@
         let has_restarted = entry.started_unix_ms > server.entry.started_unix_ms
             || entry.address != server.entry.address;
         let was_draining = server.entry.state == ServerState::Draining;
-        server.chill(now, entry.warmup_left_ms);
+        server.extend_warmup(now, entry.warmup_left_ms);
         server.entry = entry;
         if has_restarted {
             server.restarted(now);
@@ -281,7 +281,7 @@
         for server in self.servers.iter_mut() {
             if taken_back.contains(&server.entry.zone) {
                 let warmup_ms = self.warmup_ms.get(&server.entry.service).copied();
-                server.chill(now, warmup_ms.unwrap_or_default());
+                server.extend_warmup(now, warmup_ms.unwrap_or_default());
             }
         }
         self.evacuated = zones;
@@ -328,7 +328,7 @@
         match result {
             ProbeResult::Healthy { warmup_left_ms } => {
                 server.reach = Reach::Up;
-                server.chill(now, warmup_left_ms);
+                server.extend_warmup(now, warmup_left_ms);
             }
             ProbeResult::OtherServer => server.reach = Reach::Replaced,
             // It answers, so it can be reached; whether it is cold stays open.
--- a/crates/damaskvane-routing/tests/admission.rs
+++ b/crates/damaskvane-routing/tests/admission.rs
@@ -85,7 +85,9 @@
     for server in 0..4 {
         for zone in ["east-a", "west-a"] {
             let id = server_id(&format!("{zone}-{server}"));
-            pool.server_mut(&id).expect("a server").chill(at(0), 60_000);
+            pool.server_mut(&id)
+                .expect("a server")
+                .extend_warmup(at(0), 60_000);
         }
     }
     let object = 3 << 32;
