--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -296,7 +296,7 @@
             let Some(server) = pool.at(*candidate) else {
                 continue;
             };
-            if !server.has_cold_room(now, cold_share) {
+            if !server.has_cold_capacity(now, cold_share) {
                 if reason == RefusalReason::NoServer {
                     reason = RefusalReason::Cold;
                 }
