--- a/crates/damaskvane-routing/src/limit/cold_rate.rs
+++ b/crates/damaskvane-routing/src/limit/cold_rate.rs
@@ -60,7 +60,7 @@
 impl ColdRate {
     /// Whether one more request stays within the share.
     #[must_use]
-    pub fn has_room(&self, now: TimeMs, share: usize) -> bool {
+    pub fn has_capacity(&self, now: TimeMs, share: usize) -> bool {
         self.sent.counted(now) < share
     }
 
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -133,7 +133,7 @@
     /// Whether one more request stays within this instance's share of a cold server.
     #[must_use]
     pub fn has_cold_capacity(&self, now: TimeMs, share: usize) -> bool {
-        !self.is_cold(now) || self.cold_rate.has_room(now, share)
+        !self.is_cold(now) || self.cold_rate.has_capacity(now, share)
     }
 
     /// Requests of this instance there.
--- a/crates/damaskvane-routing/tests/limits.rs
+++ b/crates/damaskvane-routing/tests/limits.rs
@@ -19,7 +19,7 @@
     for _ in 0..INSTANCES {
         let mut rate = ColdRate::default();
         for now_ms in 0..5_000 {
-            if rate.has_room(at(now_ms), share) {
+            if rate.has_capacity(at(now_ms), share) {
                 rate.record(at(now_ms));
                 sent.push(now_ms);
             }
