--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -185,7 +185,7 @@
 
     /// The store answers again after it was away: entries that lapsed meanwhile may come back.
     pub fn store_returned(&mut self, now: TimeMs) {
-        self.lapses_excused_until = now + SpanMs::new(self.settings.lapse_grace_ms);
+        self.lapses_excused_until = now + SpanMs::new(self.settings.expiry_grace_ms);
     }
 
     /// Takes in one server's entry.
--- a/crates/damaskvane-routing/src/pool/settings.rs
+++ b/crates/damaskvane-routing/src/pool/settings.rs
@@ -10,7 +10,7 @@
     /// The bound on cold servers.
     pub cold_rate: ColdRateSettings,
     /// How long an entry that lapsed while the store was away may be missing after its return.
-    pub lapse_grace_ms: u64,
+    pub expiry_grace_ms: u64,
     /// The region of each availability zone.
     pub regions: std::collections::HashMap<ids::AvailabilityZoneId, ids::RegionId>,
 }
@@ -20,7 +20,7 @@
         Self {
             cold_rate: ColdRateSettings::default(),
             // Servers write every 1 to 2 seconds; a live one is back within this time.
-            lapse_grace_ms: 2_200,
+            expiry_grace_ms: 2_200,
             regions: std::collections::HashMap::new(),
         }
     }
