--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -23,7 +23,7 @@
     /// The server is gone.
     Gone(ids::BackendServerId),
     /// The entry is missing after an outage of the store; the server is used until its grace ends.
-    Lapsing(ids::BackendServerId),
+    Expiring(ids::BackendServerId),
 }
 
 impl Change {
@@ -35,7 +35,7 @@
             | Self::Restarted(id)
             | Self::Draining(id)
             | Self::Gone(id)
-            | Self::Lapsing(id) => id,
+            | Self::Expiring(id) => id,
         }
     }
 
@@ -47,7 +47,7 @@
             Self::Restarted(_) => "restarted",
             Self::Draining(_) => "draining",
             Self::Gone(_) => "gone",
-            Self::Lapsing(_) => "lapsing",
+            Self::Expiring(_) => "lapsing",
         }
     }
 }
@@ -227,7 +227,7 @@
         let is_draining = server.entry.state == ServerState::Draining;
         if now < excused_until && !is_draining {
             server.lapses_at.get_or_insert(excused_until);
-            return Some(Change::Lapsing(id.clone()));
+            return Some(Change::Expiring(id.clone()));
         }
         drop(server);
         self.servers.remove(id);
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -17,7 +17,7 @@
     let mut pool = pool_of(&[("east-a", 2)]);
     pool.store_returned(at(10_000));
     let changes = pool.replace(at(10_000), [entry("east-a-0", "east-a")]);
-    assert_eq!(changes, [Change::Lapsing(server_id("east-a-1"))]);
+    assert_eq!(changes, [Change::Expiring(server_id("east-a-1"))]);
     assert!(pool.expire(at(11_000)).is_empty());
     assert_eq!(pool.servers().count(), 2);
     assert_eq!(
