--- a/crates/damaskvane-routing/src/relay.rs
+++ b/crates/damaskvane-routing/src/relay.rs
@@ -10,7 +10,7 @@
 //! let mut log = relay::RelayLog::new(10);
 //! log.append(12, "a change", 8);
 //! assert!(matches!(log.since(12), relay::Since::UpToDate));
-//! assert!(matches!(log.since(9), relay::Since::Gone { resume_at: 12 }));
+//! assert!(matches!(log.since(9), relay::Since::Compacted { resume_at: 12 }));
 //! ```
 
 use std::collections::VecDeque;
@@ -37,7 +37,7 @@
     /// This batch comes next.
     Next(&'a Batch<B>),
     /// It is no longer known; everything must be read anew, and what comes after this revision follows.
-    Gone {
+    Compacted {
         /// The revision after the last batch.
         resume_at: u64,
     },
@@ -117,7 +117,7 @@
     }
 
     const fn gone(&self) -> Since<'_, B> {
-        Since::Gone {
+        Since::Compacted {
             resume_at: self.end,
         }
     }
--- a/crates/damaskvane-routing/tests/relay.rs
+++ b/crates/damaskvane-routing/tests/relay.rs
@@ -5,7 +5,7 @@
 fn next<'a>(log: &RelayLog<&'a str>, revision: u64) -> Option<&'a str> {
     match log.since(revision) {
         Since::Next(batch) => Some(batch.body),
-        Since::UpToDate | Since::Gone { .. } => None,
+        Since::UpToDate | Since::Compacted { .. } => None,
     }
 }
 
@@ -42,7 +42,7 @@
     for revision in 11..60 {
         log.append(revision, "large", 100_000);
     }
-    assert_eq!(log.since(10), Since::Gone { resume_at: 59 });
+    assert_eq!(log.since(10), Since::Compacted { resume_at: 59 });
     assert_eq!(next(&log, 58), Some("large"));
 }
 
