--- a/crates/damaskvane-routing/src/pool.rs
+++ b/crates/damaskvane-routing/src/pool.rs
@@ -29,7 +29,7 @@
 pub use handle::ServerHandle;
 pub use load::LoadReport;
 pub use probes::{DueProbe, ProbeResult};
-pub use reach::Reach;
+pub use reach::Liveness;
 pub use ring::{Ring, RingPoint};
 pub use server::Server;
 pub use server_pool::{Change, ServerPool};
--- a/crates/damaskvane-routing/src/pool/reach.rs
+++ b/crates/damaskvane-routing/src/pool/reach.rs
@@ -4,7 +4,7 @@
 
 /// What the last connections said of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum Liveness {
     /// It takes connections.
     Up,
     /// A connection broke: the server may have restarted, and be cold, under the name it had.
@@ -28,7 +28,7 @@
 /// The longest pause: a server that comes back is used again after this time at the latest.
 const LONGEST_PAUSE_MS: u64 = 2_000;
 
-impl Reach {
+impl Liveness {
     /// Down, to be asked after a first pause.
     #[must_use]
     pub fn down(now: TimeMs) -> Self {
--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -7,7 +7,7 @@
 
 use crate::pool::server_table::ServerTable;
 use crate::pool::{
-    DueProbe, PeerServerReport, PoolSettings, ProbeResult, Reach, Server, ServerEntry,
+    DueProbe, Liveness, PeerServerReport, PoolSettings, ProbeResult, Server, ServerEntry,
     ServerHandle, ServerMut, ServerState, ServiceServers, Topology, ZoneIndex,
 };
 
@@ -304,7 +304,7 @@
                 continue;
             }
             server.reach = match server.reach {
-                Reach::Doubtful { .. } => Reach::Doubtful {
+                Liveness::Doubtful { .. } => Liveness::Doubtful {
                     probe_at: now + SpanMs::new(PROBE_AGAIN_MS),
                 },
                 other => other.still_down(now),
@@ -327,19 +327,19 @@
         };
         match result {
             ProbeResult::Healthy { warmup_left_ms } => {
-                server.reach = Reach::Up;
+                server.reach = Liveness::Up;
                 server.extend_warmup(now, warmup_left_ms);
             }
-            ProbeResult::OtherServer => server.reach = Reach::Replaced,
+            ProbeResult::OtherServer => server.reach = Liveness::Replaced,
             // It answers, so it can be reached; whether it is cold stays open.
             ProbeResult::Unhealthy => {
-                server.reach = Reach::Doubtful {
+                server.reach = Liveness::Doubtful {
                     probe_at: now + SpanMs::new(PROBE_AGAIN_MS),
                 };
             }
             ProbeResult::Refused | ProbeResult::NoAnswer => {
-                if !matches!(server.reach, Reach::Replaced | Reach::Down { .. }) {
-                    server.reach = Reach::down(now);
+                if !matches!(server.reach, Liveness::Replaced | Liveness::Down { .. }) {
+                    server.reach = Liveness::down(now);
                 }
             }
         }
--- a/crates/damaskvane-routing/src/pool/server_table.rs
+++ b/crates/damaskvane-routing/src/pool/server_table.rs
@@ -6,7 +6,7 @@
 use damaskvane_core::ids;
 
 use crate::pool::{
-    Reach, Server, ServerHandle, ServerKey, ServerState, ServiceServers, Topology, ZoneIndex,
+    Liveness, Server, ServerHandle, ServerKey, ServerState, ServiceServers, Topology, ZoneIndex,
 };
 
 /// What the indexes hold of a server.
@@ -30,7 +30,7 @@
             zone: topology.zone(&entry.zone),
             slots: entry.slots,
             takes_work: entry.state == ServerState::Ready
-                && matches!(server.reach, Reach::Up | Reach::Doubtful { .. }),
+                && matches!(server.reach, Liveness::Up | Liveness::Doubtful { .. }),
             in_flight: server.in_flight(),
             awaits_probe: server.reach.probe_at().is_some(),
             is_lapsing: server.lapses_at.is_some(),
--- a/crates/damaskvane-routing/tests/index.rs
+++ b/crates/damaskvane-routing/tests/index.rs
@@ -4,7 +4,7 @@
 
 use damaskvane_core::ids;
 use damaskvane_routing::placement::{Choice, PlacementRequest};
-use damaskvane_routing::pool::{Reach, ServerEntry, ServerPool, ServerState};
+use damaskvane_routing::pool::{Liveness, ServerEntry, ServerPool, ServerState};
 use rand::{RngExt, SeedableRng};
 use support::{at, configuration, entry, placer, pool, pool_of, route, server_id, service_id};
 
@@ -37,12 +37,12 @@
         0 => drop(pool.remove(now, &server_id(&name))),
         1 => {
             if let Some(mut server) = pool.server_mut(&server_id(&name)) {
-                server.reach = Reach::down(now);
+                server.reach = Liveness::down(now);
             }
         }
         2 => {
             if let Some(mut server) = pool.server_mut(&server_id(&name)) {
-                server.reach = Reach::Up;
+                server.reach = Liveness::Up;
             }
         }
         kind => {
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use damaskvane_routing::pool::{
-    Change, ExchangeEnd, ExchangeId, LoadReport, PeerServerReport, ProbeResult, Reach, ServerEntry,
-    ServerKey, ServerPool, ServerReport, ServerState,
+    Change, ExchangeEnd, ExchangeId, Liveness, LoadReport, PeerServerReport, ProbeResult,
+    ServerEntry, ServerKey, ServerPool, ServerReport, ServerState,
 };
 use support::{at, entry, pool, pool_of, server_id, zone};
 
@@ -169,7 +169,7 @@
     let mut pool = pool_of(&[("east-a", 1)]);
     end(&mut pool, 1_000, ExchangeEnd::Misdirected);
     let server = pool.server(&server_id("east-a-0")).expect("a known server");
-    assert_eq!(server.reach, Reach::Replaced);
+    assert_eq!(server.reach, Liveness::Replaced);
     assert!(
         pool.due_probes(at(60_000), |_| Some("/health".to_owned()))
             .is_empty()
