--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -46,7 +46,7 @@
     /// When its entry is to be taken as gone, if it was missing after an outage of the store.
     pub lapses_at: Option<TimeMs>,
     /// Whether it can be reached.
-    pub reach: Liveness,
+    pub liveness: Liveness,
     cold_rate: ColdRate,
     flights: BTreeMap<ExchangeId, Flight>,
     others: OthersLoad,
@@ -80,7 +80,7 @@
             region,
             cold_until,
             lapses_at: None,
-            reach: Liveness::Up,
+            liveness: Liveness::Up,
             cold_rate: ColdRate::default(),
             flights: BTreeMap::new(),
             others: OthersLoad::default(),
@@ -121,13 +121,13 @@
         self.failure_share = 0.0;
         self.failures_at = now;
         self.told = None;
-        self.reach = Liveness::Up;
+        self.liveness = Liveness::Up;
     }
 
     /// Whether the bound on cold servers applies: the server is cold, or may be.
     #[must_use]
     pub fn is_cold(&self, now: TimeMs) -> bool {
-        now < self.cold_until || matches!(self.reach, Liveness::Doubtful { .. })
+        now < self.cold_until || matches!(self.liveness, Liveness::Doubtful { .. })
     }
 
     /// Whether one more request stays within this instance's share of a cold server.
@@ -350,25 +350,25 @@
     fn note_reach(&mut self, now: TimeMs, end: ExchangeEnd) {
         match end {
             ExchangeEnd::Unreachable => {
-                if !matches!(self.reach, Liveness::Down { .. } | Liveness::Replaced) {
-                    self.reach = Liveness::down(now);
+                if !matches!(self.liveness, Liveness::Down { .. } | Liveness::Replaced) {
+                    self.liveness = Liveness::down(now);
                 }
             }
             // An open connection can go silent while new ones work: a new one is tried at once.
             ExchangeEnd::Silent => {
-                if !matches!(self.reach, Liveness::Down { .. } | Liveness::Replaced) {
-                    self.reach = Liveness::Down {
+                if !matches!(self.liveness, Liveness::Down { .. } | Liveness::Replaced) {
+                    self.liveness = Liveness::Down {
                         probe_at: now,
                         failures: 0,
                     };
                 }
             }
             ExchangeEnd::Broken => {
-                if self.reach == Liveness::Up {
-                    self.reach = Liveness::Doubtful { probe_at: now };
+                if self.liveness == Liveness::Up {
+                    self.liveness = Liveness::Doubtful { probe_at: now };
                 }
             }
-            ExchangeEnd::Misdirected => self.reach = Liveness::Replaced,
+            ExchangeEnd::Misdirected => self.liveness = Liveness::Replaced,
             ExchangeEnd::Answered
             | ExchangeEnd::Failed
             | ExchangeEnd::Shed
--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -300,10 +300,10 @@
             let Some(mut server) = self.servers.get_mut(handle) else {
                 continue;
             };
-            if server.reach.probe_at().is_none_or(|at| now < at) {
+            if server.liveness.probe_at().is_none_or(|at| now < at) {
                 continue;
             }
-            server.reach = match server.reach {
+            server.liveness = match server.liveness {
                 Liveness::Doubtful { .. } => Liveness::Doubtful {
                     probe_at: now + SpanMs::new(PROBE_AGAIN_MS),
                 },
@@ -327,19 +327,19 @@
         };
         match result {
             ProbeResult::Healthy { warmup_left_ms } => {
-                server.reach = Liveness::Up;
+                server.liveness = Liveness::Up;
                 server.extend_warmup(now, warmup_left_ms);
             }
-            ProbeResult::OtherServer => server.reach = Liveness::Replaced,
+            ProbeResult::OtherServer => server.liveness = Liveness::Replaced,
             // It answers, so it can be reached; whether it is cold stays open.
             ProbeResult::Unhealthy => {
-                server.reach = Liveness::Doubtful {
+                server.liveness = Liveness::Doubtful {
                     probe_at: now + SpanMs::new(PROBE_AGAIN_MS),
                 };
             }
             ProbeResult::Refused | ProbeResult::NoAnswer => {
-                if !matches!(server.reach, Liveness::Replaced | Liveness::Down { .. }) {
-                    server.reach = Liveness::down(now);
+                if !matches!(server.liveness, Liveness::Replaced | Liveness::Down { .. }) {
+                    server.liveness = Liveness::down(now);
                 }
             }
         }
--- a/crates/damaskvane-routing/src/pool/server_table.rs
+++ b/crates/damaskvane-routing/src/pool/server_table.rs
@@ -30,9 +30,9 @@
             zone: topology.zone(&entry.zone),
             slots: entry.slots,
             takes_work: entry.state == ServerState::Ready
-                && matches!(server.reach, Liveness::Up | Liveness::Doubtful { .. }),
+                && matches!(server.liveness, Liveness::Up | Liveness::Doubtful { .. }),
             in_flight: server.in_flight(),
-            awaits_probe: server.reach.probe_at().is_some(),
+            awaits_probe: server.liveness.probe_at().is_some(),
             is_lapsing: server.lapses_at.is_some(),
             has_news: server.has_news(),
         }
--- a/crates/damaskvane-routing/tests/index.rs
+++ b/crates/damaskvane-routing/tests/index.rs
@@ -37,12 +37,12 @@
         0 => drop(pool.remove(now, &server_id(&name))),
         1 => {
             if let Some(mut server) = pool.server_mut(&server_id(&name)) {
-                server.reach = Liveness::down(now);
+                server.liveness = Liveness::down(now);
             }
         }
         2 => {
             if let Some(mut server) = pool.server_mut(&server_id(&name)) {
-                server.reach = Liveness::Up;
+                server.liveness = Liveness::Up;
             }
         }
         kind => {
@@ -70,9 +70,9 @@
     for entry in entries {
         let id = entry.id.clone();
         fresh.apply(at(0), entry);
-        let reach = known.server(&id).map(|server| server.reach);
-        if let (Some(mut server), Some(reach)) = (fresh.server_mut(&id), reach) {
-            server.reach = reach;
+        let liveness = known.server(&id).map(|server| server.liveness);
+        if let (Some(mut server), Some(liveness)) = (fresh.server_mut(&id), liveness) {
+            server.liveness = liveness;
         }
     }
     fresh
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -169,7 +169,7 @@
     let mut pool = pool_of(&[("east-a", 1)]);
     end(&mut pool, 1_000, ExchangeEnd::Misdirected);
     let server = pool.server(&server_id("east-a-0")).expect("a known server");
-    assert_eq!(server.reach, Liveness::Replaced);
+    assert_eq!(server.liveness, Liveness::Replaced);
     assert!(
         pool.due_probes(at(60_000), |_| Some("/health".to_owned()))
             .is_empty()
