--- a/crates/damaskvane-routing/src/lib.rs
+++ b/crates/damaskvane-routing/src/lib.rs
@@ -1,18 +1,18 @@
-//! Decisions of an entry instance on each request: where it may go, where it goes, whether it goes.
+//! Routing decisions of an entry instance: the servers that may run a request, the server selected, and rejections.
 //!
-//! Events and a time go in, decisions come out. Nothing here reads a clock, draws from a global random
-//! source or does I/O, so the program and the tests drive the same code.
+//! Callers pass in events and the current time, and receive decisions. The crate reads no clock, uses no global
+//! random source and does no I/O, so that the program and the tests run the same code.
 //!
 //! # Crate guide
 //!
-//! - [`configuration`]: routes, services and limits, as the operators declare them.
-//! - [`split`]: turns the weights of a route into a sequence of services.
-//! - [`pool`]: the backend servers that are known, and what each was seen to do.
-//! - [`placement`]: which backend server a request goes to, or why it is refused.
-//! - [`limit`]: shares of limits that all instances keep together without a message.
-//! - [`retry`]: what follows an exchange with a backend server.
-//! - [`relay`]: changes of the store that instances of a zone hand on.
-//! - [`peers`]: which entry instances are alive, and which a look-up names.
+//! - [`configuration`]: routes, services and limits on requests, as the operators declare them.
+//! - [`split`]: distributes the requests of a route among services by weight.
+//! - [`pool`]: the known backend servers, with the state that this instance has observed.
+//! - [`placement`]: selects the backend server of a request, or the reason to reject the request.
+//! - [`limit`]: limits that hold over all instances without coordination between them.
+//! - [`retry`]: decides after an exchange with a backend server whether another server is tried.
+//! - [`relay`]: a log of store changes that instances of a zone relay to each other.
+//! - [`peers`]: the entry instances that are alive, and the instances that a lookup returns.
 //!
 //! ```
 //! use damaskvane_routing::configuration;
--- a/crates/damaskvane-routing/src/relay.rs
+++ b/crates/damaskvane-routing/src/relay.rs
@@ -1,8 +1,8 @@
-//! Changes of the store that instances of a zone hand on to each other.
+//! A log of store changes that instances of a zone relay to each other.
 //!
-//! Each return of a watch is a call on the store that is paid for, and every instance needs every change.
-//! Two instances of a zone watch the store; the others hear from them. What was heard is kept for a while, so
-//! that one that connects late, or changes its source, misses nothing.
+//! Every instance needs every change of the store, but each response to a watch is a store call that is paid for.
+//! Two instances of a zone watch the store and relay the changes to the other instances. The log retains recent
+//! changes, so that an instance that connects late, or switches to another source, misses no change.
 //!
 //! ```
 //! use damaskvane_routing::relay;
@@ -15,47 +15,48 @@
 
 use std::collections::VecDeque;
 
-/// Most bytes of changes that are kept: a large configuration is about a hundred kilobytes.
-const MOST_BYTES: usize = 4 << 20;
+/// Most bytes of changes that a log retains; a large configuration has about a hundred kilobytes.
+const MAX_BYTES: usize = 4 << 20;
 
-/// Some changes, and the revisions that they lead from and to.
+/// The changes of a collection between two revisions of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch<B> {
-    /// Whoever is at this revision, or later, misses nothing before the batch.
+    /// Revision before the batch. A receiver at this revision or a later one has all changes before the batch.
     pub from: u64,
-    /// The revision after it.
+    /// Revision after the batch.
     pub to: u64,
-    /// The changes.
+    /// Changes, in the form in which the caller appended them.
     pub body: B,
 }
 
-/// What somebody at a revision has missed.
+/// The result of [`RelayLog::since`]: the changes that follow a revision.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Since<'a, B> {
-    /// Nothing.
+    /// No changes follow.
     UpToDate,
-    /// This batch comes next.
+    /// The batch that follows the revision.
     Next(&'a Batch<B>),
-    /// It is no longer known; everything must be read anew, and what comes after this revision follows.
+    /// The changes after the revision are no longer available. The receiver has to read the collection from the
+    /// store again, and the log continues after `resume_at`.
     Compacted {
-        /// The revision after the last batch.
+        /// Revision after the last batch.
         resume_at: u64,
     },
 }
 
-/// The last changes of one collection.
+/// The most recent changes of one collection of the store, in order.
 #[derive(Debug, Clone)]
 pub struct RelayLog<B> {
-    /// The revision before the first batch.
+    /// Revision before the first retained batch.
     start: u64,
-    /// The revision after the last batch.
+    /// Revision after the last batch.
     end: u64,
     batches: VecDeque<(Batch<B>, usize)>,
     bytes: usize,
 }
 
 impl<B> RelayLog<B> {
-    /// An empty log that begins at a revision.
+    /// Returns an empty log that starts at a revision.
     #[must_use]
     pub const fn new(revision: u64) -> Self {
         Self {
@@ -66,10 +67,11 @@
         }
     }
 
-    /// Adds the changes that lead to a revision.
+    /// Appends the changes that lead to revision `to`; `bytes` is the size of `body`.
     ///
-    /// A batch begins where the one before it ends, also if the store's revision has moved on between
-    /// them: nothing of this collection changed meanwhile.
+    /// A batch starts at the revision at which the previous batch ends, even if other collections have advanced the
+    /// store's revision since then, because this collection didn't change in between. A batch that doesn't lead past
+    /// the end of the log is ignored.
     pub fn append(&mut self, to: u64, body: B, bytes: usize) {
         let from = self.end;
         if to <= from {
@@ -78,7 +80,7 @@
         self.batches.push_back((Batch { from, to, body }, bytes));
         self.end = to;
         self.bytes += bytes;
-        while self.bytes > MOST_BYTES && self.batches.len() > 1 {
+        while self.bytes > MAX_BYTES && self.batches.len() > 1 {
             if let Some((batch, bytes)) = self.batches.pop_front() {
                 self.bytes -= bytes;
                 self.start = batch.to;
@@ -86,37 +88,37 @@
         }
     }
 
-    /// The revision before the first batch that is kept.
+    /// Returns the revision before the first retained batch.
     #[must_use]
     pub const fn start(&self) -> u64 {
         self.start
     }
 
-    /// The revision after the last batch.
+    /// Returns the revision after the last batch.
     #[must_use]
     pub const fn end(&self) -> u64 {
         self.end
     }
 
-    /// The changes that are kept, in order.
+    /// Returns the retained changes, the oldest first.
     pub fn bodies(&self) -> impl Iterator<Item = &B> {
         self.batches.iter().map(|(batch, _)| &batch.body)
     }
 
-    /// What comes after a revision.
+    /// Returns the changes that follow a revision, one batch at a time.
     #[must_use]
     pub fn since(&self, revision: u64) -> Since<'_, B> {
         if revision >= self.end {
             return Since::UpToDate;
         }
         if revision < self.start {
-            return self.gone();
+            return self.compacted();
         }
         let next = self.batches.iter().find(|(batch, _)| revision < batch.to);
-        next.map_or_else(|| self.gone(), |(batch, _)| Since::Next(batch))
+        next.map_or_else(|| self.compacted(), |(batch, _)| Since::Next(batch))
     }
 
-    const fn gone(&self) -> Since<'_, B> {
+    const fn compacted(&self) -> Since<'_, B> {
         Since::Compacted {
             resume_at: self.end,
         }
--- a/crates/damaskvane-routing/src/retry.rs
+++ b/crates/damaskvane-routing/src/retry.rs
@@ -1,4 +1,4 @@
-//! What follows an exchange with a backend server.
+//! Decides after an exchange with a backend server whether another server is tried.
 //!
 //! ```
 //! use damaskvane_routing::{configuration, pool, retry};
@@ -13,39 +13,42 @@
 use crate::placement::Pick;
 use crate::pool::ExchangeEnd;
 
-/// Most servers that a request finds unreachable before it is refused: each costs a connection time-out.
-const MOST_UNREACHABLE: u32 = 3;
+/// Most unreachable servers before a request is rejected; each of them costs a connection timeout.
+const MAX_UNREACHABLE: u32 = 3;
 
-/// A server is silent, and not only slow, after so many objectives without an answer.
-const PATIENCE_OBJECTIVES: u64 = 2;
-/// How much longer than usual a sound server may take for work that it does for the first time.
-const PATIENCE_FACTOR: f64 = 1.4;
+/// Number of response time objectives without a response after which a server counts as silent, not only slow.
+const TIMEOUT_OBJECTIVES: u64 = 2;
+/// Factor by which a healthy server may exceed the usual time for work that it does for the first time.
+const FIRST_RUN_TIMEOUT_FACTOR: f64 = 1.4;
 
-/// How long to wait for a server before another one may be asked instead, in milliseconds; nothing where no other
-/// one may be asked, or could answer in the time that is left then.
+/// Returns the time in milliseconds to wait for a server before another server is tried.
 ///
-/// Some work takes longer than its objective wherever it isn't remembered. Given up at a multiple of the objective
-/// alone, it would be run twice on sound servers, at the time when they are busiest with such first runs.
+/// Returns `None` if no other server may be tried, or if another server couldn't respond in the time that remains
+/// after the timeout.
+///
+/// Some work takes longer than its objective on every server that hasn't handled its object recently. With a timeout
+/// that is only a multiple of the objective, healthy servers would run such work twice, at the time when they are
+/// busiest with first runs.
 #[must_use]
 pub fn attempt_timeout_ms(
     route: &Route,
     pick: &Pick,
     progress: &Progress,
-    left_ms: u64,
+    remaining_ms: u64,
 ) -> Option<u64> {
-    let mut next = progress.clone();
-    next.record(ExchangeEnd::Abandoned);
+    let mut after_timeout = progress.clone();
+    after_timeout.record(ExchangeEnd::Abandoned);
     let first_ms = pick.first_ms as u64;
-    let sound_ms = (pick.first_ms * PATIENCE_FACTOR) as u64;
-    let attempt_timeout_ms = sound_ms.max(route.objective_ms * PATIENCE_OBJECTIVES);
+    let first_run_timeout_ms = (pick.first_ms * FIRST_RUN_TIMEOUT_FACTOR) as u64;
+    let attempt_timeout_ms = first_run_timeout_ms.max(route.objective_ms * TIMEOUT_OBJECTIVES);
     let needed_ms = attempt_timeout_ms.saturating_add(first_ms);
-    (next.may_try_again() && needed_ms <= left_ms).then_some(attempt_timeout_ms)
+    (after_timeout.may_try_again() && needed_ms <= remaining_ms).then_some(attempt_timeout_ms)
 }
 
 /// The exchanges of one request so far.
 ///
-/// The proof that a request has not run is kept here: it is lost with the first exchange that wrote the
-/// request and can't show the server's word that it didn't run.
+/// Tracks whether the request provably has not run on any server. The proof is lost with the first exchange in which
+/// the request was written to a server that didn't report that the request was not run.
 #[derive(Debug, Clone)]
 pub struct Progress {
     kind: RouteKind,
@@ -56,7 +59,7 @@
 }
 
 impl Progress {
-    /// Nothing was sent yet.
+    /// Returns the state of a request that was not sent yet; `attempts` is the most servers it may be sent to.
     #[must_use]
     pub const fn new(kind: RouteKind, attempts: u32) -> Self {
         Self {
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Notes the end of an exchange.
+    /// Records the end of an exchange.
     pub const fn record(&mut self, end: ExchangeEnd) {
         match end {
             ExchangeEnd::Unreachable => self.unreachable += 1,
@@ -85,21 +88,21 @@
         }
     }
 
-    /// Whether another server may be tried, time and budget aside.
+    /// Returns whether another server may be tried, regardless of the remaining time and the retry budget.
     #[must_use]
     pub const fn may_try_again(&self) -> bool {
         self.sent < self.attempts
-            && self.unreachable < MOST_UNREACHABLE
+            && self.unreachable < MAX_UNREACHABLE
             && (!self.may_have_run || self.kind.may_run_again())
     }
 
-    /// Whether the request certainly has not run on any server.
+    /// Returns whether the request certainly has not run on any server.
     #[must_use]
     pub const fn is_proven_not_run(&self) -> bool {
         !self.may_have_run
     }
 
-    /// Whether any server has got the request.
+    /// Returns whether the request was sent to any server.
     #[must_use]
     pub const fn was_sent(&self) -> bool {
         self.sent > 0
--- a/crates/damaskvane-routing/src/split.rs
+++ b/crates/damaskvane-routing/src/split.rs
@@ -1,17 +1,17 @@
-//! Turns the weights of a route into a sequence of services.
+//! Distributes the requests of a route among services by weight.
 //!
-//! A random draw would miss a declared share by several points over a few hundred requests; the smooth
-//! weighted round robin misses it by at most one request for each destination.
+//! Random selection would miss a declared share by several percentage points over a few hundred requests. Smooth
+//! weighted round robin misses a share by at most one request for each destination.
 //!
 //! ```
 //! use damaskvane_routing::{configuration, split};
 //!
-//! let parts = [("a", 3), ("b", 1)].map(|(service, weight)| configuration::Destination {
+//! let destinations = [("a", 3), ("b", 1)].map(|(service, weight)| configuration::Destination {
 //!     service: service.parse().expect("a valid name"),
 //!     weight,
 //! });
 //! let mut splits = split::Splits::default();
-//! let picked = (0..4).filter(|_| splits.next("r", &parts) == Some(0)).count();
+//! let picked = (0..4).filter(|_| splits.next("r", &destinations) == Some(0)).count();
 //! assert_eq!(picked, 3);
 //! ```
 
@@ -19,54 +19,63 @@
 
 use crate::configuration::Destination;
 
+/// The state of the smooth weighted round robin of one route; a change of the weights resets the state.
 #[derive(Debug, Default)]
-struct Sequence {
+struct RoundRobin {
     weights: Vec<u32>,
-    credits: Vec<i64>,
+    current_weights: Vec<i64>,
 }
 
-impl Sequence {
-    fn next(&mut self, parts: &[Destination]) -> Option<usize> {
-        let is_same = self.weights.len() == parts.len()
-            && self.weights.iter().zip(parts).all(|(w, p)| *w == p.weight);
+impl RoundRobin {
+    fn next(&mut self, destinations: &[Destination]) -> Option<usize> {
+        let is_same = self.weights.len() == destinations.len()
+            && self
+                .weights
+                .iter()
+                .zip(destinations)
+                .all(|(w, p)| *w == p.weight);
         if !is_same {
-            self.weights = parts.iter().map(|part| part.weight).collect();
-            self.credits = vec![0; parts.len()];
+            self.weights = destinations
+                .iter()
+                .map(|destination| destination.weight)
+                .collect();
+            self.current_weights = vec![0; destinations.len()];
         }
         let total: i64 = self.weights.iter().map(|weight| i64::from(*weight)).sum();
         if total == 0 {
             return None;
         }
-        for (credit, weight) in self.credits.iter_mut().zip(&self.weights) {
-            *credit += i64::from(*weight);
+        for (current_weight, weight) in self.current_weights.iter_mut().zip(&self.weights) {
+            *current_weight += i64::from(*weight);
         }
-        let (best, credit) = self
-            .credits
+        let (best, current_weight) = self
+            .current_weights
             .iter_mut()
             .enumerate()
-            .max_by_key(|(index, credit)| (**credit, std::cmp::Reverse(*index)))?;
-        *credit -= total;
+            .max_by_key(|(index, current_weight)| (**current_weight, std::cmp::Reverse(*index)))?;
+        *current_weight -= total;
         Some(best)
     }
 }
 
-/// The sequences of all routes, by the routes' names.
+/// The round-robin states of all routes, by the names of the routes.
 #[derive(Debug, Default)]
 pub struct Splits {
-    sequences: HashMap<String, Sequence>,
+    round_robins: HashMap<String, RoundRobin>,
 }
 
 impl Splits {
-    /// The index of the destination that takes the route's next request; `None` where no destination
-    /// has a weight.
-    pub fn next(&mut self, route: &str, parts: &[Destination]) -> Option<usize> {
-        if parts.len() == 1 {
+    /// Returns the index of the destination for the next request of the route, or `None` if all weights are 0.
+    ///
+    /// A single destination receives all requests, whatever its weight is.
+    pub fn next(&mut self, route: &str, destinations: &[Destination]) -> Option<usize> {
+        if destinations.len() == 1 {
             return Some(0);
         }
-        if let Some(sequence) = self.sequences.get_mut(route) {
-            return sequence.next(parts);
+        if let Some(round_robin) = self.round_robins.get_mut(route) {
+            return round_robin.next(destinations);
         }
-        let sequence = self.sequences.entry(route.to_owned()).or_default();
-        sequence.next(parts)
+        let round_robin = self.round_robins.entry(route.to_owned()).or_default();
+        round_robin.next(destinations)
     }
 }
