--- a/crates/damaskvane-routing/src/configuration.rs
+++ b/crates/damaskvane-routing/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Routes, services and limits, as the operators declare them.
+//! Routes, services and limits on requests, as the operators declare them.
 //!
 //! ```
 //! use damaskvane_routing::configuration;
--- a/crates/damaskvane-routing/src/configuration/limits.rs
+++ b/crates/damaskvane-routing/src/configuration/limits.rs
@@ -1,20 +1,20 @@
-//! Bounds on what a client may send.
+//! Limits on the sizes and times of clients' requests.
 
-/// What a client may send, and how long it may take or stay idle.
+/// Limits on the size of a client's request, the time to send it, and the idle time of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request.
+    /// Largest request head, that is request line and headers.
     pub header_bytes: usize,
-    /// Largest body of a request.
+    /// Largest request body.
     pub body_bytes: usize,
-    /// Longest time for the head of a request.
+    /// Longest time for a client to send the request head.
     pub header_timeout_ms: u64,
-    /// Longest time a kept connection stays idle.
+    /// Longest time that a persistent connection stays open without a request.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
-    /// What holds before a configuration is known: common sizes of HTTP servers.
+    /// Returns the limits that apply until a configuration is loaded: common limits of HTTP servers.
     fn default() -> Self {
         Self {
             header_bytes: 16_384,
--- a/crates/damaskvane-routing/src/configuration/route.rs
+++ b/crates/damaskvane-routing/src/configuration/route.rs
@@ -1,62 +1,62 @@
-//! One route: which requests it takes, and how they are to be treated.
+//! Routes: which requests a route matches, and how these requests are handled.
 
 use damaskvane_core::ids;
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Running it twice does no harm.
+    /// The request may run more than once without harm.
     Idempotent,
-    /// It runs at most once for each try of a client.
+    /// The request runs at most once each time a client sends it.
     NonIdempotent,
 }
 
 impl RouteKind {
-    /// Whether a request that may have run can be sent again.
+    /// Returns whether a request that may have run already can be sent again.
     #[must_use]
     pub const fn may_run_again(self) -> bool {
         matches!(self, Self::Idempotent)
     }
 }
 
-/// One service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Destination {
-    /// The service.
+    /// Service whose backend servers run the requests.
     pub service: ids::ServiceId,
-    /// Its share, in proportion to the weights of the other destinations.
+    /// Share of the route's requests, relative to the weights of the other destinations.
     pub weight: u32,
 }
 
-/// A route of one host.
+/// The requests for one host and path prefix, and how they are handled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The operators' name for it.
+    /// Name that the operators gave the route.
     pub name: String,
-    /// The host it belongs to, in lower case.
+    /// Host name of the requests, in lower case.
     pub host: String,
-    /// The path's beginning; starts and ends with a slash.
+    /// Prefix of the requests' paths; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried after they may have run.
     pub kind: RouteKind,
-    /// The longest time a client is kept waiting.
+    /// Longest time until a client receives a response.
     pub timeout_ms: u64,
-    /// The time within which an answer is worth most.
+    /// Target time for a response; a response within this time has the highest value.
     pub objective_ms: u64,
-    /// The rank of its requests; 0 is the most urgent.
+    /// Priority of the requests; 0 is the most urgent.
     pub priority: u32,
-    /// Most backend servers that one try of a client may be sent to.
+    /// Most backend servers to which one request of a client is sent, the first attempt included.
     pub attempts: u32,
-    /// Whether requests for one object run faster on a server that has handled it lately.
+    /// Whether requests for an object run faster on a server that has handled the object recently.
     pub has_affinity: bool,
-    /// The regions that may serve it; empty where all may.
+    /// Regions whose servers may run the requests; empty if all regions may.
     pub allowed_regions: Vec<ids::RegionId>,
-    /// The services its requests go to.
+    /// Services among which the requests are split by weight.
     pub destinations: Vec<Destination>,
 }
 
 impl Route {
-    /// Whether the region may serve this route.
+    /// Returns whether servers of the region may run requests of this route.
     #[must_use]
     pub fn allows(&self, region: &ids::RegionId) -> bool {
         self.allowed_regions.is_empty() || self.allowed_regions.contains(region)
--- a/crates/damaskvane-routing/src/configuration/service.rs
+++ b/crates/damaskvane-routing/src/configuration/service.rs
@@ -1,18 +1,18 @@
-//! One service, as far as its backend servers have it in common.
+//! Settings that all backend servers of a service share.
 
 use damaskvane_core::ids;
 
-/// What holds for every backend server of a service.
+/// A service and the settings that all its backend servers share.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name by which routes refer to the service.
     pub id: ids::ServiceId,
-    /// The path that answers for a server's health.
+    /// Path of the health check on each server.
     pub health_path: String,
-    /// Most connections a server takes from all instances together.
+    /// Most connections that a server accepts, over all instances.
     pub max_connections: u32,
-    /// How long a server is cold after its start.
+    /// Time after its start for which a server counts as cold.
     pub warmup_ms: u64,
-    /// The requests a second that a cold server bears, from all instances together.
+    /// Requests a second that a cold server can handle, over all instances.
     pub warmup_per_s: f64,
 }
--- a/crates/damaskvane-routing/src/configuration/table.rs
+++ b/crates/damaskvane-routing/src/configuration/table.rs
@@ -1,4 +1,4 @@
-//! The whole configuration, with a table that finds a request's route.
+//! The complete configuration, with a lookup of routes by host and path.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -7,18 +7,18 @@
 
 use crate::configuration::{Limits, Route, Service};
 
-/// A complete configuration; it is replaced as a whole.
+/// One version of the configuration. A new version replaces the whole value.
 #[derive(Debug, Clone, Default)]
 pub struct Configuration {
     version: ids::ConfigVersion,
-    /// Routes of each host, the longest prefix first.
+    /// Routes by host; within a host the longest path prefix comes first.
     routes: HashMap<String, Vec<Rc<Route>>>,
     services: HashMap<ids::ServiceId, Service>,
     limits: Limits,
 }
 
 impl Configuration {
-    /// Builds the table of a version.
+    /// Builds a configuration, with the routes of each host ordered by descending prefix length.
     pub fn new(
         version: ids::ConfigVersion,
         routes: impl IntoIterator<Item = Route>,
@@ -32,8 +32,8 @@
                 .or_default()
                 .push(Rc::new(route));
         }
-        for of_host in by_host.values_mut() {
-            of_host.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
+        for host_routes in by_host.values_mut() {
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         Self {
             version,
@@ -46,44 +46,44 @@
         }
     }
 
-    /// The version.
+    /// Returns the version of this configuration.
     #[must_use]
     pub const fn version(&self) -> ids::ConfigVersion {
         self.version
     }
 
-    /// The bounds on clients' requests.
+    /// Returns the limits on clients' requests.
     #[must_use]
     pub const fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// The route whose prefix is the longest that begins the path.
+    /// Returns the route of the host with the longest prefix of the path, or `None` if no route matches.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
-        let of_host = self.routes.get(host)?;
-        of_host
+        let host_routes = self.routes.get(host)?;
+        host_routes
             .iter()
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The routes of a host, the longest prefix first.
+    /// Returns the routes of a host, the longest prefix first.
     pub fn routes_of(&self, host: &str) -> impl Iterator<Item = &Rc<Route>> {
         self.routes.get(host).into_iter().flatten()
     }
 
-    /// A service by its name.
+    /// Returns the service with the given name, or `None` if the configuration has no such service.
     #[must_use]
     pub fn service(&self, id: &ids::ServiceId) -> Option<&Service> {
         self.services.get(id)
     }
 
-    /// All services.
+    /// Returns all services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// The number of routes.
+    /// Returns the number of routes of all hosts.
     #[must_use]
     pub fn route_count(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
