--- a/crates/damaskvane-routing/src/limit.rs
+++ b/crates/damaskvane-routing/src/limit.rs
@@ -1,15 +1,15 @@
-//! Shares of limits that all instances keep together without a message.
+//! Limits that hold over all instances without coordination between them.
 //!
-//! A limit over all instances is divided by the most instances that may be at work. Every instance
-//! keeps to its own share, whatever it hears of the others, so the shares add up to the limit at most.
+//! Each limit is divided by the maximum number of running instances. Every instance keeps to its own share,
+//! whatever it receives from other instances, so the sum of the shares never exceeds the limit.
 //!
 //! ```
 //! use damaskvane_routing::limit;
 //!
 //! let mut window = limit::Window::new(1_000);
 //! window.record(damaskvane_core::time::TimeMs::new(10));
-//! assert_eq!(window.count(damaskvane_core::time::TimeMs::new(900)), 1);
-//! assert_eq!(window.count(damaskvane_core::time::TimeMs::new(1_011)), 0);
+//! assert_eq!(window.prune_and_count(damaskvane_core::time::TimeMs::new(900)), 1);
+//! assert_eq!(window.prune_and_count(damaskvane_core::time::TimeMs::new(1_011)), 0);
 //! ```
 
 mod cold_rate;
--- a/crates/damaskvane-routing/src/limit/cold_rate.rs
+++ b/crates/damaskvane-routing/src/limit/cold_rate.rs
@@ -1,17 +1,19 @@
-//! The rate of requests that a cold backend server gets from this instance.
+//! The limit on the rate of requests that this instance sends to a cold backend server.
 
 use damaskvane_core::time::TimeMs;
 
 use crate::limit::Window;
 
-/// The bound on a cold server's requests in any second, from all instances together.
+/// The limit on requests to a cold backend server in any second, over all instances.
+///
+/// The limit is `factor` times the rate that the server's service declares, plus `slack`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdRateSettings {
-    /// Factor on the rate that the server declares.
+    /// Factor by which the declared rate is multiplied.
     pub factor: f64,
-    /// Requests on top.
+    /// Requests a second that are allowed in addition to the declared rate.
     pub slack: f64,
-    /// The part of the bound that is used; the rest covers requests that bunch on their way.
+    /// Share of the limit that instances use; the rest is reserved for requests that bunch up in the network.
     pub used_share: f64,
 }
 
@@ -26,48 +28,48 @@
 }
 
 impl ColdRateSettings {
-    /// This instance's requests a second, where so many instances share the server.
+    /// Returns the requests a second that each instance may send, where `instances` instances share the limit.
     #[must_use]
     pub fn share(&self, warmup_per_s: f64, instances: usize) -> usize {
         let bound = warmup_per_s.mul_add(self.factor, self.slack) * self.used_share;
         let share = (bound / instances.max(1) as f64).floor();
-        // Negative declared rates come out as no request at all.
+        // A negative declared rate allows no request.
         share.max(0.0) as usize
     }
 }
 
-/// The requests sent to one cold server in the last second.
+/// The requests that this instance has sent to one backend server in the last 1.1 seconds.
 ///
-/// A server that has just started crashes when its share of the load comes at once. All instances see it
-/// come up at the same moment, so each holds to its part of the bound without asking the others.
+/// A server that has just started crashes if it receives its full share of the load at once. All instances see the
+/// server start at the same moment, so each instance keeps to its share of the limit without coordination.
 #[derive(Debug, Clone)]
 pub struct ColdRate {
     sent: Window,
 }
 
-/// The span in which requests to a cold server are counted; longer than the second for which the bound
-/// holds, since requests sent over a second apart may arrive less than one apart.
-const COUNTED_MS: u64 = 1_100;
+/// Time span in which requests to a cold server are counted. The span is longer than the one second for which the
+/// limit holds, because requests sent more than a second apart may arrive less than a second apart.
+const WINDOW_MS: u64 = 1_100;
 
 impl Default for ColdRate {
     fn default() -> Self {
         Self {
-            sent: Window::new(COUNTED_MS),
+            sent: Window::new(WINDOW_MS),
         }
     }
 }
 
 impl ColdRate {
-    /// Whether one more request stays within the share.
+    /// Returns whether one more request stays within `share` requests in the time span.
     #[must_use]
     pub fn has_capacity(&self, now: TimeMs, share: usize) -> bool {
-        self.sent.counted(now) < share
+        self.sent.count_recent(now) < share
     }
 
-    /// Notes a request that was sent.
+    /// Records a request that is sent now.
     pub fn record(&mut self, now: TimeMs) {
         self.sent.record(now);
-        // Drops what is too old to count, so that a warm server's window stays short.
-        self.sent.count(now);
+        // Removes expired events, so that the window of a warm server stays short.
+        self.sent.prune_and_count(now);
     }
 }
--- a/crates/damaskvane-routing/src/limit/retry_budget.rs
+++ b/crates/damaskvane-routing/src/limit/retry_budget.rs
@@ -1,20 +1,22 @@
-//! The retries towards one service that this instance may still make.
+//! The number of retries that this instance may send to the backend servers of one service.
 
 use damaskvane_core::time::TimeMs;
 
 use crate::limit::Window;
 
-/// The bound on a service's retries in any window, from all instances together.
+/// The limit on retries to a service in any window, over all instances.
+///
+/// The limit is `ratio` times the requests in the window, plus `slack`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Retries for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Retries on top, shared by all instances.
+    /// Retries allowed in addition, divided among all instances.
     pub slack: f64,
-    /// The window in which retries are counted.
+    /// Length of the sliding window in which requests and retries are counted.
     pub window_ms: u64,
-    /// The part of the bound that is used: requests of the window's end may not count yet where retries
-    /// already do, and a restarted instance forgets what it used.
+    /// Share of the limit that instances use. The rest is a reserve, because retries at the end of a window may be
+    /// counted before their requests are, and because a restarted instance loses its count of retries.
     pub used_share: f64,
 }
 
@@ -29,11 +31,11 @@
     }
 }
 
-/// Requests and retries of the last window, for one service.
+/// The requests and retries of this instance in the last window, for one service.
 ///
-/// When servers fail, retries without a budget multiply the load on those that are left. Each instance
-/// pays for its retries from its own requests and its part of the slack, so the sum over all instances
-/// stays within the bound under any view of who is alive.
+/// When servers fail, retries without a budget multiply the load on the remaining servers. Each instance derives
+/// its budget from its own requests and its share of the slack, so the sum over all instances stays within the
+/// limit, whichever instances each of them takes to be alive.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
@@ -42,7 +44,7 @@
 }
 
 impl RetryBudget {
-    /// An unused budget.
+    /// Returns a budget without recorded requests and retries.
     #[must_use]
     pub const fn new(settings: RetryBudgetSettings) -> Self {
         Self {
@@ -52,18 +54,20 @@
         }
     }
 
-    /// Notes a client's request for the service.
+    /// Records a request of a client for the service.
     pub fn record_request(&mut self, now: TimeMs) {
         self.requests.record(now);
-        self.requests.count(now);
+        self.requests.prune_and_count(now);
     }
 
-    /// Takes one retry, where `instances` share the slack; `false` if none is left.
+    /// Takes one retry from the budget; returns `false` if the budget is used up.
+    ///
+    /// The slack is divided by `instances`, the number of instances that share it.
     pub fn take(&mut self, now: TimeMs, instances: usize) -> bool {
-        let requests = self.requests.count(now) as f64;
+        let requests = self.requests.prune_and_count(now) as f64;
         let slack = self.settings.slack / instances.max(1) as f64;
         let allowed = self.settings.ratio.mul_add(requests, slack) * self.settings.used_share;
-        if (self.retries.count(now) + 1) as f64 > allowed {
+        if (self.retries.prune_and_count(now) + 1) as f64 > allowed {
             return false;
         }
         self.retries.record(now);
--- a/crates/damaskvane-routing/src/limit/window.rs
+++ b/crates/damaskvane-routing/src/limit/window.rs
@@ -1,13 +1,13 @@
-//! Counts events in a sliding window.
+//! A sliding window that counts events, for limits that hold in every time span of a given length.
 
 use std::collections::VecDeque;
 
 use damaskvane_core::time::TimeMs;
 
-/// The events of the last so many milliseconds.
+/// The times of the events in the last `length_ms` milliseconds.
 ///
-/// A window that starts anew at fixed points lets twice the limit through around such a point; this one
-/// holds for any span of its length.
+/// A window that is reset at fixed times lets twice the limit through around each reset. A sliding window holds
+/// the limit in any time span of its length.
 #[derive(Debug, Clone)]
 pub struct Window {
     length_ms: u64,
@@ -15,7 +15,7 @@
 }
 
 impl Window {
-    /// An empty window.
+    /// Returns an empty window of the given length.
     #[must_use]
     pub const fn new(length_ms: u64) -> Self {
         Self {
@@ -24,21 +24,21 @@
         }
     }
 
-    /// Notes an event.
+    /// Records an event; events have to be recorded in the order of time.
     pub fn record(&mut self, now: TimeMs) {
         self.events.push_back(now);
     }
 
-    /// The events that are at most the window's length old.
+    /// Returns the number of events that are at most as old as the window is long.
     #[must_use]
-    pub fn counted(&self, now: TimeMs) -> usize {
+    pub fn count_recent(&self, now: TimeMs) -> usize {
         let events = self.events.iter().rev();
         let recent = events.take_while(|at| now.since(**at).get() <= self.length_ms);
         recent.count()
     }
 
-    /// The same; events that are older are forgotten.
-    pub fn count(&mut self, now: TimeMs) -> usize {
+    /// Removes the events that are older than the window, and returns the number of the others.
+    pub fn prune_and_count(&mut self, now: TimeMs) -> usize {
         while let Some(first) = self.events.front()
             && now.since(*first).get() > self.length_ms
         {
