--- a/crates/damaskvane-routing/src/pool.rs
+++ b/crates/damaskvane-routing/src/pool.rs
@@ -1,4 +1,4 @@
-//! The backend servers that are known, and what each was seen to do.
+//! The known backend servers, with the load, speed, failures and liveness that this instance has observed.
 //!
 //! ```
 //! use damaskvane_routing::pool;
@@ -12,6 +12,7 @@
 mod handle;
 mod liveness;
 mod load;
+mod peer_report;
 mod probes;
 mod region_load;
 mod ring;
@@ -21,7 +22,6 @@
 mod service_servers;
 mod settings;
 mod speed;
-mod told;
 mod topology;
 
 pub use entry::{ServerEntry, ServerState};
@@ -29,6 +29,7 @@
 pub use handle::ServerHandle;
 pub use liveness::Liveness;
 pub use load::LoadReport;
+pub use peer_report::{PeerHealthReport, PeerServerReport, ServerKey};
 pub use probes::{DueProbe, ProbeResult};
 pub use ring::{Ring, RingPoint};
 pub use server::Server;
@@ -37,5 +38,4 @@
 pub use service_servers::{ServiceServers, ZoneServers};
 pub use settings::PoolSettings;
 pub use speed::{Baseline, Baselines};
-pub use told::{PeerHealthReport, PeerServerReport, ServerKey};
 pub use topology::{RegionIndex, Topology, ZoneIndex};
--- a/crates/damaskvane-routing/src/pool/entry.rs
+++ b/crates/damaskvane-routing/src/pool/entry.rs
@@ -1,46 +1,46 @@
-//! What a backend server says of itself in the platform's store.
+//! The entry that a backend server writes to the platform's store.
 
 use std::net;
 
 use damaskvane_core::ids;
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// It does.
+    /// The server accepts new requests.
     Ready,
-    /// It finishes what it has.
+    /// The server finishes its requests in progress and accepts no new ones.
     Draining,
 }
 
-/// A backend server's own entry.
+/// The entry of a backend server, as the server wrote it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerEntry {
-    /// Its name; a new start mostly has a new one.
+    /// Name of the server; a restarted server usually has a new name.
     pub id: ids::BackendServerId,
-    /// The service it belongs to.
+    /// Service whose requests the server runs.
     pub service: ids::ServiceId,
-    /// Where it listens.
+    /// Address on which the server accepts connections.
     pub address: net::SocketAddr,
-    /// Its availability zone.
+    /// Availability zone in which the server runs.
     pub zone: ids::AvailabilityZoneId,
-    /// Requests it runs at a time.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the server accepts new requests.
     pub state: ServerState,
-    /// How much longer it was cold when it wrote the entry.
+    /// Remaining warm-up time when the server wrote the entry; 0 if the server was warm.
     pub warmup_left_ms: u64,
-    /// When it started, by its own clock; only compared with another start of the same name.
+    /// Start time by the server's own clock; only compared with other entries of the same name.
     pub started_unix_ms: u64,
-    /// Counts its entries since that start.
+    /// Number of the entry, counted from the start of the server.
     pub sequence: u64,
 }
 
 impl ServerEntry {
-    /// Whether this entry was written before the other one of the same server.
+    /// Returns whether this entry was written before `other`, an entry of the same server.
     ///
-    /// A write that was held up can land after a later one; taken as news it would make a server that has
-    /// left look ready again.
+    /// A delayed write can reach the store after a later one. If the older entry were applied, a server that has
+    /// left would seem ready again.
     #[must_use]
     pub const fn is_older_than(&self, other: &Self) -> bool {
         self.started_unix_ms < other.started_unix_ms
--- a/crates/damaskvane-routing/src/pool/exchange.rs
+++ b/crates/damaskvane-routing/src/pool/exchange.rs
@@ -1,43 +1,43 @@
-//! How one exchange with a backend server ended, as far as it says something of the server.
+//! How an exchange with a backend server ended, and what the response reports about the server.
 
 use crate::pool::LoadReport;
 
-/// Names an exchange of this instance while it lasts.
+/// Identifies an exchange of this instance while the exchange is in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub u64);
 
-/// What an answer says of the server beside its own matter.
+/// The data about the server itself that a response carries.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServerReport {
-    /// The load the server named.
+    /// Load of the server; `None` if the response doesn't report the load.
     pub load: Option<LoadReport>,
 }
 
-/// The end of an exchange.
+/// How an exchange ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeEnd {
-    /// The server answered with what it made of the request.
+    /// The server ran the request and sent its result.
     Answered,
-    /// The server ran the request and failed at it.
+    /// The server ran the request and reported a failure.
     Failed,
-    /// The server said that it did not run the request.
+    /// The server reported that it did not run the request.
     Shed,
-    /// Another server answered at the address.
+    /// Another server responded at the address.
     Misdirected,
     /// The connection broke after the request was written.
     Broken,
-    /// What came was no whole answer, or not the answer to this request.
+    /// The response was malformed or incomplete, or belonged to another request.
     Malformed,
-    /// No connection came about; nothing was written.
+    /// No connection was established, so nothing was written.
     Unreachable,
-    /// Nothing came back, not even word that the bytes had arrived.
+    /// No response arrived, and the peer didn't acknowledge the bytes that were sent.
     Silent,
-    /// This instance or the client gave up while the server was at work.
+    /// This instance or the client gave up while the server was processing the request.
     Abandoned,
 }
 
 impl ExchangeEnd {
-    /// The end as a word for logs and counters.
+    /// Returns the label for logs and counters.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/damaskvane-routing/src/pool/handle.rs
+++ b/crates/damaskvane-routing/src/pool/handle.rs
@@ -1,15 +1,15 @@
-//! The short name of a server within one pool.
+//! The handle that identifies a server within one pool.
 
-/// Names a server as long as its pool holds it; another server may have the name later.
+/// Identifies a server while the server is in its pool. The handle of a removed server is reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerHandle(u32);
 
 impl ServerHandle {
-    pub(super) fn new(place: usize) -> Self {
-        Self(u32::try_from(place).unwrap_or(u32::MAX))
+    pub(super) fn new(index: usize) -> Self {
+        Self(u32::try_from(index).unwrap_or(u32::MAX))
     }
 
-    pub(super) const fn place(self) -> usize {
+    pub(super) const fn index(self) -> usize {
         self.0 as usize
     }
 }
--- a/crates/damaskvane-routing/src/pool/liveness.rs
+++ b/crates/damaskvane-routing/src/pool/liveness.rs
@@ -1,62 +1,62 @@
-//! Whether a backend server can be reached.
+//! Whether a backend server accepts connections, and when the next health probe is due.
 
 use damaskvane_core::time::{SpanMs, TimeMs};
 
-/// What the last connections said of a server.
+/// Liveness of a server, derived from its last connections and probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// It takes connections.
+    /// The server accepts connections.
     Up,
-    /// A connection broke: the server may have restarted, and be cold, under the name it had.
-    Doubtful {
-        /// When to ask it.
+    /// A connection broke, so the server may have restarted under the same name and be cold.
+    Suspect {
+        /// Time of the next probe.
         probe_at: TimeMs,
     },
-    /// It took no connection, or nothing came back.
+    /// The server accepted no connection, or sent no response.
     Down {
-        /// When to ask it.
+        /// Time of the next probe.
         probe_at: TimeMs,
-        /// Probes in a row that found it down.
-        failures: u32,
+        /// Number of consecutive failed probes.
+        failed_probes: u32,
     },
-    /// Another server answers at its address.
+    /// Another server responds at the address.
     Replaced,
 }
 
-/// The first pause between probes of a server that is down.
-const FIRST_PAUSE_MS: u64 = 400;
-/// The longest pause: a server that comes back is used again after this time at the latest.
-const LONGEST_PAUSE_MS: u64 = 2_000;
+/// Delay before the first probe of a server that is down.
+const FIRST_PROBE_DELAY_MS: u64 = 400;
+/// Longest delay between probes; a server that comes back is used again after this time at the latest.
+const MAX_PROBE_DELAY_MS: u64 = 2_000;
 
 impl Liveness {
-    /// Down, to be asked after a first pause.
+    /// Returns the state of a server that has just been found down, with a probe after the first delay.
     #[must_use]
     pub fn down(now: TimeMs) -> Self {
         Self::Down {
-            probe_at: now + SpanMs::new(FIRST_PAUSE_MS),
-            failures: 0,
+            probe_at: now + SpanMs::new(FIRST_PROBE_DELAY_MS),
+            failed_probes: 0,
         }
     }
 
-    /// Still down: the pause doubles up to its bound.
+    /// Returns the state after another failed probe, with the delay doubled up to its maximum.
     #[must_use]
     pub fn still_down(self, now: TimeMs) -> Self {
-        let failures = match self {
-            Self::Down { failures, .. } => failures + 1,
+        let failed_probes = match self {
+            Self::Down { failed_probes, .. } => failed_probes + 1,
             _ => 1,
         };
-        let pause_ms = (FIRST_PAUSE_MS << failures.min(4)).min(LONGEST_PAUSE_MS);
+        let delay_ms = (FIRST_PROBE_DELAY_MS << failed_probes.min(4)).min(MAX_PROBE_DELAY_MS);
         Self::Down {
-            probe_at: now + SpanMs::new(pause_ms),
-            failures,
+            probe_at: now + SpanMs::new(delay_ms),
+            failed_probes,
         }
     }
 
-    /// When a probe is due, if one is wanted.
+    /// Returns the time of the next probe, or `None` if the server needs no probe.
     #[must_use]
     pub const fn probe_at(self) -> Option<TimeMs> {
         match self {
-            Self::Doubtful { probe_at } | Self::Down { probe_at, .. } => Some(probe_at),
+            Self::Suspect { probe_at } | Self::Down { probe_at, .. } => Some(probe_at),
             Self::Up | Self::Replaced => None,
         }
     }
--- a/crates/damaskvane-routing/src/pool/load.rs
+++ b/crates/damaskvane-routing/src/pool/load.rs
@@ -1,67 +1,68 @@
-//! An estimate of a backend server's load from its own reports and this instance's requests.
+//! Estimates the load that other instances put on a backend server from the server's load reports.
 
 use damaskvane_core::time::TimeMs;
 
-/// A server's word on its load.
+/// The load that a server reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests that are waiting for a slot.
     pub waiting: u32,
-    /// Requests that can run at a time.
+    /// Number of requests that can run concurrently.
     pub slots: u32,
 }
 
-/// The time in which a report loses most of its weight.
-const REPORT_FADES_MS: f64 = 700.0;
-/// The time in which the usual load loses most of its weight if no report comes. A server that is taken to be
-/// full gets no request and so sends no report: believed for good, one burst would keep it unused. It lasts over
-/// several reports, which are rare in a large fleet: a server with a queue must not look idle between them.
-const USUAL_FADES_MS: f64 = 6_000.0;
-/// The time over which the usual load of others is averaged.
-const USUAL_SPAN_MS: f64 = 4_000.0;
+/// Time constant of the exponential decay of a report's weight.
+const REPORT_DECAY_MS: f64 = 700.0;
+/// Time constant of the exponential decay of the average load while no report arrives. A server that seems full
+/// receives no request and so sends no report; without decay, one burst would leave the server unused for good.
+/// The time spans several reports, which are rare in a large fleet: a server with a queue must not seem idle between
+/// two reports.
+const AVERAGE_DECAY_MS: f64 = 6_000.0;
+/// Time constant of the moving average of the load by other instances.
+const AVERAGE_WINDOW_MS: f64 = 4_000.0;
 
-/// What other instances have on a server, by its last report.
+/// The number of requests that other instances have on a server, estimated from the server's reports.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct OthersLoad {
-    last: f64,
-    usual: f64,
+pub(super) struct PeerLoad {
+    latest: f64,
+    average: f64,
     at: TimeMs,
-    is_known: bool,
+    has_report: bool,
 }
 
-impl OthersLoad {
-    /// Notes a report, which counted `own` requests of this instance.
-    pub(super) fn note(&mut self, now: TimeMs, report: LoadReport, own: usize) {
+impl PeerLoad {
+    /// Records a report made at `now` that includes `own_in_flight` requests of this instance.
+    pub(super) fn record(&mut self, now: TimeMs, report: LoadReport, own_in_flight: usize) {
         let total = f64::from(report.running) + f64::from(report.waiting);
-        let others = (total - own as f64).max(0.0);
-        if self.is_known {
+        let others = (total - own_in_flight as f64).max(0.0);
+        if self.has_report {
             let age_ms = now.since(self.at).get() as f64;
-            let weight = 1.0 - (-(age_ms + 50.0) / USUAL_SPAN_MS).exp();
-            self.usual += (others - self.usual) * weight;
+            let weight = 1.0 - (-(age_ms + 50.0) / AVERAGE_WINDOW_MS).exp();
+            self.average += (others - self.average) * weight;
         } else {
-            self.usual = others;
+            self.average = others;
         }
-        self.last = others;
+        self.latest = others;
         self.at = now;
-        self.is_known = true;
+        self.has_report = true;
     }
 
-    /// When the last report was made.
-    pub(super) const fn noted_at(&self) -> TimeMs {
+    /// Returns the time of the last report, or 0 if there is none.
+    pub(super) const fn reported_at(&self) -> TimeMs {
         self.at
     }
 
-    /// The requests that others have there now, as far as one can tell.
+    /// Returns the estimated number of requests that other instances have on the server; 0 without any report.
     #[must_use]
     pub(super) fn estimate(&self, now: TimeMs) -> f64 {
-        if !self.is_known {
+        if !self.has_report {
             return 0.0;
         }
         let age_ms = now.since(self.at).get() as f64;
-        let weight = (-age_ms / REPORT_FADES_MS).exp();
-        let usual = self.usual * (-age_ms / USUAL_FADES_MS).exp();
-        usual + (self.last - usual) * weight
+        let weight = (-age_ms / REPORT_DECAY_MS).exp();
+        let average = self.average * (-age_ms / AVERAGE_DECAY_MS).exp();
+        average + (self.latest - average) * weight
     }
 }
--- a/crates/damaskvane-routing/src/pool/probes.rs
+++ b/crates/damaskvane-routing/src/pool/probes.rs
@@ -1,34 +1,34 @@
-//! Health probes of servers that must prove themselves.
+//! Health probes of servers that are unreachable or may have restarted.
 
 use std::net;
 
 use damaskvane_core::ids;
 
-/// A probe that is to be sent now.
+/// A health probe that has to be sent now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DueProbe {
-    /// The server.
+    /// Server to probe.
     pub server: ids::BackendServerId,
-    /// Its address.
+    /// Address of the server.
     pub address: net::SocketAddr,
-    /// The path to ask.
+    /// Path of the health check.
     pub health_path: String,
 }
 
-/// What a probe found.
+/// The result of a health probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// The server itself answered that it is well.
+    /// The probed server responded that it is healthy.
     Healthy {
-        /// How much longer it is cold.
+        /// Remaining warm-up time; 0 if the server is warm.
         warmup_left_ms: u64,
     },
-    /// It answered, but is full, leaving or unwell.
+    /// The probed server responded, but is full, leaving or unhealthy.
     Unhealthy,
-    /// Another server has the address.
+    /// Another server responded at the address.
     OtherServer,
-    /// Nobody listens at its address: the process is gone.
+    /// The connection was refused because the server's process has ended.
     Refused,
-    /// No answer.
+    /// No response arrived.
     NoAnswer,
 }
--- a/crates/damaskvane-routing/src/pool/region_load.rs
+++ b/crates/damaskvane-routing/src/pool/region_load.rs
@@ -1,13 +1,13 @@
-//! The load of a service's servers in one region, kept as it is heard.
+//! The load of a service's servers in one region, averaged over the servers' load reports.
 
 use damaskvane_core::time::TimeMs;
 
-/// The span over which the servers' words are averaged.
-const SPAN_MS: f64 = 2_000.0;
-/// The time in which an estimate loses most of its weight if no word comes.
-const FADES_MS: f64 = 6_000.0;
+/// Time constant of the moving average of the servers' load reports.
+const AVERAGE_WINDOW_MS: f64 = 2_000.0;
+/// Time constant of the exponential decay of the average while no report arrives.
+const DECAY_MS: f64 = 6_000.0;
 
-/// What the servers of a region said lately of their load, and this instance's own requests there.
+/// Average of the recent load reports of a region's servers, and the number of this instance's requests there.
 #[derive(Debug, Default)]
 pub(super) struct RegionLoad {
     per_slot: f64,
@@ -16,21 +16,21 @@
 }
 
 impl RegionLoad {
-    /// Notes a server's word, as a load for each of its slots.
-    pub(super) fn note(&mut self, now: TimeMs, per_slot: f64) {
+    /// Records a load report of a server; `per_slot` is the load divided by the server's slots.
+    pub(super) fn record(&mut self, now: TimeMs, per_slot: f64) {
         let age_ms = now.since(self.at).get() as f64;
-        let known = self.per_slot(now);
-        let weight = 1.0 - (-(age_ms + 50.0) / SPAN_MS).exp();
-        self.per_slot = known + (per_slot - known) * weight;
+        let previous = self.per_slot(now);
+        let weight = 1.0 - (-(age_ms + 50.0) / AVERAGE_WINDOW_MS).exp();
+        self.per_slot = previous + (per_slot - previous) * weight;
         self.at = self.at.max(now);
     }
 
-    /// Notes how many requests of this instance are there.
+    /// Replaces `before` by `after` in the number of this instance's requests to the region.
     pub(super) fn change_in_flight(&mut self, before: usize, after: usize) {
         self.in_flight = (self.in_flight + after).saturating_sub(before);
     }
 
-    /// The load for each slot, where the region has so many slots.
+    /// Returns the estimated load per slot; `slots` is the number of slots in the region.
     pub(super) fn estimate(&self, now: TimeMs, slots: f64) -> f64 {
         let own = self.in_flight as f64 / slots.max(1.0);
         self.per_slot(now).max(own)
@@ -38,6 +38,6 @@
 
     fn per_slot(&self, now: TimeMs) -> f64 {
         let age_ms = now.since(self.at).get() as f64;
-        self.per_slot * (-age_ms / FADES_MS).exp()
+        self.per_slot * (-age_ms / DECAY_MS).exp()
     }
 }
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -1,4 +1,4 @@
-//! One backend server: its entry, and what this instance has seen of it.
+//! One backend server: its entry, and the state that this instance has observed.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,72 +6,72 @@
 use damaskvane_core::time::{SpanMs, TimeMs};
 
 use crate::limit::ColdRate;
-use crate::pool::load::OthersLoad;
+use crate::pool::load::PeerLoad;
 use crate::pool::speed::Slowness;
 use crate::pool::{
     ExchangeEnd, ExchangeId, Liveness, LoadReport, PeerHealthReport, PeerServerReport, ServerEntry,
     ServerKey, ServerReport,
 };
 
-/// How long a server is taken to remember an object that this instance sent there.
-const OBJECT_MEMORY_MS: u64 = 30_000;
-/// Objects that are kept in mind for each server; well above what servers remember.
-const MOST_OBJECTS: usize = 1_024;
-/// An exchange that lasts this many times the usual time shows a stalled server.
+/// Time for which a server is assumed to run requests for an object faster after a request for the object.
+const RECENT_OBJECT_MS: u64 = 30_000;
+/// Most recent objects stored for each server; well above the number of objects that servers cache.
+const MAX_OBJECTS: usize = 1_024;
+/// Multiple of the usual time after which an exchange in progress indicates a stalled server.
 const STALLED_FACTOR: f64 = 3.0;
-/// Exchanges shorter than this never show a stalled server: one lost packet costs about as much.
-const STALLED_LEAST_MS: f64 = 350.0;
-/// The weight of a new sample in the share of failures.
+/// Time up to which an exchange never indicates a stalled server, because one lost packet costs about as much.
+const MIN_STALLED_MS: f64 = 350.0;
+/// Weight of a new sample in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.2;
-/// The time in which a share of failures fades to a third.
-const FAILURE_FADES_MS: f64 = 4_000.0;
-/// From where on the zone is told that a server is slow, or fails: well above what one odd answer makes.
-const TOLD_SLOWNESS: f64 = 2.0;
-const TOLD_FAILURE_SHARE: f64 = 0.2;
+/// Time in which the share of failures decays to about a third.
+const FAILURE_DECAY_MS: f64 = 4_000.0;
+/// Slowness and share of failures from which a server is reported to the zone; well above the effect of one outlier.
+const MIN_REPORTED_SLOWNESS: f64 = 2.0;
+const MIN_REPORTED_FAILURE_SHARE: f64 = 0.2;
 
 #[derive(Debug, Clone, Copy)]
-struct Flight {
+struct InFlightRequest {
     sent_at: TimeMs,
     expected_ms: f64,
 }
 
-/// A backend server.
+/// A backend server, with the load, speed, failures and liveness that this instance has observed.
 #[derive(Debug)]
 pub struct Server {
-    /// Its entry in the store.
+    /// Entry of the server in the store.
     pub entry: ServerEntry,
     region: Option<ids::RegionId>,
-    /// Until when it is cold; no time where it is warm.
+    /// End of the warm-up; in the past if the server is warm.
     pub cold_until: TimeMs,
-    /// When its entry is to be taken as gone, if it was missing after an outage of the store.
-    pub lapses_at: Option<TimeMs>,
-    /// Whether it can be reached.
+    /// Time at which the server is removed, set if its entry is missing after a store outage.
+    pub expires_at: Option<TimeMs>,
+    /// Whether the server accepts connections.
     pub liveness: Liveness,
     cold_rate: ColdRate,
-    flights: BTreeMap<ExchangeId, Flight>,
-    others: OthersLoad,
-    /// What it said last to this instance, and when.
-    reported: Option<(TimeMs, LoadReport)>,
-    /// What it said last to this instance, for the load of its region: words that are told concern busy servers only.
-    fresh_load: Option<(TimeMs, f64)>,
-    /// Whether the zone was told last that it has a queue.
-    is_told_busy: bool,
+    requests: BTreeMap<ExchangeId, InFlightRequest>,
+    peer_load: PeerLoad,
+    /// Last load report from the server to this instance and its time, until the report is taken for the zone.
+    last_report: Option<(TimeMs, LoadReport)>,
+    /// Last load per slot reported to this instance; without peers' reports, which cover busy servers only.
+    load_sample: Option<(TimeMs, f64)>,
+    /// Whether the last report to the zone reported a queue.
+    is_reported_busy: bool,
     slowness: Slowness,
     slowness_at: TimeMs,
     failure_share: f64,
     failures_at: TimeMs,
-    /// What another instance found, and when.
-    told: Option<(TimeMs, PeerHealthReport)>,
-    /// Whether this instance has found out something of its health that the zone wasn't told.
-    has_finding: bool,
-    /// Whether the zone was told last that it is slow or fails.
-    is_told_unwell: bool,
+    /// Last health report from another instance and its time.
+    peer_health: Option<(TimeMs, PeerHealthReport)>,
+    /// Whether this instance has observed a change of health that was not reported to the zone yet.
+    has_unreported_health: bool,
+    /// Whether the last report to the zone reported the server as slow or failing.
+    is_reported_unhealthy: bool,
     objects: HashMap<u64, TimeMs>,
     answered_at: TimeMs,
 }
 
 impl Server {
-    /// A server of which only its entry is known.
+    /// Returns a server of which only the entry is known.
     #[must_use]
     pub fn new(now: TimeMs, entry: ServerEntry, region: Option<ids::RegionId>) -> Self {
         let cold_until = now + SpanMs::new(entry.warmup_left_ms);
@@ -79,27 +79,27 @@
             entry,
             region,
             cold_until,
-            lapses_at: None,
+            expires_at: None,
             liveness: Liveness::Up,
             cold_rate: ColdRate::default(),
-            flights: BTreeMap::new(),
-            others: OthersLoad::default(),
-            reported: None,
-            fresh_load: None,
-            is_told_busy: false,
+            requests: BTreeMap::new(),
+            peer_load: PeerLoad::default(),
+            last_report: None,
+            load_sample: None,
+            is_reported_busy: false,
             slowness: Slowness::default(),
             slowness_at: now,
             failure_share: 0.0,
             failures_at: now,
-            told: None,
-            has_finding: false,
-            is_told_unwell: false,
+            peer_health: None,
+            has_unreported_health: false,
+            is_reported_unhealthy: false,
             objects: HashMap::new(),
             answered_at: TimeMs::ZERO,
         }
     }
 
-    /// The region of its zone, if that is known.
+    /// Returns the region of the server's zone, or `None` if the zone is unknown.
     #[must_use]
     pub const fn region(&self) -> Option<&ids::RegionId> {
         self.region.as_ref()
@@ -109,125 +109,124 @@
         self.region = region;
     }
 
-    /// Marks the server cold for so long, if it isn't already for longer.
+    /// Extends the warm-up to `left_ms` from now, unless the warm-up lasts longer already.
     pub fn extend_warmup(&mut self, now: TimeMs, left_ms: u64) {
         self.cold_until = self.cold_until.max(now + SpanMs::new(left_ms));
     }
 
-    /// Forgets what the server remembered and how it did: it has restarted.
-    pub fn restarted(&mut self, now: TimeMs) {
+    /// Resets recent objects, slowness, failures and liveness after the server has restarted.
+    pub fn reset_after_restart(&mut self, now: TimeMs) {
         self.objects.clear();
         self.slowness = Slowness::default();
         self.failure_share = 0.0;
         self.failures_at = now;
-        self.told = None;
+        self.peer_health = None;
         self.liveness = Liveness::Up;
     }
 
-    /// Whether the bound on cold servers applies: the server is cold, or may be.
+    /// Returns whether the limit on cold servers applies, because the server is cold or may have restarted.
     #[must_use]
     pub fn is_cold(&self, now: TimeMs) -> bool {
-        now < self.cold_until || matches!(self.liveness, Liveness::Doubtful { .. })
+        now < self.cold_until || matches!(self.liveness, Liveness::Suspect { .. })
     }
 
-    /// Whether one more request stays within this instance's share of a cold server.
+    /// Returns whether the server is warm, or one more request stays within `share` of the limit on cold servers.
     #[must_use]
     pub fn has_cold_capacity(&self, now: TimeMs, share: usize) -> bool {
         !self.is_cold(now) || self.cold_rate.has_capacity(now, share)
     }
 
-    /// Requests of this instance there.
+    /// Returns the number of this instance's requests in flight to the server.
     #[must_use]
     pub fn in_flight(&self) -> usize {
-        self.flights.len()
+        self.requests.len()
     }
 
-    /// Requests of all instances there, as far as one can tell.
+    /// Returns the estimated number of requests of all instances on the server.
     #[must_use]
     pub fn load(&self, now: TimeMs) -> f64 {
-        self.others.estimate(now) + self.flights.len() as f64
+        self.peer_load.estimate(now) + self.requests.len() as f64
     }
 
-    /// How much longer than usual it takes, as this instance or another one of the zone has found.
+    /// Returns the ratio of the server's time to the usual time, as observed by this instance or reported by a peer.
     #[must_use]
     pub fn slowness(&self, now: TimeMs) -> f64 {
         let own = self.own_slowness(now);
-        match self.told {
-            Some((at, told)) if at > self.slowness_at => {
-                let mut faded = Slowness::of(told.slowness);
-                faded.fade(now.since(at).get());
-                own.max(faded.ratio())
+        match self.peer_health {
+            Some((at, health)) if at > self.slowness_at => {
+                let mut decayed = Slowness::from_ratio(health.slowness);
+                decayed.decay(now.since(at).get());
+                own.max(decayed.ratio())
             }
             _ => own,
         }
     }
 
-    /// The share of its exchanges that failed lately, as this instance or another one of the zone has found.
+    /// Returns the share of recent exchanges that failed, as observed by this instance or reported by a peer.
     #[must_use]
     pub fn failure_share(&self, now: TimeMs) -> f64 {
         let own = self.own_failure_share(now);
-        match self.told {
-            Some((at, told)) if at > self.failures_at => {
-                own.max(faded_share(told.failure_share, now.since(at).get()))
+        match self.peer_health {
+            Some((at, health)) if at > self.failures_at => {
+                own.max(decayed_share(health.failure_share, now.since(at).get()))
             }
             _ => own,
         }
     }
 
     fn own_slowness(&self, now: TimeMs) -> f64 {
-        let mut faded = self.slowness;
-        faded.fade(now.since(self.slowness_at).get());
-        faded.ratio()
+        let mut decayed = self.slowness;
+        decayed.decay(now.since(self.slowness_at).get());
+        decayed.ratio()
     }
 
     fn own_failure_share(&self, now: TimeMs) -> f64 {
-        faded_share(self.failure_share, now.since(self.failures_at).get())
+        decayed_share(self.failure_share, now.since(self.failures_at).get())
     }
 
-    /// Whether an exchange of this instance has lasted far longer than usual.
+    /// Returns whether an exchange in progress has lasted far longer than usual.
     ///
-    /// A server that went silent or very slow shows nothing until an exchange ends; the age of those
-    /// that haven't ended shows it within a few hundred milliseconds.
+    /// The age of such an exchange reveals a silent or very slow server within a few hundred milliseconds.
     #[must_use]
     pub fn is_stalled(&self, now: TimeMs) -> bool {
-        self.stalled(now).is_some()
+        self.stall_ratio(now).is_some()
     }
 
-    /// How many times the usual time its slowest exchange has lasted, if that shows a stalled server.
-    fn stalled(&self, now: TimeMs) -> Option<f64> {
-        let ratios = self.flights.values().filter_map(|flight| {
-            let bound_ms = (flight.expected_ms * STALLED_FACTOR).max(STALLED_LEAST_MS);
-            let lasted_ms = now.since(flight.sent_at).get() as f64;
-            (lasted_ms > bound_ms).then(|| lasted_ms / flight.expected_ms.max(1.0))
+    /// Returns the highest ratio of age to usual time among stalled exchanges, or `None` if none is stalled.
+    fn stall_ratio(&self, now: TimeMs) -> Option<f64> {
+        let ratios = self.requests.values().filter_map(|request| {
+            let bound_ms = (request.expected_ms * STALLED_FACTOR).max(MIN_STALLED_MS);
+            let lasted_ms = now.since(request.sent_at).get() as f64;
+            (lasted_ms > bound_ms).then(|| lasted_ms / request.expected_ms.max(1.0))
         });
         ratios.max_by(f64::total_cmp)
     }
 
-    /// When it last answered this instance.
+    /// Returns the time of the last response to this instance, or 0 if there was none.
     #[must_use]
     pub const fn answered_at(&self) -> TimeMs {
         self.answered_at
     }
 
-    /// Whether this instance has sent it the object lately.
+    /// Returns whether the server has recently handled a request of this instance for the object.
     #[must_use]
     pub fn handled_recently(&self, now: TimeMs, object: u64) -> bool {
         self.objects
             .get(&object)
-            .is_some_and(|at| now.since(*at).get() < OBJECT_MEMORY_MS)
+            .is_some_and(|at| now.since(*at).get() < RECENT_OBJECT_MS)
     }
 
-    /// Notes a request that is sent now.
+    /// Records a request that is sent now and usually takes `expected_ms`.
     pub fn record_sent(&mut self, now: TimeMs, exchange: ExchangeId, expected_ms: f64) {
         self.cold_rate.record(now);
-        let flight = Flight {
+        let request = InFlightRequest {
             sent_at: now,
             expected_ms,
         };
-        self.flights.insert(exchange, flight);
+        self.requests.insert(exchange, request);
     }
 
-    /// Notes the end of an exchange; returns how long it took, if it was under way.
+    /// Records the end of an exchange; returns its duration in milliseconds, or `None` if the exchange is unknown.
     pub fn record_end(
         &mut self,
         now: TimeMs,
@@ -235,69 +234,69 @@
         end: ExchangeEnd,
         report: ServerReport,
     ) -> Option<u64> {
-        let flight = self.flights.remove(&exchange)?;
+        let request = self.requests.remove(&exchange)?;
         if let Some(load) = report.load {
-            self.others.note(now, load, self.flights.len());
-            self.reported = Some((now, load));
-            self.fresh_load = Some((now, self.load_beside_one(load)));
+            self.peer_load.record(now, load, self.requests.len());
+            self.last_report = Some((now, load));
+            self.load_sample = Some((now, self.load_without_request(load)));
         }
-        self.note_reach(now, end);
+        self.record_liveness(now, end);
         if matches!(
             end,
             ExchangeEnd::Answered | ExchangeEnd::Failed | ExchangeEnd::Shed
         ) {
             self.answered_at = now;
         }
-        if let Some(failed) = self.verdict(end, report) {
+        if let Some(failed) = self.counts_as_failure(end, report) {
             let share = self.own_failure_share(now);
             let sample = if failed { 1.0 } else { 0.0 };
             self.failure_share = share + (sample - share) * FAILURE_WEIGHT;
             self.failures_at = now;
-            self.has_finding |= failed;
+            self.has_unreported_health |= failed;
         }
-        Some(now.since(flight.sent_at).get())
+        Some(now.since(request.sent_at).get())
     }
 
-    /// Takes in what another instance tells of it, as far as that is newer.
-    pub(super) fn apply_server_reports(&mut self, now: TimeMs, told: &PeerServerReport) {
-        let said_at = TimeMs::new(now.get().saturating_sub(told.age_ms));
-        if let Some(load) = told.load
-            && said_at > self.others.noted_at()
+    /// Applies the parts of a peer's report that are newer than the known state.
+    pub(super) fn apply_peer_report(&mut self, now: TimeMs, report: &PeerServerReport) {
+        let observed_at = TimeMs::new(now.get().saturating_sub(report.age_ms));
+        if let Some(load) = report.load
+            && observed_at > self.peer_load.reported_at()
         {
-            self.others.note(said_at, load, self.flights.len());
+            self.peer_load
+                .record(observed_at, load, self.requests.len());
         }
-        if let Some(health) = told.health
-            && self.told.is_none_or(|(at, _)| said_at >= at)
+        if let Some(health) = report.health
+            && self.peer_health.is_none_or(|(at, _)| observed_at >= at)
         {
-            self.told = Some((said_at, health));
+            self.peer_health = Some((observed_at, health));
         }
     }
 
-    /// Its load for each slot without the request that was answered.
+    /// Returns the load per slot, without the request whose response carried the report.
     ///
-    /// Requests meet busy servers more often than idle ones, so the mean of what they meet is above the mean of all
-    /// servers, by one request where requests come independently of each other.
-    fn load_beside_one(&self, load: LoadReport) -> f64 {
+    /// Busy servers send more reports, so with independent arrivals the mean reported load is one request too high.
+    fn load_without_request(&self, load: LoadReport) -> f64 {
         let requests = f64::from(load.running) + f64::from(load.waiting);
         (requests - 1.0).max(0.0) / f64::from(self.entry.slots.max(1))
     }
 
-    /// What it said of its load since the last call, for each of its slots.
-    pub(super) const fn take_fresh_load(&mut self) -> Option<(TimeMs, f64)> {
-        self.fresh_load.take()
+    /// Takes the load per slot that was reported since the last call, and its time.
+    pub(super) const fn take_load_sample(&mut self) -> Option<(TimeMs, f64)> {
+        self.load_sample.take()
     }
 
-    /// Whether it said something that the zone wasn't told yet.
-    pub(super) const fn has_news(&self) -> bool {
-        self.reported.is_some() || self.has_finding
+    /// Returns whether there is a load report or a change of health that the zone hasn't received.
+    pub(super) const fn has_unreported_state(&self) -> bool {
+        self.last_report.is_some() || self.has_unreported_health
     }
 
-    /// What the zone is to hear of it: that it has a queue, is slow or fails, or no longer so.
-    pub(super) fn tell(&mut self, now: TimeMs) -> Option<PeerServerReport> {
-        let (load, age_ms) = self.tell_load(now).unzip();
-        let health = self.tell_health(now);
-        let is_told = load.is_some() || health.is_some();
-        is_told.then(|| PeerServerReport {
+    /// Takes the report for the zone, present if the server has a queue, is slow or failing, or has just recovered.
+    pub(super) fn take_report(&mut self, now: TimeMs) -> Option<PeerServerReport> {
+        let (load, age_ms) = self.take_load_report(now).unzip();
+        let health = self.take_health_report(now);
+        let has_report = load.is_some() || health.is_some();
+        has_report.then(|| PeerServerReport {
             server: ServerKey::of(&self.entry.id),
             load,
             health,
@@ -305,67 +304,68 @@
         })
     }
 
-    fn tell_load(&mut self, now: TimeMs) -> Option<(LoadReport, u64)> {
-        let (said_at, load) = self.reported.take()?;
+    fn take_load_report(&mut self, now: TimeMs) -> Option<(LoadReport, u64)> {
+        let (observed_at, load) = self.last_report.take()?;
         let is_busy = load.waiting > 0;
-        let was_busy = core::mem::replace(&mut self.is_told_busy, is_busy);
-        (is_busy || was_busy).then(|| (load, now.since(said_at).get()))
+        let was_busy = core::mem::replace(&mut self.is_reported_busy, is_busy);
+        (is_busy || was_busy).then(|| (load, now.since(observed_at).get()))
     }
 
-    fn tell_health(&mut self, now: TimeMs) -> Option<PeerHealthReport> {
-        let stalled = self.stalled(now);
-        let has_finding = core::mem::take(&mut self.has_finding) || stalled.is_some();
-        if !has_finding {
+    fn take_health_report(&mut self, now: TimeMs) -> Option<PeerHealthReport> {
+        let stall_ratio = self.stall_ratio(now);
+        let is_due = core::mem::take(&mut self.has_unreported_health) || stall_ratio.is_some();
+        if !is_due {
             return None;
         }
         let health = PeerHealthReport {
-            slowness: self.own_slowness(now).max(stalled.unwrap_or(1.0)),
+            slowness: self.own_slowness(now).max(stall_ratio.unwrap_or(1.0)),
             failure_share: self.own_failure_share(now),
         };
-        let is_unwell =
-            health.slowness >= TOLD_SLOWNESS || health.failure_share >= TOLD_FAILURE_SHARE;
-        let was_unwell = core::mem::replace(&mut self.is_told_unwell, is_unwell);
-        (is_unwell || was_unwell).then_some(health)
+        let is_unhealthy = health.slowness >= MIN_REPORTED_SLOWNESS
+            || health.failure_share >= MIN_REPORTED_FAILURE_SHARE;
+        let was_unhealthy = core::mem::replace(&mut self.is_reported_unhealthy, is_unhealthy);
+        (is_unhealthy || was_unhealthy).then_some(health)
     }
 
-    /// Notes how long an answered request took, without the way there and back.
+    /// Records the time that the server took for a request, without the network round trip.
     pub fn record_work_time(&mut self, now: TimeMs, took_ms: f64, expected_ms: f64) {
-        self.slowness.fade(now.since(self.slowness_at).get());
-        self.slowness.note(took_ms, expected_ms);
+        self.slowness.decay(now.since(self.slowness_at).get());
+        self.slowness.record(took_ms, expected_ms);
         self.slowness_at = now;
-        self.has_finding |= self.is_told_unwell || self.slowness.ratio() >= TOLD_SLOWNESS;
+        self.has_unreported_health |=
+            self.is_reported_unhealthy || self.slowness.ratio() >= MIN_REPORTED_SLOWNESS;
     }
 
-    /// Notes that the server has handled an object.
+    /// Records that the server has handled a request for an object.
     pub fn record_object(&mut self, now: TimeMs, object: u64) {
-        if self.objects.len() >= MOST_OBJECTS {
+        if self.objects.len() >= MAX_OBJECTS {
             self.objects
-                .retain(|_, at| now.since(*at).get() < OBJECT_MEMORY_MS);
+                .retain(|_, at| now.since(*at).get() < RECENT_OBJECT_MS);
         }
-        if self.objects.len() < MOST_OBJECTS {
+        if self.objects.len() < MAX_OBJECTS {
             self.objects.insert(object, now);
         }
     }
 
-    fn note_reach(&mut self, now: TimeMs, end: ExchangeEnd) {
+    fn record_liveness(&mut self, now: TimeMs, end: ExchangeEnd) {
         match end {
             ExchangeEnd::Unreachable => {
                 if !matches!(self.liveness, Liveness::Down { .. } | Liveness::Replaced) {
                     self.liveness = Liveness::down(now);
                 }
             }
-            // An open connection can go silent while new ones work: a new one is tried at once.
+            // An open connection can fall silent while new ones work, so a probe on a new connection is due at once.
             ExchangeEnd::Silent => {
                 if !matches!(self.liveness, Liveness::Down { .. } | Liveness::Replaced) {
                     self.liveness = Liveness::Down {
                         probe_at: now,
-                        failures: 0,
+                        failed_probes: 0,
                     };
                 }
             }
             ExchangeEnd::Broken => {
                 if self.liveness == Liveness::Up {
-                    self.liveness = Liveness::Doubtful { probe_at: now };
+                    self.liveness = Liveness::Suspect { probe_at: now };
                 }
             }
             ExchangeEnd::Misdirected => self.liveness = Liveness::Replaced,
@@ -377,12 +377,12 @@
         }
     }
 
-    /// Whether the end counts as the server's failure; `None` where it says nothing of the server.
-    fn verdict(&self, end: ExchangeEnd, report: ServerReport) -> Option<bool> {
+    /// Returns whether the end counts as a failure of the server, or `None` if the end doesn't depend on the server.
+    fn counts_as_failure(&self, end: ExchangeEnd, report: ServerReport) -> Option<bool> {
         match end {
             ExchangeEnd::Answered => Some(false),
             ExchangeEnd::Failed | ExchangeEnd::Broken | ExchangeEnd::Malformed => Some(true),
-            // A full server sheds by right; one with free slots that sheds is unwell.
+            // Shedding is correct for a full server; a server that sheds with free slots is unhealthy.
             ExchangeEnd::Shed => report
                 .load
                 .is_none_or(|load| load.running < load.slots)
@@ -395,6 +395,6 @@
     }
 }
 
-fn faded_share(share: f64, age_ms: u64) -> f64 {
-    share * (-(age_ms as f64) / FAILURE_FADES_MS).exp()
+fn decayed_share(share: f64, age_ms: u64) -> f64 {
+    share * (-(age_ms as f64) / FAILURE_DECAY_MS).exp()
 }
--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -1,4 +1,4 @@
-//! All backend servers, as the store names them.
+//! The pool of all backend servers in the store, with evacuated zones and pending probes.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,23 +11,23 @@
     ServerHandle, ServerMut, ServerState, ServiceServers, Topology, ZoneIndex,
 };
 
-/// What a piece of news changed, for the log.
+/// A change of a server in the pool, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// The server is new.
+    /// The server was added.
     Joined(ids::BackendServerId),
-    /// The server has restarted under its name.
+    /// The server has restarted under the same name.
     Restarted(ids::BackendServerId),
-    /// The server takes no new work.
+    /// The server accepts no new requests.
     Draining(ids::BackendServerId),
-    /// The server is gone.
+    /// The server was removed.
     Gone(ids::BackendServerId),
-    /// The entry is missing after an outage of the store; the server is used until its grace ends.
+    /// The entry is missing after a store outage; the server is used until its grace time ends.
     Expiring(ids::BackendServerId),
 }
 
 impl Change {
-    /// The server that changed.
+    /// Returns the server that changed.
     #[must_use]
     pub const fn server(&self) -> &ids::BackendServerId {
         match self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The change as a word for logs.
+    /// Returns the label for logs.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
@@ -52,19 +52,19 @@
     }
 }
 
-/// The backend servers, the zones that are evacuated, and when the store was last away.
+/// The backend servers, the evacuated zones, and the state of removals after a store outage.
 #[derive(Debug)]
 pub struct ServerPool {
     settings: PoolSettings,
     servers: ServerTable,
     evacuated: BTreeSet<ids::AvailabilityZoneId>,
-    /// Until when a missing entry may have lapsed only because the store was away.
-    lapses_excused_until: TimeMs,
+    /// Time until which a missing entry may have expired only because the store was unavailable.
+    removals_deferred_until: TimeMs,
     warmup_ms: HashMap<ids::ServiceId, u64>,
 }
 
 impl ServerPool {
-    /// An empty pool.
+    /// Returns an empty pool.
     #[must_use]
     pub fn new(settings: PoolSettings) -> Self {
         let topology = Topology::new(&settings.regions);
@@ -72,18 +72,18 @@
             settings,
             servers: ServerTable::new(topology),
             evacuated: BTreeSet::new(),
-            lapses_excused_until: TimeMs::ZERO,
+            removals_deferred_until: TimeMs::ZERO,
             warmup_ms: HashMap::new(),
         }
     }
 
-    /// The settings.
+    /// Returns the current settings.
     #[must_use]
     pub const fn settings(&self) -> &PoolSettings {
         &self.settings
     }
 
-    /// Takes over changed settings.
+    /// Replaces the settings; a change of regions rebuilds the indexes of all servers.
     pub fn set_settings(&mut self, settings: PoolSettings) {
         if settings.regions != self.settings.regions {
             self.servers.set_topology(&settings.regions);
@@ -91,104 +91,114 @@
         self.settings = settings;
     }
 
-    /// The zones and regions of the deployment.
+    /// Returns the zones and regions of the deployment.
     #[must_use]
     pub const fn topology(&self) -> &Topology {
         self.servers.topology()
     }
 
-    /// All servers.
+    /// Returns all servers, including servers that accept no new requests.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.iter()
     }
 
-    /// The number of servers.
+    /// Returns the number of servers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether no server is known.
+    /// Returns whether the pool contains no server.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.servers.len() == 0
     }
 
-    /// The servers of a service that take new work.
+    /// Returns the servers of a service that accept new requests, or `None` if no server of the service was ever added.
     #[must_use]
     pub fn service(&self, id: &ids::ServiceId) -> Option<&ServiceServers> {
         self.servers.service(id)
     }
 
-    /// One server.
+    /// Returns a server by its name.
     #[must_use]
     pub fn server(&self, id: &ids::BackendServerId) -> Option<&Server> {
         self.servers.get(self.servers.handle(id)?)
     }
 
-    /// One server, to note something of it.
+    /// Returns a server by its name, for changes to its state.
     pub fn server_mut(&mut self, id: &ids::BackendServerId) -> Option<ServerMut<'_>> {
         let handle = self.servers.handle(id)?;
         self.servers.get_mut(handle)
     }
 
-    /// A server's short name.
+    /// Returns the handle of a server.
     #[must_use]
     pub fn handle(&self, id: &ids::BackendServerId) -> Option<ServerHandle> {
         self.servers.handle(id)
     }
 
-    /// A server by its short name.
+    /// Returns a server by its handle.
     #[must_use]
     pub fn at(&self, handle: ServerHandle) -> Option<&Server> {
         self.servers.get(handle)
     }
 
-    /// What the zone is to hear of busy and unwell servers, those with the longest queues first.
-    pub fn take_server_reports(&mut self, now: TimeMs, most: usize) -> Vec<PeerServerReport> {
-        let with_news = self.servers.with_news().iter();
-        // An exchange that hangs shows nothing new until it ends, so servers in use are looked at too.
+    /// Takes the reports of busy and unhealthy servers for the zone, at most `max_reports`.
+    ///
+    /// Reports with a change of health come first, then those with the longest queues.
+    pub fn take_server_reports(
+        &mut self,
+        now: TimeMs,
+        max_reports: usize,
+    ) -> Vec<PeerServerReport> {
+        let with_unreported_state = self.servers.with_unreported_state().iter();
+        // A stalled exchange yields no new state until it ends, so servers in use are checked too.
         let in_use = self.servers.in_use().iter();
-        let looked_at: BTreeSet<ServerHandle> = with_news.chain(in_use).copied().collect();
-        let looked_at = looked_at.into_iter();
-        let mut told: Vec<_> = looked_at
-            .filter_map(|handle| self.servers.get_mut(handle)?.tell(now))
+        let candidates: BTreeSet<ServerHandle> =
+            with_unreported_state.chain(in_use).copied().collect();
+        let candidates = candidates.into_iter();
+        let mut reports: Vec<_> = candidates
+            .filter_map(|handle| self.servers.get_mut(handle)?.take_report(now))
             .collect();
-        told.sort_by_key(|told| {
-            let waiting = told.load.map_or(0, |load| load.waiting);
-            std::cmp::Reverse((told.health.is_some(), waiting))
+        reports.sort_by_key(|report| {
+            let waiting = report.load.map_or(0, |load| load.waiting);
+            std::cmp::Reverse((report.health.is_some(), waiting))
         });
-        told.truncate(most);
-        told
+        reports.truncate(max_reports);
+        reports
     }
 
-    /// Takes in what another instance of the zone tells of servers.
-    pub fn apply_server_reports(&mut self, now: TimeMs, told: &[PeerServerReport]) {
-        for told in told {
-            let handle = self.servers.handle_of_key(told.server);
+    /// Applies reports of servers received from another instance of the zone.
+    pub fn apply_server_reports(&mut self, now: TimeMs, reports: &[PeerServerReport]) {
+        for report in reports {
+            let handle = self.servers.handle_of_key(report.server);
             if let Some(mut server) = handle.and_then(|handle| self.servers.get_mut(handle)) {
-                server.apply_server_reports(now, told);
+                server.apply_peer_report(now, report);
             }
         }
     }
 
-    /// Whether the zone is evacuated.
+    /// Returns whether the zone is evacuated.
     #[must_use]
     pub fn is_evacuated(&self, zone: ZoneIndex) -> bool {
         !self.evacuated.is_empty() && self.evacuated.contains(self.topology().zone_id(zone))
     }
 
-    /// Tells how long servers of each service are cold after a start.
+    /// Sets the warm-up time in milliseconds of each service's servers.
     pub fn set_warmups(&mut self, warmups: impl IntoIterator<Item = (ids::ServiceId, u64)>) {
         self.warmup_ms = warmups.into_iter().collect();
     }
 
-    /// The store answers again after it was away: entries that lapsed meanwhile may come back.
+    /// Handles the return of the store after an outage.
+    ///
+    /// Removals are deferred by the grace time, because servers whose entries expired during the outage may write
+    /// their entries again.
     pub fn store_returned(&mut self, now: TimeMs) {
-        self.lapses_excused_until = now + SpanMs::new(self.settings.expiry_grace_ms);
+        self.removals_deferred_until = now + SpanMs::new(self.settings.expiry_grace_ms);
     }
 
-    /// Takes in one server's entry.
+    /// Applies the entry of a server, unless the entry is older than the known one.
     pub fn apply(&mut self, now: TimeMs, entry: ServerEntry) -> Option<Change> {
         let id = entry.id.clone();
         let is_draining = entry.state == ServerState::Draining;
@@ -200,9 +210,9 @@
         if entry.is_older_than(&server.entry) {
             return None;
         }
-        server.lapses_at = None;
+        server.expires_at = None;
         if entry == server.entry {
-            // Read once more; the cold time that it names has passed since it was written.
+            // The same entry was read again. Its warm-up time counts from the first time that the entry was applied.
             return None;
         }
         let has_restarted = entry.started_unix_ms > server.entry.started_unix_ms
@@ -211,22 +221,22 @@
         server.extend_warmup(now, entry.warmup_left_ms);
         server.entry = entry;
         if has_restarted {
-            server.restarted(now);
+            server.reset_after_restart(now);
             return Some(Change::Restarted(id));
         }
         (is_draining && !was_draining).then_some(Change::Draining(id))
     }
 
-    /// Takes in that a server's entry was removed.
+    /// Handles the removal of a server's entry.
     ///
-    /// Entries lapse while the store is away. Taken at their word, such removals would empty the pool
-    /// and leave clients without an answer although every server lives.
+    /// Entries expire while the store is unavailable. If such removals were applied at once, the pool would be
+    /// empty and clients would receive no response although every server is alive.
     pub fn remove(&mut self, now: TimeMs, id: &ids::BackendServerId) -> Option<Change> {
-        let excused_until = self.lapses_excused_until;
+        let deferred_until = self.removals_deferred_until;
         let mut server = self.server_mut(id)?;
         let is_draining = server.entry.state == ServerState::Draining;
-        if now < excused_until && !is_draining {
-            server.lapses_at.get_or_insert(excused_until);
+        if now < deferred_until && !is_draining {
+            server.expires_at.get_or_insert(deferred_until);
             return Some(Change::Expiring(id.clone()));
         }
         drop(server);
@@ -234,61 +244,61 @@
         Some(Change::Gone(id.clone()))
     }
 
-    /// Takes in a complete list; servers that it doesn't name are removed.
+    /// Applies a complete list of entries; servers that aren't listed are removed.
     pub fn replace(
         &mut self,
         now: TimeMs,
         entries: impl IntoIterator<Item = ServerEntry>,
     ) -> Vec<Change> {
-        let mut named = BTreeSet::new();
+        let mut listed = BTreeSet::new();
         let mut changes = Vec::new();
         for entry in entries {
-            named.insert(entry.id.clone());
+            listed.insert(entry.id.clone());
             changes.extend(self.apply(now, entry));
         }
         let known = self.servers().map(|server| &server.entry.id);
-        let missing: Vec<_> = known.filter(|id| !named.contains(*id)).cloned().collect();
+        let missing: Vec<_> = known.filter(|id| !listed.contains(*id)).cloned().collect();
         for id in missing {
             changes.extend(self.remove(now, &id));
         }
         changes
     }
 
-    /// Lets go the servers whose grace after an outage has ended.
+    /// Removes the servers whose grace time after a store outage has ended.
     pub fn expire(&mut self, now: TimeMs) -> Vec<Change> {
-        let lapsing = self.servers.lapsing().iter();
-        let lapsed: Vec<_> = lapsing
+        let expiring = self.servers.expiring().iter();
+        let expired: Vec<_> = expiring
             .filter_map(|handle| self.at(*handle))
-            .filter(|server| server.lapses_at.is_some_and(|at| at <= now))
+            .filter(|server| server.expires_at.is_some_and(|at| at <= now))
             .map(|server| server.entry.id.clone())
             .collect();
-        for id in &lapsed {
+        for id in &expired {
             self.servers.remove(id);
         }
-        lapsed.into_iter().map(Change::Gone).collect()
+        expired.into_iter().map(Change::Gone).collect()
     }
 
-    /// Takes in which zones are evacuated; returns the zones taken back.
+    /// Sets the evacuated zones; returns the zones that are no longer evacuated.
     ///
-    /// Servers of a zone that is taken back may have become cold meanwhile, so they count as cold for a
-    /// whole warm-up: otherwise the first second of the zone's full load would crash them.
+    /// Servers of a restored zone may have become cold during the evacuation, so they count as cold for a whole
+    /// warm-up. Otherwise the zone's full load would crash them in the first second.
     pub fn set_evacuated(
         &mut self,
         now: TimeMs,
         zones: BTreeSet<ids::AvailabilityZoneId>,
     ) -> Vec<ids::AvailabilityZoneId> {
-        let taken_back: Vec<_> = self.evacuated.difference(&zones).cloned().collect();
+        let restored: Vec<_> = self.evacuated.difference(&zones).cloned().collect();
         for server in self.servers.iter_mut() {
-            if taken_back.contains(&server.entry.zone) {
+            if restored.contains(&server.entry.zone) {
                 let warmup_ms = self.warmup_ms.get(&server.entry.service).copied();
                 server.extend_warmup(now, warmup_ms.unwrap_or_default());
             }
         }
         self.evacuated = zones;
-        taken_back
+        restored
     }
 
-    /// The probes that are to be sent now; each is pushed back so that it is sent once.
+    /// Returns the probes to send now, and postpones the next probe of each server so that a probe is sent once.
     pub fn due_probes(
         &mut self,
         now: TimeMs,
@@ -304,8 +314,8 @@
                 continue;
             }
             server.liveness = match server.liveness {
-                Liveness::Doubtful { .. } => Liveness::Doubtful {
-                    probe_at: now + SpanMs::new(PROBE_AGAIN_MS),
+                Liveness::Suspect { .. } => Liveness::Suspect {
+                    probe_at: now + SpanMs::new(REPROBE_DELAY_MS),
                 },
                 other => other.still_down(now),
             };
@@ -320,7 +330,7 @@
         due
     }
 
-    /// Takes in what a probe found.
+    /// Records the result of a probe.
     pub fn record_probe(&mut self, now: TimeMs, id: &ids::BackendServerId, result: ProbeResult) {
         let Some(mut server) = self.server_mut(id) else {
             return;
@@ -331,10 +341,10 @@
                 server.extend_warmup(now, warmup_left_ms);
             }
             ProbeResult::OtherServer => server.liveness = Liveness::Replaced,
-            // It answers, so it can be reached; whether it is cold stays open.
+            // The server responded, so it accepts connections, but whether it is cold is unknown.
             ProbeResult::Unhealthy => {
-                server.liveness = Liveness::Doubtful {
-                    probe_at: now + SpanMs::new(PROBE_AGAIN_MS),
+                server.liveness = Liveness::Suspect {
+                    probe_at: now + SpanMs::new(REPROBE_DELAY_MS),
                 };
             }
             ProbeResult::Refused | ProbeResult::NoAnswer => {
@@ -346,5 +356,5 @@
     }
 }
 
-/// The pause before a server in doubt is asked once more.
-const PROBE_AGAIN_MS: u64 = 1_000;
+/// Delay until a suspect server is probed again.
+const REPROBE_DELAY_MS: u64 = 1_000;
--- a/crates/damaskvane-routing/src/pool/server_table.rs
+++ b/crates/damaskvane-routing/src/pool/server_table.rs
@@ -1,4 +1,4 @@
-//! Servers by name and by place, with what is found of them without a look at each.
+//! A table of all servers, with indexes that find servers by name, service, zone and state.
 
 use std::collections::{BTreeSet, HashMap};
 use std::ops::{Deref, DerefMut};
@@ -9,59 +9,59 @@
     Liveness, Server, ServerHandle, ServerKey, ServerState, ServiceServers, Topology, ZoneIndex,
 };
 
-/// What the indexes hold of a server.
+/// The state of a server from which the indexes are derived.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Facts {
+struct IndexKeys {
     service: Option<ids::ServiceId>,
     zone: Option<ZoneIndex>,
     slots: u32,
-    takes_work: bool,
+    accepts_work: bool,
     in_flight: usize,
     awaits_probe: bool,
-    is_lapsing: bool,
-    has_news: bool,
+    is_expiring: bool,
+    has_unreported_state: bool,
 }
 
-impl Facts {
+impl IndexKeys {
     fn of(server: &Server, topology: &Topology) -> Self {
         let entry = &server.entry;
         Self {
             service: Some(entry.service.clone()),
             zone: topology.zone(&entry.zone),
             slots: entry.slots,
-            takes_work: entry.state == ServerState::Ready
-                && matches!(server.liveness, Liveness::Up | Liveness::Doubtful { .. }),
+            accepts_work: entry.state == ServerState::Ready
+                && matches!(server.liveness, Liveness::Up | Liveness::Suspect { .. }),
             in_flight: server.in_flight(),
             awaits_probe: server.liveness.probe_at().is_some(),
-            is_lapsing: server.lapses_at.is_some(),
-            has_news: server.has_news(),
+            is_expiring: server.expires_at.is_some(),
+            has_unreported_state: server.has_unreported_state(),
         }
     }
 }
 
 #[derive(Debug)]
-struct Held {
+struct Row {
     server: Server,
-    facts: Facts,
+    keys: IndexKeys,
 }
 
-/// All servers. What an instance does for a request or at each tick finds its servers here, at a cost that
-/// doesn't grow with their number.
+/// All servers, with indexes. The work for a request or a tick finds its servers here at a cost that doesn't grow
+/// with the number of servers.
 #[derive(Debug)]
 pub(super) struct ServerTable {
     topology: Topology,
-    places: Vec<Option<Held>>,
+    rows: Vec<Option<Row>>,
     free: Vec<ServerHandle>,
     by_id: HashMap<ids::BackendServerId, ServerHandle>,
     by_key: HashMap<ServerKey, ServerHandle>,
     services: HashMap<ids::ServiceId, ServiceServers>,
     awaiting_probe: BTreeSet<ServerHandle>,
-    lapsing: BTreeSet<ServerHandle>,
-    with_news: BTreeSet<ServerHandle>,
+    expiring: BTreeSet<ServerHandle>,
+    with_unreported_state: BTreeSet<ServerHandle>,
     in_use: BTreeSet<ServerHandle>,
 }
 
-/// A server that is being changed; the indexes follow when it is let go.
+/// Mutable access to a server; dropping the value updates the indexes.
 #[derive(Debug)]
 pub struct ServerMut<'a> {
     table: &'a mut ServerTable,
@@ -72,19 +72,19 @@
     type Target = Server;
 
     fn deref(&self) -> &Server {
-        self.table.held(self.handle)
+        self.table.server(self.handle)
     }
 }
 
 impl DerefMut for ServerMut<'_> {
     fn deref_mut(&mut self) -> &mut Server {
-        self.table.held_mut(self.handle)
+        self.table.server_mut(self.handle)
     }
 }
 
 impl Drop for ServerMut<'_> {
     fn drop(&mut self) {
-        self.table.index(self.handle);
+        self.table.update_indexes(self.handle);
     }
 }
 
@@ -92,27 +92,27 @@
     pub(super) fn new(topology: Topology) -> Self {
         Self {
             topology,
-            places: Vec::new(),
+            rows: Vec::new(),
             free: Vec::new(),
             by_id: HashMap::new(),
             by_key: HashMap::new(),
             services: HashMap::new(),
             awaiting_probe: BTreeSet::new(),
-            lapsing: BTreeSet::new(),
-            with_news: BTreeSet::new(),
+            expiring: BTreeSet::new(),
+            with_unreported_state: BTreeSet::new(),
             in_use: BTreeSet::new(),
         }
     }
 
-    /// Places all servers anew, in other zones and regions.
+    /// Rebuilds the table and its indexes with other zones and regions.
     pub(super) fn set_topology(
         &mut self,
         regions: &HashMap<ids::AvailabilityZoneId, ids::RegionId>,
     ) {
-        let places = core::mem::take(&mut self.places);
+        let rows = core::mem::take(&mut self.rows);
         *self = Self::new(Topology::new(regions));
-        for held in places.into_iter().flatten() {
-            let mut server = held.server;
+        for row in rows.into_iter().flatten() {
+            let mut server = row.server;
             server.set_region(regions.get(&server.entry.zone).cloned());
             self.insert(server);
         }
@@ -139,8 +139,8 @@
     }
 
     pub(super) fn get(&self, handle: ServerHandle) -> Option<&Server> {
-        let held = self.places.get(handle.place())?.as_ref()?;
-        Some(&held.server)
+        let row = self.rows.get(handle.index())?.as_ref()?;
+        Some(&row.server)
     }
 
     pub(super) fn get_mut(&mut self, handle: ServerHandle) -> Option<ServerMut<'_>> {
@@ -152,50 +152,50 @@
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = &Server> {
-        let held = self.places.iter().flatten();
-        held.map(|held| &held.server)
+        let rows = self.rows.iter().flatten();
+        rows.map(|row| &row.server)
     }
 
-    /// All servers, to change what no index holds.
+    /// Returns all servers, for changes to state that no index depends on.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
-        let held = self.places.iter_mut().flatten();
-        held.map(|held| &mut held.server)
+        let rows = self.rows.iter_mut().flatten();
+        rows.map(|row| &mut row.server)
     }
 
-    /// Servers that are to be probed.
+    /// Returns the servers that need a probe, now or later.
     pub(super) const fn awaiting_probe(&self) -> &BTreeSet<ServerHandle> {
         &self.awaiting_probe
     }
 
-    /// Servers whose entry is missing.
-    pub(super) const fn lapsing(&self) -> &BTreeSet<ServerHandle> {
-        &self.lapsing
+    /// Returns the servers whose entry is missing after a store outage.
+    pub(super) const fn expiring(&self) -> &BTreeSet<ServerHandle> {
+        &self.expiring
     }
 
-    /// Servers that said something which the zone wasn't told yet.
-    pub(super) const fn with_news(&self) -> &BTreeSet<ServerHandle> {
-        &self.with_news
+    /// Returns the servers with a load report or a change of health that the zone hasn't received.
+    pub(super) const fn with_unreported_state(&self) -> &BTreeSet<ServerHandle> {
+        &self.with_unreported_state
     }
 
-    /// Servers with requests of this instance.
+    /// Returns the servers with requests of this instance in flight.
     pub(super) const fn in_use(&self) -> &BTreeSet<ServerHandle> {
         &self.in_use
     }
 
     pub(super) fn insert(&mut self, server: Server) {
         let id = server.entry.id.clone();
-        let held = Held {
+        let row = Row {
             server,
-            facts: Facts::default(),
+            keys: IndexKeys::default(),
         };
         let handle = self.free.pop().unwrap_or_else(|| {
-            self.places.push(None);
-            ServerHandle::new(self.places.len() - 1)
+            self.rows.push(None);
+            ServerHandle::new(self.rows.len() - 1)
         });
-        self.places[handle.place()] = Some(held);
+        self.rows[handle.index()] = Some(row);
         self.by_key.insert(ServerKey::of(&id), handle);
         self.by_id.insert(id, handle);
-        self.index(handle);
+        self.update_indexes(handle);
     }
 
     pub(super) fn remove(&mut self, id: &ids::BackendServerId) {
@@ -206,84 +206,92 @@
         if self.by_key.get(&key) == Some(&handle) {
             self.by_key.remove(&key);
         }
-        if let Some(held) = self.places[handle.place()].take() {
-            self.replace_facts(id, handle, &held.facts, &Facts::default());
+        if let Some(row) = self.rows[handle.index()].take() {
+            self.replace_keys(id, handle, &row.keys, &IndexKeys::default());
             self.free.push(handle);
         }
     }
 
-    fn held(&self, handle: ServerHandle) -> &Server {
-        let held = self.places[handle.place()].as_ref();
-        &held
-            .expect("a server that is being changed is there")
+    fn server(&self, handle: ServerHandle) -> &Server {
+        let row = self.rows[handle.index()].as_ref();
+        &row.expect("a server with mutable access is in the table")
             .server
     }
 
-    fn held_mut(&mut self, handle: ServerHandle) -> &mut Server {
-        let held = self.places[handle.place()].as_mut();
-        &mut held
-            .expect("a server that is being changed is there")
+    fn server_mut(&mut self, handle: ServerHandle) -> &mut Server {
+        let row = self.rows[handle.index()].as_mut();
+        &mut row
+            .expect("a server with mutable access is in the table")
             .server
     }
 
-    /// Lets the indexes follow a server.
-    fn index(&mut self, handle: ServerHandle) {
-        let Some(held) = self.places[handle.place()].as_mut() else {
+    /// Updates the indexes after a change of a server.
+    fn update_indexes(&mut self, handle: ServerHandle) {
+        let Some(row) = self.rows[handle.index()].as_mut() else {
             return;
         };
-        let word = held.server.take_fresh_load();
-        let facts = Facts::of(&held.server, &self.topology);
-        let before = core::mem::replace(&mut held.facts, facts.clone());
-        let id = held.server.entry.id.clone();
-        if before != facts {
-            self.replace_facts(&id, handle, &before, &facts);
+        let load_sample = row.server.take_load_sample();
+        let keys = IndexKeys::of(&row.server, &self.topology);
+        let before = core::mem::replace(&mut row.keys, keys.clone());
+        let id = row.server.entry.id.clone();
+        if before != keys {
+            self.replace_keys(&id, handle, &before, &keys);
         }
         if let (Some((at, per_slot)), Some(service), Some(zone)) =
-            (word, &facts.service, facts.zone)
+            (load_sample, &keys.service, keys.zone)
             && let Some(servers) = self.services.get_mut(service)
         {
             let region = self.topology.region_of(zone);
-            servers.load_mut(region).note(at, per_slot);
+            servers.load_mut(region).record(at, per_slot);
         }
     }
 
-    fn replace_facts(
+    fn replace_keys(
         &mut self,
         id: &ids::BackendServerId,
         handle: ServerHandle,
-        before: &Facts,
-        after: &Facts,
+        before: &IndexKeys,
+        after: &IndexKeys,
     ) {
-        let is_placed_alike = before.service == after.service
+        let has_same_placement = before.service == after.service
             && before.zone == after.zone
             && before.slots == after.slots
-            && before.takes_work == after.takes_work;
-        if !is_placed_alike {
-            self.take_out(id, handle, before);
-            self.put_in(id, handle, after);
+            && before.accepts_work == after.accepts_work;
+        if !has_same_placement {
+            self.remove_from_zone(id, handle, before);
+            self.add_to_zone(id, handle, after);
         }
-        self.move_flights(before, after);
-        set(&mut self.awaiting_probe, handle, after.awaits_probe);
-        set(&mut self.lapsing, handle, after.is_lapsing);
-        set(&mut self.with_news, handle, after.has_news);
-        set(&mut self.in_use, handle, after.in_flight > 0);
+        self.update_in_flight(before, after);
+        set_membership(&mut self.awaiting_probe, handle, after.awaits_probe);
+        set_membership(&mut self.expiring, handle, after.is_expiring);
+        set_membership(
+            &mut self.with_unreported_state,
+            handle,
+            after.has_unreported_state,
+        );
+        set_membership(&mut self.in_use, handle, after.in_flight > 0);
     }
 
-    fn take_out(&mut self, id: &ids::BackendServerId, handle: ServerHandle, facts: &Facts) {
-        let (Some(service), Some(zone)) = (&facts.service, facts.zone) else {
+    fn remove_from_zone(
+        &mut self,
+        id: &ids::BackendServerId,
+        handle: ServerHandle,
+        keys: &IndexKeys,
+    ) {
+        let (Some(service), Some(zone)) = (&keys.service, keys.zone) else {
             return;
         };
-        let Some(servers) = self.services.get_mut(service).filter(|_| facts.takes_work) else {
+        let Some(servers) = self.services.get_mut(service).filter(|_| keys.accepts_work) else {
             return;
         };
-        let of_zone = servers.zone_mut(zone);
-        of_zone.ring.remove(id, handle, facts.slots);
-        of_zone.servers -= 1;
-        of_zone.slots -= u64::from(facts.slots);
+        let zone_servers = servers.zone_mut(zone);
+        zone_servers.ring.remove(id, handle, keys.slots);
+        zone_servers.servers -= 1;
+        zone_servers.slots -= u64::from(keys.slots);
     }
 
-    fn put_in(&mut self, id: &ids::BackendServerId, handle: ServerHandle, facts: &Facts) {
-        let (Some(service), Some(zone)) = (&facts.service, facts.zone) else {
+    fn add_to_zone(&mut self, id: &ids::BackendServerId, handle: ServerHandle, keys: &IndexKeys) {
+        let (Some(service), Some(zone)) = (&keys.service, keys.zone) else {
             return;
         };
         let topology = &self.topology;
@@ -291,34 +299,34 @@
             .services
             .entry(service.clone())
             .or_insert_with(|| ServiceServers::new(topology));
-        if !facts.takes_work {
+        if !keys.accepts_work {
             return;
         }
-        let of_zone = servers.zone_mut(zone);
-        of_zone.ring.insert(id, handle, facts.slots);
-        of_zone.servers += 1;
-        of_zone.slots += u64::from(facts.slots);
+        let zone_servers = servers.zone_mut(zone);
+        zone_servers.ring.insert(id, handle, keys.slots);
+        zone_servers.servers += 1;
+        zone_servers.slots += u64::from(keys.slots);
     }
 
-    fn move_flights(&mut self, before: &Facts, after: &Facts) {
-        for (facts, is_after) in [(before, false), (after, true)] {
-            let (Some(service), Some(zone)) = (&facts.service, facts.zone) else {
+    fn update_in_flight(&mut self, before: &IndexKeys, after: &IndexKeys) {
+        for (keys, is_after) in [(before, false), (after, true)] {
+            let (Some(service), Some(zone)) = (&keys.service, keys.zone) else {
                 continue;
             };
             let region = self.topology.region_of(zone);
             if let Some(servers) = self.services.get_mut(service) {
-                let (gone, come) = if is_after {
-                    (0, facts.in_flight)
+                let (removed, added) = if is_after {
+                    (0, keys.in_flight)
                 } else {
-                    (facts.in_flight, 0)
+                    (keys.in_flight, 0)
                 };
-                servers.load_mut(region).change_in_flight(gone, come);
+                servers.load_mut(region).change_in_flight(removed, added);
             }
         }
     }
 }
 
-fn set(handles: &mut BTreeSet<ServerHandle>, handle: ServerHandle, is_in: bool) {
+fn set_membership(handles: &mut BTreeSet<ServerHandle>, handle: ServerHandle, is_in: bool) {
     if is_in {
         handles.insert(handle);
     } else {
--- a/crates/damaskvane-routing/src/pool/service_servers.rs
+++ b/crates/damaskvane-routing/src/pool/service_servers.rs
@@ -1,22 +1,22 @@
-//! The servers of one service that take new work, by availability zone.
+//! The servers of one service that accept new requests, by availability zone.
 
 use damaskvane_core::time::TimeMs;
 
 use crate::pool::region_load::RegionLoad;
 use crate::pool::{RegionIndex, Ring, Topology, ZoneIndex};
 
-/// The servers of a zone that take new work.
+/// The servers of a service in one zone that accept new requests.
 #[derive(Debug, Default)]
 pub struct ZoneServers {
-    /// The servers, for placement by object.
+    /// Consistent hash ring of the servers, for placement by object.
     pub ring: Ring,
-    /// How many they are.
+    /// Number of servers.
     pub servers: usize,
-    /// Their slots.
+    /// Total number of slots.
     pub slots: u64,
 }
 
-/// The servers of a service that take new work, kept as servers come, go and change.
+/// The servers of a service that accept new requests, updated as servers join, leave and change.
 #[derive(Debug)]
 pub struct ServiceServers {
     zones: Vec<ZoneServers>,
@@ -24,7 +24,7 @@
 }
 
 impl ServiceServers {
-    /// No server yet.
+    /// Returns a value without servers for the zones and regions of a topology.
     pub(super) fn new(topology: &Topology) -> Self {
         Self {
             zones: topology.zones().map(|_| ZoneServers::default()).collect(),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The servers of a zone.
+    /// Returns the servers in a zone.
     #[must_use]
     pub fn zone(&self, zone: ZoneIndex) -> &ZoneServers {
         &self.zones[zone.get()]
@@ -46,7 +46,8 @@
         &mut self.regions[region.get()]
     }
 
-    /// The load for each slot of a region's servers, as they and this instance's requests show it.
+    /// Returns the load per slot of the servers in a region, estimated from the servers' reports and from this
+    /// instance's requests.
     #[must_use]
     pub fn load(&self, now: TimeMs, topology: &Topology, region: RegionIndex) -> f64 {
         let zones = topology.zones();
--- a/crates/damaskvane-routing/src/pool/settings.rs
+++ b/crates/damaskvane-routing/src/pool/settings.rs
@@ -1,17 +1,17 @@
-//! Settings of the pool.
+//! Settings of the pool: limits on cold servers, the grace time of entries, and regions.
 
 use damaskvane_core::ids;
 
 use crate::limit::ColdRateSettings;
 
-/// What the pool must know of its surroundings.
+/// Settings of a [`ServerPool`](crate::pool::ServerPool).
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolSettings {
-    /// The bound on cold servers.
+    /// Limit on the rate of requests to a cold server.
     pub cold_rate: ColdRateSettings,
-    /// How long an entry that lapsed while the store was away may be missing after its return.
+    /// Time for which a server is retained if its entry is missing when the store returns from an outage.
     pub expiry_grace_ms: u64,
-    /// The region of each availability zone.
+    /// Region of each availability zone.
     pub regions: std::collections::HashMap<ids::AvailabilityZoneId, ids::RegionId>,
 }
 
@@ -19,7 +19,7 @@
     fn default() -> Self {
         Self {
             cold_rate: ColdRateSettings::default(),
-            // Servers write every 1 to 2 seconds; a live one is back within this time.
+            // Servers write their entries every 1 to 2 seconds, so a live server has written within this time.
             expiry_grace_ms: 2_200,
             regions: std::collections::HashMap::new(),
         }
--- a/crates/damaskvane-routing/src/pool/speed.rs
+++ b/crates/damaskvane-routing/src/pool/speed.rs
@@ -1,23 +1,23 @@
-//! How long work takes, usually and on one server.
+//! How long requests usually take on a route, and how much slower than usual a server is.
 
 use std::collections::HashMap;
 
-/// The weight of a new sample in a usual time.
+/// Weight of a new sample in the moving average of a route's time.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// The usual time of a route's requests, without the way there and back.
+/// Average times of a route's requests in milliseconds, without the network round trip.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Baseline {
-    /// On a server that has handled the object lately.
+    /// Time on a server that has handled the object recently.
     pub warm_ms: f64,
-    /// On any other server.
+    /// Time on a server that hasn't handled the object recently.
     pub first_ms: f64,
-    /// Whether it comes from requests that were seen, and not from a guess.
+    /// Whether `warm_ms` comes from observed requests instead of an estimate.
     pub is_measured: bool,
 }
 
 impl Baseline {
-    /// A guess from the route's objective, which holds until requests have been seen.
+    /// Returns an estimate from the route's response time objective, which applies until requests are observed.
     #[must_use]
     pub fn guess(objective_ms: u64) -> Self {
         let objective_ms = objective_ms as f64;
@@ -28,22 +28,23 @@
         }
     }
 
-    /// The usual time where the object is warm with this probability.
+    /// Returns the expected time in milliseconds if the server has handled the object recently with probability
+    /// `warm_probability`.
     #[must_use]
-    pub fn expected_ms(&self, warm_chance: f64) -> f64 {
+    pub fn expected_ms(&self, warm_probability: f64) -> f64 {
         self.warm_ms
-            .mul_add(warm_chance, self.first_ms * (1.0 - warm_chance))
+            .mul_add(warm_probability, self.first_ms * (1.0 - warm_probability))
     }
 }
 
-/// The usual times of all routes.
+/// The average times of all routes, by the names of the routes.
 #[derive(Debug, Default)]
 pub struct Baselines {
     routes: HashMap<String, Baseline>,
 }
 
 impl Baselines {
-    /// The usual times of a route.
+    /// Returns the average times of a route, or an estimate from its objective if no request was observed.
     #[must_use]
     pub fn of(&self, route: &str, objective_ms: u64) -> Baseline {
         self.routes
@@ -52,25 +53,25 @@
             .unwrap_or_else(|| Baseline::guess(objective_ms))
     }
 
-    /// Notes one request's time.
+    /// Records the time of a request; `is_warm` is whether the server had handled the object recently.
     pub fn record(&mut self, route: &str, objective_ms: u64, is_warm: bool, took_ms: f64) {
         let mut baseline = self.of(route, objective_ms);
         baseline.is_measured |= is_warm;
-        let usual = if is_warm {
+        let average = if is_warm {
             &mut baseline.warm_ms
         } else {
             &mut baseline.first_ms
         };
-        // One outlier moves the usual time by a few percent at most, so that a slow server does not
-        // become the measure for all others.
-        let bounded = took_ms.min(*usual * 2.0);
-        *usual += (bounded - *usual) * SAMPLE_WEIGHT;
+        // A single outlier changes the average by a few percent at most, so that a slow server doesn't raise the
+        // baseline for all other servers.
+        let bounded = took_ms.min(*average * 2.0);
+        *average += (bounded - *average) * SAMPLE_WEIGHT;
         baseline.first_ms = baseline.first_ms.max(baseline.warm_ms);
         self.routes.insert(route.to_owned(), baseline);
     }
 }
 
-/// How much longer than usual one server takes.
+/// Ratio of the time that a server takes to the usual time of the requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Slowness {
     ratio: f64,
@@ -82,32 +83,33 @@
     }
 }
 
-/// The highest ratio that is told apart.
-const MOST_RATIO: f64 = 10.0;
-/// The weight of a new sample in a server's ratio: three slow answers show a slow server.
+/// Highest ratio; higher values count as this one.
+const MAX_RATIO: f64 = 10.0;
+/// Weight of a new sample in a server's ratio; three slow responses are enough to detect a slow server.
 const RATIO_WEIGHT: f64 = 0.3;
 
 impl Slowness {
-    /// Notes a request that took `took_ms` where `expected_ms` is usual.
-    pub(super) fn note(&mut self, took_ms: f64, expected_ms: f64) {
-        let ratio = (took_ms / expected_ms.max(1.0)).clamp(0.3, MOST_RATIO);
+    /// Records a request that took `took_ms`, where `expected_ms` is usual.
+    pub(super) fn record(&mut self, took_ms: f64, expected_ms: f64) {
+        let ratio = (took_ms / expected_ms.max(1.0)).clamp(0.3, MAX_RATIO);
         self.ratio += (ratio - self.ratio) * RATIO_WEIGHT;
     }
 
-    /// A finding that was told.
-    pub(super) const fn of(ratio: f64) -> Self {
+    /// Returns the slowness that a peer reported, limited to the range from 1 to the maximum.
+    pub(super) const fn from_ratio(ratio: f64) -> Self {
         Self {
-            ratio: ratio.clamp(1.0, MOST_RATIO),
+            ratio: ratio.clamp(1.0, MAX_RATIO),
         }
     }
 
-    /// Lets an old finding fade, so that a server which is well again gets work again.
-    pub(super) fn fade(&mut self, elapsed_ms: u64) {
-        let keep = (-(elapsed_ms as f64) / 6_000.0).exp();
-        self.ratio = 1.0 + (self.ratio - 1.0) * keep;
+    /// Moves the ratio towards 1 with a time constant of 6 s, so that a server that has recovered receives requests
+    /// again.
+    pub(super) fn decay(&mut self, elapsed_ms: u64) {
+        let weight = (-(elapsed_ms as f64) / 6_000.0).exp();
+        self.ratio = 1.0 + (self.ratio - 1.0) * weight;
     }
 
-    /// The ratio; 1 is usual.
+    /// Returns the ratio; 1 is usual.
     #[must_use]
     pub(super) const fn ratio(self) -> f64 {
         self.ratio
--- a/crates/damaskvane-routing/src/pool/topology.rs
+++ b/crates/damaskvane-routing/src/pool/topology.rs
@@ -1,4 +1,4 @@
-//! Availability zones and regions by number, so that decisions sum and compare without names.
+//! Availability zones and regions by number, so that routing decisions index tables instead of comparing names.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -13,7 +13,7 @@
 pub struct RegionIndex(usize);
 
 impl ZoneIndex {
-    /// The number, for a table with an entry a zone.
+    /// Returns the number, for use as an index into a table with one entry for each zone.
     #[must_use]
     pub const fn get(self) -> usize {
         self.0
@@ -21,7 +21,7 @@
 }
 
 impl RegionIndex {
-    /// The number, for a table with an entry a region.
+    /// Returns the number, for use as an index into a table with one entry for each region.
     #[must_use]
     pub const fn get(self) -> usize {
         self.0
@@ -40,7 +40,7 @@
     zones: usize,
 }
 
-/// The zones of a deployment and the regions that they lie in.
+/// The availability zones of a deployment and their regions.
 #[derive(Debug, Default)]
 pub struct Topology {
     zones: Vec<Zone>,
@@ -49,7 +49,8 @@
 }
 
 impl Topology {
-    /// Numbers zones and regions in the order of their names, which is the same on all instances.
+    /// Returns a topology in which zones and regions are numbered in the order of their names, the same on all
+    /// instances.
     #[must_use]
     pub fn new(region_of: &HashMap<ids::AvailabilityZoneId, ids::RegionId>) -> Self {
         let names: BTreeSet<&ids::RegionId> = region_of.values().collect();
@@ -73,41 +74,41 @@
         topology
     }
 
-    /// All zones.
+    /// Returns all zones in the order of their names.
     pub fn zones(&self) -> impl Iterator<Item = ZoneIndex> + use<> {
         (0..self.zones.len()).map(ZoneIndex)
     }
 
-    /// All regions.
+    /// Returns all regions in the order of their names.
     pub fn regions(&self) -> impl Iterator<Item = RegionIndex> + use<> {
         (0..self.regions.len()).map(RegionIndex)
     }
 
-    /// A zone by its name.
+    /// Returns the number of a zone, or `None` if the topology doesn't contain the zone.
     #[must_use]
     pub fn zone(&self, id: &ids::AvailabilityZoneId) -> Option<ZoneIndex> {
         self.by_zone.get(id).copied()
     }
 
-    /// A zone's name.
+    /// Returns the name of a zone.
     #[must_use]
     pub fn zone_id(&self, zone: ZoneIndex) -> &ids::AvailabilityZoneId {
         &self.zones[zone.0].id
     }
 
-    /// The region that a zone lies in.
+    /// Returns the region of a zone.
     #[must_use]
     pub fn region_of(&self, zone: ZoneIndex) -> RegionIndex {
         self.zones[zone.0].region
     }
 
-    /// A region's name.
+    /// Returns the name of a region.
     #[must_use]
     pub fn region_id(&self, region: RegionIndex) -> &ids::RegionId {
         &self.regions[region.0].id
     }
 
-    /// How many zones a region has.
+    /// Returns the number of zones in a region.
     #[must_use]
     pub fn zones_in(&self, region: RegionIndex) -> usize {
         self.regions[region.0].zones
