--- a/crates/damaskvane-gateway/src/clients/routed_request.rs
+++ b/crates/damaskvane-gateway/src/clients/routed_request.rs
@@ -67,7 +67,7 @@
                 self.tried.push(pick.server);
                 return self.respond_timeout();
             };
-            self.progress.note(outcome.end);
+            self.progress.record(outcome.end);
             self.record_exchange(&pick, &outcome);
             if outcome.end == ExchangeEnd::Failed {
                 self.failed_response = outcome.response.take();
@@ -143,7 +143,7 @@
         };
         let mut running = pin!(exchange.run());
         let remaining_time = remaining(self.node, self.deadline);
-        let timeout_ms = retry::patience_ms(
+        let timeout_ms = retry::attempt_timeout_ms(
             self.route,
             pick,
             &self.progress,
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -162,7 +162,7 @@
         let now = node.now();
         let (reports, neighbours) = {
             let mut state = node.state.borrow_mut();
-            let reports = state.pool.tell_servers(now, MAX_SERVERS_PER_REPORT);
+            let reports = state.pool.take_server_reports(now, MAX_SERVERS_PER_REPORT);
             (reports, state.members.neighbours(now))
         };
         let recipient_count = u32::try_from(neighbours.len()).unwrap_or(u32::MAX);
@@ -306,7 +306,10 @@
             Some(Message::Incident(incident)) => crashes::apply_peer_incident(&node, &incident),
             Some(Message::ServerReports(reports)) => {
                 let now = node.now();
-                node.state.borrow_mut().pool.apply_server_reports(now, &reports);
+                node.state
+                    .borrow_mut()
+                    .pool
+                    .apply_server_reports(now, &reports);
             }
             Some(Message::PopularityReport(report)) => {
                 let now = node.now();
--- a/crates/damaskvane-gateway/src/peers/message.rs
+++ b/crates/damaskvane-gateway/src/peers/message.rs
@@ -8,7 +8,7 @@
 use damaskvane_dispatch::quarantine::Incident;
 use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, Phase};
 use damaskvane_routing::placement::{ObjectSample, PopularityDecision, PopularityReport, RouteKey};
-use damaskvane_routing::pool::{LoadReport, ServerKey, PeerHealthReport, PeerServerReport};
+use damaskvane_routing::pool::{LoadReport, PeerHealthReport, PeerServerReport, ServerKey};
 use serde::{Deserialize, Serialize};
 
 use crate::costs::Flow;
--- a/crates/damaskvane-gateway/src/settings.rs
+++ b/crates/damaskvane-gateway/src/settings.rs
@@ -147,7 +147,7 @@
                 ..limit::ColdRateSettings::default()
             },
             regions: self.regions.clone(),
-            lapse_grace_ms: expiry_grace_ms(self.contact_ms),
+            expiry_grace_ms: expiry_grace_ms(self.contact_ms),
         }
     }
 
--- a/crates/damaskvane-gateway/src/store/journal.rs
+++ b/crates/damaskvane-gateway/src/store/journal.rs
@@ -114,13 +114,13 @@
             Since::UpToDate => JournalRead::UpToDate,
             Since::Next(batch) => JournalRead::Batch(batch.clone()),
             // The retained changes still begin at the revision of the list.
-            Since::Gone { .. } if entry.log.start() == entry.listing.revision => {
+            Since::Compacted { .. } if entry.log.start() == entry.listing.revision => {
                 let mut listing = entry.listing.clone();
                 listing.revision = entry.log.end();
                 listing.changes.extend(entry.log.bodies().cloned());
                 JournalRead::Listing(listing)
             }
-            Since::Gone { resume_at } => JournalRead::HistoryGone { resume_at },
+            Since::Compacted { resume_at } => JournalRead::HistoryGone { resume_at },
         }
     }
 
--- a/crates/damaskvane-gateway/tests/datagrams.rs
+++ b/crates/damaskvane-gateway/tests/datagrams.rs
@@ -8,7 +8,7 @@
 use damaskvane_gateway::peers::Message;
 use damaskvane_routing::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, Phase};
 use damaskvane_routing::placement::{ObjectSample, POPULARITY_STEPS, PopularityDecision, RouteKey};
-use damaskvane_routing::pool::{LoadReport, ServerKey, PeerHealthReport, PeerServerReport};
+use damaskvane_routing::pool::{LoadReport, PeerHealthReport, PeerServerReport, ServerKey};
 use proptest::prelude::*;
 
 /// Largest datagram that an instance receives, in bytes.
