--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -230,7 +230,7 @@
                 self.opened(service, &server);
                 Some(taken)
             }
-            Err(permit::Lapsed(returned)) => {
+            Err(permit::LeaseExpired(returned)) => {
                 self.slots.count_lapsed();
                 let actions = self.slots.finish(now, &returned, exchange::Finish::Ended);
                 self.actions.extend(actions);
--- a/crates/damaskvane-slots/src/permit.rs
+++ b/crates/damaskvane-slots/src/permit.rs
@@ -34,7 +34,7 @@
 
 /// the slot lease lapsed before the request was sent; give the permit back and begin again
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-pub struct Lapsed(pub Returned);
+pub struct LeaseExpired(pub Returned);
 
 /// the slot lease lapsed while the request was being written; cancel it at the backend server at once
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
@@ -110,11 +110,11 @@
     ///
     /// # Errors
     ///
-    /// [`Lapsed`] if the lease is over.
-    pub fn send(mut self, now: time::TimeMs) -> Result<Permit<Sending>, Lapsed> {
+    /// [`LeaseExpired`] if the lease is over.
+    pub fn send(mut self, now: time::TimeMs) -> Result<Permit<Sending>, LeaseExpired> {
         self.deadline_ms = self.lapses_at.since(now).min(self.wanted_ms);
         if self.deadline_ms == time::SpanMs::ZERO {
-            return Err(Lapsed(self.returned));
+            return Err(LeaseExpired(self.returned));
         }
         self.returned.ends_by = now + self.deadline_ms;
         Ok(self.into_state())
