--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -231,7 +231,7 @@
                 Some(taken)
             }
             Err(permit::LeaseExpired(returned)) => {
-                self.slots.count_lapsed();
+                self.slots.count_expired();
                 let actions = self.slots.finish(now, &returned, exchange::Finish::Ended);
                 self.actions.extend(actions);
                 None
--- a/crates/damaskvane-slots/src/exchange/aggregate.rs
+++ b/crates/damaskvane-slots/src/exchange/aggregate.rs
@@ -160,7 +160,7 @@
     }
 
     /// Counts a permit whose lease lapsed before the request was sent.
-    pub const fn count_lapsed(&mut self) {
+    pub const fn count_expired(&mut self) {
         self.counters.lapsed += 1;
     }
 
