--- a/crates/damaskvane-bench/src/slots/lease.rs
+++ b/crates/damaskvane-bench/src/slots/lease.rs
@@ -158,7 +158,12 @@
         }
     }
 
-    pub(super) fn finish(&mut self, now: time::TimeMs, instance: usize, permit: &permit::Returned) {
+    pub(super) fn finish(
+        &mut self,
+        now: time::TimeMs,
+        instance: usize,
+        permit: &permit::ReleasedPermit,
+    ) {
         let actions = self.exchanges[instance].finish(now, permit, exchange::Finish::Ended);
         self.perform(now, instance, actions);
     }
--- a/crates/damaskvane-bench/src/slots/zone.rs
+++ b/crates/damaskvane-bench/src/slots/zone.rs
@@ -65,7 +65,7 @@
     ends_at: time::TimeMs,
     instance: usize,
     server: usize,
-    permit: Option<permit::Returned>,
+    permit: Option<permit::ReleasedPermit>,
 }
 
 /// A zone under load.
@@ -198,7 +198,7 @@
         &mut self,
         now: time::TimeMs,
         instance: usize,
-    ) -> Option<(usize, u64, Option<permit::Returned>)> {
+    ) -> Option<(usize, u64, Option<permit::ReleasedPermit>)> {
         match self.way {
             Way::Lease => {
                 let permit = self.leases.begin(now, instance, SERVERS)?;
@@ -211,7 +211,10 @@
         }
     }
 
-    fn through_owner(&mut self, instance: usize) -> Option<(usize, u64, Option<permit::Returned>)> {
+    fn through_owner(
+        &mut self,
+        instance: usize,
+    ) -> Option<(usize, u64, Option<permit::ReleasedPermit>)> {
         let mut order: Vec<usize> = (0..SERVERS).collect();
         order.sort_by_key(|server| self.owners[*server] != instance);
         let server = order.into_iter().find(|server| {
--- a/crates/damaskvane-slots/src/exchange/aggregate.rs
+++ b/crates/damaskvane-slots/src/exchange/aggregate.rs
@@ -9,7 +9,7 @@
 use crate::exchange::event::{Action, Event, ServerSlots};
 use crate::exchange::server::{Ownership, Sender, Server};
 use crate::message::{Addressed, SlotMessage};
-use crate::permit::{Permit, Ready, Returned};
+use crate::permit::{Permit, Ready, ReleasedPermit};
 use crate::settings::SlotSettings;
 
 /// Why there is no permit.
@@ -146,7 +146,12 @@
     }
 
     /// Gives a slot back that was in use.
-    pub fn finish(&mut self, now: time::TimeMs, permit: &Returned, how: Finish) -> Vec<Action> {
+    pub fn finish(
+        &mut self,
+        now: time::TimeMs,
+        permit: &ReleasedPermit,
+        how: Finish,
+    ) -> Vec<Action> {
         self.now = self.now.max(now);
         let still_runs_until = match how {
             Finish::Ended => None,
--- a/crates/damaskvane-slots/src/permit.rs
+++ b/crates/damaskvane-slots/src/permit.rs
@@ -34,15 +34,15 @@
 
 /// the slot lease lapsed before the request was sent; give the permit back and begin again
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-pub struct LeaseExpired(pub Returned);
+pub struct LeaseExpired(pub ReleasedPermit);
 
 /// the slot lease lapsed while the request was being written; cancel it at the backend server at once
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-pub struct SentLate(pub Returned);
+pub struct SentLate(pub ReleasedPermit);
 
 /// What remains of a permit; it is handed to [`crate::exchange::SlotExchange::finish`].
 #[derive(Debug)]
-pub struct Returned {
+pub struct ReleasedPermit {
     pub(crate) server: ids::BackendServerId,
     pub(crate) number: GrantNumber,
     /// When the backend server has stopped the work, if it was ever sent.
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 #[must_use = "a permit that is dropped blocks its slot until the lease lapses"]
 pub struct Permit<S> {
-    returned: Returned,
+    returned: ReleasedPermit,
     lapses_at: time::TimeMs,
     wanted_ms: time::SpanMs,
     deadline_ms: time::SpanMs,
@@ -69,7 +69,7 @@
 
     /// What [`crate::exchange::SlotExchange::finish`] takes.
     #[must_use]
-    pub fn into_returned(self) -> Returned {
+    pub fn into_returned(self) -> ReleasedPermit {
         self.returned
     }
 
@@ -92,7 +92,7 @@
         lapses_at: time::TimeMs,
         wanted_ms: time::SpanMs,
     ) -> Self {
-        let returned = Returned {
+        let returned = ReleasedPermit {
             server,
             number,
             ends_by: now,
--- a/crates/damaskvane-slots/tests/common/mod.rs
+++ b/crates/damaskvane-slots/tests/common/mod.rs
@@ -47,7 +47,7 @@
     server: ids::BackendServerId,
     instance: ids::InstanceId,
     incarnation: u64,
-    permit: Option<permit::Returned>,
+    permit: Option<permit::ReleasedPermit>,
 }
 
 #[derive(Debug)]
--- a/crates/damaskvane-slots/tests/common/requests.rs
+++ b/crates/damaskvane-slots/tests/common/requests.rs
@@ -87,7 +87,7 @@
     pub(super) fn finish(
         &mut self,
         name: &ids::InstanceId,
-        permit: Option<permit::Returned>,
+        permit: Option<permit::ReleasedPermit>,
         how: exchange::Finish,
     ) {
         let (Some(instance), Some(permit)) = (self.instances.get_mut(name), permit) else {
