--- a/crates/damaskvane-bench/src/slots/zone.rs
+++ b/crates/damaskvane-bench/src/slots/zone.rs
@@ -202,7 +202,7 @@
         match self.way {
             Way::Lease => {
                 let permit = self.leases.begin(now, instance, SERVERS)?;
-                Some((0, 0, Some(permit.into_returned())))
+                Some((0, 0, Some(permit.into_released())))
             }
             Way::Share => (0..SERVERS)
                 .find(|server| self.used_by(instance, *server) < self.share(instance))
--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -305,7 +305,7 @@
         if let Some(pool) = self.pools.get_mut(service) {
             pool.ended(&server, outcome, now);
         }
-        let actions = self.slots.finish(now, &taken.into_returned(), finish);
+        let actions = self.slots.finish(now, &taken.into_released(), finish);
         self.actions.extend(actions);
     }
 
--- a/crates/damaskvane-slots/src/permit.rs
+++ b/crates/damaskvane-slots/src/permit.rs
@@ -69,7 +69,7 @@
 
     /// What [`crate::exchange::SlotExchange::finish`] takes.
     #[must_use]
-    pub fn into_returned(self) -> ReleasedPermit {
+    pub fn into_released(self) -> ReleasedPermit {
         self.returned
     }
 
--- a/crates/damaskvane-slots/tests/common/requests.rs
+++ b/crates/damaskvane-slots/tests/common/requests.rs
@@ -48,7 +48,7 @@
             server: server.clone(),
             instance: name.clone(),
             incarnation,
-            permit: Some(running.into_returned()),
+            permit: Some(running.into_released()),
         });
         self.abandon_sometimes();
     }
