--- a/crates/damaskvane-bench/src/slots/lease.rs
+++ b/crates/damaskvane-bench/src/slots/lease.rs
@@ -12,7 +12,7 @@
     due: time::TimeMs,
     from: usize,
     to: usize,
-    message: message::Addressed,
+    message: message::AddressedMessage,
 }
 
 /// The instances of a zone as they borrow and lend.
--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -116,7 +116,7 @@
         &mut self,
         now: time::TimeMs,
         from: &home::Home,
-        message: message::Addressed,
+        message: message::AddressedMessage,
     ) {
         self.tell(
             now,
--- a/crates/damaskvane-engine/src/peer/peer_message.rs
+++ b/crates/damaskvane-engine/src/peer/peer_message.rs
@@ -38,7 +38,7 @@
     /// A request is suspect no more.
     Cleared(fingerprint::Fingerprint),
     /// About slots of backend servers.
-    Slots(Box<slot_message::Addressed>),
+    Slots(Box<slot_message::AddressedMessage>),
     /// Who answers for a home that has left.
     Departed(departure::Departed),
     /// The sender takes new keys under this home from now on.
--- a/crates/damaskvane-slots/src/exchange/aggregate.rs
+++ b/crates/damaskvane-slots/src/exchange/aggregate.rs
@@ -8,7 +8,7 @@
 use crate::counters::SlotCounters;
 use crate::exchange::event::{Action, Event, ServerSlots};
 use crate::exchange::server::{Ownership, Sender, Server};
-use crate::message::{Addressed, SlotMessage};
+use crate::message::{AddressedMessage, SlotMessage};
 use crate::permit::{Permit, Ready, ReleasedPermit};
 use crate::settings::SlotSettings;
 
@@ -223,7 +223,7 @@
         &mut self,
         from: ids::InstanceId,
         incarnation: ids::Incarnation,
-        message: Addressed,
+        message: AddressedMessage,
     ) {
         let member = self
             .roster
@@ -297,7 +297,7 @@
         }
         let incarnation = to.incarnation;
         let to = to.instance.clone();
-        let message = Addressed {
+        let message = AddressedMessage {
             incarnation,
             message,
         };
--- a/crates/damaskvane-slots/src/exchange/event.rs
+++ b/crates/damaskvane-slots/src/exchange/event.rs
@@ -3,7 +3,7 @@
 use damaskvane_core::{ids, units};
 use damaskvane_membership::view;
 
-use crate::message::Addressed;
+use crate::message::AddressedMessage;
 
 /// A backend server of the own zone and its slots, by the configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,7 +28,7 @@
         /// Which start of the sender it is.
         incarnation: ids::Incarnation,
         /// What it says.
-        message: Addressed,
+        message: AddressedMessage,
     },
     /// Requests wait for a backend server.
     Demand {
@@ -49,7 +49,7 @@
         /// The instance.
         to: ids::InstanceId,
         /// The message.
-        message: Addressed,
+        message: AddressedMessage,
     },
     /// Slots of a backend server have come: try [`crate::exchange::SlotExchange::begin`] again.
     Available {
--- a/crates/damaskvane-slots/src/message.rs
+++ b/crates/damaskvane-slots/src/message.rs
@@ -221,7 +221,7 @@
 /// A message can wait on its way while the instance is replaced. The next start of the instance counts
 /// its asks and claims anew, and would take an old answer for a new one; it drops what is not for it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Addressed {
+pub struct AddressedMessage {
     /// The start of the recipient that is meant.
     #[serde(rename = "i")]
     pub incarnation: ids::Incarnation,
--- a/crates/damaskvane-slots/tests/common/mod.rs
+++ b/crates/damaskvane-slots/tests/common/mod.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone)]
 enum Wire {
     Heartbeat(heartbeat::Heartbeat),
-    Slots(message::Addressed),
+    Slots(message::AddressedMessage),
 }
 
 #[derive(Debug)]
--- a/crates/damaskvane-slots/tests/messages.rs
+++ b/crates/damaskvane-slots/tests/messages.rs
@@ -5,7 +5,7 @@
 use common::{at, id, ms, server, slot_settings};
 use damaskvane_core::{ids, time, units};
 use damaskvane_membership::{ownership, view};
-use damaskvane_slots::message::{Addressed, GrantNumber, SlotMessage};
+use damaskvane_slots::message::{AddressedMessage, GrantNumber, SlotMessage};
 use damaskvane_slots::{connections, exchange};
 
 fn roster(members: &[(&str, u64)]) -> view::Roster {
@@ -60,7 +60,7 @@
     exchange::Event::Message {
         from: from.clone(),
         incarnation: ids::Incarnation::new(1),
-        message: Addressed {
+        message: AddressedMessage {
             incarnation: ids::Incarnation::new(to_incarnation),
             message: SlotMessage::Granted {
                 server: server(0),
