--- a/crates/damaskvane-slots/src/exchange/claiming.rs
+++ b/crates/damaskvane-slots/src/exchange/claiming.rs
@@ -159,7 +159,7 @@
         let unknown = self
             .started_at
             .filter(|_| gone_from.is_some())
-            .map(|started_at| started_at + self.settings.unknown_ms);
+            .map(|started_at| started_at + self.settings.unknown_fence_ms);
         let last = gone_from.max(told).max(unknown);
         last.unwrap_or(self.now).max(self.now)
     }
--- a/crates/damaskvane-slots/src/settings.rs
+++ b/crates/damaskvane-slots/src/settings.rs
@@ -25,7 +25,7 @@
     pub answer_ms: SpanMs,
     /// How long after a start there may be others that were fenced before it and still act: the lag of the
     /// list and the authority of membership together.
-    pub unknown_ms: SpanMs,
+    pub unknown_fence_ms: SpanMs,
     /// How long an owner asks others to make do with a smaller share.
     pub recall_ms: SpanMs,
     /// The time between two such calls while others wait.
@@ -41,7 +41,7 @@
             margin_ms: SpanMs::new(300),
             idle_return_ms: SpanMs::new(500),
             answer_ms: SpanMs::new(300),
-            unknown_ms: SpanMs::new(32_000),
+            unknown_fence_ms: SpanMs::new(32_000),
             recall_ms: SpanMs::new(1_000),
             recall_every_ms: SpanMs::new(20),
             claim_retry_ms: SpanMs::new(300),
--- a/crates/damaskvane-slots/tests/common/setup.rs
+++ b/crates/damaskvane-slots/tests/common/setup.rs
@@ -59,7 +59,7 @@
     settings::SlotSettings {
         lease_ms: ms(1_500),
         margin_ms: ms(200),
-        unknown_ms: ms(5_000),
+        unknown_fence_ms: ms(5_000),
         ..settings::SlotSettings::default()
     }
 }
