--- a/crates/damaskvane-slots/src/counters.rs
+++ b/crates/damaskvane-slots/src/counters.rs
@@ -22,7 +22,7 @@
     /// Times that others were asked to give slots back.
     pub recalled: u64,
     /// Grants borrowed.
-    pub borrowed: u64,
+    pub acquired: u64,
     /// Grants that came when another was the owner already.
     pub late_grants: u64,
     /// Permits whose lease lapsed before the request was sent.
--- a/crates/damaskvane-slots/src/exchange/aggregate.rs
+++ b/crates/damaskvane-slots/src/exchange/aggregate.rs
@@ -73,7 +73,7 @@
                 queued: 0,
                 refused: BTreeMap::new(),
                 recalled: 0,
-                borrowed: 0,
+                acquired: 0,
                 late_grants: 0,
                 lapsed: 0,
                 sent_late: 0,
--- a/crates/damaskvane-slots/src/exchange/borrowing.rs
+++ b/crates/damaskvane-slots/src/exchange/borrowing.rs
@@ -94,7 +94,7 @@
             .pool
             .granted(now, number, slots, lease, &self.settings)
         {
-            self.counters.borrowed += 1;
+            self.counters.acquired += 1;
             let server = name.clone();
             self.actions.push(Action::Available { server });
         } else {
--- a/crates/damaskvane-slots/tests/failures.rs
+++ b/crates/damaskvane-slots/tests/failures.rs
@@ -167,17 +167,17 @@
 #[test]
 fn nobody_is_starved_under_full_load() {
     let mut world = World::busy(&["a-1", "a-2", "a-3"], &[1, 3]);
-    let before: Vec<u64> = borrowed(&world);
+    let before: Vec<u64> = acquired(&world);
     world.run(30_000);
-    for (before, after) in before.iter().zip(borrowed(&world)) {
+    for (before, after) in before.iter().zip(acquired(&world)) {
         assert!(after > before + 3, "{before} then {after} grants");
     }
 }
 
-fn borrowed(world: &World) -> Vec<u64> {
+fn acquired(world: &World) -> Vec<u64> {
     let counters = world.instances.values();
     counters
-        .map(|instance| instance.slots.counters().borrowed)
+        .map(|instance| instance.slots.counters().acquired)
         .collect()
 }
 
--- a/crates/damaskvane-slots/tests/takeover.rs
+++ b/crates/damaskvane-slots/tests/takeover.rs
@@ -60,8 +60,8 @@
         world.start(&newcomer);
         world.run(5_000);
         assert_eq!(world.owner(0), Some(owner), "beside {newcomer}");
-        let borrowed = world.instances[&newcomer].slots.counters().borrowed;
-        assert!(borrowed > 0, "{newcomer} borrowed nothing");
+        let acquired = world.instances[&newcomer].slots.counters().acquired;
+        assert!(acquired > 0, "{newcomer} borrowed nothing");
         runs += 1;
     }
     assert!(runs > 0);
