--- a/crates/damaskvane-entry/src/engine_thread.rs
+++ b/crates/damaskvane-entry/src/engine_thread.rs
@@ -145,7 +145,7 @@
                     "backend_server": server.server,
                     "owner": server.owner,
                     "phase": format!("{:?}", server.phase).to_lowercase(),
-                    "lent": server.lent,
+                    "lent": server.granted,
                     "held": server.held,
                     "busy": server.busy,
                 })
--- a/crates/damaskvane-slots/src/exchange/status.rs
+++ b/crates/damaskvane-slots/src/exchange/status.rs
@@ -28,7 +28,7 @@
     /// Its own part.
     pub phase: OwnerPhase,
     /// What it has lent as the owner.
-    pub lent: units::Slots,
+    pub granted: units::Slots,
     /// What it has borrowed.
     pub held: units::Slots,
     /// What it has in use.
@@ -39,7 +39,7 @@
     /// How each backend server stands.
     pub fn status(&self, now: time::TimeMs) -> impl Iterator<Item = ServerStatus<'_>> {
         self.servers.iter().map(move |(name, server)| {
-            let (phase, lent) = match &server.ownership {
+            let (phase, granted) = match &server.ownership {
                 Ownership::None => (OwnerPhase::None, units::Slots::ZERO),
                 Ownership::Claiming(_) => (OwnerPhase::Claiming, units::Slots::ZERO),
                 Ownership::Waiting(ledger) => (OwnerPhase::Waiting, ledger.granted()),
@@ -49,7 +49,7 @@
                 server: name,
                 owner: server.owner.as_ref(),
                 phase,
-                lent,
+                granted,
                 held: server.pool.held(now),
                 busy: server.pool.busy(now),
             }
--- a/crates/damaskvane-slots/tests/common/trace.rs
+++ b/crates/damaskvane-slots/tests/common/trace.rs
@@ -94,7 +94,7 @@
                     instance: name.clone(),
                     server: status.server.clone(),
                     phase: status.phase,
-                    lent: status.lent.get(),
+                    lent: status.granted.get(),
                     authority_until,
                 };
                 self.trace.happened.push((self.now, phase));
