--- a/crates/damaskvane-slots/src/claim.rs
+++ b/crates/damaskvane-slots/src/claim.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Claim {
     number: u64,
-    asked_at: time::TimeMs,
+    requested_at: time::TimeMs,
     consents: BTreeMap<ids::InstanceId, ids::Incarnation>,
     reports: BTreeMap<GrantKey, Grant>,
     not_before: time::TimeMs,
@@ -37,7 +37,7 @@
     pub const fn new(number: u64, now: time::TimeMs) -> Self {
         Self {
             number,
-            asked_at: now,
+            requested_at: now,
             consents: BTreeMap::new(),
             reports: BTreeMap::new(),
             not_before: time::TimeMs::ZERO,
@@ -52,9 +52,9 @@
 
     /// Whether it is time to ask again; notes that it was done.
     pub fn is_retry_due(&mut self, now: time::TimeMs, every: time::SpanMs) -> bool {
-        let is_due = now.since(self.asked_at) >= every;
+        let is_due = now.since(self.requested_at) >= every;
         if is_due {
-            self.asked_at = now;
+            self.requested_at = now;
         }
         is_due
     }
@@ -79,7 +79,7 @@
     /// Notes a consent and what its giver has borrowed.
     ///
     /// The giver's leases end by its own clock; the owner counts them for a margin longer.
-    pub fn consent(
+    pub fn record_consent(
         &mut self,
         now: time::TimeMs,
         from: ids::InstanceId,
@@ -93,7 +93,7 @@
                 incarnation,
                 number: lease.number,
             };
-            let until = now + lease.left_ms + margin;
+            let until = now + lease.remaining_ms + margin;
             let slots = lease.slots;
             self.reports
                 .insert(key.clone(), Grant { key, slots, until });
@@ -102,7 +102,7 @@
     }
 
     /// Notes that a holder gave slots back that it had reported.
-    pub fn give_back(&mut self, key: &GrantKey, remaining: units::Slots) {
+    pub fn return_slots(&mut self, key: &GrantKey, remaining: units::Slots) {
         if remaining == units::Slots::ZERO {
             self.reports.remove(key);
         } else if let Some(grant) = self.reports.get_mut(key) {
--- a/crates/damaskvane-slots/src/connections.rs
+++ b/crates/damaskvane-slots/src/connections.rs
@@ -16,7 +16,7 @@
 
 /// all {share} connections of this instance's share are open; wait for one to close, or raise the backend server's connection limit
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-pub struct ConnectionsUsedUp {
+pub struct ConnectionsExhausted {
     /// The share of one instance.
     pub share: u32,
 }
@@ -55,10 +55,10 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectionsUsedUp`] if the share is open already.
-    pub const fn open(&mut self) -> Result<(), ConnectionsUsedUp> {
+    /// [`ConnectionsExhausted`] if the share is open already.
+    pub const fn open(&mut self) -> Result<(), ConnectionsExhausted> {
         if self.in_use >= self.share {
-            return Err(ConnectionsUsedUp { share: self.share });
+            return Err(ConnectionsExhausted { share: self.share });
         }
         self.in_use += 1;
         Ok(())
--- a/crates/damaskvane-slots/src/counters.rs
+++ b/crates/damaskvane-slots/src/counters.rs
@@ -26,7 +26,7 @@
     /// Grants that came when another was the owner already.
     pub late_grants: u64,
     /// Permits whose lease lapsed before the request was sent.
-    pub lapsed: u64,
+    pub expired: u64,
     /// Requests sent after their lease had lapsed, because the process was paused.
     pub sent_late: u64,
     /// Claims that were completed by a ledger.
--- a/crates/damaskvane-slots/src/exchange.rs
+++ b/crates/damaskvane-slots/src/exchange.rs
@@ -23,7 +23,7 @@
 //! let limits = vec![exchange::ServerSlots { server: server.clone(), slots: units::Slots::new(6) }];
 //! slots.handle(time::TimeMs::new(0), exchange::Event::Servers(limits));
 //! slots.handle(time::TimeMs::new(0), exchange::Event::Roster(roster));
-//! // An earlier owner may have lent slots: nothing is lent until that must have lapsed.
+//! // An earlier owner may have lent slots: nothing is lent until that must have expired.
 //! let now = time::TimeMs::new(5_300);
 //! slots.handle(now, exchange::Event::Tick);
 //! let demand = exchange::Event::Demand { server: server.clone(), waiting: units::Slots::new(1) };
@@ -33,12 +33,12 @@
 //! # Ok::<(), ids::ParseIdError>(())
 //! ```
 
+mod acquiring;
 mod aggregate;
 mod assignment;
-mod borrowing;
 mod claiming;
 mod event;
-mod lending;
+mod granting;
 mod server;
 mod status;
 
--- a/crates/damaskvane-slots/src/exchange/borrowing.rs
+++ b/crates/damaskvane-slots/src/exchange/acquiring.rs
@@ -4,13 +4,13 @@
 
 use crate::exchange::aggregate::SlotExchange;
 use crate::exchange::event::Action;
-use crate::exchange::server::Sender;
-use crate::holder::Wish;
+use crate::exchange::server::InstanceIncarnation;
+use crate::holder::LeaseOp;
 use crate::message::{GrantNumber, RefusalReason, SlotMessage};
 
 impl SlotExchange {
-    pub(super) fn demand(&mut self, name: &ids::BackendServerId, waiting: units::Slots) {
-        let (now, answer) = (self.now, self.settings.answer_ms);
+    pub(super) fn handle_demand(&mut self, name: &ids::BackendServerId, waiting: units::Slots) {
+        let (now, timeout) = (self.now, self.settings.response_timeout_ms);
         let Some(server) = self.servers.get_mut(name) else {
             return;
         };
@@ -19,11 +19,11 @@
         };
         // An instance that is leaving owns nothing any more but still borrows: clients come to it until
         // their look-up answers have run out, and would wait for nothing here.
-        let slots = server.pool.wanted(now, waiting, answer);
+        let slots = server.pool.slots_to_acquire(now, waiting, timeout);
         if slots == units::Slots::ZERO {
             return;
         }
-        let number = server.pool.ask(now, slots);
+        let number = server.pool.record_acquire(now, slots);
         let message = SlotMessage::Acquire {
             server: name.clone(),
             number,
@@ -32,7 +32,11 @@
         self.send(&owner, message);
     }
 
-    pub(super) fn borrow(&mut self, from: &Sender, message: &SlotMessage) {
+    pub(super) fn handle_owner_message(
+        &mut self,
+        from: &InstanceIncarnation,
+        message: &SlotMessage,
+    ) {
         let name = message.server().clone();
         let (now, settings) = (self.now, self.settings.clone());
         let Some(server) = self.servers.get_mut(&name) else {
@@ -50,16 +54,16 @@
                 slots,
                 lease_ms,
                 ..
-            } => self.take_grant(&name, number, slots, lease_ms),
+            } => self.apply_grant(&name, number, slots, lease_ms),
             SlotMessage::Refused {
                 number,
                 reason,
                 retry_after_ms,
                 ..
             } => {
-                server.pool.refused(number, now + retry_after_ms);
+                server.pool.apply_refusal(number, now + retry_after_ms);
                 if reason == RefusalReason::NotOwner {
-                    self.leave_owner(&name);
+                    self.reset_owner(&name);
                 }
             }
             SlotMessage::Renewed {
@@ -67,16 +71,18 @@
                 attempt,
                 lease_ms,
                 ..
-            } => server.pool.renewed(number, attempt, lease_ms, &settings),
+            } => server
+                .pool
+                .apply_renewal(number, attempt, lease_ms, &settings),
             SlotMessage::Recall { keep, .. } => {
-                server.pool.recall(now, keep, &settings);
+                server.pool.apply_recall(now, keep, &settings);
                 self.return_excess(&name);
             }
             _ => {}
         }
     }
 
-    fn take_grant(
+    fn apply_grant(
         &mut self,
         name: &ids::BackendServerId,
         number: GrantNumber,
@@ -92,34 +98,36 @@
         let now = self.now;
         if server
             .pool
-            .granted(now, number, slots, lease, &self.settings)
+            .apply_grant(now, number, slots, lease, &self.settings)
         {
             self.counters.acquired += 1;
             let server = name.clone();
             self.actions.push(Action::Available { server });
         } else {
             // It came too late to be of use. Given back it serves others before it lapses.
-            self.give_back(name, number, units::Slots::ZERO);
+            self.send_return(name, number, units::Slots::ZERO);
         }
     }
 
-    pub(super) fn tick_borrowing(&mut self, name: &ids::BackendServerId) {
+    pub(super) fn tick_acquiring(&mut self, name: &ids::BackendServerId) {
         let is_leaving = self.is_leaving();
         if let Some(server) = self.servers.get_mut(name) {
-            let wishes = server.pool.tick(self.now, is_leaving, &self.settings);
-            self.grant_wishes(name, wishes);
+            let requests = server.pool.tick(self.now, is_leaving, &self.settings);
+            self.send_requests(name, requests);
         }
     }
 
     pub(super) fn return_excess(&mut self, name: &ids::BackendServerId) {
         let is_leaving = self.is_leaving();
         if let Some(server) = self.servers.get_mut(name) {
-            let wishes = server.pool.returns(self.now, is_leaving, &self.settings);
-            self.grant_wishes(name, wishes);
+            let requests = server
+                .pool
+                .collect_returns(self.now, is_leaving, &self.settings);
+            self.send_requests(name, requests);
         }
     }
 
-    fn grant_wishes(&mut self, name: &ids::BackendServerId, wishes: Vec<Wish>) {
+    fn send_requests(&mut self, name: &ids::BackendServerId, requests: Vec<LeaseOp>) {
         let owner = self
             .servers
             .get(name)
@@ -127,10 +135,10 @@
         let Some(owner) = owner else {
             return;
         };
-        for wish in wishes {
-            match wish {
-                Wish::Return { number, remaining } => self.give_back(name, number, remaining),
-                Wish::Renew { number, attempt } => {
+        for request in requests {
+            match request {
+                LeaseOp::Return { number, remaining } => self.send_return(name, number, remaining),
+                LeaseOp::Renew { number, attempt } => {
                     let message = SlotMessage::Renew {
                         server: name.clone(),
                         number,
@@ -142,7 +150,7 @@
         }
     }
 
-    fn give_back(
+    fn send_return(
         &mut self,
         name: &ids::BackendServerId,
         number: GrantNumber,
--- a/crates/damaskvane-slots/src/exchange/aggregate.rs
+++ b/crates/damaskvane-slots/src/exchange/aggregate.rs
@@ -7,7 +7,7 @@
 
 use crate::counters::SlotCounters;
 use crate::exchange::event::{Action, Event, ServerSlots};
-use crate::exchange::server::{Ownership, Sender, Server};
+use crate::exchange::server::{InstanceIncarnation, Ownership, Server};
 use crate::message::{AddressedMessage, SlotMessage};
 use crate::permit::{Permit, Ready, ReleasedPermit};
 use crate::settings::SlotSettings;
@@ -33,7 +33,7 @@
 /// All slots of the backend servers of one zone, as one of its instances knows them.
 #[derive(Debug)]
 pub struct SlotExchange {
-    pub(super) own: Sender,
+    pub(super) own: InstanceIncarnation,
     pub(super) settings: SlotSettings,
     pub(super) servers: BTreeMap<ids::BackendServerId, Server>,
     pub(super) roster: view::Roster,
@@ -56,7 +56,7 @@
         settings: SlotSettings,
     ) -> Self {
         Self {
-            own: Sender {
+            own: InstanceIncarnation {
                 instance,
                 incarnation,
             },
@@ -75,7 +75,7 @@
                 recalled: 0,
                 acquired: 0,
                 late_grants: 0,
-                lapsed: 0,
+                expired: 0,
                 sent_late: 0,
                 handed_over: 0,
                 waited_out: 0,
@@ -101,8 +101,8 @@
                 from,
                 incarnation,
                 message,
-            } => self.take_message(from, incarnation, message),
-            Event::Demand { server, waiting } => self.demand(&server, waiting),
+            } => self.handle_message(from, incarnation, message),
+            Event::Demand { server, waiting } => self.handle_demand(&server, waiting),
             Event::Tick => self.tick(),
         }
         self.flush()
@@ -116,7 +116,7 @@
         core::mem::take(&mut self.actions)
     }
 
-    /// Takes a slot for one request that may run for up to `wanted_ms`, and needs `at_least_ms`.
+    /// Takes a slot for one request that may run for up to `max_run_ms`, and needs `min_run_ms`.
     ///
     /// # Errors
     ///
@@ -125,23 +125,23 @@
         &mut self,
         now: time::TimeMs,
         server: &ids::BackendServerId,
-        wanted_ms: time::SpanMs,
-        at_least_ms: time::SpanMs,
+        max_run_ms: time::SpanMs,
+        min_run_ms: time::SpanMs,
     ) -> Result<Permit<Ready>, Unavailable> {
         let known = self
             .servers
             .get_mut(server)
             .ok_or(Unavailable::UnknownServer)?;
-        let (number, lapses_at) = known
+        let (number, expires_at) = known
             .pool
-            .begin(now, at_least_ms)
+            .begin(now, min_run_ms)
             .ok_or(Unavailable::NoSlot)?;
         Ok(Permit::new(
             server.clone(),
             number,
             now,
-            lapses_at,
-            wanted_ms,
+            expires_at,
+            max_run_ms,
         ))
     }
 
@@ -166,7 +166,7 @@
 
     /// Counts a permit whose lease lapsed before the request was sent.
     pub const fn count_expired(&mut self) {
-        self.counters.lapsed += 1;
+        self.counters.expired += 1;
     }
 
     /// Counts a request that was sent after its lease had lapsed.
@@ -206,7 +206,7 @@
             server.set_slots(limit.slots);
             self.servers.insert(limit.server, server);
         }
-        self.follow_assignments();
+        self.apply_assignments();
     }
 
     fn set_roster(&mut self, roster: view::Roster) {
@@ -215,11 +215,11 @@
             && self.roster.may_take_over == roster.may_take_over;
         self.roster = roster;
         if !is_same {
-            self.follow_assignments();
+            self.apply_assignments();
         }
     }
 
-    fn take_message(
+    fn handle_message(
         &mut self,
         from: ids::InstanceId,
         incarnation: ids::Incarnation,
@@ -241,25 +241,25 @@
             return;
         }
         let instance = from;
-        let sender = Sender {
+        let sender = InstanceIncarnation {
             instance,
             incarnation,
         };
         self.dispatch(&sender, message.message);
     }
 
-    fn dispatch(&mut self, from: &Sender, message: SlotMessage) {
+    fn dispatch(&mut self, from: &InstanceIncarnation, message: SlotMessage) {
         match message {
             SlotMessage::Acquire { .. }
             | SlotMessage::Renew { .. }
-            | SlotMessage::Return { .. } => self.lend(from, message),
+            | SlotMessage::Return { .. } => self.handle_holder_message(from, message),
             SlotMessage::Granted { .. }
             | SlotMessage::Refused { .. }
             | SlotMessage::Renewed { .. }
-            | SlotMessage::Recall { .. } => self.borrow(from, &message),
+            | SlotMessage::Recall { .. } => self.handle_owner_message(from, &message),
             SlotMessage::Claim { .. }
             | SlotMessage::Consent { .. }
-            | SlotMessage::Decline { .. } => self.take_claim_message(from, message),
+            | SlotMessage::Decline { .. } => self.handle_claim_message(from, message),
         }
     }
 
@@ -267,8 +267,8 @@
         let names: Vec<ids::BackendServerId> = self.servers.keys().cloned().collect();
         for name in names {
             self.tick_claim(&name);
-            self.tick_lending(&name);
-            self.tick_borrowing(&name);
+            self.tick_granting(&name);
+            self.tick_acquiring(&name);
         }
     }
 
@@ -281,7 +281,7 @@
             .find(|member| member.instance == *to);
         if let Some(incarnation) = member.map(|member| member.incarnation) {
             let instance = to.clone();
-            let to = Sender {
+            let to = InstanceIncarnation {
                 instance,
                 incarnation,
             };
@@ -290,7 +290,7 @@
     }
 
     /// Sends to the start of an instance that has sent something.
-    pub(super) fn reply(&mut self, to: &Sender, message: SlotMessage) {
+    pub(super) fn reply(&mut self, to: &InstanceIncarnation, message: SlotMessage) {
         if *to == self.own {
             self.local.push_back(message);
             return;
@@ -318,7 +318,7 @@
             .is_some_and(|until| self.now < until)
     }
 
-    pub(super) fn broken(&mut self, invariant: &'static str) {
+    pub(super) fn report_broken_invariant(&mut self, invariant: &'static str) {
         debug_assert!(false, "invariant broken: {invariant}");
         self.actions.push(Action::Broken { invariant });
     }
--- a/crates/damaskvane-slots/src/exchange/assignment.rs
+++ b/crates/damaskvane-slots/src/exchange/assignment.rs
@@ -10,21 +10,21 @@
     /// Whether the hash names this instance as owner; it then borrows without a message.
     #[must_use]
     pub fn is_assigned(&self, server: &ids::BackendServerId) -> bool {
-        self.assigned(server).as_ref() == Some(&self.own.instance)
+        self.assigned_owner(server).as_ref() == Some(&self.own.instance)
     }
 
-    pub(super) fn follow_assignments(&mut self) {
+    pub(super) fn apply_assignments(&mut self) {
         let names: Vec<ids::BackendServerId> = self.servers.keys().cloned().collect();
         for name in names {
-            let lender = self.lender(&name);
-            let keeps_owner = self.keeps_owner(&name);
+            let acquire_target = self.acquire_target(&name);
+            let keeps_current_owner = self.keeps_current_owner(&name);
             if let Some(server) = self.servers.get_mut(&name)
-                && !keeps_owner
+                && !keeps_current_owner
             {
-                server.set_owner(lender);
+                server.set_owner(acquire_target);
             }
             let is_own = self.is_assigned(&name);
-            self.follow_assignment(&name, is_own);
+            self.apply_assignment(&name, is_own);
         }
     }
 
@@ -33,7 +33,7 @@
     /// The hash names a newcomer as soon as it is heard of, but it can claim only once it has seen itself
     /// on the platform's list, which an outage can hold up. Were it asked before, nobody would lend, and
     /// requests would be refused beside a backend server with free slots.
-    fn keeps_owner(&self, name: &ids::BackendServerId) -> bool {
+    fn keeps_current_owner(&self, name: &ids::BackendServerId) -> bool {
         let Some(server) = self.servers.get(name) else {
             return false;
         };
@@ -49,21 +49,21 @@
     }
 
     /// The owner of before lends no more: asks go to whom the hash names.
-    pub(super) fn leave_owner(&mut self, name: &ids::BackendServerId) {
-        let lender = self.lender(name);
+    pub(super) fn reset_owner(&mut self, name: &ids::BackendServerId) {
+        let acquire_target = self.acquire_target(name);
         if let Some(server) = self.servers.get_mut(name) {
-            server.set_owner(lender);
+            server.set_owner(acquire_target);
         }
     }
 
     /// Whom to ask for slots: the owner by hash, or, while this instance may not claim what it is named
     /// for, the owner without it, who goes on lending until then.
-    fn lender(&self, name: &ids::BackendServerId) -> Option<ids::InstanceId> {
+    fn acquire_target(&self, name: &ids::BackendServerId) -> Option<ids::InstanceId> {
         let is_barred = self.is_assigned(name) && !self.may_claim();
         let others = self
             .candidates()
             .filter(|candidate| !is_barred || **candidate != self.own.instance);
-        ownership::owner(name.as_str(), others).or_else(|| self.assigned(name))
+        ownership::owner(name.as_str(), others).or_else(|| self.assigned_owner(name))
     }
 
     /// Who may own backend servers. One that is merely silent stays: it may still lend.
@@ -75,7 +75,7 @@
             .map(|member| &member.instance)
     }
 
-    pub(super) fn assigned(&self, server: &ids::BackendServerId) -> Option<ids::InstanceId> {
+    pub(super) fn assigned_owner(&self, server: &ids::BackendServerId) -> Option<ids::InstanceId> {
         ownership::owner(server.as_str(), self.candidates())
     }
 }
--- a/crates/damaskvane-slots/src/exchange/claiming.rs
+++ b/crates/damaskvane-slots/src/exchange/claiming.rs
@@ -5,9 +5,9 @@
 
 use crate::claim::Claim;
 use crate::exchange::aggregate::SlotExchange;
-use crate::exchange::server::{Ownership, Sender};
+use crate::exchange::server::{InstanceIncarnation, Ownership};
 use crate::ledger::{Grant, SlotLedger};
-use crate::message::{HandedLedger, HeldLease, SlotMessage};
+use crate::message::{HeldLease, LedgerHandover, SlotMessage};
 
 impl SlotExchange {
     /// Whether this instance may claim what the hash names it for.
@@ -20,7 +20,7 @@
     }
 
     /// Begins or ends a claim after the hash has named another owner.
-    pub(super) fn follow_assignment(&mut self, name: &ids::BackendServerId, is_own: bool) {
+    pub(super) fn apply_assignment(&mut self, name: &ids::BackendServerId, is_own: bool) {
         let may_claim = is_own && self.may_claim();
         let now = self.now;
         let Some(server) = self.servers.get_mut(name) else {
@@ -30,19 +30,19 @@
             Ownership::None if may_claim => {
                 self.last_claim += 1;
                 server.ownership = Ownership::Claiming(Claim::new(self.last_claim, now));
-                self.ask_consent(name);
-                self.complete_if_agreed(name);
+                self.request_consent(name);
+                self.complete_if_consented(name);
             }
             Ownership::Claiming(_) if !is_own => server.ownership = Ownership::None,
             // Others may have gone, or been proven gone, since they were asked.
-            Ownership::Claiming(_) => self.complete_if_agreed(name),
+            Ownership::Claiming(_) => self.complete_if_consented(name),
             _ => {}
         }
     }
 
     pub(super) fn tick_claim(&mut self, name: &ids::BackendServerId) {
         let (now, every) = (self.now, self.settings.claim_retry_ms);
-        let has_newcomers = self.has_newcomers(name);
+        let has_new_instances = self.has_new_instances(name);
         let Some(server) = self.servers.get_mut(name) else {
             return;
         };
@@ -51,12 +51,12 @@
                 let is_due = claim.is_retry_due(now, every);
                 server.ownership = Ownership::Claiming(claim);
                 if is_due {
-                    self.ask_consent(name);
-                    self.complete_if_agreed(name);
+                    self.request_consent(name);
+                    self.complete_if_consented(name);
                 }
             }
-            Ownership::Waiting(ledger) if has_newcomers && ledger.until() <= now => {
-                self.claim_again(name);
+            Ownership::Waiting(ledger) if has_new_instances && ledger.until() <= now => {
+                self.restart_claim(name);
             }
             Ownership::Waiting(ledger) => {
                 server.ownership = match ledger.start(now) {
@@ -72,29 +72,29 @@
     ///
     /// One that was fenced without knowing it may hand its ledger to a newcomer while its authority
     /// lasts. Both the newcomer and this instance would lend then, and the backend server would shed.
-    fn has_newcomers(&self, name: &ids::BackendServerId) -> bool {
-        let agreed = self
+    fn has_new_instances(&self, name: &ids::BackendServerId) -> bool {
+        let consented = self
             .servers
             .get(name)
-            .and_then(|server| server.agreed.as_ref());
-        agreed.is_some_and(|agreed| {
+            .and_then(|server| server.consented.as_ref());
+        consented.is_some_and(|consented| {
             self.others()
-                .any(|member| agreed.get(&member.instance) < Some(&member.incarnation))
+                .any(|member| consented.get(&member.instance) < Some(&member.incarnation))
         })
     }
 
-    fn claim_again(&mut self, name: &ids::BackendServerId) {
+    fn restart_claim(&mut self, name: &ids::BackendServerId) {
         self.last_claim += 1;
         let claim = Claim::new(self.last_claim, self.now);
         if let Some(server) = self.servers.get_mut(name) {
-            server.agreed = None;
+            server.consented = None;
             server.ownership = Ownership::Claiming(claim);
         }
-        self.ask_consent(name);
-        self.complete_if_agreed(name);
+        self.request_consent(name);
+        self.complete_if_consented(name);
     }
 
-    fn ask_consent(&mut self, name: &ids::BackendServerId) {
+    fn request_consent(&mut self, name: &ids::BackendServerId) {
         let Some(claim) = self.claim(name) else {
             return;
         };
@@ -130,20 +130,20 @@
     }
 
     /// Completes a claim to which all have consented, and waits for unknown grants to lapse.
-    fn complete_if_agreed(&mut self, name: &ids::BackendServerId) {
-        let is_agreed = self.claim(name).is_some_and(|claim| {
+    fn complete_if_consented(&mut self, name: &ids::BackendServerId) {
+        let has_all_consents = self.claim(name).is_some_and(|claim| {
             self.others()
                 .all(|member| claim.has_consent(&member.instance))
         });
         // Without authority the roster may lack whom to ask, and another may have taken over by now.
-        if !is_agreed || !self.has_authority() || !self.roster.may_take_over {
+        if !has_all_consents || !self.has_authority() || !self.roster.may_take_over {
             return;
         }
-        let until = self.last_use(name) + self.settings.lapse_ms();
+        let until = self.last_possible_use(name) + self.settings.expiry_ms();
         self.counters.waited_out += 1;
-        let agreed = self.claim(name).map(Claim::consents);
+        let consented = self.claim(name).map(Claim::consents);
         if let Some(server) = self.servers.get_mut(name) {
-            server.agreed = agreed;
+            server.consented = consented;
         }
         self.complete(name, Vec::new(), until);
     }
@@ -152,15 +152,15 @@
     ///
     /// One that has just started does not know whom others fenced before that. Those who consent tell; if
     /// one is gone that could have told, only time does.
-    fn last_use(&self, name: &ids::BackendServerId) -> time::TimeMs {
-        let told = self.claim(name).map(Claim::not_before);
+    fn last_possible_use(&self, name: &ids::BackendServerId) -> time::TimeMs {
+        let reported = self.claim(name).map(Claim::not_before);
         let gone = self.roster.members.iter().filter_map(|member| member.gone);
         let gone_from = gone.map(|gone| gone.from).max();
         let unknown = self
             .started_at
             .filter(|_| gone_from.is_some())
             .map(|started_at| started_at + self.settings.unknown_fence_ms);
-        let last = gone_from.max(told).max(unknown);
+        let last = gone_from.max(reported).max(unknown);
         last.unwrap_or(self.now).max(self.now)
     }
 
@@ -174,8 +174,8 @@
         let Ownership::Claiming(mut claim) = core::mem::take(&mut server.ownership) else {
             return;
         };
-        let leases = server.pool.report(now);
-        claim.consent(now, own.instance.clone(), own.incarnation, leases, margin);
+        let leases = server.pool.held_leases(now);
+        claim.record_consent(now, own.instance.clone(), own.incarnation, leases, margin);
         let mut known = claim.into_reports();
         for grant in handed {
             known
@@ -190,9 +190,13 @@
         self.tick_claim(name);
     }
 
-    pub(super) fn take_claim_message(&mut self, from: &Sender, message: SlotMessage) {
+    pub(super) fn handle_claim_message(
+        &mut self,
+        from: &InstanceIncarnation,
+        message: SlotMessage,
+    ) {
         match message {
-            SlotMessage::Claim { server, claim } => self.answer_claim(from, &server, claim),
+            SlotMessage::Claim { server, claim } => self.handle_claim(from, &server, claim),
             SlotMessage::Consent {
                 server,
                 claim,
@@ -201,17 +205,22 @@
                 wait_ms,
             } => {
                 self.delay_claim(&server, claim, wait_ms);
-                self.take_consent(from, &server, claim, leases, ledger);
+                self.apply_consent(from, &server, claim, leases, ledger);
             }
             SlotMessage::Decline { .. } => self.counters.declined += 1,
             _ => {}
         }
     }
 
-    fn answer_claim(&mut self, from: &Sender, name: &ids::BackendServerId, claim: u64) {
-        let is_agreed = self.assigned(name).as_ref() == Some(&from.instance);
-        let answer = if is_agreed {
-            self.consent(name, claim, &from.instance)
+    fn handle_claim(
+        &mut self,
+        from: &InstanceIncarnation,
+        name: &ids::BackendServerId,
+        claim: u64,
+    ) {
+        let is_assigned = self.assigned_owner(name).as_ref() == Some(&from.instance);
+        let consent = if is_assigned {
+            self.give_consent(name, claim, &from.instance)
         } else {
             None
         };
@@ -219,14 +228,14 @@
             server: name.clone(),
             claim,
         };
-        self.reply(from, answer.unwrap_or(declined));
+        self.reply(from, consent.unwrap_or(declined));
     }
 
     /// Gives up all part in owning a backend server.
     ///
     /// The ledger goes with the consent. Should it be lost, the new owner gets the next consent without
     /// it and waits for everything to lapse.
-    fn consent(
+    fn give_consent(
         &mut self,
         name: &ids::BackendServerId,
         claim: u64,
@@ -237,11 +246,11 @@
         let server = self.servers.get_mut(name)?;
         let ledger = match core::mem::take(&mut server.ownership) {
             Ownership::None | Ownership::Claiming(_) => None,
-            Ownership::Waiting(ledger) => Some(HandedLedger {
+            Ownership::Waiting(ledger) => Some(LedgerHandover {
                 entries: ledger.entries(now),
                 wait_ms: ledger.until().since(now),
             }),
-            Ownership::Serving(ledger) => Some(HandedLedger {
+            Ownership::Serving(ledger) => Some(LedgerHandover {
                 entries: ledger.entries(now),
                 wait_ms: time::SpanMs::ZERO,
             }),
@@ -250,8 +259,8 @@
         let ledger = ledger.filter(|_| has_authority);
         server.queue.clear();
         server.set_owner(Some(owner.clone()));
-        server.pool.forget_asks();
-        let leases = server.pool.report(now);
+        server.pool.discard_pending_acquires();
+        let leases = server.pool.held_leases(now);
         // The claimant may know neither those that are gone nor those that the list has dropped.
         let stopped = self.roster.members.iter().filter_map(|member| {
             let gone_from = member.gone.map(|gone| gone.from);
@@ -280,13 +289,13 @@
         }
     }
 
-    fn take_consent(
+    fn apply_consent(
         &mut self,
-        from: &Sender,
+        from: &InstanceIncarnation,
         name: &ids::BackendServerId,
         number: u64,
         leases: Vec<HeldLease>,
-        ledger: Option<HandedLedger>,
+        ledger: Option<LedgerHandover>,
     ) {
         let (now, margin) = (self.now, self.settings.margin_ms);
         let Some(server) = self.servers.get_mut(name) else {
@@ -299,24 +308,24 @@
             return;
         }
         let instance = from.instance.clone();
-        claim.consent(now, instance, from.incarnation, leases, margin);
+        claim.record_consent(now, instance, from.incarnation, leases, margin);
         match ledger {
-            None => self.complete_if_agreed(name),
-            Some(ledger) => self.take_over(name, ledger),
+            None => self.complete_if_consented(name),
+            Some(ledger) => self.apply_handover(name, ledger),
         }
     }
 
     /// The present owner's ledger names all grants there are, so it needs nobody else's consent.
-    fn take_over(&mut self, name: &ids::BackendServerId, ledger: HandedLedger) {
+    fn apply_handover(&mut self, name: &ids::BackendServerId, ledger: LedgerHandover) {
         let now = self.now;
         let grants = ledger.entries.into_iter().map(|entry| Grant {
             key: entry.key,
             slots: entry.slots,
-            until: now + entry.left_ms,
+            until: now + entry.remaining_ms,
         });
         self.counters.handed_over += 1;
         if let Some(server) = self.servers.get_mut(name) {
-            server.agreed = None;
+            server.consented = None;
         }
         self.complete(name, grants.collect(), now + ledger.wait_ms);
     }
--- a/crates/damaskvane-slots/src/exchange/lending.rs
+++ b/crates/damaskvane-slots/src/exchange/granting.rs
@@ -3,73 +3,77 @@
 use damaskvane_core::{ids, time, units};
 
 use crate::exchange::aggregate::SlotExchange;
-use crate::exchange::server::{Ownership, Queued, Sender, Server};
+use crate::exchange::server::{InstanceIncarnation, Ownership, QueuedAcquire, Server};
 use crate::message::{GrantKey, GrantNumber, RefusalReason, SlotMessage};
 
 /// A grant that was just lent.
 #[derive(Debug)]
-struct Lent {
+struct NewGrant {
     key: GrantKey,
     slots: units::Slots,
 }
 
 impl SlotExchange {
-    pub(super) fn lend(&mut self, from: &Sender, message: SlotMessage) {
+    pub(super) fn handle_holder_message(
+        &mut self,
+        from: &InstanceIncarnation,
+        message: SlotMessage,
+    ) {
         match message {
             SlotMessage::Acquire {
                 server,
                 number,
                 slots,
-            } => self.take_ask(from, &server, number, slots),
+            } => self.handle_acquire(from, &server, number, slots),
             SlotMessage::Renew {
                 server,
                 number,
                 attempt,
-            } => self.renew(from, &server, number, attempt),
+            } => self.handle_renew(from, &server, number, attempt),
             SlotMessage::Return {
                 server,
                 number,
                 remaining,
-            } => self.take_back(from, &server, number, remaining),
+            } => self.handle_return(from, &server, number, remaining),
             _ => {}
         }
     }
 
-    pub(super) fn tick_lending(&mut self, name: &ids::BackendServerId) {
+    pub(super) fn tick_granting(&mut self, name: &ids::BackendServerId) {
         let now = self.now;
-        let asked_limit = self.settings.answer_ms.get() * 2;
+        let queue_timeout_ms = self.settings.response_timeout_ms.get() * 2;
         let Some(server) = self.servers.get_mut(name) else {
             return;
         };
         server
             .queue
-            .retain(|queued| now.since(queued.asked_at).get() < asked_limit);
+            .retain(|queued| now.since(queued.requested_at).get() < queue_timeout_ms);
         self.serve_queue(name);
     }
 
-    fn take_ask(
+    fn handle_acquire(
         &mut self,
-        from: &Sender,
+        from: &InstanceIncarnation,
         name: &ids::BackendServerId,
         number: GrantNumber,
         slots: units::Slots,
     ) {
-        if let Err((reason, retry_after)) = self.may_lend(name) {
+        if let Err((reason, retry_after)) = self.check_can_grant(name) {
             self.refuse(from, name, number, reason, retry_after);
             return;
         }
         let key = key_of(from, number);
-        let asked_at = self.now;
+        let requested_at = self.now;
         if let Some(server) = self.servers.get_mut(name) {
             // A holder that asks again has given up its earlier ask, but keeps its place.
             let waiting = server
                 .queue
                 .iter_mut()
                 .find(|queued| queued.key.holder == key.holder);
-            let queued = Queued {
+            let queued = QueuedAcquire {
                 key,
                 slots,
-                asked_at,
+                requested_at,
             };
             match waiting {
                 Some(waiting) => *waiting = queued,
@@ -79,23 +83,26 @@
         self.serve_queue(name);
     }
 
-    fn may_lend(&self, name: &ids::BackendServerId) -> Result<(), (RefusalReason, time::SpanMs)> {
-        let answer = self.settings.answer_ms;
+    fn check_can_grant(
+        &self,
+        name: &ids::BackendServerId,
+    ) -> Result<(), (RefusalReason, time::SpanMs)> {
+        let retry_after = self.settings.response_timeout_ms;
         match self.servers.get(name).map(|server| &server.ownership) {
             Some(Ownership::Serving(_)) if self.has_authority() => Ok(()),
-            Some(Ownership::Serving(_)) => Err((RefusalReason::NoAuthority, answer)),
+            Some(Ownership::Serving(_)) => Err((RefusalReason::NoAuthority, retry_after)),
             Some(Ownership::Waiting(ledger)) => {
                 let wait = ledger.until().since(self.now);
-                Err((RefusalReason::Waiting, wait.min(answer)))
+                Err((RefusalReason::Waiting, wait.min(retry_after)))
             }
-            Some(Ownership::Claiming(_)) => Err((RefusalReason::Waiting, answer)),
-            Some(Ownership::None) | None => Err((RefusalReason::NotOwner, answer)),
+            Some(Ownership::Claiming(_)) => Err((RefusalReason::Waiting, retry_after)),
+            Some(Ownership::None) | None => Err((RefusalReason::NotOwner, retry_after)),
         }
     }
 
     fn refuse(
         &mut self,
-        from: &Sender,
+        from: &InstanceIncarnation,
         name: &ids::BackendServerId,
         number: GrantNumber,
         reason: RefusalReason,
@@ -123,27 +130,27 @@
         let Ownership::Serving(ledger) = &mut server.ownership else {
             return;
         };
-        let mut lent = Vec::new();
+        let mut new_grants = Vec::new();
         while let Some(next) = server.queue.front() {
             let Ok(slots) = ledger.grant(now, next.key.clone(), next.slots, until) else {
                 break;
             };
             let key = next.key.clone();
             server.queue.pop_front();
-            lent.push(Lent { key, slots });
+            new_grants.push(NewGrant { key, slots });
         }
-        let is_sound = lent.is_empty() || ledger.is_sound();
-        if !is_sound {
+        let is_within_slots = new_grants.is_empty() || ledger.is_within_slots();
+        if !is_within_slots {
             // The grants stay in the ledger and lapse; nobody is told of them.
-            self.broken("slots lent above the backend server's limit");
+            self.report_broken_invariant("slots lent above the backend server's limit");
             return;
         }
-        self.announce(name, lent);
+        self.send_grants(name, new_grants);
         self.recall_if_contended(name);
     }
 
-    fn announce(&mut self, name: &ids::BackendServerId, lent: Vec<Lent>) {
-        for Lent { key, slots } in lent {
+    fn send_grants(&mut self, name: &ids::BackendServerId, new_grants: Vec<NewGrant>) {
+        for NewGrant { key, slots } in new_grants {
             self.counters.granted += 1;
             let message = SlotMessage::Granted {
                 server: name.clone(),
@@ -151,7 +158,7 @@
                 slots,
                 lease_ms: self.settings.lease_ms,
             };
-            let holder = Sender {
+            let holder = InstanceIncarnation {
                 instance: key.holder,
                 incarnation: key.incarnation,
             };
@@ -164,7 +171,7 @@
     /// A holder with steady load would otherwise keep its slots for ever, and requests at another
     /// instance would be refused beside a backend server with work for one instance only.
     fn recall_if_contended(&mut self, name: &ids::BackendServerId) {
-        let (now, every) = (self.now, self.settings.recall_every_ms);
+        let (now, every) = (self.now, self.settings.recall_interval_ms);
         let Some(server) = self.servers.get_mut(name) else {
             return;
         };
@@ -184,9 +191,9 @@
         }
     }
 
-    fn renew(
+    fn handle_renew(
         &mut self,
-        from: &Sender,
+        from: &InstanceIncarnation,
         name: &ids::BackendServerId,
         number: GrantNumber,
         attempt: u32,
@@ -195,7 +202,7 @@
         let has_authority = self.has_authority();
         let key = key_of(from, number);
         let until = now + lease_ms;
-        let lapsed_at = now + self.settings.lapse_ms();
+        let all_expired_at = now + self.settings.expiry_ms();
         let ownership = self
             .servers
             .get_mut(name)
@@ -204,7 +211,7 @@
             _ if !has_authority => Err(RefusalReason::NoAuthority),
             Some(Ownership::Serving(ledger)) => Ok(ledger.renew(now, &key, until)),
             // One that was fenced may lend again what it counts as lapsed, for as long as it may act.
-            Some(Ownership::Waiting(ledger)) if ledger.until() > lapsed_at => {
+            Some(Ownership::Waiting(ledger)) if ledger.until() > all_expired_at => {
                 Err(RefusalReason::Waiting)
             }
             // Known grants are counted already, so they may go on while unknown ones lapse.
@@ -226,12 +233,18 @@
             Ok(false) => RefusalReason::UnknownGrant,
             Err(reason) => reason,
         };
-        self.refuse(from, name, number, reason, self.settings.answer_ms);
+        self.refuse(
+            from,
+            name,
+            number,
+            reason,
+            self.settings.response_timeout_ms,
+        );
     }
 
-    fn take_back(
+    fn handle_return(
         &mut self,
-        from: &Sender,
+        from: &InstanceIncarnation,
         name: &ids::BackendServerId,
         number: GrantNumber,
         remaining: units::Slots,
@@ -242,16 +255,16 @@
             .get_mut(name)
             .map(|server| &mut server.ownership)
         {
-            Some(Ownership::Serving(ledger)) => ledger.give_back(&key, remaining),
-            Some(Ownership::Waiting(ledger)) => ledger.give_back(&key, remaining),
-            Some(Ownership::Claiming(claim)) => claim.give_back(&key, remaining),
+            Some(Ownership::Serving(ledger)) => ledger.return_slots(&key, remaining),
+            Some(Ownership::Waiting(ledger)) => ledger.return_slots(&key, remaining),
+            Some(Ownership::Claiming(claim)) => claim.return_slots(&key, remaining),
             Some(Ownership::None) | None => {}
         }
         self.serve_queue(name);
     }
 }
 
-fn key_of(holder: &Sender, number: GrantNumber) -> GrantKey {
+fn key_of(holder: &InstanceIncarnation, number: GrantNumber) -> GrantKey {
     GrantKey {
         holder: holder.instance.clone(),
         incarnation: holder.incarnation,
@@ -268,22 +281,22 @@
     };
     let held = ledger.held();
     let waiting = server.queue.iter().map(|queued| &queued.key.holder);
-    let new = waiting.filter(|holder| !held.contains_key(*holder)).count();
-    let sharers = u32::try_from(held.len() + new).unwrap_or(u32::MAX);
-    let part = ledger.slots().get().checked_div(sharers);
-    let part = units::Slots::new(part.unwrap_or_default());
-    let below = server.queue.iter().map(|queued| {
-        let has = held.get(&queued.key.holder).copied().unwrap_or_default();
+    let new_holders = waiting.filter(|holder| !held.contains_key(*holder)).count();
+    let sharers = u32::try_from(held.len() + new_holders).unwrap_or(u32::MAX);
+    let share = ledger.slots().get().checked_div(sharers);
+    let share = units::Slots::new(share.unwrap_or_default());
+    let missing = server.queue.iter().map(|queued| {
+        let current = held.get(&queued.key.holder).copied().unwrap_or_default();
         // Where there are fewer slots than sharers, each must have one in turn.
-        let least = units::Slots::new(part.get().max(1));
-        least.saturating_sub(has).min(queued.slots)
+        let min_share = units::Slots::new(share.get().max(1));
+        min_share.saturating_sub(current).min(queued.slots)
     });
-    let mut needed: units::Slots = below.sum();
+    let mut needed: units::Slots = missing.sum();
     let mut recalls = Vec::new();
-    for (holder, has) in held {
-        let gives = has.saturating_sub(part).min(needed);
-        needed = needed.saturating_sub(gives);
-        recalls.push((holder, has.saturating_sub(gives)));
+    for (holder, current) in held {
+        let surplus = current.saturating_sub(share).min(needed);
+        needed = needed.saturating_sub(surplus);
+        recalls.push((holder, current.saturating_sub(surplus)));
     }
     recalls
 }
--- a/crates/damaskvane-slots/src/exchange/server.rs
+++ b/crates/damaskvane-slots/src/exchange/server.rs
@@ -25,15 +25,15 @@
 
 /// An ask that waits for a free slot.
 #[derive(Debug)]
-pub(super) struct Queued {
+pub(super) struct QueuedAcquire {
     pub(super) key: GrantKey,
     pub(super) slots: units::Slots,
-    pub(super) asked_at: time::TimeMs,
+    pub(super) requested_at: time::TimeMs,
 }
 
 /// One start of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Sender {
+pub(super) struct InstanceIncarnation {
     pub(super) instance: ids::InstanceId,
     pub(super) incarnation: ids::Incarnation,
 }
@@ -44,12 +44,12 @@
     pub(super) slots: units::Slots,
     pub(super) ownership: Ownership,
     pub(super) pool: LeasePool,
-    pub(super) queue: VecDeque<Queued>,
+    pub(super) queue: VecDeque<QueuedAcquire>,
     /// To whom this instance has consented, or whom its asks go to.
     pub(super) owner: Option<ids::InstanceId>,
     pub(super) recalled_at: Option<time::TimeMs>,
     /// Who consented to the ownership that is waited for; nothing if a ledger was handed over.
-    pub(super) agreed: Option<BTreeMap<ids::InstanceId, ids::Incarnation>>,
+    pub(super) consented: Option<BTreeMap<ids::InstanceId, ids::Incarnation>>,
 }
 
 impl Server {
@@ -61,7 +61,7 @@
             queue: VecDeque::new(),
             owner: None,
             recalled_at: None,
-            agreed: None,
+            consented: None,
         }
     }
 
@@ -78,7 +78,7 @@
     pub(super) fn set_owner(&mut self, owner: Option<ids::InstanceId>) {
         if self.owner != owner {
             self.owner = owner;
-            self.pool.forget_asks();
+            self.pool.discard_pending_acquires();
         }
     }
 }
--- a/crates/damaskvane-slots/src/holder.rs
+++ b/crates/damaskvane-slots/src/holder.rs
@@ -9,9 +9,9 @@
 //!
 //! let settings = settings::SlotSettings::default();
 //! let mut pool = holder::LeasePool::default();
-//! let number = pool.ask(time::TimeMs::new(0), units::Slots::new(1));
+//! let number = pool.record_acquire(time::TimeMs::new(0), units::Slots::new(1));
 //! let lease = time::SpanMs::new(5_000);
-//! assert!(pool.granted(time::TimeMs::new(10), number, units::Slots::new(1), lease, &settings));
+//! assert!(pool.apply_grant(time::TimeMs::new(10), number, units::Slots::new(1), lease, &settings));
 //! assert_eq!(pool.free(time::TimeMs::new(4_699)), units::Slots::new(1));
 //! assert_eq!(pool.free(time::TimeMs::new(4_700)), units::Slots::ZERO);
 //! ```
@@ -20,4 +20,4 @@
 mod pool;
 
 pub use held_grant::HeldGrant;
-pub use pool::{LeasePool, Wish};
+pub use pool::{LeaseOp, LeasePool};
--- a/crates/damaskvane-slots/src/holder/held_grant.rs
+++ b/crates/damaskvane-slots/src/holder/held_grant.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 struct Renewal {
     attempt: u32,
-    asked_at: time::TimeMs,
+    requested_at: time::TimeMs,
 }
 
 /// One grant as its holder keeps it.
@@ -66,7 +66,7 @@
 
     /// Whether it has lapsed.
     #[must_use]
-    pub fn is_over(&self, now: time::TimeMs) -> bool {
+    pub fn is_expired(&self, now: time::TimeMs) -> bool {
         now >= self.usable_until
     }
 
@@ -80,7 +80,7 @@
     /// Slots that a request may use now.
     #[must_use]
     pub fn free(&self, now: time::TimeMs) -> units::Slots {
-        if self.is_over(now) {
+        if self.is_expired(now) {
             return units::Slots::ZERO;
         }
         self.slots.saturating_sub(self.busy(now))
@@ -113,28 +113,28 @@
         &self,
         now: time::TimeMs,
         before: time::SpanMs,
-        answer: time::SpanMs,
+        timeout: time::SpanMs,
     ) -> bool {
-        let is_asked = self
+        let is_pending = self
             .renewal
             .as_ref()
-            .is_some_and(|renewal| now.since(renewal.asked_at) < answer);
-        !is_asked && self.usable_until.since(now) < before
+            .is_some_and(|renewal| now.since(renewal.requested_at) < timeout);
+        !is_pending && self.usable_until.since(now) < before
     }
 
-    pub(super) fn ask_renewal(&mut self, now: time::TimeMs) -> u32 {
+    pub(super) fn start_renewal(&mut self, now: time::TimeMs) -> u32 {
         self.attempts += 1;
         self.renewal = Some(Renewal {
             attempt: self.attempts,
-            asked_at: now,
+            requested_at: now,
         });
         self.attempts
     }
 
     /// Counts the new lease from when it was asked for; an answer to an earlier ask is void.
-    pub(super) fn renewed(&mut self, attempt: u32, usable: time::SpanMs) {
+    pub(super) fn apply_renewal(&mut self, attempt: u32, usable: time::SpanMs) {
         if let Some(renewal) = self.renewal.take_if(|renewal| renewal.attempt == attempt) {
-            self.usable_until = self.usable_until.max(renewal.asked_at + usable);
+            self.usable_until = self.usable_until.max(renewal.requested_at + usable);
         }
     }
 }
--- a/crates/damaskvane-slots/src/holder/pool.rs
+++ b/crates/damaskvane-slots/src/holder/pool.rs
@@ -10,7 +10,7 @@
 
 /// What the holder wants of the owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wish {
+pub enum LeaseOp {
     /// To keep a grant for longer.
     Renew {
         /// The grant.
@@ -29,8 +29,8 @@
 
 /// An ask that is not answered.
 #[derive(Debug)]
-struct Ask {
-    asked_at: time::TimeMs,
+struct PendingAcquire {
+    requested_at: time::TimeMs,
     slots: units::Slots,
 }
 
@@ -45,10 +45,10 @@
 #[derive(Debug, Default)]
 pub struct LeasePool {
     grants: Vec<HeldGrant>,
-    asks: BTreeMap<GrantNumber, Ask>,
+    pending_acquires: BTreeMap<GrantNumber, PendingAcquire>,
     last_number: GrantNumber,
     cap: Option<Cap>,
-    ask_after: time::TimeMs,
+    acquire_after: time::TimeMs,
     /// Whether all that is idle goes back with the next returns.
     returns_idle: bool,
 }
@@ -69,40 +69,48 @@
     /// Slots that are borrowed.
     #[must_use]
     pub fn held(&self, now: time::TimeMs) -> units::Slots {
-        let current = self.grants.iter().filter(|grant| !grant.is_over(now));
+        let current = self.grants.iter().filter(|grant| !grant.is_expired(now));
         current.map(HeldGrant::slots).sum()
     }
 
     /// How many slots to ask for, where so many requests wait.
     #[must_use]
-    pub fn wanted(
+    pub fn slots_to_acquire(
         &self,
         now: time::TimeMs,
         waiting: units::Slots,
-        answer: time::SpanMs,
+        timeout: time::SpanMs,
     ) -> units::Slots {
-        if now < self.ask_after {
+        if now < self.acquire_after {
             return units::Slots::ZERO;
         }
-        let asked = self
-            .asks
+        let pending_slots = self
+            .pending_acquires
             .values()
-            .filter(|ask| now.since(ask.asked_at) < answer)
-            .map(|ask| ask.slots)
+            .filter(|pending| now.since(pending.requested_at) < timeout)
+            .map(|pending| pending.slots)
             .sum();
-        waiting.saturating_sub(self.free(now)).saturating_sub(asked)
+        waiting
+            .saturating_sub(self.free(now))
+            .saturating_sub(pending_slots)
     }
 
     /// Notes an ask and returns its number.
-    pub fn ask(&mut self, now: time::TimeMs, slots: units::Slots) -> GrantNumber {
+    pub fn record_acquire(&mut self, now: time::TimeMs, slots: units::Slots) -> GrantNumber {
         self.last_number = self.last_number.next();
-        let asked_at = now;
-        self.asks.insert(self.last_number, Ask { asked_at, slots });
+        let requested_at = now;
+        self.pending_acquires.insert(
+            self.last_number,
+            PendingAcquire {
+                requested_at,
+                slots,
+            },
+        );
         self.last_number
     }
 
     /// Takes a grant; whether it was asked for and is still of use.
-    pub fn granted(
+    pub fn apply_grant(
         &mut self,
         now: time::TimeMs,
         number: GrantNumber,
@@ -110,10 +118,10 @@
         lease: time::SpanMs,
         settings: &SlotSettings,
     ) -> bool {
-        let Some(ask) = self.asks.remove(&number) else {
+        let Some(pending) = self.pending_acquires.remove(&number) else {
             return false;
         };
-        let usable_until = ask.asked_at + lease.saturating_sub(settings.margin_ms);
+        let usable_until = pending.requested_at + lease.saturating_sub(settings.margin_ms);
         if usable_until <= now {
             return false;
         }
@@ -129,13 +137,13 @@
     }
 
     /// The owner lends nothing before a time.
-    pub fn refused(&mut self, number: GrantNumber, ask_after: time::TimeMs) {
-        self.asks.remove(&number);
-        self.ask_after = ask_after;
+    pub fn apply_refusal(&mut self, number: GrantNumber, acquire_after: time::TimeMs) {
+        self.pending_acquires.remove(&number);
+        self.acquire_after = acquire_after;
     }
 
     /// Takes an answer to a renewal.
-    pub fn renewed(
+    pub fn apply_renewal(
         &mut self,
         number: GrantNumber,
         attempt: u32,
@@ -143,29 +151,29 @@
         settings: &SlotSettings,
     ) {
         if let Some(grant) = self.grant(number) {
-            grant.renewed(attempt, lease.saturating_sub(settings.margin_ms));
+            grant.apply_renewal(attempt, lease.saturating_sub(settings.margin_ms));
         }
     }
 
     /// Others wait: gives back what is idle now, and keeps at most so many slots for a while.
-    pub fn recall(&mut self, now: time::TimeMs, keep: units::Slots, settings: &SlotSettings) {
+    pub fn apply_recall(&mut self, now: time::TimeMs, keep: units::Slots, settings: &SlotSettings) {
         let until = now + settings.recall_ms;
         self.cap = Some(Cap { keep, until });
         self.returns_idle = true;
     }
 
-    /// Takes a slot of the grant that lasts longest; nothing if none lasts `at_least`.
+    /// Takes a slot of the grant that lasts longest; nothing if none lasts `min_run`.
     pub fn begin(
         &mut self,
         now: time::TimeMs,
-        at_least: time::SpanMs,
+        min_run: time::SpanMs,
     ) -> Option<(GrantNumber, time::TimeMs)> {
         let grant = self
             .grants
             .iter_mut()
             .filter(|grant| grant.free(now) > units::Slots::ZERO)
             .max_by_key(|grant| grant.usable_until())?;
-        if grant.usable_until().since(now) < at_least {
+        if grant.usable_until().since(now) < min_run {
             return None;
         }
         grant.begin(now);
@@ -185,20 +193,20 @@
     }
 
     /// Forgets asks: their grants would come from one that is the owner no more.
-    pub fn forget_asks(&mut self) {
-        self.asks.clear();
-        self.ask_after = time::TimeMs::ZERO;
+    pub fn discard_pending_acquires(&mut self) {
+        self.pending_acquires.clear();
+        self.acquire_after = time::TimeMs::ZERO;
     }
 
     /// What is held, for a new owner.
     #[must_use]
-    pub fn report(&self, now: time::TimeMs) -> Vec<HeldLease> {
-        let current = self.grants.iter().filter(|grant| !grant.is_over(now));
+    pub fn held_leases(&self, now: time::TimeMs) -> Vec<HeldLease> {
+        let current = self.grants.iter().filter(|grant| !grant.is_expired(now));
         current
             .map(|grant| HeldLease {
                 number: grant.number(),
                 slots: grant.slots(),
-                left_ms: grant.usable_until().since(now),
+                remaining_ms: grant.usable_until().since(now),
             })
             .collect()
     }
@@ -209,29 +217,30 @@
         now: time::TimeMs,
         is_leaving: bool,
         settings: &SlotSettings,
-    ) -> Vec<Wish> {
-        self.grants.retain(|grant| !grant.is_over(now));
+    ) -> Vec<LeaseOp> {
+        self.grants.retain(|grant| !grant.is_expired(now));
         let lease = settings.lease_ms;
-        self.asks.retain(|_, ask| now.since(ask.asked_at) < lease);
+        self.pending_acquires
+            .retain(|_, pending| now.since(pending.requested_at) < lease);
         self.cap = self.cap.filter(|cap| now < cap.until);
-        let mut wishes = self.returns(now, is_leaving, settings);
-        wishes.extend(self.renewals(now, settings));
-        wishes
+        let mut requests = self.collect_returns(now, is_leaving, settings);
+        requests.extend(self.collect_renewals(now, settings));
+        requests
     }
 
     /// Gives back what is idle for long or above the cap; slots come free as soon as others need them.
-    pub fn returns(
+    pub fn collect_returns(
         &mut self,
         now: time::TimeMs,
         is_leaving: bool,
         settings: &SlotSettings,
-    ) -> Vec<Wish> {
+    ) -> Vec<LeaseOp> {
         let keep = self.cap.filter(|cap| now < cap.until).map(|cap| cap.keep);
         let mut excess = keep.map_or(units::Slots::ZERO, |keep| {
             self.held(now).saturating_sub(keep)
         });
         let returns_idle = core::mem::take(&mut self.returns_idle) || is_leaving;
-        let mut wishes = Vec::new();
+        let mut requests = Vec::new();
         for grant in &mut self.grants {
             let before = grant.slots();
             if returns_idle || grant.is_idle(now, settings.idle_return_ms) {
@@ -243,23 +252,23 @@
             if remaining < before {
                 excess = excess.saturating_sub(before.saturating_sub(remaining));
                 let number = grant.number();
-                wishes.push(Wish::Return { number, remaining });
+                requests.push(LeaseOp::Return { number, remaining });
             }
         }
         self.grants
             .retain(|grant| grant.slots() > units::Slots::ZERO);
-        wishes
+        requests
     }
 
-    fn renewals(&mut self, now: time::TimeMs, settings: &SlotSettings) -> Vec<Wish> {
+    fn collect_renewals(&mut self, now: time::TimeMs, settings: &SlotSettings) -> Vec<LeaseOp> {
         let before = time::SpanMs::new(settings.lease_ms.get() * 2 / 3);
-        let answer = settings.answer_ms;
+        let timeout = settings.response_timeout_ms;
         self.grants
             .iter_mut()
-            .filter(|grant| grant.is_renewal_due(now, before, answer))
-            .map(|grant| Wish::Renew {
+            .filter(|grant| grant.is_renewal_due(now, before, timeout))
+            .map(|grant| LeaseOp::Renew {
                 number: grant.number(),
-                attempt: grant.ask_renewal(now),
+                attempt: grant.start_renewal(now),
             })
             .collect()
     }
--- a/crates/damaskvane-slots/src/ledger/slot_ledger.rs
+++ b/crates/damaskvane-slots/src/ledger/slot_ledger.rs
@@ -65,7 +65,7 @@
 }
 
 impl SlotLedger<Serving> {
-    /// Lends up to `wanted` slots until a time.
+    /// Lends up to `requested` slots until a time.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
         &mut self,
         now: time::TimeMs,
         key: GrantKey,
-        wanted: units::Slots,
+        requested: units::Slots,
         until: time::TimeMs,
     ) -> Result<units::Slots, Full> {
         self.expire(now);
@@ -82,7 +82,7 @@
             // A repeated ask whose answer was lost must not be lent twice under one name.
             return Err(self.full(now));
         }
-        let slots = wanted.min(self.free());
+        let slots = requested.min(self.free());
         if slots == units::Slots::ZERO {
             return Err(self.full(now));
         }
@@ -120,7 +120,7 @@
 
     /// Whether no more is lent than there is; only a lowered limit excuses it for one lease.
     #[must_use]
-    pub fn is_sound(&self) -> bool {
+    pub fn is_within_slots(&self) -> bool {
         self.granted() <= self.slots
     }
 
@@ -154,14 +154,14 @@
     /// Whether a grant and those before it, in the order of their names, are no more than there are slots.
     fn is_within_limit(&self, key: &GrantKey) -> bool {
         let up_to_it = self.grants.range(..=key.clone());
-        let lent: units::Slots = up_to_it.map(|(_, grant)| grant.slots).sum();
-        lent <= self.slots
+        let granted: units::Slots = up_to_it.map(|(_, grant)| grant.slots).sum();
+        granted <= self.slots
     }
 
     /// Takes back part of a grant, or all of it.
     ///
     /// The rest is named, not the part, so that a repeated or crossing message takes nothing twice.
-    pub fn give_back(&mut self, key: &GrantKey, remaining: units::Slots) {
+    pub fn return_slots(&mut self, key: &GrantKey, remaining: units::Slots) {
         if remaining == units::Slots::ZERO {
             self.grants.remove(key);
         } else if let Some(grant) = self.grants.get_mut(key) {
@@ -189,14 +189,14 @@
             .map(|grant| LedgerEntry {
                 key: grant.key.clone(),
                 slots: grant.slots,
-                left_ms: grant.until.since(now),
+                remaining_ms: grant.until.since(now),
             })
             .collect()
     }
 
     /// Whether a grant is in the ledger.
     #[must_use]
-    pub fn has(&self, holder: &ids::InstanceId, number: GrantNumber) -> bool {
+    pub fn contains(&self, holder: &ids::InstanceId, number: GrantNumber) -> bool {
         self.grants
             .keys()
             .any(|key| key.holder == *holder && key.number == number)
--- a/crates/damaskvane-slots/src/message.rs
+++ b/crates/damaskvane-slots/src/message.rs
@@ -7,12 +7,12 @@
 //! use damaskvane_core::units;
 //! use damaskvane_slots::message;
 //!
-//! let ask = message::SlotMessage::Acquire {
+//! let acquire = message::SlotMessage::Acquire {
 //!     server: "rider-desk-1".parse()?,
 //!     number: message::GrantNumber::new(1),
 //!     slots: units::Slots::new(2),
 //! };
-//! assert_eq!(ask.kind(), "slot_acquire");
+//! assert_eq!(acquire.kind(), "slot_acquire");
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
 
@@ -63,7 +63,7 @@
     pub slots: units::Slots,
     /// How long the holder goes on using it.
     #[serde(rename = "l")]
-    pub left_ms: time::SpanMs,
+    pub remaining_ms: time::SpanMs,
 }
 
 /// A grant in a ledger that changes hands.
@@ -77,12 +77,12 @@
     pub slots: units::Slots,
     /// How long until the owner may count it as lapsed.
     #[serde(rename = "l")]
-    pub left_ms: time::SpanMs,
+    pub remaining_ms: time::SpanMs,
 }
 
 /// All that an owner has lent, handed to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedLedger {
+pub struct LedgerHandover {
     /// The grants.
     pub entries: Vec<LedgerEntry>,
     /// How long an earlier owner's unknown grants may still run.
@@ -202,7 +202,7 @@
         /// What the sender has borrowed.
         leases: Vec<HeldLease>,
         /// The ledger, if the sender was the owner.
-        ledger: Option<HandedLedger>,
+        ledger: Option<LedgerHandover>,
         /// How long one that the sender knows to be fenced may still act.
         #[serde(default)]
         wait_ms: time::SpanMs,
--- a/crates/damaskvane-slots/src/permit.rs
+++ b/crates/damaskvane-slots/src/permit.rs
@@ -54,8 +54,8 @@
 #[must_use = "a permit that is dropped blocks its slot until the lease lapses"]
 pub struct Permit<S> {
     returned: ReleasedPermit,
-    lapses_at: time::TimeMs,
-    wanted_ms: time::SpanMs,
+    expires_at: time::TimeMs,
+    max_run_ms: time::SpanMs,
     deadline_ms: time::SpanMs,
     state: core::marker::PhantomData<S>,
 }
@@ -76,8 +76,8 @@
     fn into_state<T>(self) -> Permit<T> {
         Permit {
             returned: self.returned,
-            lapses_at: self.lapses_at,
-            wanted_ms: self.wanted_ms,
+            expires_at: self.expires_at,
+            max_run_ms: self.max_run_ms,
             deadline_ms: self.deadline_ms,
             state: core::marker::PhantomData,
         }
@@ -89,8 +89,8 @@
         server: ids::BackendServerId,
         number: GrantNumber,
         now: time::TimeMs,
-        lapses_at: time::TimeMs,
-        wanted_ms: time::SpanMs,
+        expires_at: time::TimeMs,
+        max_run_ms: time::SpanMs,
     ) -> Self {
         let returned = ReleasedPermit {
             server,
@@ -99,8 +99,8 @@
         };
         Self {
             returned,
-            lapses_at,
-            wanted_ms,
+            expires_at,
+            max_run_ms,
             deadline_ms: time::SpanMs::ZERO,
             state: core::marker::PhantomData,
         }
@@ -112,7 +112,7 @@
     ///
     /// [`LeaseExpired`] if the lease is over.
     pub fn send(mut self, now: time::TimeMs) -> Result<Permit<Sending>, LeaseExpired> {
-        self.deadline_ms = self.lapses_at.since(now).min(self.wanted_ms);
+        self.deadline_ms = self.expires_at.since(now).min(self.max_run_ms);
         if self.deadline_ms == time::SpanMs::ZERO {
             return Err(LeaseExpired(self.returned));
         }
@@ -137,7 +137,7 @@
     ///
     /// [`SentLate`] if the lease lapsed meanwhile.
     pub fn sent(self, now: time::TimeMs) -> Result<Permit<Running>, SentLate> {
-        if now >= self.lapses_at {
+        if now >= self.expires_at {
             return Err(SentLate(self.returned));
         }
         Ok(self.into_state())
--- a/crates/damaskvane-slots/src/settings.rs
+++ b/crates/damaskvane-slots/src/settings.rs
@@ -22,14 +22,14 @@
     /// How long a free slot is kept before it goes back.
     pub idle_return_ms: SpanMs,
     /// After this time without an answer the owner is asked again.
-    pub answer_ms: SpanMs,
+    pub response_timeout_ms: SpanMs,
     /// How long after a start there may be others that were fenced before it and still act: the lag of the
     /// list and the authority of membership together.
     pub unknown_fence_ms: SpanMs,
     /// How long an owner asks others to make do with a smaller share.
     pub recall_ms: SpanMs,
     /// The time between two such calls while others wait.
-    pub recall_every_ms: SpanMs,
+    pub recall_interval_ms: SpanMs,
     /// After this time those who have not answered a claim are asked again.
     pub claim_retry_ms: SpanMs,
 }
@@ -40,10 +40,10 @@
             lease_ms: SpanMs::new(5_000),
             margin_ms: SpanMs::new(300),
             idle_return_ms: SpanMs::new(500),
-            answer_ms: SpanMs::new(300),
+            response_timeout_ms: SpanMs::new(300),
             unknown_fence_ms: SpanMs::new(32_000),
             recall_ms: SpanMs::new(1_000),
-            recall_every_ms: SpanMs::new(20),
+            recall_interval_ms: SpanMs::new(20),
             claim_retry_ms: SpanMs::new(300),
         }
     }
@@ -52,7 +52,7 @@
 impl SlotSettings {
     /// After this time whatever was lent by, or to, one that is gone has lapsed.
     #[must_use]
-    pub const fn lapse_ms(&self) -> SpanMs {
+    pub const fn expiry_ms(&self) -> SpanMs {
         SpanMs::new(self.lease_ms.get() + self.margin_ms.get())
     }
 }
