--- a/crates/damaskvane-slots/src/claim.rs
+++ b/crates/damaskvane-slots/src/claim.rs
@@ -1,10 +1,11 @@
-//! How a backend server gets a new owner.
+//! A claim: the request of an instance to become the owner of a backend server.
 //!
-//! The one that is to be owner asks all instances of the zone that are not proven gone. It may begin when
-//! the present owner hands over its ledger, or when all have consented. In the second case the last owner
-//! is gone and nobody knows all that it lent, so the new owner waits until everything must have lapsed.
-//! Consent is a promise: who gives it owns nothing of that backend server any more, and takes grants from
-//! nobody else. So two can't both begin, however much their views differ.
+//! The claimant requests consent from all instances of the zone that are not proven gone. The claim is
+//! complete when the current owner hands over its ledger, or when all these instances have consented. In the
+//! second case the last owner is gone and no instance knows all of its grants, so the new owner waits until
+//! every such grant has expired. An instance that consents gives up ownership of that backend server and
+//! accepts grants from no other owner. Two claimants therefore can't both become owner, even if their
+//! rosters differ.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -21,7 +22,7 @@
 use crate::ledger::Grant;
 use crate::message::{GrantKey, HeldLease};
 
-/// A claim that is not complete.
+/// A claim that is not complete yet.
 #[derive(Debug)]
 pub struct Claim {
     number: u64,
@@ -32,7 +33,7 @@
 }
 
 impl Claim {
-    /// A claim that nobody has answered.
+    /// Creates a claim without consents, requested at `now`.
     #[must_use]
     pub const fn new(number: u64, now: time::TimeMs) -> Self {
         Self {
@@ -44,13 +45,13 @@
         }
     }
 
-    /// Tells it from earlier ones.
+    /// Returns the claim's number, which distinguishes it from earlier claims of this instance.
     #[must_use]
     pub const fn number(&self) -> u64 {
         self.number
     }
 
-    /// Whether it is time to ask again; notes that it was done.
+    /// Returns whether consent has to be requested again, and if so restarts the interval.
     pub fn is_retry_due(&mut self, now: time::TimeMs, every: time::SpanMs) -> bool {
         let is_due = now.since(self.requested_at) >= every;
         if is_due {
@@ -59,26 +60,26 @@
         is_due
     }
 
-    /// Whether an instance has consented.
+    /// Returns whether any incarnation of `instance` has consented.
     #[must_use]
     pub fn has_consent(&self, instance: &ids::InstanceId) -> bool {
         self.consents.contains_key(instance)
     }
 
-    /// Notes until when one that others fenced may still act.
+    /// Postpones the start of granting to `not_before`, until which a fenced instance may still act.
     pub fn delay(&mut self, not_before: time::TimeMs) {
         self.not_before = self.not_before.max(not_before);
     }
 
-    /// Until when one that others fenced may still act.
+    /// Returns until when an instance that others fenced may still act; zero if none was reported.
     #[must_use]
     pub const fn not_before(&self) -> time::TimeMs {
         self.not_before
     }
 
-    /// Notes a consent and what its giver has borrowed.
+    /// Records the consent of an instance and the leases that it holds.
     ///
-    /// The giver's leases end by its own clock; the owner counts them for a margin longer.
+    /// The leases expire on the clock of the instance; the new owner counts them for `margin` longer.
     pub fn record_consent(
         &mut self,
         now: time::TimeMs,
@@ -101,7 +102,7 @@
         self.consents.insert(from, incarnation);
     }
 
-    /// Notes that a holder gave slots back that it had reported.
+    /// Reduces a reported lease to `remaining` slots after its holder returned slots.
     pub fn return_slots(&mut self, key: &GrantKey, remaining: units::Slots) {
         if remaining == units::Slots::ZERO {
             self.reports.remove(key);
@@ -110,13 +111,13 @@
         }
     }
 
-    /// Who has consented, and which start of it.
+    /// Returns the instances that have consented, each with its incarnation.
     #[must_use]
     pub fn consents(&self) -> BTreeMap<ids::InstanceId, ids::Incarnation> {
         self.consents.clone()
     }
 
-    /// What was reported.
+    /// Returns the leases that were reported with the consents.
     #[must_use]
     pub fn into_reports(self) -> BTreeMap<GrantKey, Grant> {
         self.reports
--- a/crates/damaskvane-slots/src/connections.rs
+++ b/crates/damaskvane-slots/src/connections.rs
@@ -1,8 +1,9 @@
 //! The fixed share of a backend server's connections.
 //!
-//! Connections are plentiful against slots (330 to 6) and are worth keeping open, so they are not lent:
-//! each instance may open the same fixed share, whoever else lives. The share follows from the
-//! configuration alone, so no disagreement on membership can exceed the limit.
+//! A backend server has far more connections than slots (330 to 6), and open connections are worth keeping,
+//! so connections are not leased. Each instance may open the same fixed share, however many instances run.
+//! The share follows from the configuration alone, so instances that disagree on the membership can't
+//! exceed the limit together.
 //!
 //! ```
 //! use damaskvane_slots::connections;
@@ -14,14 +15,14 @@
 //! assert_eq!(budget.in_use(), 0);
 //! ```
 
-/// all {share} connections of this instance's share are open; wait for one to close, or raise the backend server's connection limit
+/// all {share} connections of this instance's share are open; wait until one closes, or raise the backend server's connection limit
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ConnectionsExhausted {
-    /// The share of one instance.
+    /// The number of connections that one instance may have open.
     pub share: u32,
 }
 
-/// The connections of this instance to one backend server.
+/// Counts the open connections of this instance to one backend server.
 #[derive(Debug, Clone)]
 pub struct ConnectionBudget {
     share: u32,
@@ -29,7 +30,7 @@
 }
 
 impl ConnectionBudget {
-    /// The share of one instance where a zone has at most `max_instances` of them.
+    /// Creates the budget of one instance: `limit` divided among at most `max_instances` per zone.
     #[must_use]
     pub const fn new(limit: u32, max_instances: u32) -> Self {
         let share = match limit.checked_div(max_instances) {
@@ -39,13 +40,13 @@
         Self { share, in_use: 0 }
     }
 
-    /// How many connections this instance may have open.
+    /// Returns how many connections this instance may have open.
     #[must_use]
     pub const fn share(&self) -> u32 {
         self.share
     }
 
-    /// How many it has open.
+    /// Returns how many connections this instance has open.
     #[must_use]
     pub const fn in_use(&self) -> u32 {
         self.in_use
@@ -55,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectionsExhausted`] if the share is open already.
+    /// Returns [`ConnectionsExhausted`] if the whole share is open.
     pub const fn open(&mut self) -> Result<(), ConnectionsExhausted> {
         if self.in_use >= self.share {
             return Err(ConnectionsExhausted { share: self.share });
--- a/crates/damaskvane-slots/src/counters.rs
+++ b/crates/damaskvane-slots/src/counters.rs
@@ -1,4 +1,4 @@
-//! What is counted of slots.
+//! Counters of grants, refusals and ownership changes.
 //!
 //! ```
 //! use damaskvane_slots::counters;
@@ -10,31 +10,31 @@
 
 use crate::message::RefusalReason;
 
-/// What is counted of slots.
+/// Counters of one instance since its start, over all backend servers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SlotCounters {
-    /// Grants lent as an owner.
+    /// Grants made as an owner.
     pub granted: u64,
-    /// Asks that had to wait for a free slot.
+    /// Rounds of recalls that were due because acquire requests waited for a free slot.
     pub queued: u64,
-    /// Asks refused as an owner, by reason.
+    /// Acquire and renewal requests that this instance refused, by reason.
     pub refused: BTreeMap<RefusalReason, u64>,
-    /// Times that others were asked to give slots back.
+    /// Recall messages sent to holders.
     pub recalled: u64,
-    /// Grants borrowed.
+    /// Grants received in time to be used.
     pub acquired: u64,
-    /// Grants that came when another was the owner already.
+    /// Grants, refusals, renewals and recalls dropped because their sender isn't the owner for this instance.
     pub late_grants: u64,
-    /// Permits whose lease lapsed before the request was sent.
+    /// Permits whose lease expired before the request was sent.
     pub expired: u64,
-    /// Requests sent after their lease had lapsed, because the process was paused.
+    /// Requests sent after their lease had expired, because the process was paused.
     pub sent_late: u64,
-    /// Claims that were completed by a ledger.
+    /// Claims of this instance completed with the ledger of the previous owner.
     pub handed_over: u64,
-    /// Claims that were completed by waiting.
+    /// Claims of this instance completed by the consents of all instances, without a ledger.
     pub waited_out: u64,
-    /// Claims that were declined.
+    /// Decline messages received for claims of this instance.
     pub declined: u64,
-    /// Messages from, or for, a start of an instance that is gone.
+    /// Messages dropped because they came from, or were for, an earlier incarnation of an instance.
     pub old_messages: u64,
 }
--- a/crates/damaskvane-slots/src/exchange.rs
+++ b/crates/damaskvane-slots/src/exchange.rs
@@ -1,9 +1,10 @@
-//! The aggregate of slots: events and a time in, actions out.
+//! The slot leases of one zone as a state machine: events and the current time in, actions out.
 //!
-//! A program feeds it the roster and the backend servers, what peers say, and ticks. Before a request is
-//! sent it takes a permit with [`SlotExchange::begin`]; if there is none it says with [`Event::Demand`]
-//! that requests wait, and tries again on [`Action::Available`]. The owner of a backend server borrows
-//! from its own ledger like any other, without a message.
+//! A program passes the roster, the backend servers, messages from peers, and ticks to
+//! [`SlotExchange::handle`]. Before the program sends a request, it takes a permit with
+//! [`SlotExchange::begin`]. If there is no permit, the program reports the waiting requests with
+//! [`Event::Demand`] and tries again on [`Action::Available`]. The owner of a backend server acquires slots
+//! from its own ledger in the same way, without a message on the network.
 //!
 //! ```
 //! use damaskvane_core::{ids, time, units};
@@ -23,7 +24,7 @@
 //! let limits = vec![exchange::ServerSlots { server: server.clone(), slots: units::Slots::new(6) }];
 //! slots.handle(time::TimeMs::new(0), exchange::Event::Servers(limits));
 //! slots.handle(time::TimeMs::new(0), exchange::Event::Roster(roster));
-//! // An earlier owner may have lent slots: nothing is lent until that must have expired.
+//! // An earlier owner may have granted slots: nothing is granted before those grants have expired.
 //! let now = time::TimeMs::new(5_300);
 //! slots.handle(now, exchange::Event::Tick);
 //! let demand = exchange::Event::Demand { server: server.clone(), waiting: units::Slots::new(1) };
--- a/crates/damaskvane-slots/src/exchange/acquiring.rs
+++ b/crates/damaskvane-slots/src/exchange/acquiring.rs
@@ -1,4 +1,4 @@
-//! The part of the aggregate that borrows.
+//! The holder's part of the exchange: acquires, renews and returns slots.
 
 use damaskvane_core::{ids, time, units};
 
@@ -17,8 +17,8 @@
         let Some(owner) = server.owner.clone() else {
             return;
         };
-        // An instance that is leaving owns nothing any more but still borrows: clients come to it until
-        // their look-up answers have run out, and would wait for nothing here.
+        // A leaving instance owns no servers but still acquires slots: clients send it requests until their
+        // lookup responses expire, and those requests would otherwise wait without any prospect of a slot.
         let slots = server.pool.slots_to_acquire(now, waiting, timeout);
         if slots == units::Slots::ZERO {
             return;
@@ -43,8 +43,8 @@
             return;
         };
         if server.owner.as_ref() != Some(&from.instance) {
-            // The sender handed the backend server on, or never owned it. What it lent before is in
-            // the new owner's ledger; what comes now may not be.
+            // The sender handed the backend server over, or never owned it. Its earlier grants are in the
+            // new owner's ledger, but this message may not be accounted for there.
             self.counters.late_grants += 1;
             return;
         }
@@ -104,7 +104,7 @@
             let server = name.clone();
             self.actions.push(Action::Available { server });
         } else {
-            // It came too late to be of use. Given back it serves others before it lapses.
+            // The grant arrived too late. Once returned, its slots serve other instances before it expires.
             self.send_return(name, number, units::Slots::ZERO);
         }
     }
--- a/crates/damaskvane-slots/src/exchange/aggregate.rs
+++ b/crates/damaskvane-slots/src/exchange/aggregate.rs
@@ -1,4 +1,4 @@
-//! The aggregate itself: events, permits, and messages.
+//! The exchange: dispatch of events and messages, and permits.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,25 +12,25 @@
 use crate::permit::{Permit, Ready, ReleasedPermit};
 use crate::settings::SlotSettings;
 
-/// Why there is no permit.
+/// The reason why no permit is available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum Unavailable {
-    /// the backend server is not one of this zone; check the configuration in force
+    /// the backend server is not in this zone; check the active configuration
     UnknownServer,
-    /// no borrowed slot is free; report the demand and begin again when slots are available
+    /// no held slot is free for long enough; report the demand and begin again when slots are available
     NoSlot,
 }
 
-/// How the use of a slot ended.
+/// How the request on a slot ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Finish {
-    /// The whole answer came, or the request was never sent.
+    /// The whole response arrived, or the request was never sent.
     Ended,
-    /// It was given up; the backend server may work on it until its deadline.
+    /// The request was abandoned; the backend server may run it until its deadline.
     MayStillRun,
 }
 
-/// All slots of the backend servers of one zone, as one of its instances knows them.
+/// The state that one instance keeps for the slots of all backend servers of its zone.
 #[derive(Debug)]
 pub struct SlotExchange {
     pub(super) own: InstanceIncarnation,
@@ -40,15 +40,15 @@
     pub(super) counters: SlotCounters,
     pub(super) now: time::TimeMs,
     pub(super) last_claim: u64,
-    /// When the first event came.
+    /// When the first event was handled.
     pub(super) started_at: Option<time::TimeMs>,
     pub(super) actions: Vec<Action>,
-    /// Messages to this instance itself.
+    /// Messages from this instance to itself, such as acquire requests to its own ledger.
     local: VecDeque<SlotMessage>,
 }
 
 impl SlotExchange {
-    /// An instance that knows neither others nor backend servers yet.
+    /// Creates an exchange without other instances and without backend servers.
     #[must_use]
     pub const fn new(
         instance: ids::InstanceId,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes an event at a time and returns what is to be done.
+    /// Handles an event at the time `now` and returns the actions to carry out.
     pub fn handle(&mut self, now: time::TimeMs, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         self.started_at.get_or_insert(now);
@@ -116,11 +116,13 @@
         core::mem::take(&mut self.actions)
     }
 
-    /// Takes a slot for one request that may run for up to `max_run_ms`, and needs `min_run_ms`.
+    /// Takes a slot for one request that needs at least `min_run_ms` and runs for at most `max_run_ms`.
+    ///
+    /// This call uses only slots that this instance holds already and doesn't acquire more.
     ///
     /// # Errors
     ///
-    /// [`Unavailable`] if no borrowed slot is free for so long; none is borrowed by this call.
+    /// Returns [`Unavailable`] if the backend server is unknown, or no free slot is leased for `min_run_ms`.
     pub fn begin(
         &mut self,
         now: time::TimeMs,
@@ -145,7 +147,7 @@
         ))
     }
 
-    /// Gives a slot back that was in use.
+    /// Frees the slot of a permit and returns the actions to carry out.
     pub fn finish(
         &mut self,
         now: time::TimeMs,
@@ -164,30 +166,32 @@
         self.flush()
     }
 
-    /// Counts a permit whose lease lapsed before the request was sent.
+    /// Counts a permit whose lease expired before the request was sent.
     pub const fn count_expired(&mut self) {
         self.counters.expired += 1;
     }
 
-    /// Counts a request that was sent after its lease had lapsed.
+    /// Counts a request that was sent after its lease had expired.
     pub const fn count_sent_late(&mut self) {
         self.counters.sent_late += 1;
     }
 
-    /// What has been counted so far.
+    /// Returns the counters since the start of this instance.
     #[must_use]
     pub const fn counters(&self) -> &SlotCounters {
         &self.counters
     }
 
-    /// Borrowed slots of a backend server that requests may use now.
+    /// Returns the number of held slots of a backend server that requests may use now.
     #[must_use]
     pub fn free(&self, now: time::TimeMs, server: &ids::BackendServerId) -> units::Slots {
         let server = self.servers.get(server);
         server.map_or(units::Slots::ZERO, |server| server.pool.free(now))
     }
 
-    /// Whether a planned stop has handed over all that this instance owned and runs nothing.
+    /// Returns whether a planned stop may end: no request runs, and no backend server is owned or claimed.
+    ///
+    /// Ownership is ignored if no other instance of the zone can take it over.
     #[must_use]
     pub fn is_drained(&self, now: time::TimeMs) -> bool {
         let has_successor = self.candidates().next().is_some();
@@ -272,7 +276,7 @@
         }
     }
 
-    /// Sends to the latest known start of an instance.
+    /// Sends a message to the latest known incarnation of an instance.
     pub(super) fn send(&mut self, to: &ids::InstanceId, message: SlotMessage) {
         let member = self
             .roster
@@ -289,7 +293,7 @@
         }
     }
 
-    /// Sends to the start of an instance that has sent something.
+    /// Sends a message to one incarnation of an instance, such as the sender of a request.
     pub(super) fn reply(&mut self, to: &InstanceIncarnation, message: SlotMessage) {
         if *to == self.own {
             self.local.push_back(message);
@@ -311,7 +315,7 @@
             .any(|member| member.instance == self.own.instance && member.leaving)
     }
 
-    /// Whether this instance may use what it owns.
+    /// Returns whether this instance has the authority to act as an owner.
     pub(super) fn has_authority(&self) -> bool {
         self.roster
             .authority_until
--- a/crates/damaskvane-slots/src/exchange/assignment.rs
+++ b/crates/damaskvane-slots/src/exchange/assignment.rs
@@ -1,4 +1,4 @@
-//! The part of the aggregate that says who is to own a backend server, and whom to ask until then.
+//! Selection of the assigned owner of a backend server, and of the instance that grants slots until then.
 
 use damaskvane_core::ids;
 use damaskvane_membership::ownership;
@@ -7,7 +7,9 @@
 use crate::exchange::server::Ownership;
 
 impl SlotExchange {
-    /// Whether the hash names this instance as owner; it then borrows without a message.
+    /// Returns whether the hash assigns the backend server to this instance.
+    ///
+    /// An assigned owner acquires slots from its own ledger, without a message on the network.
     #[must_use]
     pub fn is_assigned(&self, server: &ids::BackendServerId) -> bool {
         self.assigned_owner(server).as_ref() == Some(&self.own.instance)
@@ -28,11 +30,12 @@
         }
     }
 
-    /// Whether asks still go to the owner of before: it lends until it has consented to another.
+    /// Returns whether acquire requests still go to the current owner, which grants slots until it consents.
     ///
-    /// The hash names a newcomer as soon as it is heard of, but it can claim only once it has seen itself
-    /// on the platform's list, which an outage can hold up. Were it asked before, nobody would lend, and
-    /// requests would be refused beside a backend server with free slots.
+    /// The hash assigns servers to a new instance as soon as the roster has the instance. But the new
+    /// instance can claim them only after it has seen itself on the platform's list, which an outage can
+    /// delay. If acquire requests went to the new instance before that, no instance would grant slots, and
+    /// clients' requests would be refused although the backend server has free slots.
     fn keeps_current_owner(&self, name: &ids::BackendServerId) -> bool {
         let Some(server) = self.servers.get(name) else {
             return false;
@@ -48,7 +51,8 @@
         self.candidates().any(|candidate| candidate == owner)
     }
 
-    /// The owner of before lends no more: asks go to whom the hash names.
+    /// Selects the owner anew by the hash, after an instance has refused a request because it is not the
+    /// owner.
     pub(super) fn reset_owner(&mut self, name: &ids::BackendServerId) {
         let acquire_target = self.acquire_target(name);
         if let Some(server) = self.servers.get_mut(name) {
@@ -56,8 +60,10 @@
         }
     }
 
-    /// Whom to ask for slots: the owner by hash, or, while this instance may not claim what it is named
-    /// for, the owner without it, who goes on lending until then.
+    /// Returns the instance to send acquire requests to: the owner by hash.
+    ///
+    /// While this instance is the assigned owner but may not claim yet, this is the owner by hash among the
+    /// other instances, which grants slots until the claim.
     fn acquire_target(&self, name: &ids::BackendServerId) -> Option<ids::InstanceId> {
         let is_barred = self.is_assigned(name) && !self.may_claim();
         let others = self
@@ -66,7 +72,9 @@
         ownership::owner(name.as_str(), others).or_else(|| self.assigned_owner(name))
     }
 
-    /// Who may own backend servers. One that is merely silent stays: it may still lend.
+    /// Returns the instances that may own backend servers.
+    ///
+    /// Silent instances are included, because they may still grant slots.
     pub(super) fn candidates(&self) -> impl Iterator<Item = &ids::InstanceId> {
         self.roster
             .members
--- a/crates/damaskvane-slots/src/exchange/claiming.rs
+++ b/crates/damaskvane-slots/src/exchange/claiming.rs
@@ -1,4 +1,4 @@
-//! The part of the aggregate that takes over backend servers and hands them on.
+//! The transfer of ownership: claims of this instance, and consents to claims of others.
 
 use damaskvane_core::{ids, time};
 use damaskvane_membership::view;
@@ -10,16 +10,17 @@
 use crate::message::{HeldLease, LedgerHandover, SlotMessage};
 
 impl SlotExchange {
-    /// Whether this instance may claim what the hash names it for.
+    /// Returns whether this instance may claim the backend servers that the hash assigns to it.
     ///
-    /// Without having seen itself on the list it may know too few others to ask. And one that can't read
-    /// the list may not know of it: should the owner hand its ledger over and then end, that one would take
-    /// the backend server for its own, and both would lend its slots.
+    /// Before this instance has seen itself on the platform's list, its roster may lack instances whose
+    /// consent is needed. And another instance that can't read the list may not have this instance in its
+    /// roster. If the owner handed its ledger to this instance and then stopped, the other instance would
+    /// take over the backend server as well, and both would grant its slots.
     pub(super) fn may_claim(&self) -> bool {
         self.roster.is_listed && self.others().all(|member| member.hears_own)
     }
 
-    /// Begins or ends a claim after the hash has named another owner.
+    /// Starts, ends or completes a claim after the roster or the assignment has changed.
     pub(super) fn apply_assignment(&mut self, name: &ids::BackendServerId, is_own: bool) {
         let may_claim = is_own && self.may_claim();
         let now = self.now;
@@ -34,7 +35,7 @@
                 self.complete_if_consented(name);
             }
             Ownership::Claiming(_) if !is_own => server.ownership = Ownership::None,
-            // Others may have gone, or been proven gone, since they were asked.
+            // Instances whose consent is missing may have been proven gone since the claim was sent.
             Ownership::Claiming(_) => self.complete_if_consented(name),
             _ => {}
         }
@@ -68,10 +69,11 @@
         }
     }
 
-    /// Whether an instance has started since all that were there consented.
+    /// Returns whether an instance has started since all instances of the roster consented.
     ///
-    /// One that was fenced without knowing it may hand its ledger to a newcomer while its authority
-    /// lasts. Both the newcomer and this instance would lend then, and the backend server would shed.
+    /// A fenced instance that has not noticed the fence may hand its ledger to a new instance while its
+    /// authority lasts. Then both the new instance and this one would grant slots, and the backend server
+    /// would shed requests.
     fn has_new_instances(&self, name: &ids::BackendServerId) -> bool {
         let consented = self
             .servers
@@ -121,7 +123,7 @@
         }
     }
 
-    /// All other instances of the zone that are not proven gone, the silent ones among them.
+    /// Returns all other instances of the zone that are not proven gone, including silent ones.
     fn others(&self) -> impl Iterator<Item = &view::RosterMember> {
         self.roster
             .members
@@ -129,13 +131,13 @@
             .filter(|member| member.instance != self.own.instance && member.gone.is_none())
     }
 
-    /// Completes a claim to which all have consented, and waits for unknown grants to lapse.
+    /// Completes a claim with the consents of all others; the owner then waits for unknown grants to expire.
     fn complete_if_consented(&mut self, name: &ids::BackendServerId) {
         let has_all_consents = self.claim(name).is_some_and(|claim| {
             self.others()
                 .all(|member| claim.has_consent(&member.instance))
         });
-        // Without authority the roster may lack whom to ask, and another may have taken over by now.
+        // Without authority the roster may lack instances, and another instance may have taken over by now.
         if !has_all_consents || !self.has_authority() || !self.roster.may_take_over {
             return;
         }
@@ -148,10 +150,11 @@
         self.complete(name, Vec::new(), until);
     }
 
-    /// When the last of those that are gone has surely stopped lending and using.
+    /// Returns the time after which no gone instance can still grant or use slots.
     ///
-    /// One that has just started does not know whom others fenced before that. Those who consent tell; if
-    /// one is gone that could have told, only time does.
+    /// A new instance does not know which instances were fenced before it started; the consents report them.
+    /// If any instance is gone, it could have reported one, so this instance also waits `unknown_fence_ms`
+    /// from its start.
     fn last_possible_use(&self, name: &ids::BackendServerId) -> time::TimeMs {
         let reported = self.claim(name).map(Claim::not_before);
         let gone = self.roster.members.iter().filter_map(|member| member.gone);
@@ -164,7 +167,7 @@
         last.unwrap_or(self.now).max(self.now)
     }
 
-    /// Begins as owner, with what was handed over and what was reported.
+    /// Makes this instance the owner, with the grants of the handover and the reported leases.
     fn complete(&mut self, name: &ids::BackendServerId, handed: Vec<Grant>, until: time::TimeMs) {
         let (now, own) = (self.now, self.own.clone());
         let margin = self.settings.margin_ms;
@@ -231,10 +234,10 @@
         self.reply(from, consent.unwrap_or(declined));
     }
 
-    /// Gives up all part in owning a backend server.
+    /// Gives up the ownership or the claim of a backend server and returns the consent.
     ///
-    /// The ledger goes with the consent. Should it be lost, the new owner gets the next consent without
-    /// it and waits for everything to lapse.
+    /// An owner's consent carries its ledger. If that message is lost, the next consent has no ledger, and
+    /// the new owner waits until all grants have expired.
     fn give_consent(
         &mut self,
         name: &ids::BackendServerId,
@@ -255,13 +258,14 @@
                 wait_ms: time::SpanMs::ZERO,
             }),
         };
-        // Another may have lent since authority was lost; the ledger then is not all there is.
+        // Another instance may have granted slots since the authority expired, so the ledger may be
+        // incomplete.
         let ledger = ledger.filter(|_| has_authority);
         server.queue.clear();
         server.set_owner(Some(owner.clone()));
         server.pool.discard_pending_acquires();
         let leases = server.pool.held_leases(now);
-        // The claimant may know neither those that are gone nor those that the list has dropped.
+        // The claimant's roster may lack instances that are gone or were dropped from the list.
         let stopped = self.roster.members.iter().filter_map(|member| {
             let gone_from = member.gone.map(|gone| gone.from);
             gone_from.or(member.dropped_until)
@@ -315,7 +319,7 @@
         }
     }
 
-    /// The present owner's ledger names all grants there are, so it needs nobody else's consent.
+    /// Completes a claim with the owner's ledger; it has all grants, so no further consent is needed.
     fn apply_handover(&mut self, name: &ids::BackendServerId, ledger: LedgerHandover) {
         let now = self.now;
         let grants = ledger.entries.into_iter().map(|entry| Grant {
--- a/crates/damaskvane-slots/src/exchange/event.rs
+++ b/crates/damaskvane-slots/src/exchange/event.rs
@@ -1,64 +1,66 @@
-//! What the aggregate is told, and what it asks for.
+//! Events that the exchange takes, and actions that it returns.
 
 use damaskvane_core::{ids, units};
 use damaskvane_membership::view;
 
 use crate::message::AddressedMessage;
 
-/// A backend server of the own zone and its slots, by the configuration in force.
+/// A backend server of this instance's zone with its number of slots, from the active configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerSlots {
     /// The backend server.
     pub server: ids::BackendServerId,
-    /// Its slots.
+    /// How many requests the backend server may run at once.
     pub slots: units::Slots,
 }
 
-/// What the aggregate is told.
+/// An event that the program passes to [`crate::exchange::SlotExchange::handle`].
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The backend servers of the own zone; those that are missing are used no more.
+    /// All backend servers of this instance's zone; servers that are missing are no longer used.
     Servers(Vec<ServerSlots>),
-    /// The instances of the own zone; send it whenever membership has handled an event.
+    /// The instances of this instance's zone.
+    ///
+    /// The program sends the roster whenever membership has handled an event.
     Roster(view::Roster),
     /// A message from another instance.
     Message {
-        /// The sender.
+        /// The instance that sent the message.
         from: ids::InstanceId,
-        /// Which start of the sender it is.
+        /// The incarnation of the sender.
         incarnation: ids::Incarnation,
-        /// What it says.
+        /// The message with the incarnation that it is for.
         message: AddressedMessage,
     },
-    /// Requests wait for a backend server.
+    /// Requests wait for slots of a backend server.
     Demand {
         /// The backend server.
         server: ids::BackendServerId,
-        /// How many requests wait for it now.
+        /// The number of requests that wait now.
         waiting: units::Slots,
     },
-    /// Time has passed; send it at least ten times a second.
+    /// Time has passed; the program sends a tick at least ten times a second.
     Tick,
 }
 
-/// What the aggregate asks for.
+/// An action that the program has to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message.
+    /// Send a message to another instance of the zone.
     Send {
-        /// The instance.
+        /// The recipient.
         to: ids::InstanceId,
-        /// The message.
+        /// The message with the incarnation that it is for.
         message: AddressedMessage,
     },
-    /// Slots of a backend server have come: try [`crate::exchange::SlotExchange::begin`] again.
+    /// Slots of a backend server were granted: try [`crate::exchange::SlotExchange::begin`] again.
     Available {
         /// The backend server.
         server: ids::BackendServerId,
     },
-    /// An invariant was broken, and the action refused.
+    /// Report a broken invariant; the exchange has not carried out the unsafe operation.
     Broken {
-        /// Which.
+        /// A description of the invariant.
         invariant: &'static str,
     },
 }
--- a/crates/damaskvane-slots/src/exchange/granting.rs
+++ b/crates/damaskvane-slots/src/exchange/granting.rs
@@ -1,4 +1,4 @@
-//! The part of the aggregate that lends, as the owner of backend servers.
+//! The owner's part of the exchange: grants, renews and recalls slots.
 
 use damaskvane_core::{ids, time, units};
 
@@ -6,7 +6,7 @@
 use crate::exchange::server::{InstanceIncarnation, Ownership, QueuedAcquire, Server};
 use crate::message::{GrantKey, GrantNumber, RefusalReason, SlotMessage};
 
-/// A grant that was just lent.
+/// A grant that the ledger has recorded and the holder has not been sent yet.
 #[derive(Debug)]
 struct NewGrant {
     key: GrantKey,
@@ -65,7 +65,7 @@
         let key = key_of(from, number);
         let requested_at = self.now;
         if let Some(server) = self.servers.get_mut(name) {
-            // A holder that asks again has given up its earlier ask, but keeps its place.
+            // A further request of a holder replaces its earlier one and keeps the place in the queue.
             let waiting = server
                 .queue
                 .iter_mut()
@@ -118,7 +118,7 @@
         self.reply(from, message);
     }
 
-    /// Lends to those who wait, in the order in which they asked.
+    /// Grants slots to queued acquire requests in queue order.
     fn serve_queue(&mut self, name: &ids::BackendServerId) {
         if !self.has_authority() {
             return;
@@ -141,7 +141,7 @@
         }
         let is_within_slots = new_grants.is_empty() || ledger.is_within_slots();
         if !is_within_slots {
-            // The grants stay in the ledger and lapse; nobody is told of them.
+            // The grants stay in the ledger until they expire, and no message about them is sent.
             self.report_broken_invariant("slots lent above the backend server's limit");
             return;
         }
@@ -166,10 +166,10 @@
         }
     }
 
-    /// Asks holders for what is idle, or above their part, while others wait.
+    /// Recalls idle slots, and slots above an equal share, from holders while acquire requests wait.
     ///
-    /// A holder with steady load would otherwise keep its slots for ever, and requests at another
-    /// instance would be refused beside a backend server with work for one instance only.
+    /// Otherwise a holder with steady load would keep its slots forever, and requests at other instances
+    /// would be refused while the backend server serves one instance only.
     fn recall_if_contended(&mut self, name: &ids::BackendServerId) {
         let (now, every) = (self.now, self.settings.recall_interval_ms);
         let Some(server) = self.servers.get_mut(name) else {
@@ -210,11 +210,12 @@
         let renewed = match ownership {
             _ if !has_authority => Err(RefusalReason::NoAuthority),
             Some(Ownership::Serving(ledger)) => Ok(ledger.renew(now, &key, until)),
-            // One that was fenced may lend again what it counts as lapsed, for as long as it may act.
+            // As long as a fenced instance may act, it may grant the slots of leases that it counts as
+            // expired.
             Some(Ownership::Waiting(ledger)) if ledger.until() > all_expired_at => {
                 Err(RefusalReason::Waiting)
             }
-            // Known grants are counted already, so they may go on while unknown ones lapse.
+            // Known grants are in the ledger, so they may be renewed while unknown ones expire.
             Some(Ownership::Waiting(ledger)) => Ok(ledger.renew(now, &key, until)),
             Some(Ownership::Claiming(_)) => Err(RefusalReason::Waiting),
             Some(Ownership::None) | None => Err(RefusalReason::NotOwner),
@@ -272,9 +273,9 @@
     }
 }
 
-/// Who holds slots, and how many each may keep.
+/// Returns the holders and how many slots each may keep.
 ///
-/// One that holds more than an equal part gives up what those below theirs wait for, and no more.
+/// A holder above an equal share has to return what holders below their share wait for, and no more.
 fn recalls(server: &Server) -> Vec<(ids::InstanceId, units::Slots)> {
     let Ownership::Serving(ledger) = &server.ownership else {
         return Vec::new();
@@ -287,7 +288,7 @@
     let share = units::Slots::new(share.unwrap_or_default());
     let missing = server.queue.iter().map(|queued| {
         let current = held.get(&queued.key.holder).copied().unwrap_or_default();
-        // Where there are fewer slots than sharers, each must have one in turn.
+        // With fewer slots than sharers, each sharer must get one slot in turn.
         let min_share = units::Slots::new(share.get().max(1));
         min_share.saturating_sub(current).min(queued.slots)
     });
--- a/crates/damaskvane-slots/src/exchange/server.rs
+++ b/crates/damaskvane-slots/src/exchange/server.rs
@@ -1,4 +1,4 @@
-//! One backend server as an instance of its zone sees it.
+//! The state that an instance keeps for one backend server of its zone.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,21 +9,21 @@
 use crate::ledger::{Serving, SlotLedger, Waiting};
 use crate::message::GrantKey;
 
-/// The instance's part in owning a backend server.
+/// The phase of this instance in the ownership of a backend server.
 #[derive(Debug, Default)]
 pub(super) enum Ownership {
-    /// It does not own it.
+    /// The instance neither owns nor claims the backend server.
     #[default]
     None,
-    /// It is to own it and asks the others.
+    /// The instance is the assigned owner and requests consent from the others.
     Claiming(Claim),
-    /// It owns it and waits for what was lent before to lapse.
+    /// The instance is the owner and waits for grants of earlier owners to expire.
     Waiting(SlotLedger<Waiting>),
-    /// It owns it and lends.
+    /// The instance is the owner and grants slots.
     Serving(SlotLedger<Serving>),
 }
 
-/// An ask that waits for a free slot.
+/// An acquire request that waits for a free slot.
 #[derive(Debug)]
 pub(super) struct QueuedAcquire {
     pub(super) key: GrantKey,
@@ -31,24 +31,24 @@
     pub(super) requested_at: time::TimeMs,
 }
 
-/// One start of an instance.
+/// One incarnation of an instance: the sender or the recipient of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct InstanceIncarnation {
     pub(super) instance: ids::InstanceId,
     pub(super) incarnation: ids::Incarnation,
 }
 
-/// One backend server as an instance of its zone sees it.
+/// The state that an instance keeps for one backend server of its zone.
 #[derive(Debug)]
 pub(super) struct Server {
     pub(super) slots: units::Slots,
     pub(super) ownership: Ownership,
     pub(super) pool: LeasePool,
     pub(super) queue: VecDeque<QueuedAcquire>,
-    /// To whom this instance has consented, or whom its asks go to.
+    /// The owner to send acquire requests to; after a consent, the claimant.
     pub(super) owner: Option<ids::InstanceId>,
     pub(super) recalled_at: Option<time::TimeMs>,
-    /// Who consented to the ownership that is waited for; nothing if a ledger was handed over.
+    /// The instances whose consents made this instance the owner; `None` after it took over a ledger.
     pub(super) consented: Option<BTreeMap<ids::InstanceId, ids::Incarnation>>,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Recognises an owner; grants that were asked of another are not taken any more.
+    /// Sets the owner; grants that were requested from the previous owner are no longer accepted.
     pub(super) fn set_owner(&mut self, owner: Option<ids::InstanceId>) {
         if self.owner != owner {
             self.owner = owner;
--- a/crates/damaskvane-slots/src/exchange/status.rs
+++ b/crates/damaskvane-slots/src/exchange/status.rs
@@ -1,42 +1,42 @@
-//! How the slots stand, for status and tests.
+//! The state of ownership and slots by backend server, for the status page and tests.
 
 use damaskvane_core::{ids, time, units};
 
 use crate::exchange::aggregate::SlotExchange;
 use crate::exchange::server::Ownership;
 
-/// The instance's part in owning a backend server.
+/// The phase of an instance in the ownership of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerPhase {
-    /// It does not own it.
+    /// The instance neither owns nor claims the backend server.
     None,
-    /// It asks the others.
+    /// The instance requests consent to its ownership.
     Claiming,
-    /// It waits for what was lent before to lapse.
+    /// The instance is the owner and waits for grants of earlier owners to expire.
     Waiting,
-    /// It lends.
+    /// The instance is the owner and grants slots.
     Serving,
 }
 
-/// How one backend server stands.
+/// The state of one backend server as this instance has it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerStatus<'a> {
-    /// The backend server.
+    /// The backend server, one of this instance's zone.
     pub server: &'a ids::BackendServerId,
-    /// The owner that this instance asks.
+    /// The owner to which this instance sends its acquire requests, if there is one.
     pub owner: Option<&'a ids::InstanceId>,
-    /// Its own part.
+    /// The phase of this instance.
     pub phase: OwnerPhase,
-    /// What it has lent as the owner.
+    /// Slots that this instance has granted as the owner, to itself included.
     pub granted: units::Slots,
-    /// What it has borrowed.
+    /// Slots that this instance holds.
     pub held: units::Slots,
-    /// What it has in use.
+    /// Held slots on which requests run or may still run.
     pub busy: units::Slots,
 }
 
 impl SlotExchange {
-    /// How each backend server stands.
+    /// Returns the state of each backend server, in the order of their ids.
     pub fn status(&self, now: time::TimeMs) -> impl Iterator<Item = ServerStatus<'_>> {
         self.servers.iter().map(move |(name, server)| {
             let (phase, granted) = match &server.ownership {
--- a/crates/damaskvane-slots/src/holder.rs
+++ b/crates/damaskvane-slots/src/holder.rs
@@ -1,7 +1,8 @@
-//! What an instance has borrowed of one backend server.
+//! The slots of one backend server that an instance holds.
 //!
-//! A lease is usable from its grant until a margin before the owner takes it back, counted on the
-//! holder's own clock from when it *asked*. The way of the messages can so only shorten it.
+//! The holder counts a lease on its own clock from the moment when it *sent* the acquire request, and stops
+//! using the lease a margin before the owner reclaims the slots. Message delay can therefore only shorten
+//! the usable time.
 //!
 //! ```
 //! use damaskvane_core::{time, units};
--- a/crates/damaskvane-slots/src/holder/held_grant.rs
+++ b/crates/damaskvane-slots/src/holder/held_grant.rs
@@ -1,23 +1,23 @@
-//! One grant as its holder keeps it.
+//! A grant as its holder tracks it: the lease, the slots in use, and renewals.
 
 use damaskvane_core::{time, units};
 
 use crate::message::GrantNumber;
 
-/// A renewal that is not answered.
+/// A renewal request without a response yet.
 #[derive(Debug)]
 struct Renewal {
     attempt: u32,
     requested_at: time::TimeMs,
 }
 
-/// One grant as its holder keeps it.
+/// A grant of one backend server, with the lease and the slots in use.
 #[derive(Debug)]
 pub struct HeldGrant {
     number: GrantNumber,
     slots: units::Slots,
     running: units::Slots,
-    /// When work ends that was given up but may still run on the backend server.
+    /// When requests end that were abandoned but may still run on the backend server.
     abandoned: Vec<time::TimeMs>,
     usable_until: time::TimeMs,
     used_at: time::TimeMs,
@@ -46,38 +46,38 @@
         }
     }
 
-    /// Its number.
+    /// Returns the number of the grant.
     #[must_use]
     pub const fn number(&self) -> GrantNumber {
         self.number
     }
 
-    /// How many slots it has.
+    /// Returns how many slots the holder keeps of the grant.
     #[must_use]
     pub const fn slots(&self) -> units::Slots {
         self.slots
     }
 
-    /// When it lapses.
+    /// Returns when the lease expires for the holder.
     #[must_use]
     pub const fn usable_until(&self) -> time::TimeMs {
         self.usable_until
     }
 
-    /// Whether it has lapsed.
+    /// Returns whether the lease has expired for the holder.
     #[must_use]
     pub fn is_expired(&self, now: time::TimeMs) -> bool {
         now >= self.usable_until
     }
 
-    /// Slots that work runs on, or may still run on.
+    /// Returns the number of slots on which requests run or may still run.
     #[must_use]
     pub fn busy(&self, now: time::TimeMs) -> units::Slots {
         let abandoned = self.abandoned.iter().filter(|ends_at| **ends_at > now);
         self.running + units::Slots::new(u32::try_from(abandoned.count()).unwrap_or(u32::MAX))
     }
 
-    /// Slots that a request may use now.
+    /// Returns the number of slots that requests may use now.
     #[must_use]
     pub fn free(&self, now: time::TimeMs) -> units::Slots {
         if self.is_expired(now) {
@@ -91,7 +91,7 @@
         self.used_at = now;
     }
 
-    /// Work that was given up keeps its slot until the backend server has stopped it by its deadline.
+    /// Frees a slot; a slot whose request was abandoned stays busy until the deadline at the backend server.
     pub(super) fn finish(&mut self, now: time::TimeMs, still_runs_until: Option<time::TimeMs>) {
         self.running = self.running.saturating_sub(ONE);
         self.used_at = now;
@@ -103,7 +103,7 @@
         now.since(self.used_at) >= limit
     }
 
-    /// Gives back up to `slots` free ones; how many remain.
+    /// Removes up to `slots` free slots from the grant and returns how many remain.
     pub(super) fn shrink(&mut self, now: time::TimeMs, slots: units::Slots) -> units::Slots {
         self.slots = self.slots.saturating_sub(slots.min(self.free(now)));
         self.slots
@@ -131,7 +131,9 @@
         self.attempts
     }
 
-    /// Counts the new lease from when it was asked for; an answer to an earlier ask is void.
+    /// Extends the lease, counted from when the renewal was requested.
+    ///
+    /// A response to an earlier attempt is ignored.
     pub(super) fn apply_renewal(&mut self, attempt: u32, usable: time::SpanMs) {
         if let Some(renewal) = self.renewal.take_if(|renewal| renewal.attempt == attempt) {
             self.usable_until = self.usable_until.max(renewal.requested_at + usable);
--- a/crates/damaskvane-slots/src/holder/pool.rs
+++ b/crates/damaskvane-slots/src/holder/pool.rs
@@ -1,4 +1,4 @@
-//! All grants of one backend server that an instance holds.
+//! The grants of one backend server that an instance holds, and its pending acquire requests.
 
 use std::collections::BTreeMap;
 
@@ -8,40 +8,40 @@
 use crate::message::{GrantNumber, HeldLease};
 use crate::settings::SlotSettings;
 
-/// What the holder wants of the owner.
+/// A request of the holder that has to be sent to the owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseOp {
-    /// To keep a grant for longer.
+    /// Renew the lease of a grant.
     Renew {
-        /// The grant.
+        /// The number of the grant.
         number: GrantNumber,
-        /// The try.
+        /// The number of the attempt, counted for this grant.
         attempt: u32,
     },
-    /// To give slots back.
+    /// Return slots of a grant.
     Return {
-        /// The grant.
+        /// The number of the grant.
         number: GrantNumber,
-        /// How many slots it keeps.
+        /// How many slots the holder keeps.
         remaining: units::Slots,
     },
 }
 
-/// An ask that is not answered.
+/// An acquire request without a response yet.
 #[derive(Debug)]
 struct PendingAcquire {
     requested_at: time::TimeMs,
     slots: units::Slots,
 }
 
-/// A request of the owner to make do with less.
+/// A temporary limit on the held slots, set by a recall of the owner.
 #[derive(Debug, Clone, Copy)]
 struct Cap {
     keep: units::Slots,
     until: time::TimeMs,
 }
 
-/// All grants of one backend server that an instance holds.
+/// The grants of one backend server that an instance holds.
 #[derive(Debug, Default)]
 pub struct LeasePool {
     grants: Vec<HeldGrant>,
@@ -49,31 +49,33 @@
     last_number: GrantNumber,
     cap: Option<Cap>,
     acquire_after: time::TimeMs,
-    /// Whether all that is idle goes back with the next returns.
+    /// Whether the next returns include all idle slots.
     returns_idle: bool,
 }
 
 impl LeasePool {
-    /// Slots that requests may use now.
+    /// Returns the number of slots that requests may use now.
     #[must_use]
     pub fn free(&self, now: time::TimeMs) -> units::Slots {
         self.grants.iter().map(|grant| grant.free(now)).sum()
     }
 
-    /// Slots that work runs on, or may still run on.
+    /// Returns the number of slots on which requests run or may still run.
     #[must_use]
     pub fn busy(&self, now: time::TimeMs) -> units::Slots {
         self.grants.iter().map(|grant| grant.busy(now)).sum()
     }
 
-    /// Slots that are borrowed.
+    /// Returns the number of slots of all grants that have not expired.
     #[must_use]
     pub fn held(&self, now: time::TimeMs) -> units::Slots {
         let current = self.grants.iter().filter(|grant| !grant.is_expired(now));
         current.map(HeldGrant::slots).sum()
     }
 
-    /// How many slots to ask for, where so many requests wait.
+    /// Returns how many slots to acquire while `waiting` requests wait.
+    ///
+    /// Free slots and slots of acquire requests sent less than `timeout` ago are subtracted.
     #[must_use]
     pub fn slots_to_acquire(
         &self,
@@ -95,7 +97,7 @@
             .saturating_sub(pending_slots)
     }
 
-    /// Notes an ask and returns its number.
+    /// Records an acquire request that is sent at `now` and returns its number.
     pub fn record_acquire(&mut self, now: time::TimeMs, slots: units::Slots) -> GrantNumber {
         self.last_number = self.last_number.next();
         let requested_at = now;
@@ -109,7 +111,7 @@
         self.last_number
     }
 
-    /// Takes a grant; whether it was asked for and is still of use.
+    /// Adds a grant; returns whether the grant was requested and its lease has not expired.
     pub fn apply_grant(
         &mut self,
         now: time::TimeMs,
@@ -130,19 +132,19 @@
         true
     }
 
-    /// Whether a grant is held.
+    /// Returns whether the pool has a grant with this number.
     #[must_use]
     pub fn holds(&self, number: GrantNumber) -> bool {
         self.grants.iter().any(|grant| grant.number() == number)
     }
 
-    /// The owner lends nothing before a time.
+    /// Ends a pending acquire request; the next one is sent no earlier than `acquire_after`.
     pub fn apply_refusal(&mut self, number: GrantNumber, acquire_after: time::TimeMs) {
         self.pending_acquires.remove(&number);
         self.acquire_after = acquire_after;
     }
 
-    /// Takes an answer to a renewal.
+    /// Extends the lease of a grant after the owner renewed it.
     pub fn apply_renewal(
         &mut self,
         number: GrantNumber,
@@ -155,14 +157,16 @@
         }
     }
 
-    /// Others wait: gives back what is idle now, and keeps at most so many slots for a while.
+    /// Marks idle slots for return and limits the held slots to `keep` for a while.
+    ///
+    /// The owner sends a recall while other instances wait for slots.
     pub fn apply_recall(&mut self, now: time::TimeMs, keep: units::Slots, settings: &SlotSettings) {
         let until = now + settings.recall_ms;
         self.cap = Some(Cap { keep, until });
         self.returns_idle = true;
     }
 
-    /// Takes a slot of the grant that lasts longest; nothing if none lasts `min_run`.
+    /// Takes a slot of the grant that expires last, or returns `None` if that is within `min_run`.
     pub fn begin(
         &mut self,
         now: time::TimeMs,
@@ -180,7 +184,9 @@
         Some((grant.number(), grant.usable_until()))
     }
 
-    /// Gives a slot of a grant back to the pool.
+    /// Frees a slot of a grant for the next request.
+    ///
+    /// If the request may still run, the slot stays busy until `still_runs_until`.
     pub fn finish(
         &mut self,
         now: time::TimeMs,
@@ -192,13 +198,13 @@
         }
     }
 
-    /// Forgets asks: their grants would come from one that is the owner no more.
+    /// Discards pending acquire requests, because their grants would come from a previous owner.
     pub fn discard_pending_acquires(&mut self) {
         self.pending_acquires.clear();
         self.acquire_after = time::TimeMs::ZERO;
     }
 
-    /// What is held, for a new owner.
+    /// Returns the leases that have not expired, as they are reported to a new owner.
     #[must_use]
     pub fn held_leases(&self, now: time::TimeMs) -> Vec<HeldLease> {
         let current = self.grants.iter().filter(|grant| !grant.is_expired(now));
@@ -211,7 +217,7 @@
             .collect()
     }
 
-    /// Drops what has lapsed, and says what the owner is to be told.
+    /// Removes expired grants and returns the requests to send to the owner.
     pub fn tick(
         &mut self,
         now: time::TimeMs,
@@ -228,7 +234,10 @@
         requests
     }
 
-    /// Gives back what is idle for long or above the cap; slots come free as soon as others need them.
+    /// Removes idle slots and slots above the cap, and returns the requests that give them back to the owner.
+    ///
+    /// All free slots of a grant are removed if the grant was unused for the idle time, after a recall, or if
+    /// this instance is leaving. So the slots are available as soon as other instances need them.
     pub fn collect_returns(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-slots/src/ledger.rs
+++ b/crates/damaskvane-slots/src/ledger.rs
@@ -1,7 +1,7 @@
-//! What the owner of a backend server has lent.
+//! The grants of a backend server's owner.
 //!
-//! A new owner that did not get its predecessor's ledger begins by waiting: whatever the predecessor lent
-//! must have lapsed before anything else is lent.
+//! A new owner that did not receive its predecessor's ledger starts by waiting: all grants of the
+//! predecessor must have expired before the new owner grants slots.
 //!
 //! ```
 //! use damaskvane_core::{ids, time, units};
--- a/crates/damaskvane-slots/src/ledger/grant.rs
+++ b/crates/damaskvane-slots/src/ledger/grant.rs
@@ -1,23 +1,23 @@
-//! One grant, and why there is none.
+//! A grant in the ledger, and the error for a full ledger.
 
 use damaskvane_core::{time, units};
 
 use crate::message::GrantKey;
 
-/// What one holder has borrowed at one time.
+/// Slots granted to one holder in response to one acquire request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Grant {
-    /// Its name.
+    /// The holder and the number of its acquire request.
     pub key: GrantKey,
-    /// How many slots.
+    /// The number of granted slots.
     pub slots: units::Slots,
-    /// When the owner may lend them again.
+    /// When the grant expires on the owner's clock, so that the owner may grant the slots again.
     pub until: time::TimeMs,
 }
 
-/// all slots are lent; the first lapse at {free_at:?}, earlier if they are given back
+/// all slots are granted; the first grant expires at {free_at:?} unless a holder returns slots earlier
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct Full {
-    /// When the first grant lapses.
+    /// When the first grant expires.
     pub free_at: time::TimeMs,
 }
--- a/crates/damaskvane-slots/src/ledger/slot_ledger.rs
+++ b/crates/damaskvane-slots/src/ledger/slot_ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger and its two phases.
+//! The ledger of one backend server, and its phases: waiting, then serving.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,17 @@
 use crate::ledger::grant::{Full, Grant};
 use crate::message::{GrantKey, GrantNumber, LedgerEntry};
 
-/// The phase of an owner that lends nothing yet.
+/// The phase in which the owner waits for grants of earlier owners to expire and grants nothing.
 #[derive(Debug)]
 pub struct Waiting {
     until: time::TimeMs,
 }
 
-/// The phase of an owner that lends.
+/// The phase in which the owner grants slots.
 #[derive(Debug)]
 pub struct Serving;
 
-/// What the owner of one backend server has lent.
+/// The grants that the owner of one backend server has made.
 #[derive(Debug)]
 pub struct SlotLedger<P> {
     slots: units::Slots,
@@ -26,7 +26,7 @@
 }
 
 impl SlotLedger<Waiting> {
-    /// A ledger of known grants that lends nothing before `until`.
+    /// Creates a ledger that holds the `known` grants and grants nothing before `until`.
     #[must_use]
     pub fn waiting(
         slots: units::Slots,
@@ -41,17 +41,17 @@
         }
     }
 
-    /// When it may begin to lend.
+    /// Returns when the ledger may start to grant slots.
     #[must_use]
     pub const fn until(&self) -> time::TimeMs {
         self.phase.until
     }
 
-    /// Begins to lend, or gives itself back if it is too early.
+    /// Starts to grant slots.
     ///
     /// # Errors
     ///
-    /// The ledger itself while the wait is not over.
+    /// Returns the unchanged ledger while the wait is not over.
     pub fn start(self, now: time::TimeMs) -> Result<SlotLedger<Serving>, Self> {
         if now < self.phase.until {
             return Err(self);
@@ -65,11 +65,11 @@
 }
 
 impl SlotLedger<Serving> {
-    /// Lends up to `requested` slots until a time.
+    /// Grants up to `requested` slots until `until` and returns how many were granted.
     ///
     /// # Errors
     ///
-    /// [`Full`] if nothing is free.
+    /// Returns [`Full`] if no slot is free, or if the ledger has a grant with this key already.
     pub fn grant(
         &mut self,
         now: time::TimeMs,
@@ -79,7 +79,7 @@
     ) -> Result<units::Slots, Full> {
         self.expire(now);
         if self.grants.contains_key(&key) {
-            // A repeated ask whose answer was lost must not be lent twice under one name.
+            // A repeated acquire request, whose response was lost, must not get a second grant under one key.
             return Err(self.full(now));
         }
         let slots = requested.min(self.free());
@@ -87,7 +87,10 @@
             return Err(self.full(now));
         }
         self.grants.insert(key.clone(), Grant { key, slots, until });
-        debug_assert!(self.granted() <= self.slots, "more lent than there is");
+        debug_assert!(
+            self.granted() <= self.slots,
+            "more slots granted than the backend server has"
+        );
         Ok(slots)
     }
 
@@ -100,44 +103,46 @@
 }
 
 impl<P> SlotLedger<P> {
-    /// How many slots are lent, lapsed grants that were not yet taken back included.
+    /// Returns the number of granted slots, including expired grants that are not removed yet.
     #[must_use]
     pub fn granted(&self) -> units::Slots {
         self.grants.values().map(|grant| grant.slots).sum()
     }
 
-    /// How many slots are not lent.
+    /// Returns the number of slots that are not granted.
     #[must_use]
     pub fn free(&self) -> units::Slots {
         self.slots.saturating_sub(self.granted())
     }
 
-    /// How many slots there are.
+    /// Returns the number of slots of the backend server.
     #[must_use]
     pub const fn slots(&self) -> units::Slots {
         self.slots
     }
 
-    /// Whether no more is lent than there is; only a lowered limit excuses it for one lease.
+    /// Returns whether the granted slots fit into the backend server's slots.
+    ///
+    /// After the configuration lowered the limit, they may exceed it for up to one lease.
     #[must_use]
     pub fn is_within_slots(&self) -> bool {
         self.granted() <= self.slots
     }
 
-    /// A new number of slots from the configuration; grants above it lapse or come back.
+    /// Sets the number of slots from a new configuration; grants above it expire or are returned.
     pub const fn set_slots(&mut self, slots: units::Slots) {
         self.slots = slots;
     }
 
-    /// Takes back what has lapsed.
+    /// Removes expired grants, which frees their slots.
     pub fn expire(&mut self, now: time::TimeMs) {
         self.grants.retain(|_, grant| grant.until > now);
     }
 
-    /// Lets a holder keep a grant for longer; whether it is in the ledger and within the limit.
+    /// Extends a grant to `until`; returns whether the grant is in the ledger and within the limit.
     ///
-    /// Where the limit was lowered, grants above it are not renewed: renewed again and again they would hold
-    /// the server above its limit for as long as its load lasts.
+    /// After the limit was lowered, grants above it are not renewed: repeated renewals would keep the server
+    /// above its limit for as long as its load lasts.
     pub fn renew(&mut self, now: time::TimeMs, key: &GrantKey, until: time::TimeMs) -> bool {
         self.expire(now);
         let is_within = self.is_within_limit(key);
@@ -151,16 +156,17 @@
         }
     }
 
-    /// Whether a grant and those before it, in the order of their names, are no more than there are slots.
+    /// Returns whether the grant and all grants before it in key order fit into the slots.
     fn is_within_limit(&self, key: &GrantKey) -> bool {
         let up_to_it = self.grants.range(..=key.clone());
         let granted: units::Slots = up_to_it.map(|(_, grant)| grant.slots).sum();
         granted <= self.slots
     }
 
-    /// Takes back part of a grant, or all of it.
+    /// Reduces a grant to `remaining` slots, or removes it if none remain.
     ///
-    /// The rest is named, not the part, so that a repeated or crossing message takes nothing twice.
+    /// The message states the remaining slots and not the returned ones, so that a repeated or delayed
+    /// message frees no slot twice.
     pub fn return_slots(&mut self, key: &GrantKey, remaining: units::Slots) {
         if remaining == units::Slots::ZERO {
             self.grants.remove(key);
@@ -169,7 +175,7 @@
         }
     }
 
-    /// How much each has borrowed.
+    /// Returns the granted slots by holder.
     #[must_use]
     pub fn held(&self) -> BTreeMap<ids::InstanceId, units::Slots> {
         let mut held = BTreeMap::<ids::InstanceId, units::Slots>::new();
@@ -180,7 +186,7 @@
         held
     }
 
-    /// The grants as they are handed to the next owner.
+    /// Returns the grants that have not expired, as they are sent to the next owner.
     #[must_use]
     pub fn entries(&self, now: time::TimeMs) -> Vec<LedgerEntry> {
         self.grants
@@ -194,7 +200,7 @@
             .collect()
     }
 
-    /// Whether a grant is in the ledger.
+    /// Returns whether the ledger has a grant of `holder` with this number, of any of its incarnations.
     #[must_use]
     pub fn contains(&self, holder: &ids::InstanceId, number: GrantNumber) -> bool {
         self.grants
--- a/crates/damaskvane-slots/src/lib.rs
+++ b/crates/damaskvane-slots/src/lib.rs
@@ -1,19 +1,19 @@
-//! Who may use which slots of a backend server: owners, leases on slots and their expiry.
+//! Leases on the slots of backend servers, and the instances that own and hold them.
 //!
 //! Each backend server of an availability zone has one owner among the zone's entry instances. The owner
-//! lends slots for a bounded time; an instance sends a request only under such a lease, with a deadline
-//! that ends before the lease does. The sum of what is lent never exceeds the slots.
+//! grants slots for a bounded time. An instance sends a request only under such a lease, with a deadline
+//! that ends before the lease does. The sum of the granted slots never exceeds the server's slots.
 //!
 //! # Crate guide
 //!
-//! - [`exchange`]: the aggregate: events and a time in, actions out; the part that a program drives.
-//! - [`permit`]: the life of one slot in use, checked before and after a request is sent.
-//! - [`ledger`]: what an owner has lent.
-//! - [`holder`]: what an instance has borrowed.
-//! - [`claim`]: how a backend server gets a new owner.
-//! - [`message`]: what instances say to each other.
+//! - [`exchange`]: the state machine that a program drives with events and the current time.
+//! - [`permit`]: the right to use one slot, checked before and after a request is sent.
+//! - [`ledger`]: the grants of an owner.
+//! - [`holder`]: the grants that an instance holds.
+//! - [`claim`]: the transfer of a backend server to a new owner.
+//! - [`message`]: the messages between instances.
 //! - [`connections`]: the fixed share of a backend server's connections.
-//! - [`settings`], [`counters`]: times, and what is counted.
+//! - [`settings`], [`counters`]: durations and statistics.
 //!
 //! ```
 //! use damaskvane_core::{ids, time, units};
--- a/crates/damaskvane-slots/src/message.rs
+++ b/crates/damaskvane-slots/src/message.rs
@@ -1,7 +1,7 @@
-//! What instances say to each other about slots.
+//! Messages between the instances of a zone about the slots of its backend servers.
 //!
-//! Any of these may be lost, and a grant or a return may cross a claim. No message is needed for safety:
-//! what is not answered lapses.
+//! Any message may be lost, and a grant or a return may cross a claim. Safety depends on no message: a lease
+//! that is not renewed expires.
 //!
 //! ```
 //! use damaskvane_core::units;
@@ -19,35 +19,35 @@
 use damaskvane_core::{ids, time, units};
 use serde::{Deserialize, Serialize};
 
-/// Numbers the asks of one start of an instance; a grant has the number of its ask.
+/// The number of an acquire request, and of its grant; unique within one incarnation of the holder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct GrantNumber(u64);
 
 impl GrantNumber {
-    /// Wraps a plain number.
+    /// Creates a grant number from an integer.
     #[must_use]
     pub const fn new(value: u64) -> Self {
         Self(value)
     }
 
-    /// The number that follows this one.
+    /// Returns the number that follows this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// Names a grant for all instances.
+/// Identifies a grant among all instances.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GrantKey {
-    /// Who borrowed.
+    /// The instance that holds the granted slots.
     #[serde(rename = "h")]
     pub holder: ids::InstanceId,
-    /// Which start of the holder it was.
+    /// The incarnation of the holder that sent the acquire request.
     #[serde(rename = "i")]
     pub incarnation: ids::Incarnation,
-    /// The number of the ask.
+    /// The number of the acquire request.
     #[serde(rename = "n")]
     pub number: GrantNumber,
 }
@@ -55,56 +55,56 @@
 /// A grant as its holder reports it to a new owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldLease {
-    /// Its number.
+    /// The number of the grant.
     #[serde(rename = "n")]
     pub number: GrantNumber,
-    /// How many slots.
+    /// The number of slots that the grant still has.
     #[serde(rename = "s")]
     pub slots: units::Slots,
-    /// How long the holder goes on using it.
+    /// How long the holder may still use the slots, on its own clock.
     #[serde(rename = "l")]
     pub remaining_ms: time::SpanMs,
 }
 
-/// A grant in a ledger that changes hands.
+/// A grant in a ledger that is sent to the next owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerEntry {
-    /// The grant.
+    /// The holder and the number of the grant.
     #[serde(rename = "k")]
     pub key: GrantKey,
-    /// How many slots.
+    /// The number of slots that the grant still has.
     #[serde(rename = "s")]
     pub slots: units::Slots,
-    /// How long until the owner may count it as lapsed.
+    /// Time until the grant expires for the owner.
     #[serde(rename = "l")]
     pub remaining_ms: time::SpanMs,
 }
 
-/// All that an owner has lent, handed to the next.
+/// The ledger of an owner, sent to the next owner with a consent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerHandover {
-    /// The grants.
+    /// The grants that have not expired.
     pub entries: Vec<LedgerEntry>,
-    /// How long an earlier owner's unknown grants may still run.
+    /// How long unknown grants of an earlier owner may still be in use; zero if there are none.
     pub wait_ms: time::SpanMs,
 }
 
-/// Why an owner lends nothing.
+/// Why an instance refuses to grant or renew slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
-    /// The instance that was asked does not own the backend server.
+    /// The instance does not own the backend server.
     NotOwner,
-    /// The owner waits for an earlier owner's grants to lapse.
+    /// The instance is claiming the server, or waits for an earlier owner's grants to expire.
     Waiting,
-    /// The owner can't tell whether it was replaced, so it lends nothing.
+    /// The owner's authority has expired, so another instance may have replaced it.
     NoAuthority,
-    /// The grant that was to be renewed is not in the ledger.
+    /// The grant to renew is not in the ledger, or exceeds a lowered limit.
     UnknownGrant,
 }
 
 impl RefusalReason {
-    /// The word for metrics and status.
+    /// Returns the label for metrics and the status page.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -119,110 +119,113 @@
 /// One message about one backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotMessage {
-    /// Lend me slots; answered when some are free.
+    /// Requests slots from the owner, which responds once slots are free.
     Acquire {
         /// The backend server.
         server: ids::BackendServerId,
-        /// The ask.
+        /// The number of the request.
         number: GrantNumber,
-        /// How many slots at most.
+        /// The maximum number of slots to grant.
         slots: units::Slots,
     },
-    /// These slots are yours for so long, counted from when you asked.
+    /// Grants slots to the recipient; the lease counts from the moment when the recipient sent its request.
     Granted {
         /// The backend server.
         server: ids::BackendServerId,
-        /// The ask.
+        /// The number of the acquire request.
         number: GrantNumber,
-        /// How many slots.
+        /// The number of granted slots.
         slots: units::Slots,
         /// The length of the lease.
         lease_ms: time::SpanMs,
     },
-    /// I lend nothing.
+    /// Refuses to grant slots or to renew a grant.
     Refused {
         /// The backend server.
         server: ids::BackendServerId,
-        /// The ask, or the grant that was to be renewed.
+        /// The number of the acquire request, or of the grant to renew.
         number: GrantNumber,
-        /// Why.
+        /// The reason of the refusal.
         reason: RefusalReason,
-        /// When to ask again.
+        /// The time after which the recipient may request slots again.
         retry_after_ms: time::SpanMs,
     },
-    /// Let me keep a grant for longer.
+    /// Requests a longer lease of a grant from the owner.
     Renew {
         /// The backend server.
         server: ids::BackendServerId,
-        /// The grant.
+        /// The number of the grant.
         number: GrantNumber,
-        /// Tells this try from earlier ones.
+        /// Distinguishes this attempt from earlier ones for the same grant.
         attempt: u32,
     },
-    /// The grant lasts so long, counted from when you asked.
+    /// Renews a grant; the lease counts from the moment when the recipient sent its renewal request.
     Renewed {
         /// The backend server.
         server: ids::BackendServerId,
-        /// The grant.
+        /// The number of the grant.
         number: GrantNumber,
-        /// The try.
+        /// The attempt that this message responds to.
         attempt: u32,
         /// The length of the lease.
         lease_ms: time::SpanMs,
     },
-    /// I need only so many slots of a grant.
+    /// Returns slots of a grant to the owner.
     Return {
         /// The backend server.
         server: ids::BackendServerId,
-        /// The grant.
+        /// The number of the grant.
         number: GrantNumber,
-        /// How many slots remain lent.
+        /// The number of slots that the sender keeps.
         remaining: units::Slots,
     },
-    /// Others wait: give back what is idle, and make do with so many slots for a while.
+    /// Requests the return of idle slots, and limits the recipient's slots for a while.
+    ///
+    /// The owner sends it while acquire requests wait.
     Recall {
         /// The backend server.
         server: ids::BackendServerId,
-        /// How many slots you may keep.
+        /// The maximum number of slots that the recipient may keep.
         keep: units::Slots,
     },
-    /// I am to own the backend server.
+    /// Requests consent to the sender's ownership of the backend server.
     Claim {
         /// The backend server.
         server: ids::BackendServerId,
-        /// Tells this claim from earlier ones.
+        /// Distinguishes this claim from earlier ones of the sender.
         claim: u64,
     },
-    /// You are; I do not own it, and take grants from nobody else.
+    /// Consents to a claim: the sender isn't owner any more and accepts grants only from the claimant.
     Consent {
         /// The backend server.
         server: ids::BackendServerId,
-        /// The claim.
+        /// The number of the claim.
         claim: u64,
-        /// What the sender has borrowed.
+        /// The leases that the sender holds.
         leases: Vec<HeldLease>,
-        /// The ledger, if the sender was the owner.
+        /// The ledger, if the sender was the owner and had authority.
         ledger: Option<LedgerHandover>,
-        /// How long one that the sender knows to be fenced may still act.
+        /// How long an instance that the sender knows to be fenced or dropped from the list may still act.
         #[serde(default)]
         wait_ms: time::SpanMs,
     },
-    /// By my view another is to own it.
+    /// Declines a claim, because another instance is to own the server by the sender's roster.
     Decline {
         /// The backend server.
         server: ids::BackendServerId,
-        /// The claim.
+        /// The number of the claim.
         claim: u64,
     },
 }
 
-/// A message for one start of an instance.
+/// A message for one incarnation of an instance.
 ///
-/// A message can wait on its way while the instance is replaced. The next start of the instance counts
-/// its asks and claims anew, and would take an old answer for a new one; it drops what is not for it.
+/// A message can be delayed while its recipient restarts. The next incarnation numbers its acquire requests
+/// and claims from the start, and would take an old response for a new one. It therefore drops messages for
+/// other incarnations.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressedMessage {
-    /// The start of the recipient that is meant.
+    /// The incarnation of the recipient.
     #[serde(rename = "i")]
     pub incarnation: ids::Incarnation,
     /// The message.
@@ -231,7 +234,7 @@
 }
 
 impl SlotMessage {
-    /// The word under which the message is counted.
+    /// Returns the label under which messages of this kind are counted.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
@@ -248,7 +251,7 @@
         }
     }
 
-    /// The backend server that it is about.
+    /// Returns the backend server whose slots the message concerns.
     #[must_use]
     pub const fn server(&self) -> &ids::BackendServerId {
         match self {
--- a/crates/damaskvane-slots/src/permit.rs
+++ b/crates/damaskvane-slots/src/permit.rs
@@ -1,8 +1,8 @@
-//! The life of one slot in use: ready, sending, running.
+//! A permit to run one request on one slot, with the states ready, sending and running.
 //!
-//! The holder of a lease may be paused at any moment, and the lease may lapse meanwhile. So the clock is
-//! compared before the request is written and again after it; a request that turns out to have been
-//! written too late is cancelled at once.
+//! The process that holds a lease may be paused at any moment, and the lease may expire meanwhile. The clock
+//! is therefore checked directly before and directly after the request is written. A request that was written
+//! too late has to be cancelled at once.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -20,38 +20,38 @@
 
 use crate::message::GrantNumber;
 
-/// A slot is reserved.
+/// State of a permit: the slot is reserved and the request is not written yet.
 #[derive(Debug)]
 pub struct Ready;
 
-/// The request is being written.
+/// State of a permit: the request is being written.
 #[derive(Debug)]
 pub struct Sending;
 
-/// The request runs on the backend server.
+/// State of a permit: the request was written in time and runs on the backend server.
 #[derive(Debug)]
 pub struct Running;
 
-/// the slot lease lapsed before the request was sent; give the permit back and begin again
+/// the slot lease expired before the request was sent; finish the permit and begin again with a new one
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub struct LeaseExpired(pub ReleasedPermit);
 
-/// the slot lease lapsed while the request was being written; cancel it at the backend server at once
+/// the slot lease expired while the request was being written; cancel the request at the backend server at once
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub struct SentLate(pub ReleasedPermit);
 
-/// What remains of a permit; it is handed to [`crate::exchange::SlotExchange::finish`].
+/// A permit that is no longer in use; [`crate::exchange::SlotExchange::finish`] takes it and frees the slot.
 #[derive(Debug)]
 pub struct ReleasedPermit {
     pub(crate) server: ids::BackendServerId,
     pub(crate) number: GrantNumber,
-    /// When the backend server has stopped the work, if it was ever sent.
+    /// The deadline of the request at the backend server, or when the permit was made if nothing was sent.
     pub(crate) ends_by: time::TimeMs,
 }
 
-/// The right to run one request on one backend server until the lease lapses.
+/// The right to run one request on one backend server until the lease expires.
 #[derive(Debug)]
-#[must_use = "a permit that is dropped blocks its slot until the lease lapses"]
+#[must_use = "a permit that is dropped blocks its slot until the lease expires"]
 pub struct Permit<S> {
     returned: ReleasedPermit,
     expires_at: time::TimeMs,
@@ -61,13 +61,13 @@
 }
 
 impl<S> Permit<S> {
-    /// The backend server.
+    /// Returns the backend server that the permit is for.
     #[must_use]
     pub const fn server(&self) -> &ids::BackendServerId {
         &self.returned.server
     }
 
-    /// What [`crate::exchange::SlotExchange::finish`] takes.
+    /// Ends the use of the permit, so that [`crate::exchange::SlotExchange::finish`] can free the slot.
     #[must_use]
     pub fn into_released(self) -> ReleasedPermit {
         self.returned
@@ -106,11 +106,11 @@
         }
     }
 
-    /// Fixes the deadline, directly before the request is written.
+    /// Sets the deadline; has to be called directly before the request is written.
     ///
     /// # Errors
     ///
-    /// [`LeaseExpired`] if the lease is over.
+    /// Returns [`LeaseExpired`] if no time remains, because the lease expired or the run time is zero.
     pub fn send(mut self, now: time::TimeMs) -> Result<Permit<Sending>, LeaseExpired> {
         self.deadline_ms = self.expires_at.since(now).min(self.max_run_ms);
         if self.deadline_ms == time::SpanMs::ZERO {
@@ -122,20 +122,23 @@
 }
 
 impl Permit<Sending> {
-    /// The deadline that the backend server is to be given, so that no work outlives the lease.
+    /// Returns the time that the backend server has for the request, counted from the call of `send`.
+    ///
+    /// The request has to be sent with this deadline, so that it doesn't run beyond the lease.
     #[must_use]
     pub const fn deadline_ms(&self) -> time::SpanMs {
         self.deadline_ms
     }
 
-    /// Compares clocks again, directly after the request was written.
+    /// Checks the clock again; has to be called directly after the request was written.
     ///
-    /// A process that was paused between the two has sent a request under a lease that others may hold
-    /// by now. One would notice a backend server above its slots; cancelling it at once bounds that.
+    /// A process that was paused between the two checks has sent the request on a slot that may be granted
+    /// to another instance by now, so the backend server may run more requests than it has slots. Cancelling
+    /// the request at once limits the time of this overload.
     ///
     /// # Errors
     ///
-    /// [`SentLate`] if the lease lapsed meanwhile.
+    /// Returns [`SentLate`] if the lease expired meanwhile.
     pub fn sent(self, now: time::TimeMs) -> Result<Permit<Running>, SentLate> {
         if now >= self.expires_at {
             return Err(SentLate(self.returned));
--- a/crates/damaskvane-slots/src/settings.rs
+++ b/crates/damaskvane-slots/src/settings.rs
@@ -1,4 +1,4 @@
-//! Times of slot leases; equal on all instances.
+//! Durations of slot leases, which have to be equal on all instances.
 //!
 //! ```
 //! use damaskvane_slots::settings;
@@ -9,28 +9,29 @@
 
 use damaskvane_core::time::SpanMs;
 
-/// Times of slot leases.
+/// Durations of slot leases, in milliseconds.
 #[derive(Debug, Clone)]
 pub struct SlotSettings {
-    /// How long a lease lasts; no request runs longer on a backend server.
+    /// Length of a lease; no request runs longer on a backend server.
     pub lease_ms: SpanMs,
-    /// How much earlier a lease ends for its holder than for the owner.
+    /// How much earlier a lease expires for its holder than for the owner.
     ///
-    /// It covers the way of a request to the backend server, the difference between two clocks over
-    /// one lease, and the time a backend server takes to stop work at its deadline.
+    /// The margin covers the transit time of a request to the backend server, the drift between two clocks
+    /// over one lease, and the time that a backend server takes to stop a request at its deadline.
     pub margin_ms: SpanMs,
-    /// How long a free slot is kept before it goes back.
+    /// How long a holder keeps a grant that it doesn't use before it returns the free slots.
     pub idle_return_ms: SpanMs,
-    /// After this time without an answer the owner is asked again.
+    /// Time to wait for the owner's response before an acquire or renewal request is sent again.
     pub response_timeout_ms: SpanMs,
-    /// How long after a start there may be others that were fenced before it and still act: the lag of the
-    /// list and the authority of membership together.
+    /// How long after this instance's start an instance that was fenced earlier may still act.
+    ///
+    /// This is the sum of the lag of the platform's instance list and the duration of membership's authority.
     pub unknown_fence_ms: SpanMs,
-    /// How long an owner asks others to make do with a smaller share.
+    /// How long a recall limits a holder to a smaller share.
     pub recall_ms: SpanMs,
-    /// The time between two such calls while others wait.
+    /// Minimum time between two rounds of recalls for a server while acquire requests wait.
     pub recall_interval_ms: SpanMs,
-    /// After this time those who have not answered a claim are asked again.
+    /// Interval at which a claim is sent again to instances that have not consented.
     pub claim_retry_ms: SpanMs,
 }
 
@@ -50,7 +51,7 @@
 }
 
 impl SlotSettings {
-    /// After this time whatever was lent by, or to, one that is gone has lapsed.
+    /// Returns the time after which all grants by or to an instance that stopped have expired.
     #[must_use]
     pub const fn expiry_ms(&self) -> SpanMs {
         SpanMs::new(self.lease_ms.get() + self.margin_ms.get())
