--- a/crates/damaskvane-slots/src/counters.rs
+++ b/crates/damaskvane-slots/src/counters.rs
@@ -24,7 +24,7 @@
     /// Grants received in time to be used.
     pub acquired: u64,
     /// Grants, refusals, renewals and recalls dropped because their sender isn't the owner for this instance.
-    pub late_grants: u64,
+    pub dropped_owner_messages: u64,
     /// Permits whose lease expired before the request was sent.
     pub expired: u64,
     /// Requests sent after their lease had expired, because the process was paused.
--- a/crates/damaskvane-slots/src/exchange/acquiring.rs
+++ b/crates/damaskvane-slots/src/exchange/acquiring.rs
@@ -45,7 +45,7 @@
         if server.owner.as_ref() != Some(&from.instance) {
             // The sender handed the backend server over, or never owned it. Its earlier grants are in the
             // new owner's ledger, but this message may not be accounted for there.
-            self.counters.late_grants += 1;
+            self.counters.dropped_owner_messages += 1;
             return;
         }
         match *message {
--- a/crates/damaskvane-slots/src/exchange/aggregate.rs
+++ b/crates/damaskvane-slots/src/exchange/aggregate.rs
@@ -74,7 +74,7 @@
                 refused: BTreeMap::new(),
                 recalled: 0,
                 acquired: 0,
-                late_grants: 0,
+                dropped_owner_messages: 0,
                 expired: 0,
                 sent_late: 0,
                 handed_over: 0,
--- a/crates/damaskvane-slots/tests/messages.rs
+++ b/crates/damaskvane-slots/tests/messages.rs
@@ -138,7 +138,7 @@
     }
     slots.handle(at(105), exchange::Event::Roster(alone));
     slots.handle(at(110), granted(&owner, 1, 1));
-    assert_eq!(slots.counters().late_grants, 1);
+    assert_eq!(slots.counters().dropped_owner_messages, 1);
     assert_eq!(slots.free(at(110), &server(0)), units::Slots::ZERO);
 }
 
