--- a/crates/damaskvane-slots/src/counters.rs
+++ b/crates/damaskvane-slots/src/counters.rs
@@ -16,7 +16,7 @@
     /// Grants made as an owner.
     pub granted: u64,
     /// Rounds of recalls that were due because acquire requests waited for a free slot.
-    pub queued: u64,
+    pub recall_rounds: u64,
     /// Acquire and renewal requests that this instance refused, by reason.
     pub refused: BTreeMap<RefusalReason, u64>,
     /// Recall messages sent to holders.
@@ -35,6 +35,7 @@
     pub waited_out: u64,
     /// Decline messages received for claims of this instance.
     pub declined: u64,
-    /// Messages dropped because they came from, or were for, an earlier incarnation of an instance.
+    /// Messages dropped because their sender is not in the roster, is gone or is an earlier incarnation, or
+    /// because they are for another incarnation of this instance.
     pub old_messages: u64,
 }
--- a/crates/damaskvane-slots/src/exchange.rs
+++ b/crates/damaskvane-slots/src/exchange.rs
@@ -35,14 +35,14 @@
 //! ```
 
 mod acquiring;
-mod aggregate;
 mod assignment;
 mod claiming;
 mod event;
 mod granting;
 mod server;
+mod slot_exchange;
 mod status;
 
-pub use aggregate::{Finish, SlotExchange, Unavailable};
 pub use event::{Action, Event, ServerSlots};
+pub use slot_exchange::{Finish, SlotExchange, Unavailable};
 pub use status::{OwnerPhase, ServerStatus};
--- a/crates/damaskvane-slots/src/exchange/acquiring.rs
+++ b/crates/damaskvane-slots/src/exchange/acquiring.rs
@@ -2,9 +2,9 @@
 
 use damaskvane_core::{ids, time, units};
 
-use crate::exchange::aggregate::SlotExchange;
 use crate::exchange::event::Action;
 use crate::exchange::server::InstanceIncarnation;
+use crate::exchange::slot_exchange::SlotExchange;
 use crate::holder::LeaseOp;
 use crate::message::{GrantNumber, RefusalReason, SlotMessage};
 
--- a/crates/damaskvane-slots/src/exchange/assignment.rs
+++ b/crates/damaskvane-slots/src/exchange/assignment.rs
@@ -1,10 +1,12 @@
-//! Selection of the assigned owner of a backend server, and of the instance that grants slots until then.
+//! Selection of a backend server's owner, and of the instance that grants slots until that owner may.
+//!
+//! "The hash" is the rendezvous hash of `ownership::owner`, which assigns each backend server to an instance.
 
 use damaskvane_core::ids;
 use damaskvane_membership::ownership;
 
-use crate::exchange::aggregate::SlotExchange;
 use crate::exchange::server::Ownership;
+use crate::exchange::slot_exchange::SlotExchange;
 
 impl SlotExchange {
     /// Returns whether the hash assigns the backend server to this instance.
--- a/crates/damaskvane-slots/src/exchange/claiming.rs
+++ b/crates/damaskvane-slots/src/exchange/claiming.rs
@@ -4,8 +4,8 @@
 use damaskvane_membership::view;
 
 use crate::claim::Claim;
-use crate::exchange::aggregate::SlotExchange;
 use crate::exchange::server::{InstanceIncarnation, Ownership};
+use crate::exchange::slot_exchange::SlotExchange;
 use crate::ledger::{Grant, SlotLedger};
 use crate::message::{HeldLease, LedgerHandover, SlotMessage};
 
--- a/crates/damaskvane-slots/src/exchange/granting.rs
+++ b/crates/damaskvane-slots/src/exchange/granting.rs
@@ -2,8 +2,8 @@
 
 use damaskvane_core::{ids, time, units};
 
-use crate::exchange::aggregate::SlotExchange;
 use crate::exchange::server::{InstanceIncarnation, Ownership, QueuedAcquire, Server};
+use crate::exchange::slot_exchange::SlotExchange;
 use crate::message::{GrantKey, GrantNumber, RefusalReason, SlotMessage};
 
 /// A grant that the ledger has recorded and the holder has not been sent yet.
@@ -183,7 +183,7 @@
         }
         server.recalled_at = Some(now);
         let recalls = recalls(server);
-        self.counters.queued += 1;
+        self.counters.recall_rounds += 1;
         for (to, keep) in recalls {
             self.counters.recalled += 1;
             let server = name.clone();
--- a/crates/damaskvane-slots/src/exchange/aggregate.rs
+++ b/crates/damaskvane-slots/src/exchange/slot_exchange.rs
@@ -70,7 +70,7 @@
             },
             counters: SlotCounters {
                 granted: 0,
-                queued: 0,
+                recall_rounds: 0,
                 refused: BTreeMap::new(),
                 recalled: 0,
                 acquired: 0,
--- a/crates/damaskvane-slots/src/exchange/status.rs
+++ b/crates/damaskvane-slots/src/exchange/status.rs
@@ -2,8 +2,8 @@
 
 use damaskvane_core::{ids, time, units};
 
-use crate::exchange::aggregate::SlotExchange;
 use crate::exchange::server::Ownership;
+use crate::exchange::slot_exchange::SlotExchange;
 
 /// The phase of an instance in the ownership of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/damaskvane-slots/src/permit.rs
+++ b/crates/damaskvane-slots/src/permit.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 #[must_use = "a permit that is dropped blocks its slot until the lease expires"]
 pub struct Permit<S> {
-    returned: ReleasedPermit,
+    released: ReleasedPermit,
     expires_at: time::TimeMs,
     max_run_ms: time::SpanMs,
     deadline_ms: time::SpanMs,
@@ -64,18 +64,18 @@
     /// Returns the backend server that the permit is for.
     #[must_use]
     pub const fn server(&self) -> &ids::BackendServerId {
-        &self.returned.server
+        &self.released.server
     }
 
     /// Ends the use of the permit, so that [`crate::exchange::SlotExchange::finish`] can free the slot.
     #[must_use]
     pub fn into_released(self) -> ReleasedPermit {
-        self.returned
+        self.released
     }
 
     fn into_state<T>(self) -> Permit<T> {
         Permit {
-            returned: self.returned,
+            released: self.released,
             expires_at: self.expires_at,
             max_run_ms: self.max_run_ms,
             deadline_ms: self.deadline_ms,
@@ -92,13 +92,13 @@
         expires_at: time::TimeMs,
         max_run_ms: time::SpanMs,
     ) -> Self {
-        let returned = ReleasedPermit {
+        let released = ReleasedPermit {
             server,
             number,
             ends_by: now,
         };
         Self {
-            returned,
+            released,
             expires_at,
             max_run_ms,
             deadline_ms: time::SpanMs::ZERO,
@@ -114,9 +114,9 @@
     pub fn send(mut self, now: time::TimeMs) -> Result<Permit<Sending>, LeaseExpired> {
         self.deadline_ms = self.expires_at.since(now).min(self.max_run_ms);
         if self.deadline_ms == time::SpanMs::ZERO {
-            return Err(LeaseExpired(self.returned));
+            return Err(LeaseExpired(self.released));
         }
-        self.returned.ends_by = now + self.deadline_ms;
+        self.released.ends_by = now + self.deadline_ms;
         Ok(self.into_state())
     }
 }
@@ -141,7 +141,7 @@
     /// Returns [`SentLate`] if the lease expired meanwhile.
     pub fn sent(self, now: time::TimeMs) -> Result<Permit<Running>, SentLate> {
         if now >= self.expires_at {
-            return Err(SentLate(self.returned));
+            return Err(SentLate(self.released));
         }
         Ok(self.into_state())
     }
