--- a/crates/damaskvane-entry/src/control.rs
+++ b/crates/damaskvane-entry/src/control.rs
@@ -111,7 +111,7 @@
             instance: parts.record.instance.clone(),
             availability_zone: parts.record.availability_zone.clone(),
         };
-        let own = view::Own::new(
+        let own = view::OwnInstance::new(
             parts.record.instance.clone(),
             parts.record.availability_zone.clone(),
             parts.record.incarnation,
--- a/crates/damaskvane-membership/src/lib.rs
+++ b/crates/damaskvane-membership/src/lib.rs
@@ -18,7 +18,7 @@
 //! use damaskvane_core::time;
 //! use damaskvane_membership::{settings, view};
 //!
-//! let own = view::Own::new("sask-a-1".parse()?, "sask-a".parse()?, 3.to_incarnation());
+//! let own = view::OwnInstance::new("sask-a-1".parse()?, "sask-a".parse()?, 3.to_incarnation());
 //! let mut membership =
 //!     view::Membership::new(own, settings::MembershipSettings::default(), time::TimeMs::ZERO);
 //! let actions = membership.handle(time::TimeMs::new(100), view::Event::Tick);
--- a/crates/damaskvane-membership/src/view.rs
+++ b/crates/damaskvane-membership/src/view.rs
@@ -15,7 +15,7 @@
 //! use damaskvane_core::{ids, time};
 //! use damaskvane_membership::{settings, view};
 //!
-//! let own = view::Own::new("a-1".parse()?, "a".parse()?, ids::Incarnation::new(1));
+//! let own = view::OwnInstance::new("a-1".parse()?, "a".parse()?, ids::Incarnation::new(1));
 //! let membership =
 //!     view::Membership::new(own, settings::MembershipSettings::default(), time::TimeMs::ZERO);
 //! assert!(membership.authority_until().is_some(), "no neighbour could take over");
@@ -37,5 +37,5 @@
 pub use counters::{HeartbeatRefusal, MembershipCounters};
 pub use event::{Action, Event, ListSource, ProbeOutcome};
 pub use instance_view::InstanceView;
-pub use membership::{Membership, Own};
+pub use membership::{Membership, OwnInstance};
 pub use roster::{Roster, RosterMember};
--- a/crates/damaskvane-membership/src/view/membership.rs
+++ b/crates/damaskvane-membership/src/view/membership.rs
@@ -17,7 +17,7 @@
 
 /// Who this instance is.
 #[derive(Debug, Clone)]
-pub struct Own {
+pub struct OwnInstance {
     /// Its name.
     pub instance: ids::InstanceId,
     /// Its availability zone.
@@ -26,7 +26,7 @@
     pub incarnation: ids::Incarnation,
 }
 
-impl Own {
+impl OwnInstance {
     /// This instance, in its availability zone.
     #[must_use]
     pub const fn new(
@@ -45,7 +45,7 @@
 /// What one instance knows of all others.
 #[derive(Debug)]
 pub struct Membership {
-    pub(super) own: Own,
+    pub(super) own: OwnInstance,
     pub(super) settings: MembershipSettings,
     pub(super) members: BTreeMap<ids::InstanceId, Member>,
     pub(super) own_record: Option<InstanceRecord>,
@@ -75,7 +75,7 @@
 impl Membership {
     /// An instance that knows of no other yet.
     #[must_use]
-    pub fn new(own: Own, settings: MembershipSettings, now: time::TimeMs) -> Self {
+    pub fn new(own: OwnInstance, settings: MembershipSettings, now: time::TimeMs) -> Self {
         Self {
             own,
             settings,
@@ -147,7 +147,7 @@
 
     /// This instance.
     #[must_use]
-    pub const fn own(&self) -> &Own {
+    pub const fn own(&self) -> &OwnInstance {
         &self.own
     }
 
--- a/crates/damaskvane-membership/tests/common/mod.rs
+++ b/crates/damaskvane-membership/tests/common/mod.rs
@@ -52,7 +52,7 @@
 
 pub(crate) fn member(name: &str, incarnation: u64) -> view::Membership {
     let record = record(name, incarnation);
-    let own = view::Own::new(record.instance, record.zone, record.incarnation);
+    let own = view::OwnInstance::new(record.instance, record.zone, record.incarnation);
     let settings = settings::MembershipSettings {
         authority_ms: ms(8_000),
         list_lag_ms: ms(10_000),
--- a/crates/damaskvane-scenario/src/world/entry.rs
+++ b/crates/damaskvane-scenario/src/world/entry.rs
@@ -74,7 +74,7 @@
     /// Starts a process of an instance; a later one replaces an earlier one.
     pub(super) fn start(&mut self, record: record::InstanceRecord) {
         let instance = record.instance.clone();
-        let own = view::Own::new(instance.clone(), record.zone.clone(), record.incarnation);
+        let own = view::OwnInstance::new(instance.clone(), record.zone.clone(), record.incarnation);
         let me = home::Home::new(instance.clone(), record.incarnation);
         let mut settings = engine::EngineSettings::default();
         if let Some(max_keys) = self.settings.max_keys {
--- a/crates/damaskvane-slots/src/lib.rs
+++ b/crates/damaskvane-slots/src/lib.rs
@@ -20,7 +20,7 @@
 //! use damaskvane_membership::{settings as membership, view};
 //! use damaskvane_slots::{exchange, settings};
 //!
-//! let own = view::Own::new("a-1".parse()?, "a".parse()?, ids::Incarnation::new(1));
+//! let own = view::OwnInstance::new("a-1".parse()?, "a".parse()?, ids::Incarnation::new(1));
 //! let view = view::Membership::new(own, membership::MembershipSettings::default(), time::TimeMs::ZERO);
 //! let mut slots = exchange::SlotExchange::new(
 //!     "a-1".parse()?,
--- a/crates/damaskvane-slots/tests/common/mod.rs
+++ b/crates/damaskvane-slots/tests/common/mod.rs
@@ -154,7 +154,7 @@
         let incarnation = self.incarnations.entry(name.clone()).or_default();
         *incarnation += 1;
         let incarnation = *incarnation;
-        let own = view::Own::new(
+        let own = view::OwnInstance::new(
             name.clone(),
             "a".parse().expect("a valid zone"),
             ids::Incarnation::new(incarnation),
