--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -126,7 +126,7 @@
                     goes_on_alone,
                 });
             }
-            view::Action::Unmark {
+            view::Action::RemoveFenceRecord {
                 instance,
                 incarnation,
             } => self.store.submit(store::StoreJob::Unmark {
--- a/crates/damaskvane-membership/src/view/event.rs
+++ b/crates/damaskvane-membership/src/view/event.rs
@@ -125,7 +125,7 @@
     },
     /// Delete an object that was marked long ago, on condition that it is still marked and has this
     /// incarnation; no report is needed.
-    Unmark {
+    RemoveFenceRecord {
         /// The instance that was fenced.
         instance: ids::InstanceId,
         /// Its start that was fenced.
--- a/crates/damaskvane-membership/src/view/listing.rs
+++ b/crates/damaskvane-membership/src/view/listing.rs
@@ -147,7 +147,7 @@
         for instance in old {
             if let Some(member) = self.members.get_mut(&instance) {
                 member.retried_at = now;
-                actions.push(Action::Unmark {
+                actions.push(Action::RemoveFenceRecord {
                     instance,
                     incarnation: member.incarnation,
                 });
--- a/crates/damaskvane-membership/tests/common/mod.rs
+++ b/crates/damaskvane-membership/tests/common/mod.rs
@@ -218,7 +218,7 @@
                 };
                 self.feed(from, event, delay_ms);
             }
-            view::Action::Unmark {
+            view::Action::RemoveFenceRecord {
                 instance,
                 incarnation,
             } if !self.without_platform.contains(from) => {
--- a/crates/damaskvane-scenario/src/world/entry.rs
+++ b/crates/damaskvane-scenario/src/world/entry.rs
@@ -187,7 +187,7 @@
                 incarnation,
                 goes_on_alone,
             } => self.fence(me, instance, incarnation, goes_on_alone),
-            view::Action::Unmark {
+            view::Action::RemoveFenceRecord {
                 instance,
                 incarnation,
             } => self.unmark(&me.instance, &instance, incarnation),
--- a/crates/damaskvane-slots/tests/common/messages.rs
+++ b/crates/damaskvane-slots/tests/common/messages.rs
@@ -98,7 +98,7 @@
                 incarnation,
                 goes_on_alone,
             } => self.fence(name, instance, incarnation, goes_on_alone),
-            view::Action::Unmark {
+            view::Action::RemoveFenceRecord {
                 instance,
                 incarnation,
             } if !self.without_platform.contains(name) => {
