--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -139,7 +139,7 @@
                     "state" => state.map_or("forgotten", |state| state.as_str()));
                 return true;
             }
-            view::Action::Woke { paused } => {
+            view::Action::Resumed { paused } => {
                 warn!(self.logger, "this process was paused"; "paused_ms" => paused.get());
                 self.serving.counters.increment("membership", "woke");
             }
--- a/crates/damaskvane-membership/src/view/event.rs
+++ b/crates/damaskvane-membership/src/view/event.rs
@@ -141,7 +141,7 @@
         state: Option<InstanceState>,
     },
     /// This process was paused for so long.
-    Woke {
+    Resumed {
         /// The length of the pause.
         paused: time::SpanMs,
     },
--- a/crates/damaskvane-membership/src/view/membership.rs
+++ b/crates/damaskvane-membership/src/view/membership.rs
@@ -168,7 +168,7 @@
         for member in self.members.values_mut() {
             member.excuse(gap, self.now);
         }
-        actions.push(Action::Woke { paused: gap });
+        actions.push(Action::Resumed { paused: gap });
     }
 
     fn leave(&mut self) {
--- a/crates/damaskvane-membership/tests/silence.rs
+++ b/crates/damaskvane-membership/tests/silence.rs
@@ -50,7 +50,7 @@
     a.handle(at(0), list(&[record("z-a-1", 1), record("z-a-2", 1)]));
     a.handle(at(0), heartbeat("z-a-2", 1, 1));
     let actions = a.handle(at(60_000), view::Event::Tick);
-    assert!(actions.contains(&view::Action::Woke { paused: ms(60_000) }));
+    assert!(actions.contains(&view::Action::Resumed { paused: ms(60_000) }));
     assert_eq!(state_of(&a, "z-a-2"), Some(InstanceState::Live));
     tick_until(&mut a, 60_000, 63_100);
     assert_eq!(state_of(&a, "z-a-2"), Some(InstanceState::Dead));
--- a/crates/damaskvane-scenario/src/world/entry.rs
+++ b/crates/damaskvane-scenario/src/world/entry.rs
@@ -196,7 +196,7 @@
                 self.kill(&me.instance);
                 self.restart_later(&me.instance);
             }
-            view::Action::Reconnect { .. } | view::Action::Woke { .. } => {}
+            view::Action::Reconnect { .. } | view::Action::Resumed { .. } => {}
         }
         false
     }
