--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -133,7 +133,7 @@
                 instance,
                 incarnation,
             }),
-            view::Action::Allow(_) => return self.listing_changed(),
+            view::Action::AllowPeers(_) => return self.listing_changed(),
             view::Action::Changed { instance, state } => {
                 info!(self.logger, "an instance changed"; "peer" => %instance,
                     "state" => state.map_or("forgotten", |state| state.as_str()));
--- a/crates/damaskvane-membership/src/view/event.rs
+++ b/crates/damaskvane-membership/src/view/event.rs
@@ -132,7 +132,7 @@
         incarnation: ids::Incarnation,
     },
     /// Listen to these instances only.
-    Allow(Vec<ids::InstanceId>),
+    AllowPeers(Vec<ids::InstanceId>),
     /// The state of an instance changed.
     Changed {
         /// The instance.
--- a/crates/damaskvane-membership/src/view/listing.rs
+++ b/crates/damaskvane-membership/src/view/listing.rs
@@ -226,6 +226,6 @@
 
     fn allow(&self, actions: &mut Vec<Action>) {
         let allowed = self.members.keys().cloned().collect();
-        actions.push(Action::Allow(allowed));
+        actions.push(Action::AllowPeers(allowed));
     }
 }
--- a/crates/damaskvane-scenario/src/world/entry.rs
+++ b/crates/damaskvane-scenario/src/world/entry.rs
@@ -191,7 +191,7 @@
                 instance,
                 incarnation,
             } => self.unmark(&me.instance, &instance, incarnation),
-            view::Action::Allow(_) | view::Action::Changed { .. } => return true,
+            view::Action::AllowPeers(_) | view::Action::Changed { .. } => return true,
             view::Action::OwnFenced => {
                 self.kill(&me.instance);
                 self.restart_later(&me.instance);
