--- a/crates/damaskvane-bench/src/slots/lease.rs
+++ b/crates/damaskvane-bench/src/slots/lease.rs
@@ -45,7 +45,7 @@
             leaving: false,
             gone: None,
             dropped_until: None,
-            hears_own: true,
+            has_acknowledged_own: true,
         };
         let roster = view::Roster {
             members: names.iter().map(member).collect(),
--- a/crates/damaskvane-membership/src/view/roster.rs
+++ b/crates/damaskvane-membership/src/view/roster.rs
@@ -20,7 +20,7 @@
     /// When it has surely stopped, if the list has dropped it and nothing proves that it is gone.
     pub dropped_until: Option<time::TimeMs>,
     /// Whether it has said that it hears this instance, and so knows of it.
-    pub hears_own: bool,
+    pub has_acknowledged_own: bool,
 }
 
 /// The instances of the own zone, this one among them.
@@ -49,7 +49,7 @@
             leaving: self.leaving,
             gone: None,
             dropped_until: None,
-            hears_own: true,
+            has_acknowledged_own: true,
         };
         let zone = self
             .members
@@ -61,7 +61,7 @@
             leaving: member.leaving,
             gone: member.gone,
             dropped_until: self.dropped_until(member),
-            hears_own: !member.is_neighbour || member.supported_from.is_some(),
+            has_acknowledged_own: !member.is_neighbour || member.supported_from.is_some(),
         });
         let mut members: Vec<RosterMember> = others.chain([own]).collect();
         members.sort_by(|a, b| a.instance.cmp(&b.instance));
--- a/crates/damaskvane-slots/src/exchange/claiming.rs
+++ b/crates/damaskvane-slots/src/exchange/claiming.rs
@@ -17,7 +17,7 @@
     /// roster. If the owner handed its ledger to this instance and then stopped, the other instance would
     /// take over the backend server as well, and both would grant its slots.
     pub(super) fn may_claim(&self) -> bool {
-        self.roster.is_listed && self.others().all(|member| member.hears_own)
+        self.roster.is_listed && self.others().all(|member| member.has_acknowledged_own)
     }
 
     /// Starts, ends or completes a claim after the roster or the assignment has changed.
--- a/crates/damaskvane-slots/tests/messages.rs
+++ b/crates/damaskvane-slots/tests/messages.rs
@@ -17,7 +17,7 @@
             leaving: false,
             gone: None,
             dropped_until: None,
-            hears_own: true,
+            has_acknowledged_own: true,
         });
     view::Roster {
         members: members.collect(),
