--- a/crates/damaskvane-bench/src/slots/lease.rs
+++ b/crates/damaskvane-bench/src/slots/lease.rs
@@ -44,7 +44,7 @@
             incarnation,
             leaving: false,
             gone: None,
-            dropped_until: None,
+            stopped_by: None,
             has_acknowledged_own: true,
         };
         let roster = view::Roster {
--- a/crates/damaskvane-membership/src/view/roster.rs
+++ b/crates/damaskvane-membership/src/view/roster.rs
@@ -18,7 +18,7 @@
     /// Whether that start is proven gone, and from when on.
     pub gone: Option<Gone>,
     /// When it has surely stopped, if the list has dropped it and nothing proves that it is gone.
-    pub dropped_until: Option<time::TimeMs>,
+    pub stopped_by: Option<time::TimeMs>,
     /// Whether it has said that it hears this instance, and so knows of it.
     pub has_acknowledged_own: bool,
 }
@@ -48,7 +48,7 @@
             incarnation: self.own.incarnation,
             leaving: self.leaving,
             gone: None,
-            dropped_until: None,
+            stopped_by: None,
             has_acknowledged_own: true,
         };
         let zone = self
@@ -60,7 +60,7 @@
             incarnation: member.incarnation,
             leaving: member.leaving,
             gone: member.gone,
-            dropped_until: self.dropped_until(member),
+            stopped_by: self.stopped_by(member),
             has_acknowledged_own: !member.is_neighbour || member.supported_from.is_some(),
         });
         let mut members: Vec<RosterMember> = others.chain([own]).collect();
@@ -78,7 +78,7 @@
     /// When a member that the list has dropped has stopped: neighbours no longer tell it that they hear it.
     ///
     /// One that leaves has handed over what it owned before its entry went.
-    fn dropped_until(&self, member: &Member) -> Option<time::TimeMs> {
+    fn stopped_by(&self, member: &Member) -> Option<time::TimeMs> {
         let delisted_at = member.delisted_at.filter(|_| !member.leaving)?;
         Some(delisted_at + self.settings.list_lag_ms + self.acts_on_for(member))
     }
--- a/crates/damaskvane-slots/src/exchange/claiming.rs
+++ b/crates/damaskvane-slots/src/exchange/claiming.rs
@@ -268,7 +268,7 @@
         // The claimant's roster may lack instances that are gone or were dropped from the list.
         let stopped = self.roster.members.iter().filter_map(|member| {
             let gone_from = member.gone.map(|gone| gone.from);
-            gone_from.or(member.dropped_until)
+            gone_from.or(member.stopped_by)
         });
         let wait_ms = stopped.map(|stopped_at| stopped_at.since(now)).max();
         Some(SlotMessage::Consent {
--- a/crates/damaskvane-slots/tests/messages.rs
+++ b/crates/damaskvane-slots/tests/messages.rs
@@ -16,7 +16,7 @@
             incarnation: ids::Incarnation::new(*incarnation),
             leaving: false,
             gone: None,
-            dropped_until: None,
+            stopped_by: None,
             has_acknowledged_own: true,
         });
     view::Roster {
