--- a/crates/damaskvane-membership/src/settings.rs
+++ b/crates/damaskvane-membership/src/settings.rs
@@ -25,7 +25,7 @@
     /// A neighbour that was silent for less than this is never dead.
     pub min_dead_ms: SpanMs,
     /// How long a listed neighbour that was never heard counts as live.
-    pub unheard_trust_ms: SpanMs,
+    pub first_heartbeat_timeout_ms: SpanMs,
     /// How long an instance that left the list but goes on sending counts as live.
     pub delisted_grace_ms: SpanMs,
     /// A gap between two events above this was a pause of this process.
@@ -62,7 +62,7 @@
             mesh_limit: 20,
             min_suspect_ms: SpanMs::new(1_000),
             min_dead_ms: SpanMs::new(3_000),
-            unheard_trust_ms: SpanMs::new(5_000),
+            first_heartbeat_timeout_ms: SpanMs::new(5_000),
             delisted_grace_ms: SpanMs::new(60_000),
             pause_ms: SpanMs::new(1_000),
             authority_ms: SpanMs::new(12_000),
--- a/crates/damaskvane-membership/src/view/member.rs
+++ b/crates/damaskvane-membership/src/view/member.rs
@@ -145,7 +145,7 @@
         }
         let silence = self.silence(now);
         match &self.heard {
-            None if silence < settings.unheard_trust_ms => self.alive(),
+            None if silence < settings.first_heartbeat_timeout_ms => self.alive(),
             None => InstanceState::Dead,
             Some(heard) => self.state_by_silence(silence, heard.heartbeat.period_ms, settings),
         }
--- a/crates/damaskvane-slots/tests/common/setup.rs
+++ b/crates/damaskvane-slots/tests/common/setup.rs
@@ -43,7 +43,7 @@
     membership_settings::MembershipSettings {
         min_suspect_ms: ms(500),
         min_dead_ms: ms(1_000),
-        unheard_trust_ms: ms(1_000),
+        first_heartbeat_timeout_ms: ms(1_000),
         authority_ms: ms(4_000),
         cut_off_authority_ms: ms(20_000),
         list_lag_ms: ms(1_000),
