--- a/crates/damaskvane-entry/src/control/steering.rs
+++ b/crates/damaskvane-entry/src/control/steering.rs
@@ -104,7 +104,7 @@
         self.steering.world_period = world_period(topology.zones.len());
         self.steering
             .exchange
-            .set_world_period(self.steering.world_period);
+            .set_inter_region_period(self.steering.world_period);
         match topology.aggregator() {
             Some(aggregator) if *aggregator != self.record.instance => {
                 let message = wire::WireMessage::Load(load);
--- a/crates/damaskvane-membership/src/digest/exchange.rs
+++ b/crates/damaskvane-membership/src/digest/exchange.rs
@@ -53,7 +53,7 @@
     }
 
     /// Changes the time between two bundles to other regions, for a fleet that has grown or shrunk.
-    pub const fn set_world_period(&mut self, period: time::SpanMs) {
+    pub const fn set_inter_region_period(&mut self, period: time::SpanMs) {
         self.settings.world_period_ms = period;
     }
 
