--- a/crates/damaskvane-membership/src/view/counters.rs
+++ b/crates/damaskvane-membership/src/view/counters.rs
@@ -19,7 +19,7 @@
     /// Heartbeats of starts that have been replaced.
     pub old_incarnation: u64,
     /// Heartbeats that arrived after a later one.
-    pub overtaken: u64,
+    pub out_of_order: u64,
     /// Lists that were older than the one in use.
     pub old_lists: u64,
     /// Pauses of this process.
@@ -33,7 +33,7 @@
         let counter = match refusal {
             HeartbeatRefusal::Unlisted => &mut self.unlisted,
             HeartbeatRefusal::OldIncarnation => &mut self.old_incarnation,
-            HeartbeatRefusal::Overtaken => &mut self.overtaken,
+            HeartbeatRefusal::Overtaken => &mut self.out_of_order,
         };
         *counter += 1;
     }
--- a/crates/damaskvane-membership/tests/silence.rs
+++ b/crates/damaskvane-membership/tests/silence.rs
@@ -135,5 +135,5 @@
     a.handle(at(0), list(&[record("z-a-1", 1), record("z-a-2", 1)]));
     a.handle(at(10), heartbeat("z-a-2", 1, 7));
     a.handle(at(2_000), heartbeat("z-a-2", 1, 6));
-    assert_eq!(a.counters().overtaken, 1);
+    assert_eq!(a.counters().out_of_order, 1);
 }
