--- a/crates/damaskvane-entry/src/control/publishing.rs
+++ b/crates/damaskvane-entry/src/control/publishing.rs
@@ -174,7 +174,7 @@
         "availability_zone": instance.record.zone,
         "incarnation": instance.incarnation,
         "state": instance.state.as_str(),
-        "silent_ms": instance.silent,
+        "silent_ms": instance.heartbeat_age,
         "config_version": instance.config_version,
     })
 }
--- a/crates/damaskvane-membership/src/view/instance_view.rs
+++ b/crates/damaskvane-membership/src/view/instance_view.rs
@@ -17,7 +17,7 @@
     /// Its state.
     pub state: InstanceState,
     /// The time since it was heard; nothing if it is heard by list only.
-    pub silent: Option<time::SpanMs>,
+    pub heartbeat_age: Option<time::SpanMs>,
     /// The configuration in force there, as it last said.
     pub config_version: Option<ids::ConfigVersion>,
     /// Its load, as it last said.
@@ -33,7 +33,7 @@
                 record: &member.record,
                 incarnation: member.incarnation,
                 state: self.state_of(member),
-                silent: heard.map(|heard| self.now.since(heard.at)),
+                heartbeat_age: heard.map(|heard| self.now.since(heard.at)),
                 config_version: heard.map(|heard| heard.heartbeat.config_version),
                 load: heard.map(|heard| heard.heartbeat.load),
             }
