--- a/crates/damaskvane-membership/src/digest.rs
+++ b/crates/damaskvane-membership/src/digest.rs
@@ -1,11 +1,13 @@
-//! Reports of availability zones: from one zone to all others, and down each zone's tree.
+//! Exchange of digests: one report per availability zone, delivered to the instances of all zones.
 //!
-//! The lowest-ranked live instance of a zone is its aggregator. It sends the zone's digest to the
-//! aggregators of its region every second, and one zone for each region sends all of the region's to the
-//! other regions every few seconds. Whoever receives a newer digest passes it down a tree of its zone.
-//! Two aggregators by mistake cost messages and do no harm: only a higher sequence replaces a digest.
+//! The first instance in a zone's [ranking](crate::ownership::ranking) is the zone's aggregator. Every
+//! second an aggregator sends the digest of its zone to the aggregators of the other zones in its region.
+//! Every few seconds one zone per region sends all digests of the region to the other regions. An
+//! instance that receives a newer digest forwards it along a tree of the instances in its zone. Two
+//! aggregators of one zone by mistake cost messages and do no harm, because only a higher sequence
+//! number replaces a digest.
 //!
-//! What a digest says is up to the caller; it travels as the type parameter.
+//! The body of a digest is a type parameter, chosen by the caller.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -15,14 +17,14 @@
 //! assert_eq!(exchange.digests(time::TimeMs::ZERO).count(), 0);
 //! ```
 
-mod book;
 mod exchange;
 mod message;
 mod settings;
+mod table;
 mod topology;
 
-pub use book::{DigestView, Taken};
 pub use exchange::{DigestExchange, DigestSend};
 pub use message::{Digest, DigestBundle};
 pub use settings::DigestSettings;
+pub use table::{DigestView, InsertOutcome};
 pub use topology::{Topology, ZoneContacts};
--- a/crates/damaskvane-membership/src/digest/exchange.rs
+++ b/crates/damaskvane-membership/src/digest/exchange.rs
@@ -1,70 +1,71 @@
-//! The exchange of digests as one instance takes part in it.
+//! Digest exchange of one instance.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use damaskvane_core::{ids, time};
 
-use crate::digest::book::{DigestBook, DigestView, Taken};
 use crate::digest::message::{Digest, DigestBundle};
 use crate::digest::settings::DigestSettings;
+use crate::digest::table::{DigestTable, DigestView, InsertOutcome};
 use crate::digest::topology::{Topology, ZoneContacts};
 
-/// A bundle to be sent.
+/// A bundle of digests to send to one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DigestSend<D> {
-    /// The instance.
+    /// Instance that receives the bundle.
     pub to: ids::InstanceId,
-    /// What it gets.
+    /// Digests to send.
     pub bundle: DigestBundle<D>,
 }
 
-/// Holds the latest digest of each zone and passes digests on.
+/// Stores the latest digest of each zone and forwards digests to other instances.
 #[derive(Debug)]
 pub struct DigestExchange<D> {
     settings: DigestSettings,
-    book: DigestBook<D>,
-    /// Zones whose digests came from outside the region and go to its other zones next.
+    table: DigestTable<D>,
+    /// Zones of other regions whose new digests are sent next to the other zones of this region.
     imported: BTreeSet<ids::AvailabilityZoneId>,
-    /// Zones whose digests go down the tree of the own zone next.
-    waiting: BTreeSet<ids::AvailabilityZoneId>,
+    /// Zones whose new digests are sent next to this instance's children in the tree of its zone.
+    pending_for_children: BTreeSet<ids::AvailabilityZoneId>,
     next_region_at: time::TimeMs,
-    next_world_at: time::TimeMs,
+    next_inter_region_at: time::TimeMs,
     round: usize,
 }
 
 impl<D: Clone> DigestExchange<D> {
-    /// An exchange that holds nothing yet.
+    /// Returns an exchange without digests.
     #[must_use]
     pub const fn new(settings: DigestSettings) -> Self {
         Self {
-            book: DigestBook::new(settings.forget_ms),
+            table: DigestTable::new(settings.forget_ms),
             settings,
             imported: BTreeSet::new(),
-            waiting: BTreeSet::new(),
+            pending_for_children: BTreeSet::new(),
             next_region_at: time::TimeMs::ZERO,
-            next_world_at: time::TimeMs::ZERO,
+            next_inter_region_at: time::TimeMs::ZERO,
             round: 0,
         }
     }
 
-    /// The latest digest of every zone, with its age.
+    /// Returns the latest digest of every zone, with its age at `now`.
     pub fn digests(&self, now: time::TimeMs) -> impl Iterator<Item = DigestView<'_, D>> {
-        self.book.views(now)
+        self.table.views(now)
     }
 
-    /// Changes the time between two bundles to other regions, for a fleet that has grown or shrunk.
+    /// Sets the time between two bundles to other regions, which depends on the size of the fleet.
     pub const fn set_inter_region_period(&mut self, period: time::SpanMs) {
-        self.settings.world_period_ms = period;
+        self.settings.inter_region_period_ms = period;
     }
 
-    /// Whether a digest of the own zone is to be made now: this instance is the aggregator and the
+    /// Returns whether a new digest of the local zone is due: this instance is the aggregator and the
     /// period is over.
     #[must_use]
     pub fn is_due(&self, now: time::TimeMs, topology: &Topology) -> bool {
         topology.is_aggregator() && now >= self.next_region_at
     }
 
-    /// Takes the digest of the own zone and sends what is due; call it when [`Self::is_due`].
+    /// Stores a new digest of the local zone and returns the bundles that are due; call it when
+    /// [`Self::is_due`] returns true.
     pub fn publish(
         &mut self,
         now: time::TimeMs,
@@ -76,27 +77,27 @@
         let digest = Digest {
             zone: topology.own_zone.clone(),
             author: topology.own.clone(),
-            sequence: self.book.next_sequence(&topology.own_zone),
+            sequence: self.table.next_sequence(&topology.own_zone),
             age: time::SpanMs::ZERO,
             body,
         };
-        self.book.take(digest.clone(), now);
-        self.waiting.insert(topology.own_zone.clone());
-        let waiting = core::mem::take(&mut self.waiting);
-        let news: Vec<Digest<D>> = waiting
+        self.table.insert(digest.clone(), now);
+        self.pending_for_children.insert(topology.own_zone.clone());
+        let pending_for_children = core::mem::take(&mut self.pending_for_children);
+        let newer: Vec<Digest<D>> = pending_for_children
             .iter()
-            .filter_map(|zone| self.book.copy(zone, now))
+            .filter_map(|zone| self.table.copy(zone, now))
             .collect();
-        let mut sends = self.for_children(topology, &news);
-        sends.extend(self.for_region(now, topology, &digest));
-        if now >= self.next_world_at {
-            self.next_world_at = now + self.settings.world_period_ms;
-            sends.extend(self.for_world(now, topology));
+        let mut sends = self.sends_to_children(topology, &newer);
+        sends.extend(self.sends_to_region(now, topology, &digest));
+        if now >= self.next_inter_region_at {
+            self.next_inter_region_at = now + self.settings.inter_region_period_ms;
+            sends.extend(self.sends_to_other_regions(now, topology));
         }
         sends
     }
 
-    /// Takes a bundle from another instance and passes on what was news.
+    /// Stores the digests of a received bundle and returns the bundles that forward the newer ones.
     pub fn receive(
         &mut self,
         now: time::TimeMs,
@@ -104,22 +105,23 @@
         from: &ids::InstanceId,
         bundle: DigestBundle<D>,
     ) -> Vec<DigestSend<D>> {
-        let mut news = Vec::new();
-        let mut echoes = Vec::new();
+        let mut newer = Vec::new();
+        let mut replies = Vec::new();
         for digest in bundle.0 {
             let zone = digest.zone.clone();
-            let is_from_author = digest.author == *from;
-            match self.book.take(digest.clone(), now) {
-                Taken::Newer => news.push(digest),
-                Taken::Overtaken if is_from_author => echoes.extend(self.book.copy(&zone, now)),
-                Taken::Same | Taken::Overtaken => {}
+            let is_author = digest.author == *from;
+            match self.table.insert(digest.clone(), now) {
+                InsertOutcome::Stored => newer.push(digest),
+                InsertOutcome::Outdated if is_author => replies.extend(self.table.copy(&zone, now)),
+                InsertOutcome::Duplicate | InsertOutcome::Outdated => {}
             }
         }
-        let mut sends = self.pass_on(topology, from, &news);
-        if !echoes.is_empty() {
-            // A new aggregator counts too low. Told of the higher sequence it goes on from there;
-            // otherwise its zone would seem frozen to this one until the old digest is forgotten.
-            let bundle = DigestBundle(echoes);
+        let mut sends = self.forward(topology, from, &newer);
+        if !replies.is_empty() {
+            // A new aggregator may start with too low a sequence number, and continues from the higher
+            // one that this bundle carries. Otherwise its zone would appear frozen to this instance
+            // until the old digest is forgotten.
+            let bundle = DigestBundle(replies);
             sends.push(DigestSend {
                 to: from.clone(),
                 bundle,
@@ -128,70 +130,77 @@
         sends
     }
 
-    fn pass_on(
+    fn forward(
         &mut self,
         topology: &Topology,
         from: &ids::InstanceId,
-        news: &[Digest<D>],
+        newer: &[Digest<D>],
     ) -> Vec<DigestSend<D>> {
-        if news.is_empty() {
+        if newer.is_empty() {
             return Vec::new();
         }
-        let is_outside = !topology.is_own_zone(from);
-        if is_outside && !topology.is_aggregator() {
-            let up = topology.aggregator().cloned();
-            return up.map(|to| send(to, news.to_vec())).into_iter().collect();
+        let is_from_other_zone = !topology.is_own_zone(from);
+        if is_from_other_zone && !topology.is_aggregator() {
+            let aggregator = topology.aggregator().cloned();
+            return aggregator
+                .map(|to| digest_send(to, newer.to_vec()))
+                .into_iter()
+                .collect();
         }
-        if !topology.is_own_region(from) || !is_outside {
-            self.note_imported(topology, news);
+        if !topology.is_own_region(from) || !is_from_other_zone {
+            self.record_imported(topology, newer);
         }
         if topology.is_aggregator() {
-            // One message a period for each child costs a fraction of one for each arrival.
-            let zones = news.iter().map(|digest| digest.zone.clone());
-            self.waiting.extend(zones);
+            // One message a period for each child costs a fraction of one message for each received
+            // bundle.
+            let zones = newer.iter().map(|digest| digest.zone.clone());
+            self.pending_for_children.extend(zones);
             return Vec::new();
         }
-        self.for_children(topology, news)
+        self.sends_to_children(topology, newer)
     }
 
-    fn note_imported(&mut self, topology: &Topology, news: &[Digest<D>]) {
+    fn record_imported(&mut self, topology: &Topology, newer: &[Digest<D>]) {
         if !topology.is_aggregator() {
             return;
         }
         let own = topology.own_region();
-        let foreign = news
+        let foreign = newer
             .iter()
             .map(|digest| &digest.zone)
             .filter(|zone| topology.region(zone) != own);
         self.imported.extend(foreign.cloned());
     }
 
-    fn for_children(&self, topology: &Topology, news: &[Digest<D>]) -> Vec<DigestSend<D>> {
+    fn sends_to_children(&self, topology: &Topology, newer: &[Digest<D>]) -> Vec<DigestSend<D>> {
         topology
             .children(self.settings.fan_out)
-            .map(|child| send(child.clone(), news.to_vec()))
+            .map(|child| digest_send(child.clone(), newer.to_vec()))
             .collect()
     }
 
-    fn for_region(
+    fn sends_to_region(
         &mut self,
         now: time::TimeMs,
         topology: &Topology,
         own: &Digest<D>,
     ) -> Vec<DigestSend<D>> {
         let imported = core::mem::take(&mut self.imported);
-        let imported = imported.iter().filter_map(|zone| self.book.copy(zone, now));
+        let imported = imported
+            .iter()
+            .filter_map(|zone| self.table.copy(zone, now));
         let digests: Vec<Digest<D>> = core::iter::once(own.clone()).chain(imported).collect();
         topology
             .zones_of_own_region()
             .filter(|(zone, _)| **zone != topology.own_zone)
-            .filter_map(|(zone, contacts)| self.contact(now, zone, contacts))
-            .map(|to| send(to, digests.clone()))
+            .filter_map(|(zone, contacts)| self.recipient(now, zone, contacts))
+            .map(|to| digest_send(to, digests.clone()))
             .collect()
     }
 
-    /// Sends the digests of the region to each other region, if the own zone is the first that is heard.
-    fn for_world(&self, now: time::TimeMs, topology: &Topology) -> Vec<DigestSend<D>> {
+    /// Sends the digests of the region to each other region, if the local zone is the first one of the
+    /// region with a fresh digest.
+    fn sends_to_other_regions(&self, now: time::TimeMs, topology: &Topology) -> Vec<DigestSend<D>> {
         let fresh: Vec<&ids::AvailabilityZoneId> = topology
             .zones_of_own_region()
             .map(|(zone, _)| zone)
@@ -202,16 +211,17 @@
         }
         let digests: Vec<Digest<D>> = fresh
             .into_iter()
-            .filter_map(|zone| self.book.copy(zone, now))
+            .filter_map(|zone| self.table.copy(zone, now))
             .collect();
-        self.other_regions(now, topology)
+        self.recipients_in_other_regions(now, topology)
             .into_values()
-            .map(|to| send(to, digests.clone()))
+            .map(|to| digest_send(to, digests.clone()))
             .collect()
     }
 
-    /// For each other region the zone with the youngest digest, and whom to send to there.
-    fn other_regions(
+    /// Selects for each other region the zone with the youngest digest, and the instance to send to in
+    /// that zone.
+    fn recipients_in_other_regions(
         &self,
         now: time::TimeMs,
         topology: &Topology,
@@ -219,19 +229,19 @@
         let mut best: BTreeMap<ids::RegionId, (time::SpanMs, ids::InstanceId)> = BTreeMap::new();
         let own = topology.own_region();
         for (zone, contacts) in &topology.zones {
-            let Some(to) = self.contact(now, zone, contacts) else {
+            let Some(to) = self.recipient(now, zone, contacts) else {
                 continue;
             };
             if Some(&contacts.region) == own {
                 continue;
             }
-            let age = self.book.view(zone, now).map(|held| held.age);
+            let age = self.table.view(zone, now).map(|stored| stored.age);
             let age = age.unwrap_or(time::SpanMs::new(u64::MAX));
             let entry = (age, to);
             best.entry(contacts.region.clone())
-                .and_modify(|known| {
-                    if entry.0 < known.0 {
-                        *known = entry.clone();
+                .and_modify(|current| {
+                    if entry.0 < current.0 {
+                        *current = entry.clone();
                     }
                 })
                 .or_insert(entry);
@@ -242,22 +252,23 @@
     }
 
     fn is_fresh(&self, now: time::TimeMs, zone: &ids::AvailabilityZoneId) -> bool {
-        self.book
+        self.table
             .view(zone, now)
-            .is_some_and(|held| held.age < self.settings.fresh_ms)
+            .is_some_and(|stored| stored.age < self.settings.fresh_ms)
     }
 
-    /// The author of the zone's fresh digest; without one, each listed instance in turn.
-    fn contact(
+    /// Returns the author of the zone's digest if the digest is fresh, and otherwise each listed
+    /// instance in turn.
+    fn recipient(
         &self,
         now: time::TimeMs,
         zone: &ids::AvailabilityZoneId,
         contacts: &ZoneContacts,
     ) -> Option<ids::InstanceId> {
-        let held = self.book.view(zone, now);
-        let author = held
-            .filter(|held| held.age < self.settings.fresh_ms)
-            .map(|held| held.author)
+        let stored = self.table.view(zone, now);
+        let author = stored
+            .filter(|stored| stored.age < self.settings.fresh_ms)
+            .map(|stored| stored.author)
             .filter(|author| contacts.ranked.contains(author));
         let in_turn = || {
             let index = self.round.checked_rem(contacts.ranked.len())?;
@@ -267,7 +278,7 @@
     }
 }
 
-const fn send<D>(to: ids::InstanceId, digests: Vec<Digest<D>>) -> DigestSend<D> {
+const fn digest_send<D>(to: ids::InstanceId, digests: Vec<Digest<D>>) -> DigestSend<D> {
     let bundle = DigestBundle(digests);
     DigestSend { to, bundle }
 }
--- a/crates/damaskvane-membership/src/digest/message.rs
+++ b/crates/damaskvane-membership/src/digest/message.rs
@@ -1,29 +1,30 @@
-//! What travels.
+//! Digest messages that instances exchange.
 
 use damaskvane_core::{ids, time};
 use serde::{Deserialize, Serialize};
 
-/// The report of one zone.
+/// A report on one zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest<D> {
-    /// The zone.
+    /// Zone that the digest describes.
     #[serde(rename = "z")]
     pub zone: ids::AvailabilityZoneId,
-    /// The instance that made it.
+    /// Instance that created the digest.
     #[serde(rename = "b")]
     pub author: ids::InstanceId,
-    /// Rises with every digest of the zone, whoever makes it.
+    /// Sequence number; increases with every digest of the zone, whichever instance creates it.
     #[serde(rename = "s")]
     pub sequence: u64,
-    /// The time since it was made, as far as it was held by instances on its way.
+    /// Time that the digest has spent at instances since it was created; transmission time is not
+    /// included.
     #[serde(rename = "a")]
     pub age: time::SpanMs,
-    /// What it says.
+    /// Content of the digest, defined by the caller.
     #[serde(rename = "d")]
     pub body: D,
 }
 
-/// Digests that travel in one message.
+/// Digests that are sent in one message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DigestBundle<D>(pub Vec<Digest<D>>);
--- a/crates/damaskvane-membership/src/digest/settings.rs
+++ b/crates/damaskvane-membership/src/digest/settings.rs
@@ -1,19 +1,20 @@
-//! Periods of the digest exchange.
+//! Intervals and limits of the digest exchange.
 
 use damaskvane_core::time::SpanMs;
 
-/// Periods of the digest exchange.
+/// Intervals and limits of the digest exchange.
 #[derive(Debug, Clone)]
 pub struct DigestSettings {
-    /// The time between two digests of a zone within its region.
+    /// Time between two digests that a zone sends within its region.
     pub region_period_ms: SpanMs,
-    /// The time between two bundles to other regions.
-    pub world_period_ms: SpanMs,
-    /// To how many instances each passes digests on in its zone.
+    /// Time between two bundles to other regions.
+    pub inter_region_period_ms: SpanMs,
+    /// Number of instances to which each instance forwards digests in its zone.
     pub fan_out: usize,
-    /// A zone whose digest is older is sent to by the list, not by its last author.
+    /// Age up to which a digest is fresh. Without a fresh digest of a zone, bundles for that zone go to
+    /// its listed instances in turn, not to the author of its last digest.
     pub fresh_ms: SpanMs,
-    /// A digest this old is replaced by any other.
+    /// Age at which a stored digest is replaced by any other digest of its zone.
     pub forget_ms: SpanMs,
 }
 
@@ -21,7 +22,7 @@
     fn default() -> Self {
         Self {
             region_period_ms: SpanMs::new(1_000),
-            world_period_ms: SpanMs::new(10_000),
+            inter_region_period_ms: SpanMs::new(10_000),
             fan_out: 2,
             fresh_ms: SpanMs::new(25_000),
             forget_ms: SpanMs::new(60_000),
--- a/crates/damaskvane-membership/src/digest/topology.rs
+++ b/crates/damaskvane-membership/src/digest/topology.rs
@@ -1,26 +1,26 @@
-//! Who sends digests to whom.
+//! Topology of the digest exchange: which instance sends digests to which others.
 
 use std::collections::BTreeMap;
 
 use damaskvane_core::ids;
 
-/// The instances of one zone.
+/// Instances of one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneContacts {
-    /// The region of the zone.
+    /// Region of the zone.
     pub region: ids::RegionId,
-    /// Its instances that take work, the aggregator first.
+    /// Instances of the zone that accept new work, the aggregator first.
     pub ranked: Vec<ids::InstanceId>,
 }
 
-/// All zones as one instance sees them.
+/// All zones as seen by one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Topology {
-    /// The instance itself.
+    /// Id of this instance.
     pub own: ids::InstanceId,
-    /// Its zone.
+    /// Availability zone of this instance.
     pub own_zone: ids::AvailabilityZoneId,
-    /// Every zone, the own one among them.
+    /// Every zone, including `own_zone`.
     pub zones: BTreeMap<ids::AvailabilityZoneId, ZoneContacts>,
 }
 
@@ -31,19 +31,19 @@
             .map_or(&[], |contacts| contacts.ranked.as_slice())
     }
 
-    /// The aggregator of the own zone.
+    /// Returns the aggregator of the local zone, or `None` if no instance of the zone accepts new work.
     #[must_use]
     pub fn aggregator(&self) -> Option<&ids::InstanceId> {
         self.own_contacts().first()
     }
 
-    /// Whether this instance is the aggregator of its zone.
+    /// Returns whether this instance is the aggregator of its zone.
     #[must_use]
     pub fn is_aggregator(&self) -> bool {
         self.aggregator() == Some(&self.own)
     }
 
-    /// The instances of the own zone to which this one passes digests on.
+    /// Returns the instances of the local zone to which this instance forwards digests.
     pub fn children(&self, fan_out: usize) -> impl Iterator<Item = &ids::InstanceId> {
         let ranked = self.own_contacts();
         let own = ranked.iter().position(|instance| *instance == self.own);
@@ -51,32 +51,32 @@
         ranked.iter().skip(first).take(fan_out)
     }
 
-    /// Whether an instance is of the own zone.
+    /// Returns whether an instance belongs to the local zone.
     #[must_use]
     pub fn is_own_zone(&self, instance: &ids::InstanceId) -> bool {
         self.own_contacts().contains(instance)
     }
 
-    /// The region of the own zone.
+    /// Returns the region of the local zone.
     #[must_use]
     pub fn own_region(&self) -> Option<&ids::RegionId> {
         self.region(&self.own_zone)
     }
 
-    /// The region of a zone.
+    /// Returns the region of a zone.
     #[must_use]
     pub fn region(&self, zone: &ids::AvailabilityZoneId) -> Option<&ids::RegionId> {
         self.zones.get(zone).map(|contacts| &contacts.region)
     }
 
-    /// Whether an instance is of the own region.
+    /// Returns whether an instance belongs to the local region.
     #[must_use]
     pub fn is_own_region(&self, instance: &ids::InstanceId) -> bool {
         self.zones_of_own_region()
             .any(|(_, contacts)| contacts.ranked.contains(instance))
     }
 
-    /// The zones of the own region, the own one among them.
+    /// Returns the zones of the local region, including the local zone.
     pub fn zones_of_own_region(
         &self,
     ) -> impl Iterator<Item = (&ids::AvailabilityZoneId, &ZoneContacts)> {
