--- a/crates/damaskvane-membership/src/settings.rs
+++ b/crates/damaskvane-membership/src/settings.rs
@@ -1,4 +1,4 @@
-//! Periods and bounds of membership; equal on all instances.
+//! Intervals, timeouts and limits of membership; equal on all instances.
 //!
 //! ```
 //! use damaskvane_membership::settings;
@@ -9,46 +9,50 @@
 
 use damaskvane_core::time::SpanMs;
 
-/// Periods and bounds of membership.
+/// Intervals, timeouts and limits of membership.
 #[derive(Debug, Clone)]
 pub struct MembershipSettings {
-    /// How many heartbeats a second an instance sends to all its neighbours together.
+    /// Heartbeats per second that an instance sends to all its neighbours in total.
     pub heartbeats_per_second: u32,
-    /// The shortest time between two heartbeats to one neighbour.
+    /// Shortest time between two heartbeats to one neighbour.
     pub min_period_ms: SpanMs,
-    /// The longest time between two heartbeats to one neighbour.
+    /// Longest time between two heartbeats to one neighbour.
     pub max_period_ms: SpanMs,
-    /// Up to so many neighbours all of a zone hear each other; beyond, each hears so many.
+    /// Number of neighbours up to which all instances of a zone exchange heartbeats. In a larger zone
+    /// each instance has this many neighbours.
     pub mesh_limit: usize,
-    /// A neighbour that was silent for less than this is never suspect.
+    /// Shortest silence after which a neighbour can be suspect.
     pub min_suspect_ms: SpanMs,
-    /// A neighbour that was silent for less than this is never dead.
+    /// Shortest silence after which a neighbour can be dead.
     pub min_dead_ms: SpanMs,
-    /// How long a listed neighbour that was never heard counts as live.
+    /// Time for which a listed neighbour counts as live before its first heartbeat arrives.
     pub first_heartbeat_timeout_ms: SpanMs,
-    /// How long an instance that left the list but goes on sending counts as live.
+    /// Time for which an instance that left the list but still sends heartbeats counts as live.
     pub delisted_grace_ms: SpanMs,
-    /// A gap between two events above this was a pause of this process.
+    /// Gap between two events above which this process is considered to have been paused.
     pub pause_ms: SpanMs,
-    /// How long what an instance owns stays its own after its last heartbeat that was heard.
+    /// Time for which an instance keeps what it owns after its last heartbeat that a neighbour
+    /// received.
     pub authority_ms: SpanMs,
-    /// The same, where all of its neighbours had lost the platform before they fell silent.
+    /// Value that replaces `authority_ms` for an instance whose neighbours had all lost the platform
+    /// before they fell silent.
     ///
-    /// The last instance of a zone that is cut off must go on, and may be wrong about its neighbours: one
-    /// that reaches the platform again takes over only after this time.
+    /// The last instance of a zone that is cut off must continue, and its neighbours may in fact be
+    /// alive. A neighbour that reaches the platform again therefore takes over only after this time.
     pub cut_off_authority_ms: SpanMs,
-    /// How old an instance's copy of the list is at most while the platform answers: its lag and the
-    /// time between two reads.
+    /// Maximum age of an instance's copy of the list while the platform responds: the lag of the list
+    /// plus the time between two reads.
     pub list_lag_ms: SpanMs,
-    /// After this time without contact an instance can't reach the platform.
+    /// Time without contact after which an instance is considered unable to reach the platform.
     ///
-    /// It must be longer than the time between two reads of the list: an instance that is thought to be
-    /// cut off could otherwise fence another that does not expect it.
+    /// It must be longer than the time between two reads of the list. Otherwise an instance that is
+    /// considered cut off could fence another instance that does not expect it.
     pub platform_lost_ms: SpanMs,
-    /// How long a neighbour is dead before it is fenced through the platform.
+    /// Time for which a neighbour must be dead before it is fenced through the platform; also the
+    /// timeout of a fence request.
     pub fence_after_ms: SpanMs,
-    /// Time between two calls to delete an entry that was marked as fenced long ago.
-    pub unmark_retry_ms: SpanMs,
+    /// Time between two requests to delete the entry of an instance that was fenced long ago.
+    pub fence_record_retry_ms: SpanMs,
     /// Time between two probes of, or new connections to, one silent neighbour.
     pub retry_ms: SpanMs,
 }
@@ -70,14 +74,15 @@
             list_lag_ms: SpanMs::new(20_000),
             platform_lost_ms: SpanMs::new(15_000),
             fence_after_ms: SpanMs::new(5_000),
-            unmark_retry_ms: SpanMs::new(10_000),
+            fence_record_retry_ms: SpanMs::new(10_000),
             retry_ms: SpanMs::new(1_000),
         }
     }
 }
 
 impl MembershipSettings {
-    /// How long an instance acts after its last heartbeat that was heard.
+    /// Returns how long an instance keeps its authority after its last heartbeat that a neighbour
+    /// received.
     #[must_use]
     pub const fn authority(&self, is_cut_off: bool) -> SpanMs {
         if is_cut_off {
@@ -87,15 +92,16 @@
         }
     }
 
-    /// Whether an instance that last reached the platform so long ago reaches it; nothing if it never did.
+    /// Returns whether an instance that last reached the platform `age` ago can reach it. `None` means
+    /// that the instance never reached the platform.
     #[must_use]
     pub fn reaches_platform(&self, age: Option<SpanMs>) -> bool {
         age.is_some_and(|age| age < self.platform_lost_ms)
     }
 
-    /// An instance may fence a neighbour of which it has heard nothing for this long.
+    /// Returns the silence of a neighbour after which an instance may fence it.
     #[must_use]
-    pub const fn fences_after(&self) -> SpanMs {
+    pub const fn min_fence_silence(&self) -> SpanMs {
         SpanMs::new(self.min_dead_ms.get() + self.fence_after_ms.get())
     }
 }
--- a/crates/damaskvane-membership/src/view.rs
+++ b/crates/damaskvane-membership/src/view.rs
@@ -1,15 +1,16 @@
-//! The aggregate of membership: events and a time in, actions out.
+//! The membership state machine, which takes events with their times and returns actions.
 //!
-//! The platform's list says who exists; heartbeats say who lives. Where they disagree, a recent heartbeat
-//! counts more, but only from an instance that is or lately was on the list. A listed instance that was
-//! never heard is trusted for a bounded time.
+//! The platform's list names the instances that exist, and heartbeats show which of them are alive.
+//! Where the two disagree, a recent heartbeat takes precedence, but only from an instance that is
+//! listed or was listed recently. A listed instance without any heartbeat so far counts as live for a
+//! limited time.
 //!
-//! Three questions have an answer each:
+//! The module answers three questions:
 //!
-//! - Who takes new work? [`Membership::instances`]: decided by silence, in seconds.
-//! - Whose backend servers may pass to another? [`Membership::roster`]: decided by proof only.
-//! - May this instance use what it owns? [`Membership::authority_until`]: as long as its neighbours say that
-//!   they hear it, or it sees itself on the platform's list.
+//! - Which instances take new work? [`Membership::instances`]: decided by silence, in seconds.
+//! - Whose backend servers may pass to another instance? [`Membership::roster`]: decided by proof only.
+//! - May this instance use what it owns? [`Membership::authority_until`]: as long as its neighbours
+//!   echo its heartbeats, or the platform's list contains it.
 //!
 //! ```
 //! use damaskvane_core::{ids, time};
--- a/crates/damaskvane-membership/src/view/authority.rs
+++ b/crates/damaskvane-membership/src/view/authority.rs
@@ -1,13 +1,15 @@
-//! Whether this instance may use what it owns.
+//! Authority of this instance to use what it owns.
 //!
-//! Another instance takes over only by proof. One kind of proof leaves the old owner alive and unaware:
-//! its object at the platform was deleted while it was cut off. It must then stop by itself, earlier than
-//! the other begins. It goes on only while none of its neighbours can have fenced it: each says that it
-//! heard a heartbeat sent lately, or the platform still lists it.
+//! Another instance takes over only by proof that the old owner is gone. With one kind of proof the old
+//! owner can still be running without noticing: its entry at the platform was fenced while it was cut
+//! off. The old owner must then stop by itself before the other instance starts. An instance therefore
+//! continues only while none of its neighbours can have fenced it: each neighbour has echoed a recently
+//! sent heartbeat, or the platform still lists the instance.
 //!
-//! What this can't cover: an instance that is cut off from the platform and from one that started after
-//! that, while both reach the backend servers and the newcomer reaches the platform. It does not know of
-//! the newcomer. A zone that is cut off as a whole is no such case: there nobody reaches the platform.
+//! One case is not covered: an instance is cut off from the platform and from a new instance that
+//! started after that, while both reach the backend servers and the new instance reaches the platform.
+//! The old instance has no record of the new one. A zone that is cut off as a whole is no such case,
+//! because none of its instances reaches the platform.
 
 use damaskvane_core::time::{SpanMs, TimeMs};
 
@@ -15,20 +17,22 @@
 use crate::view::member::Member;
 use crate::view::membership::Membership;
 
-/// What remains of a neighbour that ended after a silence, as long as no list tells what it did meanwhile.
+/// Limit on the authority of this instance after a silent neighbour is gone.
+///
+/// The limit applies until a list shows whether the neighbour fenced this instance meanwhile.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct LeftAlone {
-    /// Until when this instance may use what it owns.
-    pub(super) goes_on_until: TimeMs,
-    /// A list of this time or later tells.
-    pub(super) until_list_of: TimeMs,
+pub(super) struct LostNeighbour {
+    /// Time until which this instance may use what it owns.
+    pub(super) authority_until: TimeMs,
+    /// Creation time of the earliest list that ends the limit.
+    pub(super) needs_list_from: TimeMs,
 }
 
-/// What stays for ever unless something happens.
-const FOREVER: TimeMs = TimeMs::new(u64::MAX);
+/// Authority without a limit; it lasts until an event ends it.
+const UNLIMITED: TimeMs = TimeMs::new(u64::MAX);
 
 impl Membership {
-    /// Until when this instance may use what it owns; nothing if it may not.
+    /// Returns the time until which this instance may use what it owns, or `None` if it may not.
     #[must_use]
     pub fn authority_until(&self) -> Option<TimeMs> {
         if self.is_fenced {
@@ -38,62 +42,65 @@
             .platform_seen_at
             .filter(|_| self.is_listed)
             .map(|seen_at| seen_at + self.settings.authority_ms);
-        let until = by_platform.max(self.authority_by_neighbours());
+        let until = by_platform.max(self.authority_from_neighbours());
         until.filter(|until| *until > self.now)
     }
 
-    /// Forgets who heard this instance before it was paused.
+    /// Discards the echoes of heartbeats that were sent before a pause of this process.
     ///
-    /// Heartbeats that waited out the pause are delivered when it is over. What they say of their
-    /// senders is old: a neighbour that could not fence anybody then may have done so since.
-    pub(super) fn void_support(&mut self, pause: SpanMs) {
+    /// Heartbeats that arrive during a pause are delivered when it is over. Their content is outdated:
+    /// a neighbour that could not fence other instances then may have done so since.
+    pub(super) fn discard_echoes(&mut self, pause: SpanMs) {
         let lost_ms = self.settings.platform_lost_ms.get() + pause.get();
-        self.woke_at = self.now;
+        self.resumed_at = self.now;
         let had_platform = self
             .platform_seen_at
             .is_some_and(|seen_at| self.now.since(seen_at).get() < lost_ms);
         if had_platform {
-            self.doubt();
+            self.require_newer_list();
         }
         for member in self.members.values_mut() {
-            member.supported_from = None;
+            member.echoed_sent_at = None;
         }
     }
 
-    /// Waits for a list that would show whether this instance was fenced before now.
-    pub(super) fn doubt(&mut self) {
-        self.doubts_until = Some(self.now + self.settings.list_lag_ms);
+    /// Suspends the authority from neighbours until a list arrives that would show whether this
+    /// instance was fenced before now.
+    pub(super) fn require_newer_list(&mut self) {
+        self.needs_list_from = Some(self.now + self.settings.list_lag_ms);
     }
 
-    /// Notes that a neighbour has ended that was silent, and cut off from the platform, when it was last heard.
+    /// Records that a silent neighbour is gone that was cut off from the platform at its last heartbeat.
     ///
-    /// It may have reached the platform again and fenced this instance, which goes on as long as it would have
-    /// beside the silent one, and takes nothing over: what the other owned may have passed on meanwhile.
-    pub(super) fn note_left_alone(&mut self, sent_at: Option<TimeMs>) {
-        let goes_on_until = sent_at.unwrap_or(self.now) + self.settings.cut_off_authority_ms;
-        let earlier = self.left_alone.map(|left| left.goes_on_until);
-        self.left_alone = Some(LeftAlone {
-            goes_on_until: earlier.map_or(goes_on_until, |until| until.min(goes_on_until)),
-            until_list_of: self.now + self.settings.list_lag_ms,
+    /// The neighbour may have reached the platform again and fenced this instance. This instance keeps
+    /// its authority for as long as it would have beside the silent neighbour. It takes nothing over,
+    /// because what the neighbour owned may have passed to another instance meanwhile.
+    pub(super) fn record_lost_neighbour(&mut self, sent_at: Option<TimeMs>) {
+        let authority_until = sent_at.unwrap_or(self.now) + self.settings.cut_off_authority_ms;
+        let earlier = self.lost_neighbour.map(|lost| lost.authority_until);
+        self.lost_neighbour = Some(LostNeighbour {
+            authority_until: earlier.map_or(authority_until, |until| until.min(authority_until)),
+            needs_list_from: self.now + self.settings.list_lag_ms,
         });
     }
 
-    fn authority_by_neighbours(&self) -> Option<TimeMs> {
-        if self.doubts_until.is_some() || self.has_fenced_lately() {
+    fn authority_from_neighbours(&self) -> Option<TimeMs> {
+        if self.needs_list_from.is_some() || self.has_fenced_zone_member() {
             return None;
         }
-        let left_alone = self.left_alone.map(|left| Some(left.goes_on_until));
+        let lost_neighbour = self.lost_neighbour.map(|lost| Some(lost.authority_until));
         self.neighbours()
-            .map(|member| self.supported_until(member))
-            .chain(left_alone)
+            .map(|member| self.authority_from_neighbour(member))
+            .chain(lost_neighbour)
             .min()
-            .unwrap_or(Some(FOREVER))
+            .unwrap_or(Some(UNLIMITED))
     }
 
-    /// Whether one of the zone was fenced and not yet forgotten.
+    /// Returns whether an instance of the zone was fenced and is not yet forgotten.
     ///
-    /// It may be alive, start anew and fence this instance in turn, without being heard.
-    fn has_fenced_lately(&self) -> bool {
+    /// Such an instance may be alive, restart and fence this instance in turn, while none of its
+    /// heartbeats arrive here.
+    fn has_fenced_zone_member(&self) -> bool {
         let zone = &self.own.zone;
         let mut gone = self
             .members
@@ -106,48 +113,53 @@
         })
     }
 
-    /// Until when a neighbour surely does not fence this instance.
-    fn supported_until(&self, member: &Member) -> Option<TimeMs> {
-        let sent_at = member.supported_from?;
+    /// Returns the time until which a neighbour certainly does not fence this instance.
+    fn authority_from_neighbour(&self, member: &Member) -> Option<TimeMs> {
+        let sent_at = member.echoed_sent_at?;
         let is_cut_off_too = self.is_cut_off_too(member, sent_at);
         Some(sent_at + self.settings.authority(is_cut_off_too))
     }
 
-    /// Whether a neighbour may have heard nothing of this instance for so long that it has fenced it by now.
+    /// Returns whether a neighbour may have been without heartbeats of this instance for so long that
+    /// it has fenced this instance by now.
     ///
-    /// If it is then proven gone itself, its mark is still there: only the platform can tell. It fences as
-    /// soon as it has heard nothing for long enough, which may be well before its last echo is too old.
-    pub(super) fn may_have_fenced(&self, member: &Member) -> bool {
-        let fences_after = self.settings.fences_after();
-        let is_silenced = member
-            .supported_from
-            .is_none_or(|sent_at| self.now.since(sent_at) >= fences_after);
-        member.is_neighbour && is_silenced
+    /// If the neighbour is then proven gone itself, the fence record that it wrote remains, and only
+    /// the platform can show it. A neighbour fences as soon as the silence is long enough, which may be
+    /// well before its last echo is too old to give authority.
+    pub(super) fn may_have_fenced_own(&self, member: &Member) -> bool {
+        let min_fence_silence = self.settings.min_fence_silence();
+        let lacks_echoes = member
+            .echoed_sent_at
+            .is_none_or(|sent_at| self.now.since(sent_at) >= min_fence_silence);
+        member.is_neighbour && lacks_echoes
     }
 
-    /// Whether a silent neighbour had lost the platform before it fell silent.
+    /// Returns whether a silent neighbour had lost the platform before it fell silent.
     ///
-    /// In a zone that is cut off from the platform nobody can fence anybody. If the last other instance
-    /// of the zone dies then, this one goes on with what it owns; otherwise the zone would stop serving.
-    fn is_cut_off_too(&self, member: &Member, supported_from: TimeMs) -> bool {
-        let is_stale = self.now.since(supported_from) >= self.settings.authority_ms;
+    /// In a zone that is cut off from the platform no instance can fence another. If the last other
+    /// instance of the zone dies then, this instance keeps what it owns; otherwise the zone would stop
+    /// serving.
+    fn is_cut_off_too(&self, member: &Member, echoed_sent_at: TimeMs) -> bool {
+        let is_stale = self.now.since(echoed_sent_at) >= self.settings.authority_ms;
         is_stale && !member.could_fence(&self.settings)
     }
 
-    /// How long an instance may act after it has heard of neither a neighbour nor the platform.
-    pub(super) fn acts_on_for(&self, member: &Member) -> SpanMs {
-        self.settings.authority(self.may_go_on_alone(member))
+    /// Returns how long a member may act after its last contact with a neighbour or the platform.
+    pub(super) fn max_authority(&self, member: &Member) -> SpanMs {
+        self.settings
+            .authority(self.may_continue_without_peers(member))
     }
 
-    /// Whether an instance may take itself for the last of a zone that is cut off from the platform.
+    /// Returns whether a member may consider itself the last instance of a zone that is cut off from
+    /// the platform.
     ///
-    /// It does so if the last that it heard of this one was that it had lost the platform. Where it never
-    /// answered, the mark of who fenced it tells.
-    pub(super) fn may_go_on_alone(&self, member: &Member) -> bool {
-        let was_told = self.last_cut_off.is_some_and(|told| {
-            let was_known = told.sent_at + self.settings.list_lag_ms >= member.known_from;
-            was_known && member.echoed <= Some(told.sequence)
+    /// It may if it has echoed no heartbeat of this instance after the last one that reported a lost
+    /// platform. If it never echoed a heartbeat, the flag in its fence record decides as well.
+    pub(super) fn may_continue_without_peers(&self, member: &Member) -> bool {
+        let was_reported = self.last_cut_off_round.is_some_and(|round| {
+            let was_known = round.sent_at + self.settings.list_lag_ms >= member.known_from;
+            was_known && member.echoed_sequence <= Some(round.sequence)
         });
-        was_told || (member.echoed.is_none() && member.marked_alone)
+        was_reported || (member.echoed_sequence.is_none() && member.fence_record_goes_on_alone)
     }
 }
--- a/crates/damaskvane-membership/src/view/counters.rs
+++ b/crates/damaskvane-membership/src/view/counters.rs
@@ -1,30 +1,30 @@
-//! Counters of refusals.
+//! Counters of rejected heartbeats, old lists, pauses and reconnects.
 
-/// Why a heartbeat was not taken.
+/// Reason why a heartbeat was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HeartbeatRefusal {
-    /// The sender neither is nor lately was on the list.
+    /// The sender is not on the list, and was not recently.
     Unlisted,
-    /// A later start of the sender is known, or this one is gone.
+    /// A later incarnation of the sender is known, or this incarnation is gone.
     OldIncarnation,
-    /// It was overtaken by a later one.
-    Overtaken,
+    /// A later heartbeat of the sender was received before.
+    OutOfOrder,
 }
 
-/// What membership has counted.
+/// Counters of membership since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MembershipCounters {
     /// Heartbeats from instances that are not listed.
     pub unlisted: u64,
-    /// Heartbeats of starts that have been replaced.
+    /// Heartbeats from incarnations that are replaced or gone.
     pub old_incarnation: u64,
-    /// Heartbeats that arrived after a later one.
+    /// Heartbeats that arrived after a later one of the same sender.
     pub out_of_order: u64,
     /// Lists that were older than the one in use.
     pub old_lists: u64,
-    /// Pauses of this process.
+    /// Detected pauses of this process.
     pub pauses: u64,
-    /// Connections that were asked to be made anew.
+    /// Requested reconnects to neighbours.
     pub reconnects: u64,
 }
 
@@ -33,7 +33,7 @@
         let counter = match refusal {
             HeartbeatRefusal::Unlisted => &mut self.unlisted,
             HeartbeatRefusal::OldIncarnation => &mut self.old_incarnation,
-            HeartbeatRefusal::Overtaken => &mut self.out_of_order,
+            HeartbeatRefusal::OutOfOrder => &mut self.out_of_order,
         };
         *counter += 1;
     }
--- a/crates/damaskvane-membership/src/view/event.rs
+++ b/crates/damaskvane-membership/src/view/event.rs
@@ -1,4 +1,4 @@
-//! What the aggregate is told, and what it asks for.
+//! Events that membership handles, and actions that it requests.
 
 use core::net;
 
@@ -8,143 +8,148 @@
 use crate::record::InstanceRecord;
 use crate::state::InstanceState;
 
-/// Where a copy of the list came from.
+/// Source of a copy of the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListSource {
     /// The platform itself.
     Platform,
-    /// Another instance, for one that starts while the platform is down.
+    /// Another instance; used by an instance that starts while the platform is down.
     Peer,
 }
 
-/// What a probe of an address found.
+/// Result of probing an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// The machine answers that nothing listens there.
+    /// The machine refused the connection: no process listens at the address.
     Refused,
-    /// A connection was made: the process may be alive, paused, or not know this instance yet.
+    /// A connection was established. The process may be alive or paused, or may not have received a
+    /// list with this instance yet.
     Answered,
-    /// Nothing came back in time.
+    /// No response arrived in time.
     Silent,
 }
 
-/// What the aggregate is told.
+/// Input of [`Membership::handle`](crate::view::Membership::handle).
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The list was read.
+    /// A copy of the platform's list arrived.
     List {
-        /// All of its entries.
+        /// All entries of the list.
         records: Vec<InstanceRecord>,
-        /// The time since it was asked for.
+        /// Time since the list was requested.
         age: time::SpanMs,
-        /// Where it came from.
+        /// Source of the copy.
         source: ListSource,
     },
     /// A heartbeat arrived.
     Heartbeat {
-        /// The sender.
+        /// Instance that sent the heartbeat.
         from: ids::InstanceId,
-        /// Which start of the sender it is.
+        /// Incarnation of the sender.
         incarnation: ids::Incarnation,
-        /// What it says.
+        /// Content of the heartbeat.
         heartbeat: Heartbeat,
     },
     /// A probe of the address of an instance ended.
     Probed {
-        /// The instance.
+        /// The probed instance.
         instance: ids::InstanceId,
-        /// The start that was asked about.
+        /// Incarnation for which the probe was requested.
         incarnation: ids::Incarnation,
-        /// What was found.
+        /// Result of the probe.
         outcome: ProbeOutcome,
     },
-    /// The platform marked the object of an instance as fenced.
+    /// The platform marked the entry of an instance as fenced.
     Fenced {
-        /// The instance.
+        /// The fenced instance.
         instance: ids::InstanceId,
-        /// The start that was fenced.
+        /// The fenced incarnation.
         incarnation: ids::Incarnation,
     },
-    /// The object was surely not marked; an unknown outcome is not this.
+    /// The platform certainly did not mark the entry as fenced; not to be used for an unknown outcome.
     FenceFailed {
-        /// The instance.
+        /// The instance that was to be fenced.
         instance: ids::InstanceId,
     },
-    /// The own object at the platform was found marked, or written by a later start.
+    /// This instance's entry at the platform was found marked as fenced, or written by a later
+    /// incarnation.
     Superseded,
-    /// What this instance says of itself from now on.
+    /// New content of this instance's heartbeats.
     Report {
-        /// The configuration in force.
+        /// Version of the configuration in effect.
         config_version: ids::ConfigVersion,
-        /// Its load.
+        /// Load of this instance.
         load: LoadSummary,
     },
     /// This instance is about to stop.
     Leave,
-    /// Time has passed; send it at least four times a second.
+    /// Time has passed; send this event at least four times a second.
     Tick,
 }
 
-/// What the aggregate asks for.
+/// Request to the caller of [`Membership::handle`](crate::view::Membership::handle).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send a heartbeat.
     Send {
-        /// The neighbour.
+        /// Neighbour that receives the heartbeat.
         to: ids::InstanceId,
-        /// Where it listens.
+        /// Peer address of the neighbour.
         address: net::SocketAddr,
-        /// The heartbeat.
+        /// Heartbeat to send.
         heartbeat: Heartbeat,
     },
-    /// Drop the connection to a neighbour and make a fresh one: it does not hear this instance.
+    /// Drop the connection to a neighbour and open a new one, because heartbeats or echoes from the
+    /// neighbour are missing.
     Reconnect {
-        /// The neighbour.
+        /// Neighbour to connect to.
         to: ids::InstanceId,
-        /// Where it listens.
+        /// Peer address of the neighbour.
         address: net::SocketAddr,
     },
     /// Try to connect, and report [`Event::Probed`].
     Probe {
         /// The silent neighbour.
         instance: ids::InstanceId,
-        /// The start in question.
+        /// Incarnation for which the probe is requested.
         incarnation: ids::Incarnation,
-        /// Where it listens.
+        /// Peer address of the neighbour.
         address: net::SocketAddr,
     },
-    /// Mark the instance's object at the platform as fenced, on condition that it still has this
+    /// Mark the instance's entry at the platform as fenced, on condition that the entry still has this
     /// incarnation, and report [`Event::Fenced`] or [`Event::FenceFailed`].
     Fence {
         /// The dead neighbour.
         instance: ids::InstanceId,
-        /// The start in question.
+        /// Incarnation to fence.
         incarnation: ids::Incarnation,
-        /// Whether it may take itself for the last of a cut-off zone; the mark says so.
+        /// Whether the neighbour may consider itself the last instance of a zone that is cut off from
+        /// the platform; stored in the fence record.
         goes_on_alone: bool,
     },
-    /// Delete an object that was marked long ago, on condition that it is still marked and has this
-    /// incarnation; no report is needed.
+    /// Delete an entry that was marked as fenced long ago, on condition that the entry is still marked
+    /// and has this incarnation; no report is needed.
     RemoveFenceRecord {
-        /// The instance that was fenced.
+        /// The fenced instance.
         instance: ids::InstanceId,
-        /// Its start that was fenced.
+        /// The fenced incarnation.
         incarnation: ids::Incarnation,
     },
-    /// Listen to these instances only.
+    /// Accept messages from these instances only.
     AllowPeers(Vec<ids::InstanceId>),
     /// The state of an instance changed.
     Changed {
-        /// The instance.
+        /// Instance whose state changed.
         instance: ids::InstanceId,
-        /// The state from now on; nothing if it was forgotten.
+        /// New state; `None` if the instance was forgotten.
         state: Option<InstanceState>,
     },
-    /// This process was paused for so long.
+    /// This process resumed after a pause.
     Resumed {
-        /// The length of the pause.
+        /// Length of the pause.
         paused: time::SpanMs,
     },
-    /// Others have fenced this instance or started it again elsewhere: stop, and start anew.
+    /// Another instance fenced this instance, or a later incarnation of this instance runs elsewhere:
+    /// stop, and start again.
     OwnFenced,
 }
--- a/crates/damaskvane-membership/src/view/instance_view.rs
+++ b/crates/damaskvane-membership/src/view/instance_view.rs
@@ -1,4 +1,4 @@
-//! How each instance stands, for look-up answers and status.
+//! State of each instance, for lookup responses and status.
 
 use damaskvane_core::{ids, time};
 
@@ -7,50 +7,50 @@
 use crate::state::InstanceState;
 use crate::view::membership::Membership;
 
-/// How one instance stands.
+/// State of one other instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceView<'a> {
-    /// What the list says.
+    /// Entry of the instance in the platform's list.
     pub record: &'a InstanceRecord,
-    /// Its latest start, which the list may lag behind.
+    /// Latest known incarnation; the list may lag behind with an earlier one.
     pub incarnation: ids::Incarnation,
-    /// Its state.
+    /// State of the instance.
     pub state: InstanceState,
-    /// The time since it was heard; nothing if it is heard by list only.
+    /// Time since its last heartbeat; `None` if no heartbeat was received.
     pub heartbeat_age: Option<time::SpanMs>,
-    /// The configuration in force there, as it last said.
+    /// Version of the configuration in effect there, as of its last heartbeat.
     pub config_version: Option<ids::ConfigVersion>,
-    /// Its load, as it last said.
+    /// Load of the instance, as of its last heartbeat.
     pub load: Option<LoadSummary>,
 }
 
 impl Membership {
-    /// All other instances that are known, in order of their names.
+    /// Returns all other known instances, in order of their ids.
     pub fn instances(&self) -> impl Iterator<Item = InstanceView<'_>> {
         self.members.values().map(|member| {
-            let heard = member.heard.as_ref();
+            let received = member.last_received.as_ref();
             InstanceView {
                 record: &member.record,
                 incarnation: member.incarnation,
                 state: self.state_of(member),
-                heartbeat_age: heard.map(|heard| self.now.since(heard.at)),
-                config_version: heard.map(|heard| heard.heartbeat.config_version),
-                load: heard.map(|heard| heard.heartbeat.load),
+                heartbeat_age: received.map(|received| self.now.since(received.at)),
+                config_version: received.map(|received| received.heartbeat.config_version),
+                load: received.map(|received| received.heartbeat.load),
             }
         })
     }
 
-    /// The own entry as the list has it.
+    /// Returns this instance's latest entry in the list, or `None` if it was never listed.
     #[must_use]
     pub const fn own_record(&self) -> Option<&InstanceRecord> {
         self.own_record.as_ref()
     }
 
-    /// The age of the list in use.
+    /// Returns the age of the list in use, or `None` before the first list.
     #[must_use]
     pub fn list_age(&self) -> Option<time::SpanMs> {
-        self.list.map(|(taken_at, age)| {
-            let held_ms = self.now.since(taken_at).get();
+        self.list.map(|(received_at, age)| {
+            let held_ms = self.now.since(received_at).get();
             time::SpanMs::new(age.get().saturating_add(held_ms))
         })
     }
--- a/crates/damaskvane-membership/src/view/listing.rs
+++ b/crates/damaskvane-membership/src/view/listing.rs
@@ -1,4 +1,4 @@
-//! What the platform's lagging list changes.
+//! Application of the platform's list, which lags behind the platform.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::view::membership::Membership;
 
 impl Membership {
-    pub(super) fn take_list(
+    pub(super) fn apply_list(
         &mut self,
         records: Vec<InstanceRecord>,
         age: time::SpanMs,
@@ -19,31 +19,33 @@
         actions: &mut Vec<Action>,
     ) {
         if self.list_age().is_some_and(|held| held < age) {
-            // A copy that was read earlier but came later would bring back who has left.
+            // A copy that was read earlier but arrived later would bring back instances that have left.
             self.counters.old_lists += 1;
             return;
         }
         self.list = Some((self.now, age));
         let made_at = time::TimeMs::new(self.now.get().saturating_sub(age.get()));
-        let (marked, records): (Vec<InstanceRecord>, Vec<InstanceRecord>) =
+        let (fence_records, records): (Vec<InstanceRecord>, Vec<InstanceRecord>) =
             records.into_iter().partition(|record| record.fenced);
         let mut listed: BTreeMap<ids::InstanceId, InstanceRecord> = records
             .into_iter()
             .map(|record| (record.instance.clone(), record))
             .collect();
         let own = listed.remove(&self.own.instance);
-        self.take_own_record(own, source, made_at, actions);
-        self.mark_delisted(&listed);
+        self.apply_own_record(own, source, made_at, actions);
+        self.record_delisted(&listed);
         for (instance, record) in listed {
-            self.take_record(instance, record);
+            self.apply_record(instance, record);
         }
-        self.take_marks(marked);
+        self.apply_fence_records(fence_records);
         self.plan_neighbours();
-        self.allow(actions);
+        self.allow_peers(actions);
     }
 
-    /// An entry that is missing or marked shows that this instance was fenced.
-    fn take_own_record(
+    /// Applies this instance's entry, which shows whether this instance was fenced.
+    ///
+    /// It was if the entry is missing or marked as fenced after it was listed, or has a later incarnation.
+    fn apply_own_record(
         &mut self,
         own: Option<InstanceRecord>,
         source: ListSource,
@@ -66,12 +68,14 @@
         }
         if source == ListSource::Platform {
             self.platform_seen_at = Some(made_at);
-            self.doubts_until = self.doubts_until.filter(|until| made_at < *until);
-            self.left_alone = self.left_alone.filter(|left| made_at < left.until_list_of);
+            self.needs_list_from = self.needs_list_from.filter(|until| made_at < *until);
+            self.lost_neighbour = self
+                .lost_neighbour
+                .filter(|lost| made_at < lost.needs_list_from);
         }
     }
 
-    fn mark_delisted(&mut self, listed: &BTreeMap<ids::InstanceId, InstanceRecord>) {
+    fn record_delisted(&mut self, listed: &BTreeMap<ids::InstanceId, InstanceRecord>) {
         let now = self.now;
         for (instance, member) in &mut self.members {
             if listed.contains_key(instance) {
@@ -82,65 +86,66 @@
         }
     }
 
-    /// Learns of starts that others fenced before this one could know them.
+    /// Records incarnations that others fenced, including those that were unknown here before.
     ///
-    /// Such a start may go on with what it owns until its authority lapses. Without this, one that starts
-    /// anew and finds itself alone would own at once what the other still lends.
-    fn take_marks(&mut self, marked: Vec<InstanceRecord>) {
-        let marked: BTreeMap<ids::InstanceId, InstanceRecord> = marked
+    /// A fenced incarnation may use what it owns until its authority expires. Without its fence record,
+    /// an instance that restarts and finds no other would own at once what the fenced incarnation still
+    /// grants.
+    fn apply_fence_records(&mut self, fence_records: Vec<InstanceRecord>) {
+        let fence_records: BTreeMap<ids::InstanceId, InstanceRecord> = fence_records
             .into_iter()
             .filter(|record| record.instance != self.own.instance)
             .map(|record| (record.instance.clone(), record))
             .collect();
         for (instance, member) in &mut self.members {
-            let mark = marked.get(instance);
-            if mark.is_none_or(|mark| mark.incarnation < member.incarnation) {
-                member.marked_at = None;
+            let fence_record = fence_records.get(instance);
+            if fence_record.is_none_or(|record| record.incarnation < member.incarnation) {
+                member.fence_record_since = None;
             }
         }
-        for record in marked.into_values() {
-            self.take_mark(record);
+        for record in fence_records.into_values() {
+            self.apply_fence_record(record);
         }
     }
 
-    fn take_mark(&mut self, record: InstanceRecord) {
+    fn apply_fence_record(&mut self, record: InstanceRecord) {
         let now = self.now;
         let (instance, incarnation) = (record.instance.clone(), record.incarnation);
         let known = self.members.get(&instance).map(|member| member.incarnation);
         if known > Some(incarnation) {
             return;
         }
-        let is_news = known < Some(incarnation);
+        let is_new = known < Some(incarnation);
         let goes_on_alone = record.goes_on_alone;
         let member = self
             .members
             .entry(instance.clone())
             .or_insert_with(|| Member::new(record.clone(), now));
-        if is_news {
-            member.start_anew(incarnation, now);
+        if is_new {
+            member.reset_for_incarnation(incarnation, now);
             member.delisted_at = Some(now);
             member.record = record;
         }
-        member.marked_at.get_or_insert(now);
-        member.marked_alone |= goes_on_alone;
-        // One that was known while it was listed is judged as any that left the list.
-        if is_news {
-            self.prove_gone(&instance, incarnation, GoneProof::Delisted);
+        member.fence_record_since.get_or_insert(now);
+        member.fence_record_goes_on_alone |= goes_on_alone;
+        // A member that was known while it was listed is handled as any other that left the list.
+        if is_new {
+            self.record_gone(&instance, incarnation, GoneProof::Delisted);
         }
     }
 
-    /// Asks to delete entries that were marked so long ago that whoever they name has stopped.
-    pub(super) fn unmark_old(&mut self, actions: &mut Vec<Action>) {
-        // The start that was fenced may have read a list that was as old as lists get just before.
-        let (now, retry) = (self.now, self.settings.unmark_retry_ms);
-        if !self.is_first_of_zone() || !self.is_list_fresh() {
+    /// Requests to delete fence records that are so old that the fenced incarnations have stopped.
+    pub(super) fn remove_old_fence_records(&mut self, actions: &mut Vec<Action>) {
+        let (now, retry) = (self.now, self.settings.fence_record_retry_ms);
+        if !self.has_lowest_id_in_zone() || !self.is_list_fresh() {
             return;
         }
+        // Just before it was fenced, the incarnation may have read a list of the maximum age.
         let lag = self.settings.list_lag_ms;
         let old = self.members.iter().filter(|(_, member)| {
             let is_old = member
-                .marked_at
-                .is_some_and(|marked_at| marked_at + self.acts_on_for(member) + lag <= now);
+                .fence_record_since
+                .is_some_and(|since| since + self.max_authority(member) + lag <= now);
             is_old && now.since(member.retried_at) >= retry
         });
         let old: Vec<ids::InstanceId> = old.map(|(instance, _)| instance.clone()).collect();
@@ -155,8 +160,11 @@
         }
     }
 
-    /// One of a zone cleans up, so that not all of them call the platform for the same entry.
-    fn is_first_of_zone(&self) -> bool {
+    /// Returns whether this instance has the lowest id in its zone.
+    ///
+    /// Only that instance deletes fence records, so that not all instances of the zone call the platform
+    /// for the same entry.
+    fn has_lowest_id_in_zone(&self) -> bool {
         let mut others = self
             .members
             .values()
@@ -164,7 +172,7 @@
         others.all(|member| self.own.instance < member.record.instance)
     }
 
-    fn take_record(&mut self, instance: ids::InstanceId, record: InstanceRecord) {
+    fn apply_record(&mut self, instance: ids::InstanceId, record: InstanceRecord) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&instance) else {
             self.members.insert(instance, Member::new(record, now));
@@ -174,13 +182,14 @@
             return;
         }
         if record.incarnation > member.incarnation {
-            member.start_anew(record.incarnation, now);
+            member.reset_for_incarnation(record.incarnation, now);
         }
         member.leaving |= record.leaving;
         member.record = record;
     }
 
-    /// Drops whom the list has not named for the grace, and takes the list as proof against the silent.
+    /// Forgets gone members that were off the list for the grace period, and takes the list as proof
+    /// that silent members are gone.
     pub(super) fn forget_delisted(&mut self, actions: &mut Vec<Action>) {
         let grace = self.settings.delisted_grace_ms;
         let mut proven = Vec::new();
@@ -190,13 +199,14 @@
                 continue;
             };
             let is_over = self.now.since(delisted_at) >= grace && self.is_list_fresh();
-            // The list may have dropped an earlier start, and lag behind a later one that is heard.
+            // The list may have dropped an earlier incarnation, and lag behind a later one that sends
+            // heartbeats.
             let was_listed = member.record.incarnation == member.incarnation;
             let is_silent = was_listed && self.state_of(member) == InstanceState::Dead;
             if member
                 .gone
                 .is_some_and(|gone| is_over && gone.from <= self.now)
-                && member.marked_at.is_none()
+                && member.fence_record_since.is_none()
             {
                 forgotten.push(instance.clone());
             } else if is_over || is_silent {
@@ -204,7 +214,7 @@
             }
         }
         for (instance, incarnation) in proven {
-            self.prove_gone(&instance, incarnation, GoneProof::Delisted);
+            self.record_gone(&instance, incarnation, GoneProof::Delisted);
         }
         if forgotten.is_empty() {
             return;
@@ -216,7 +226,7 @@
                 state: None,
             });
         }
-        self.allow(actions);
+        self.allow_peers(actions);
     }
 
     fn is_list_fresh(&self) -> bool {
@@ -224,7 +234,7 @@
             .is_some_and(|age| age < self.settings.list_lag_ms)
     }
 
-    fn allow(&self, actions: &mut Vec<Action>) {
+    fn allow_peers(&self, actions: &mut Vec<Action>) {
         let allowed = self.members.keys().cloned().collect();
         actions.push(Action::AllowPeers(allowed));
     }
--- a/crates/damaskvane-membership/src/view/member.rs
+++ b/crates/damaskvane-membership/src/view/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one other instance.
+//! State that is kept about one other instance.
 
 use damaskvane_core::{ids, time};
 
@@ -11,40 +11,40 @@
 const SUSPECT_HALF_PERIODS: u64 = 5;
 const DEAD_PERIODS: u64 = 4;
 
-/// The last heartbeat of an instance.
+/// Last heartbeat received from an instance.
 #[derive(Debug)]
-pub(super) struct Heard {
+pub(super) struct ReceivedHeartbeat {
     pub(super) at: time::TimeMs,
     pub(super) heartbeat: Heartbeat,
 }
 
-/// What is known of one other instance.
+/// State that is kept about one other instance.
 #[derive(Debug)]
 pub(super) struct Member {
     pub(super) record: InstanceRecord,
-    /// The latest incarnation that the list or a heartbeat named.
+    /// Latest incarnation in the list or in a heartbeat.
     pub(super) incarnation: ids::Incarnation,
     pub(super) leaving: bool,
     pub(super) delisted_at: Option<time::TimeMs>,
-    /// Since when the list has shown it as fenced, without a break.
-    pub(super) marked_at: Option<time::TimeMs>,
+    /// Time since which all lists have contained a fence record of this incarnation.
+    pub(super) fence_record_since: Option<time::TimeMs>,
     pub(super) is_neighbour: bool,
-    /// Since when heartbeats are to be expected.
+    /// Time from which heartbeats are expected.
     pub(super) expected_from: time::TimeMs,
-    pub(super) heard: Option<Heard>,
-    /// When the latest of our heartbeats that it says it heard was sent.
-    pub(super) supported_from: Option<time::TimeMs>,
-    /// The latest of our rounds of heartbeats that it says it heard.
-    pub(super) echoed: Option<u64>,
-    /// When this start of it became known.
+    pub(super) last_received: Option<ReceivedHeartbeat>,
+    /// Send time of the latest heartbeat of this instance that the member echoed.
+    pub(super) echoed_sent_at: Option<time::TimeMs>,
+    /// Latest round of heartbeats of this instance that the member echoed.
+    pub(super) echoed_sequence: Option<u64>,
+    /// Time at which this incarnation became known.
     pub(super) known_from: time::TimeMs,
-    /// Whether its mark says that it may go on for long.
-    pub(super) marked_alone: bool,
-    /// Whether the last probe of its address made a connection.
+    /// Whether the fence record states that the member may keep its authority for longer.
+    pub(super) fence_record_goes_on_alone: bool,
+    /// Whether the last probe of its address established a connection; true before the first probe.
     pub(super) answers_probes: bool,
     pub(super) gone: Option<Gone>,
-    /// When it was last asked to be fenced, while the outcome is not known.
-    pub(super) fencing: Option<time::TimeMs>,
+    /// Time of the last request to fence the member, while the outcome is unknown.
+    pub(super) fence_requested_at: Option<time::TimeMs>,
     pub(super) retried_at: time::TimeMs,
     pub(super) last_state: InstanceState,
 }
@@ -56,46 +56,50 @@
             leaving: record.leaving,
             record,
             delisted_at: None,
-            marked_at: None,
+            fence_record_since: None,
             is_neighbour: false,
             expected_from: now,
-            heard: None,
-            supported_from: None,
-            echoed: None,
+            last_received: None,
+            echoed_sent_at: None,
+            echoed_sequence: None,
             known_from: now,
-            marked_alone: false,
+            fence_record_goes_on_alone: false,
             answers_probes: true,
             gone: None,
-            fencing: None,
+            fence_requested_at: None,
             retried_at: now,
             last_state: InstanceState::Live,
         }
     }
 
-    /// A later start voids all that is known of the earlier one.
-    pub(super) fn start_anew(&mut self, incarnation: ids::Incarnation, now: time::TimeMs) {
+    /// Switches to a later incarnation and discards the state of the earlier one.
+    pub(super) fn reset_for_incarnation(
+        &mut self,
+        incarnation: ids::Incarnation,
+        now: time::TimeMs,
+    ) {
         self.incarnation = incarnation;
         self.record.fenced = false;
         self.record.goes_on_alone = false;
         self.leaving = false;
         self.delisted_at = None;
-        self.marked_at = None;
+        self.fence_record_since = None;
         self.expected_from = now;
-        self.heard = None;
-        self.supported_from = None;
-        self.echoed = None;
+        self.last_received = None;
+        self.echoed_sent_at = None;
+        self.echoed_sequence = None;
         self.known_from = now;
-        self.marked_alone = false;
+        self.fence_record_goes_on_alone = false;
         self.answers_probes = true;
         self.gone = None;
-        self.fencing = None;
+        self.fence_requested_at = None;
     }
 
     pub(super) fn is_gone(&self) -> bool {
         self.gone.is_some()
     }
 
-    pub(super) fn hear(
+    pub(super) fn receive_heartbeat(
         &mut self,
         incarnation: ids::Incarnation,
         heartbeat: Heartbeat,
@@ -105,34 +109,37 @@
             return Err(HeartbeatRefusal::OldIncarnation);
         }
         if incarnation > self.incarnation {
-            self.start_anew(incarnation, now);
+            self.reset_for_incarnation(incarnation, now);
         }
-        let last = self.heard.as_ref().map(|heard| heard.heartbeat.sequence);
+        let last = self
+            .last_received
+            .as_ref()
+            .map(|received| received.heartbeat.sequence);
         if last.is_some_and(|last| last >= heartbeat.sequence) {
-            return Err(HeartbeatRefusal::Overtaken);
+            return Err(HeartbeatRefusal::OutOfOrder);
         }
         self.leaving |= heartbeat.leaving;
-        self.heard = Some(Heard { at: now, heartbeat });
+        self.last_received = Some(ReceivedHeartbeat { at: now, heartbeat });
         Ok(())
     }
 
-    pub(super) fn support(&mut self, sent_at: time::TimeMs) {
-        self.supported_from = self.supported_from.max(Some(sent_at));
+    pub(super) fn record_echo(&mut self, sent_at: time::TimeMs) {
+        self.echoed_sent_at = self.echoed_sent_at.max(Some(sent_at));
     }
 
-    /// Does not count a pause of this process as silence of the other.
+    /// Excludes a pause of this process from the silence of the member.
     ///
-    /// Otherwise a process that wakes up would find every other dead at once, and would answer look-ups
-    /// with itself alone.
-    pub(super) fn excuse(&mut self, pause: time::SpanMs, now: time::TimeMs) {
+    /// Otherwise a process that resumes would consider all other instances dead at once, and would
+    /// answer lookups with itself alone.
+    pub(super) fn exclude_pause(&mut self, pause: time::SpanMs, now: time::TimeMs) {
         self.expected_from = (self.expected_from + pause).min(now);
-        if let Some(heard) = &mut self.heard {
-            heard.at = (heard.at + pause).min(now);
+        if let Some(received) = &mut self.last_received {
+            received.at = (received.at + pause).min(now);
         }
     }
 
     pub(super) fn silence(&self, now: time::TimeMs) -> time::SpanMs {
-        let last = self.heard.as_ref().map(|heard| heard.at);
+        let last = self.last_received.as_ref().map(|received| received.at);
         now.since(last.unwrap_or(self.expected_from))
     }
 
@@ -144,14 +151,14 @@
             return self.state_by_list();
         }
         let silence = self.silence(now);
-        match &self.heard {
-            None if silence < settings.first_heartbeat_timeout_ms => self.alive(),
+        match &self.last_received {
+            None if silence < settings.first_heartbeat_timeout_ms => self.live_state(),
             None => InstanceState::Dead,
-            Some(heard) => self.state_by_silence(silence, heard.heartbeat.period_ms, settings),
+            Some(last) => self.state_by_silence(silence, last.heartbeat.period_ms, settings),
         }
     }
 
-    const fn alive(&self) -> InstanceState {
+    const fn live_state(&self) -> InstanceState {
         if self.leaving {
             InstanceState::Leaving
         } else {
@@ -160,9 +167,9 @@
     }
 
     fn state_by_list(&self) -> InstanceState {
-        match (self.alive(), self.delisted_at) {
+        match (self.live_state(), self.delisted_at) {
             (InstanceState::Live, Some(_)) => InstanceState::Suspect,
-            (alive, _) => alive,
+            (state, _) => state,
         }
     }
 
@@ -172,7 +179,8 @@
         period: time::SpanMs,
         settings: &MembershipSettings,
     ) -> InstanceState {
-        // The period is what another process says: beyond its bound it would never be judged.
+        // The period comes from another process. Without the upper bound, a long period would keep the
+        // member from ever becoming suspect or dead.
         let period_ms = period.get().min(settings.max_period_ms.get());
         let dead_ms = (period_ms * DEAD_PERIODS).max(settings.min_dead_ms.get());
         let suspect_ms = (period_ms * SUSPECT_HALF_PERIODS / 2).max(settings.min_suspect_ms.get());
@@ -181,28 +189,30 @@
         } else if silence.get() >= suspect_ms && !self.leaving {
             InstanceState::Suspect
         } else {
-            self.alive()
+            self.live_state()
         }
     }
 
-    /// Whether the instance may be fenced: it would notice, or it is surely not at work.
+    /// Returns whether the member may be fenced: it would notice, or its process certainly does not
+    /// run.
     ///
-    /// One that has heard this instance loses its authority without further echoes. One that never has
-    /// may not know that there is anybody who could fence it: alone in its zone and cut off from the
-    /// platform, it would go on. If its address answers, it is there.
+    /// A member that has echoed a heartbeat of this instance loses its authority without further
+    /// echoes. A member that never has may not know of any instance that could fence it: alone in its
+    /// zone and cut off from the platform, it would continue. If its address accepts connections, its
+    /// process runs.
     pub(super) fn may_be_fenced(&self, now: time::TimeMs, settings: &MembershipSettings) -> bool {
-        let is_asked = self
-            .fencing
-            .is_some_and(|asked_at| now.since(asked_at) < settings.fence_after_ms);
-        !is_asked && (self.supported_from.is_some() || !self.answers_probes)
+        let is_requested = self
+            .fence_requested_at
+            .is_some_and(|requested_at| now.since(requested_at) < settings.fence_after_ms);
+        !is_requested && (self.echoed_sent_at.is_some() || !self.answers_probes)
     }
 
-    /// Whether the instance could mark others as fenced when it was last heard.
+    /// Returns whether the member could fence others at its last heartbeat; true without any heartbeat.
     pub(super) fn could_fence(&self, settings: &MembershipSettings) -> bool {
         let age = self
-            .heard
+            .last_received
             .as_ref()
-            .and_then(|heard| heard.heartbeat.platform_age_ms);
-        self.heard.is_none() || settings.reaches_platform(age)
+            .and_then(|received| received.heartbeat.platform_age_ms);
+        self.last_received.is_none() || settings.reaches_platform(age)
     }
 }
--- a/crates/damaskvane-membership/src/view/membership.rs
+++ b/crates/damaskvane-membership/src/view/membership.rs
@@ -1,4 +1,4 @@
-//! The aggregate itself: state, events and heartbeats.
+//! The membership state machine: its state, events and heartbeats.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,25 @@
 use crate::record::InstanceRecord;
 use crate::settings::MembershipSettings;
 use crate::state::{Gone, GoneProof, InstanceState};
-use crate::view::authority::LeftAlone;
+use crate::view::authority::LostNeighbour;
 use crate::view::counters::{HeartbeatRefusal, MembershipCounters};
 use crate::view::event::{Action, Event, ProbeOutcome};
 use crate::view::member::Member;
 use crate::view::rounds::{CutOffRound, Rounds};
 
-/// Who this instance is.
+/// Identity of this instance.
 #[derive(Debug, Clone)]
 pub struct OwnInstance {
-    /// Its name.
+    /// Id of this instance.
     pub instance: ids::InstanceId,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: ids::AvailabilityZoneId,
-    /// Which start of it this is.
+    /// Incarnation of this process.
     pub incarnation: ids::Incarnation,
 }
 
 impl OwnInstance {
-    /// This instance, in its availability zone.
+    /// Returns the identity of an instance.
     #[must_use]
     pub const fn new(
         instance: ids::InstanceId,
@@ -42,7 +42,7 @@
     }
 }
 
-/// What one instance knows of all others.
+/// State that this instance keeps about all others.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) own: OwnInstance,
@@ -52,18 +52,20 @@
     pub(super) is_listed: bool,
     pub(super) is_fenced: bool,
     pub(super) leaving: bool,
-    /// When the list in use was taken, and its age then.
+    /// Time at which the list in use arrived, and its age then.
     pub(super) list: Option<(time::TimeMs, time::SpanMs)>,
-    /// When this process last went on after a pause.
-    pub(super) woke_at: time::TimeMs,
-    /// This instance may have been fenced unnoticed; a list made at this time or later tells.
-    pub(super) doubts_until: Option<time::TimeMs>,
-    /// A neighbour has ended that may have fenced this instance; a list tells.
-    pub(super) left_alone: Option<LeftAlone>,
-    /// When the platform was last asked with success.
+    /// Time at which this process last resumed after a pause, or started.
+    pub(super) resumed_at: time::TimeMs,
+    /// Set while this instance may have been fenced unnoticed; a list created at this time or later
+    /// shows whether it was.
+    pub(super) needs_list_from: Option<time::TimeMs>,
+    /// Set while a gone neighbour may have fenced this instance, until a list shows whether
+    /// it did.
+    pub(super) lost_neighbour: Option<LostNeighbour>,
+    /// Time of the last successful request for the list to the platform.
     pub(super) platform_seen_at: Option<time::TimeMs>,
-    /// The last round of heartbeats that told of a lost platform.
-    pub(super) last_cut_off: Option<CutOffRound>,
+    /// Last round of heartbeats that reported a lost platform.
+    pub(super) last_cut_off_round: Option<CutOffRound>,
     pub(super) counters: MembershipCounters,
     pub(super) now: time::TimeMs,
     rounds: Rounds,
@@ -73,7 +75,7 @@
 }
 
 impl Membership {
-    /// An instance that knows of no other yet.
+    /// Returns the membership of an instance that has no record of any other.
     #[must_use]
     pub fn new(own: OwnInstance, settings: MembershipSettings, now: time::TimeMs) -> Self {
         Self {
@@ -85,11 +87,11 @@
             is_fenced: false,
             leaving: false,
             list: None,
-            woke_at: now,
-            doubts_until: None,
-            left_alone: None,
+            resumed_at: now,
+            needs_list_from: None,
+            lost_neighbour: None,
             platform_seen_at: None,
-            last_cut_off: None,
+            last_cut_off_round: None,
             counters: MembershipCounters::default(),
             now,
             rounds: Rounds::default(),
@@ -99,31 +101,31 @@
         }
     }
 
-    /// Takes an event at a time and returns what is to be done.
+    /// Handles an event at the time `now` and returns the actions to carry out.
     pub fn handle(&mut self, now: time::TimeMs, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.notice_pause(now, &mut actions);
+        self.detect_pause(now, &mut actions);
         match event {
             Event::List {
                 records,
                 age,
                 source,
-            } => self.take_list(records, age, source, &mut actions),
+            } => self.apply_list(records, age, source, &mut actions),
             Event::Heartbeat {
                 from,
                 incarnation,
                 heartbeat,
-            } => self.take_heartbeat(&from, incarnation, heartbeat, &mut actions),
+            } => self.apply_heartbeat(&from, incarnation, heartbeat, &mut actions),
             Event::Probed {
                 instance,
                 incarnation,
                 outcome,
-            } => self.take_probe(&instance, incarnation, outcome),
+            } => self.apply_probe(&instance, incarnation, outcome),
             Event::Fenced {
                 instance,
                 incarnation,
-            } => self.prove_gone(&instance, incarnation, GoneProof::Fenced),
-            Event::FenceFailed { instance } => self.fence_failed(&instance),
+            } => self.record_gone(&instance, incarnation, GoneProof::Fenced),
+            Event::FenceFailed { instance } => self.handle_fence_failure(&instance),
             Event::Superseded => self.fence_own(&mut actions),
             Event::Report {
                 config_version,
@@ -139,45 +141,45 @@
         actions
     }
 
-    /// What has been counted so far.
+    /// Returns the counters.
     #[must_use]
     pub const fn counters(&self) -> MembershipCounters {
         self.counters
     }
 
-    /// This instance.
+    /// Returns the identity of this instance.
     #[must_use]
     pub const fn own(&self) -> &OwnInstance {
         &self.own
     }
 
-    /// Whether others have fenced this instance.
+    /// Returns whether others have fenced this instance.
     #[must_use]
     pub const fn is_fenced(&self) -> bool {
         self.is_fenced
     }
 
-    fn notice_pause(&mut self, now: time::TimeMs, actions: &mut Vec<Action>) {
+    fn detect_pause(&mut self, now: time::TimeMs, actions: &mut Vec<Action>) {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
         if gap <= self.settings.pause_ms {
             return;
         }
         self.counters.pauses += 1;
-        self.void_support(gap);
+        self.discard_echoes(gap);
         for member in self.members.values_mut() {
-            member.excuse(gap, self.now);
+            member.exclude_pause(gap, self.now);
         }
         actions.push(Action::Resumed { paused: gap });
     }
 
     fn leave(&mut self) {
         self.leaving = true;
-        // Neighbours hear of it at once, not up to a period later.
+        // Neighbours are informed at once, not up to a period later.
         self.next_round_at = self.now;
     }
 
-    fn take_heartbeat(
+    fn apply_heartbeat(
         &mut self,
         from: &ids::InstanceId,
         incarnation: ids::Incarnation,
@@ -185,39 +187,40 @@
         actions: &mut Vec<Action>,
     ) {
         if *from == self.own.instance {
-            self.notice_namesake(incarnation, actions);
+            self.check_own_incarnation(incarnation, actions);
             return;
         }
         let echo = heartbeat.echo;
         let now = self.now;
         let known = self.members.get(from).map(|member| member.incarnation);
-        let heard = match self.members.get_mut(from) {
+        let received = match self.members.get_mut(from) {
             None => Err(HeartbeatRefusal::Unlisted),
-            Some(member) => member.hear(incarnation, heartbeat, now),
+            Some(member) => member.receive_heartbeat(incarnation, heartbeat, now),
         };
-        match heard {
+        match received {
             Err(refusal) => self.counters.count(refusal),
             Ok(()) => {
                 if known < Some(incarnation) {
-                    // One that was gone may have come back with a later start.
+                    // A member that was gone may have come back with a later incarnation.
                     self.plan_neighbours();
                 }
-                self.take_echo(from, echo);
+                self.apply_echo(from, echo);
             }
         }
     }
 
-    fn take_echo(&mut self, from: &ids::InstanceId, echo: Option<u64>) {
+    fn apply_echo(&mut self, from: &ids::InstanceId, echo: Option<u64>) {
         let sent_at = echo.and_then(|sequence| self.rounds.sent_at(sequence));
-        let sent_at = sent_at.filter(|sent_at| *sent_at >= self.woke_at);
+        let sent_at = sent_at.filter(|sent_at| *sent_at >= self.resumed_at);
         if let (Some(sent_at), Some(member)) = (sent_at, self.members.get_mut(from)) {
-            member.support(sent_at);
-            member.echoed = member.echoed.max(echo);
+            member.record_echo(sent_at);
+            member.echoed_sequence = member.echoed_sequence.max(echo);
         }
     }
 
-    /// A later start of this very instance is heard: this one has been replaced while it was paused.
-    fn notice_namesake(&mut self, incarnation: ids::Incarnation, actions: &mut Vec<Action>) {
+    /// Fences this instance if a later incarnation of it sent a heartbeat, and so replaced it during a
+    /// pause.
+    fn check_own_incarnation(&mut self, incarnation: ids::Incarnation, actions: &mut Vec<Action>) {
         if incarnation > self.own.incarnation {
             self.fence_own(actions);
         }
@@ -230,7 +233,7 @@
         }
     }
 
-    pub(super) fn prove_gone(
+    pub(super) fn record_gone(
         &mut self,
         instance: &ids::InstanceId,
         incarnation: ids::Incarnation,
@@ -240,10 +243,10 @@
         let Some(member) = self.members.get(instance) else {
             return;
         };
-        let voided_at = now + self.settings.list_lag_ms + self.acts_on_for(member);
-        let may_have_fenced = self.may_have_fenced(member);
+        let stopped_at = now + self.settings.list_lag_ms + self.max_authority(member);
+        let may_have_fenced_own = self.may_have_fenced_own(member);
         let could_fence = member.could_fence(&self.settings);
-        let supported_from = member.supported_from;
+        let echoed_sent_at = member.echoed_sent_at;
         let Some(member) = self.members.get_mut(instance) else {
             return;
         };
@@ -252,48 +255,49 @@
         }
         let from = match proof {
             GoneProof::Refused => now,
-            // It may still run until it reads that it was fenced, or has heard nobody for too long.
-            GoneProof::Delisted | GoneProof::Fenced => voided_at,
+            // The incarnation may still run until it reads that it was fenced, or has received no echo
+            // for too long.
+            GoneProof::Delisted | GoneProof::Fenced => stopped_at,
         };
-        member.fencing = None;
+        member.fence_requested_at = None;
         member.gone = Some(Gone {
             incarnation,
             proof,
             from,
         });
-        if may_have_fenced && could_fence {
-            self.doubt();
-        } else if may_have_fenced {
-            self.note_left_alone(supported_from);
+        if may_have_fenced_own && could_fence {
+            self.require_newer_list();
+        } else if may_have_fenced_own {
+            self.record_lost_neighbour(echoed_sent_at);
         }
         self.plan_neighbours();
     }
 
-    fn take_probe(
+    fn apply_probe(
         &mut self,
         instance: &ids::InstanceId,
         incarnation: ids::Incarnation,
         outcome: ProbeOutcome,
     ) {
         if outcome == ProbeOutcome::Refused {
-            self.prove_gone(instance, incarnation, GoneProof::Refused);
+            self.record_gone(instance, incarnation, GoneProof::Refused);
         } else if let Some(member) = self.members.get_mut(instance) {
             member.answers_probes = outcome == ProbeOutcome::Answered;
         }
     }
 
-    fn fence_failed(&mut self, instance: &ids::InstanceId) {
+    fn handle_fence_failure(&mut self, instance: &ids::InstanceId) {
         let now = self.now;
         if let Some(member) = self.members.get_mut(instance) {
-            member.fencing = None;
+            member.fence_requested_at = None;
             member.retried_at = now;
         }
     }
 
     fn tick(&mut self, actions: &mut Vec<Action>) {
         self.forget_delisted(actions);
-        self.unmark_old(actions);
-        self.judge_silent(actions);
+        self.remove_old_fence_records(actions);
+        self.check_silent_neighbours(actions);
         if self.now >= self.next_round_at {
             self.send_round(actions);
         }
@@ -310,18 +314,18 @@
         let platform_age_ms = self.platform_seen_at.map(|seen_at| self.now.since(seen_at));
         if !self.settings.reaches_platform(platform_age_ms) {
             let sent_at = self.now;
-            self.last_cut_off = Some(CutOffRound { sequence, sent_at });
+            self.last_cut_off_round = Some(CutOffRound { sequence, sent_at });
         }
         for member in self.neighbours() {
-            // One that was dropped from the list may have been fenced by an instance it does not know. An
-            // echo would tell it that all is well, and it would go on beside its successor.
-            let heard = member
-                .heard
+            // A member that left the list may have been fenced by an instance that it has no record of.
+            // An echo would prolong its authority, and it would continue beside its successor.
+            let received = member
+                .last_received
                 .as_ref()
                 .filter(|_| member.delisted_at.is_none());
             let heartbeat = Heartbeat {
                 sequence,
-                echo: heard.map(|heard| heard.heartbeat.sequence),
+                echo: received.map(|received| received.heartbeat.sequence),
                 period_ms,
                 config_version: self.config_version,
                 leaving: self.leaving,
@@ -336,7 +340,7 @@
         }
     }
 
-    /// The members with whom heartbeats are exchanged and who are not proven gone.
+    /// Returns the members that exchange heartbeats with this instance and are not proven gone.
     pub(super) fn neighbours(&self) -> impl Iterator<Item = &Member> {
         self.members
             .values()
--- a/crates/damaskvane-membership/src/view/roster.rs
+++ b/crates/damaskvane-membership/src/view/roster.rs
@@ -1,4 +1,4 @@
-//! Who may own backend servers of this zone.
+//! Instances that may own backend servers of the local zone.
 
 use damaskvane_core::{ids, time};
 
@@ -6,41 +6,46 @@
 use crate::view::member::Member;
 use crate::view::membership::Membership;
 
-/// One instance of the own zone.
+/// One instance of the local zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RosterMember {
-    /// Its name.
+    /// Id of the instance.
     pub instance: ids::InstanceId,
-    /// Its latest start.
+    /// Latest known incarnation.
     pub incarnation: ids::Incarnation,
-    /// Whether it is about to stop, and so may own nothing more.
+    /// Whether the instance is about to stop, and so may own nothing more.
     pub leaving: bool,
-    /// Whether that start is proven gone, and from when on.
+    /// Proof that this incarnation is gone, with the time from which it has stopped.
     pub gone: Option<Gone>,
-    /// When it has surely stopped, if the list has dropped it and nothing proves that it is gone.
+    /// Time by which a member that left the list has certainly stopped, even without proof that it is
+    /// gone. `None` while the member is listed or leaving.
     pub stopped_by: Option<time::TimeMs>,
-    /// Whether it has said that it hears this instance, and so knows of it.
+    /// Whether the member has echoed a heartbeat of this instance, and so has a record of it; true for
+    /// members that are no neighbours.
     pub has_acknowledged_own: bool,
 }
 
-/// The instances of the own zone, this one among them.
+/// The instances of the local zone, including this one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Roster {
-    /// All that are, or may still be, at work, and those that are gone.
+    /// Instances that are or may still be running, and instances that are gone.
     pub members: Vec<RosterMember>,
-    /// Until when this instance may use what it owns, by what is known now; never longer than the authority
-    /// that others wait for.
+    /// Time until which this instance may use what it owns, as far as is known now.
+    ///
+    /// Never more than `authority_ms` ahead, the time that others wait before they take over.
     pub authority_until: Option<time::TimeMs>,
-    /// Whether this instance has seen itself on the list, so that the list names all that came before.
+    /// Whether this instance has found itself on the list, which then contains all instances that
+    /// started before it.
     pub is_listed: bool,
-    /// Whether it may take over what instances owned that are gone.
+    /// Whether this instance may take over what gone instances owned.
     pub may_take_over: bool,
 }
 
 impl Membership {
-    /// The instances of the own zone as owners of backend servers.
+    /// Returns the instances of the local zone as owners of backend servers.
     ///
-    /// A member that is dead by silence alone stays an owner: what it owns passes on only by proof.
+    /// A member that is dead by silence alone stays an owner: what it owns passes to another only by
+    /// proof.
     #[must_use]
     pub fn roster(&self) -> Roster {
         let own = RosterMember {
@@ -60,32 +65,33 @@
             incarnation: member.incarnation,
             leaving: member.leaving,
             gone: member.gone,
-            stopped_by: self.stopped_by(member),
-            has_acknowledged_own: !member.is_neighbour || member.supported_from.is_some(),
+            stopped_by: self.stop_time(member),
+            has_acknowledged_own: !member.is_neighbour || member.echoed_sent_at.is_some(),
         });
         let mut members: Vec<RosterMember> = others.chain([own]).collect();
         members.sort_by(|a, b| a.instance.cmp(&b.instance));
-        // Whoever holds this copy may be paused with it, and must not go on with it for ever.
+        // The caller may be paused while it holds this copy, and must not use the copy without limit.
         let copy_until = self.now + self.settings.authority_ms;
         Roster {
             members,
             authority_until: self.authority_until().map(|until| until.min(copy_until)),
             is_listed: self.is_listed,
-            may_take_over: self.left_alone.is_none(),
+            may_take_over: self.lost_neighbour.is_none(),
         }
     }
 
-    /// When a member that the list has dropped has stopped: neighbours no longer tell it that they hear it.
+    /// Returns the time by which a member that left the list has stopped, because neighbours no longer
+    /// echo its heartbeats.
     ///
-    /// One that leaves has handed over what it owned before its entry went.
-    fn stopped_by(&self, member: &Member) -> Option<time::TimeMs> {
+    /// A leaving member has none: it handed over what it owned before its entry was deleted.
+    fn stop_time(&self, member: &Member) -> Option<time::TimeMs> {
         let delisted_at = member.delisted_at.filter(|_| !member.leaving)?;
-        Some(delisted_at + self.settings.list_lag_ms + self.acts_on_for(member))
+        Some(delisted_at + self.settings.list_lag_ms + self.max_authority(member))
     }
 
-    /// Whether every instance of the own zone is heard, for status.
+    /// Returns whether no neighbour in the local zone is dead, for status.
     #[must_use]
-    pub fn is_zone_whole(&self) -> bool {
+    pub fn has_no_dead_neighbour(&self) -> bool {
         self.neighbours()
             .all(|member| self.state_of(member) <= InstanceState::Leaving)
     }
--- a/crates/damaskvane-membership/src/view/silence.rs
+++ b/crates/damaskvane-membership/src/view/silence.rs
@@ -1,4 +1,4 @@
-//! What is done about neighbours that are silent, or that do not hear this instance.
+//! Handling of neighbours that are silent, or that do not echo this instance's heartbeats.
 
 use damaskvane_core::ids;
 
@@ -8,11 +8,12 @@
 use crate::view::membership::Membership;
 
 impl Membership {
-    /// Makes connections anew, probes, and fences.
+    /// Requests new connections, probes and fencing for neighbours that are silent or send no echoes.
     ///
-    /// A connection can go silent for good while new ones work. It shows by echoes that stop while the
-    /// neighbour is heard, or by silence both ways; a fresh connection tells that from a dead neighbour.
-    pub(super) fn judge_silent(&mut self, actions: &mut Vec<Action>) {
+    /// A connection can fail for good while new ones work. The failure shows as echoes that stop while
+    /// heartbeats still arrive, or as silence in both directions. A new connection distinguishes the
+    /// failed connection from a dead neighbour.
+    pub(super) fn check_silent_neighbours(&mut self, actions: &mut Vec<Action>) {
         let mut retried: Vec<ids::InstanceId> = Vec::new();
         for member in self.neighbours() {
             if self.now.since(member.retried_at) < self.settings.retry_ms {
@@ -20,7 +21,7 @@
             }
             let state = self.state_of(member);
             let is_silent = matches!(state, InstanceState::Suspect | InstanceState::Dead);
-            if !is_silent && self.is_hearing(member) {
+            if !is_silent && self.echoes_heartbeats(member) {
                 continue;
             }
             retried.push(member.record.instance.clone());
@@ -38,32 +39,32 @@
         }
         for instance in retried {
             self.counters.reconnects += 1;
-            self.mark_retried(&instance, actions);
+            self.record_retry(&instance, actions);
         }
     }
 
-    /// Whether a neighbour says that it hears this instance.
-    fn is_hearing(&self, member: &Member) -> bool {
+    /// Returns whether a neighbour has recently echoed a heartbeat of this instance.
+    fn echoes_heartbeats(&self, member: &Member) -> bool {
         let echo_limit = self.settings.authority_ms.get() / 2;
-        let last = member.supported_from.unwrap_or(member.expected_from);
+        let last = member.echoed_sent_at.unwrap_or(member.expected_from);
         self.now.since(last).get() < echo_limit
     }
 
-    fn mark_retried(&mut self, instance: &ids::InstanceId, actions: &mut Vec<Action>) {
+    fn record_retry(&mut self, instance: &ids::InstanceId, actions: &mut Vec<Action>) {
         let can_fence = self.can_fence();
         let goes_on_alone = self
             .members
             .get(instance)
-            .is_some_and(|member| self.may_go_on_alone(member));
+            .is_some_and(|member| self.may_continue_without_peers(member));
         let (now, settings) = (self.now, &self.settings);
         let Some(member) = self.members.get_mut(instance) else {
             return;
         };
         member.retried_at = now;
         let is_dead = member.state(now, settings) == InstanceState::Dead;
-        let is_due = member.silence(now) >= settings.fences_after();
+        let is_due = member.silence(now) >= settings.min_fence_silence();
         if can_fence && is_dead && is_due && member.may_be_fenced(now, settings) {
-            member.fencing = Some(now);
+            member.fence_requested_at = Some(now);
             actions.push(Action::Fence {
                 instance: instance.clone(),
                 incarnation: member.incarnation,
@@ -72,7 +73,9 @@
         }
     }
 
-    /// One who may be cut off itself must not fence others; it could not write the mark anyway.
+    /// Returns whether this instance may fence others.
+    ///
+    /// An instance that may be cut off itself must not; it could not write the fence record anyway.
     fn can_fence(&self) -> bool {
         let age = self.platform_seen_at.map(|seen_at| self.now.since(seen_at));
         let is_reached = self.settings.reaches_platform(age);
--- a/crates/damaskvane-membership/src/view/topology.rs
+++ b/crates/damaskvane-membership/src/view/topology.rs
@@ -1,4 +1,4 @@
-//! The shape in which digests travel, as this instance sees it.
+//! Topology of the digest exchange, as seen by this instance.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,9 @@
 use crate::view::membership::Membership;
 
 impl Membership {
-    /// The own zone in order of rank, and whom to send to in the others.
+    /// Returns the instances of every zone that take new work, in order of rank.
     ///
-    /// `own_region` is that of the settings, as the list may not name this instance yet.
+    /// `own_region` comes from the settings, because the list may not contain this instance yet.
     #[must_use]
     pub fn topology(&self, own_region: &ids::RegionId) -> Topology {
         let mut by_zone: BTreeMap<ids::AvailabilityZoneId, (ids::RegionId, Vec<ids::InstanceId>)> =
