--- a/crates/damaskvane-membership/src/heartbeat.rs
+++ b/crates/damaskvane-membership/src/heartbeat.rs
@@ -1,7 +1,8 @@
-//! What an instance tells its neighbours of itself, and what it heard of them.
+//! Heartbeats that neighbouring instances exchange.
 //!
-//! The sender's name and incarnation travel in the envelope around every message. The names of fields are
-//! one letter each on the wire: with 18 instances in a zone a byte here is 14 bytes a second for each.
+//! The envelope around every message carries the sender's id and incarnation. Field names are one
+//! letter long on the wire: with 18 instances in a zone, one more byte costs each instance 14 bytes a
+//! second.
 //!
 //! ```
 //! use damaskvane_membership::heartbeat;
@@ -13,44 +14,45 @@
 use damaskvane_core::{ids, time, units};
 use serde::{Deserialize, Serialize};
 
-/// How loaded an instance is.
+/// Load of an instance, as reported in its heartbeats.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadSummary {
-    /// Requests that it has running on backend servers.
+    /// Requests of the instance that are running on backend servers.
     #[serde(rename = "r", default)]
     pub running: units::Slots,
     /// Requests that arrived in the last second.
     #[serde(rename = "q", default)]
     pub arrivals: units::RequestsPerSecond,
-    /// Requests that were refused in the last second.
+    /// Requests that the instance refused in the last second.
     #[serde(rename = "x", default)]
     pub refused: units::RequestsPerSecond,
 }
 
-/// One heartbeat to one neighbour.
+/// A heartbeat to one neighbour.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Rises with every round of heartbeats of one incarnation.
+    /// Sequence number; increases with every round of heartbeats of one incarnation.
     #[serde(rename = "s")]
     pub sequence: u64,
-    /// The sequence of the neighbour's last heartbeat that arrived.
+    /// Sequence number of the last heartbeat received from the neighbour.
     ///
-    /// It tells the neighbour that it is heard; hearing others is no sign of that.
+    /// The echo confirms to the neighbour that its heartbeats arrive; receiving heartbeats from others
+    /// does not prove that. Absent if no heartbeat was received or the neighbour has left the list.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub echo: Option<u64>,
-    /// The time until the next round.
+    /// Time until the sender's next round of heartbeats.
     #[serde(rename = "p")]
     pub period_ms: time::SpanMs,
-    /// The version of the configuration in force at the sender.
+    /// Version of the configuration in effect at the sender.
     #[serde(rename = "v")]
     pub config_version: ids::ConfigVersion,
     /// Whether the sender is about to stop.
     #[serde(rename = "l", default, skip_serializing_if = "core::ops::Not::not")]
     pub leaving: bool,
-    /// The time since the sender last reached the platform; left out while it never did.
+    /// Time since the sender last reached the platform; absent if the sender never reached it.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub platform_age_ms: Option<time::SpanMs>,
-    /// How loaded the sender is.
+    /// Load of the sender.
     #[serde(rename = "w", default)]
     pub load: LoadSummary,
 }
--- a/crates/damaskvane-membership/src/lib.rs
+++ b/crates/damaskvane-membership/src/lib.rs
@@ -1,18 +1,18 @@
-//! Live and leaving instances, heartbeats, digests and ownership.
+//! Membership of instances: heartbeats, fencing, digests and ownership.
 //!
 //! # Crate guide
 //!
-//! - [`record`]: an instance as the platform's lagging list names it.
-//! - [`heartbeat`]: what an instance tells its neighbours of itself, and what it heard of them.
-//! - [`plan`]: who sends heartbeats to whom, and how often.
-//! - [`view`]: the aggregate: events and a time in, actions out; who lives, and what proves that somebody
-//!   is gone.
-//! - [`state`]: the states of an instance, and the proofs.
-//! - [`ownership`]: the rendezvous hash that names the owner of a backend server.
-//! - [`digest`]: reports of availability zones, from one zone to all others and down each zone's tree.
-//! - [`settings`]: periods and bounds.
+//! - [`record`]: an entry of the platform's list of instances.
+//! - [`heartbeat`]: heartbeats that neighbouring instances exchange.
+//! - [`plan`]: selection of heartbeat neighbours, and the heartbeat period.
+//! - [`view`]: the membership state machine, which takes events with their times and returns actions.
+//!   It determines which instances are alive, and which are proven gone.
+//! - [`state`]: states of an instance, and proofs that an instance is gone.
+//! - [`ownership`]: the rendezvous hash that selects the owner of a backend server.
+//! - [`digest`]: exchange of digests between the availability zones.
+//! - [`settings`]: intervals, timeouts and limits.
 //!
-//! Nothing here reads a clock or sends anything.
+//! Nothing here reads a clock or sends messages: callers pass in the time and carry out the actions.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-membership/src/ownership.rs
+++ b/crates/damaskvane-membership/src/ownership.rs
@@ -1,7 +1,7 @@
-//! The rendezvous hash that names the owner of a backend server.
+//! Rendezvous hash that selects the owner of a backend server.
 //!
-//! Every instance computes the same owner from the same candidates, without a message. If a candidate
-//! comes or goes, only the backend servers that it gets or had change their owner.
+//! Every instance computes the same owner from the same candidates, without exchanging messages. When a
+//! candidate is added or removed, only the backend servers that it gains or loses change their owner.
 //!
 //! ```
 //! use damaskvane_core::ids;
@@ -15,7 +15,8 @@
 
 use damaskvane_core::ids;
 
-/// A byte that occurs in no identifier, so that no two pairs of texts hash alike.
+/// Byte between key and candidate in the hash input. No identifier contains it, so different pairs have
+/// different inputs.
 const SEPARATOR: &[u8] = &[0];
 
 fn weight(key: &str, candidate: &ids::InstanceId) -> [u8; 32] {
@@ -26,7 +27,7 @@
     *hasher.finalize().as_bytes()
 }
 
-/// The owner of a key among the candidates; nobody if there is none.
+/// Returns the candidate that owns `key`, or `None` without candidates.
 #[must_use]
 pub fn owner<'a>(
     key: &str,
@@ -38,7 +39,8 @@
         .cloned()
 }
 
-/// All candidates, the owner of the key first, then who would own it without those before.
+/// Returns all candidates: the owner of `key` first, followed by the instances that would own `key` if
+/// all candidates before them were removed.
 #[must_use]
 pub fn ranking<'a>(
     key: &str,
--- a/crates/damaskvane-membership/src/plan.rs
+++ b/crates/damaskvane-membership/src/plan.rs
@@ -1,9 +1,10 @@
-//! Who sends heartbeats to whom, and how often.
+//! Selection of heartbeat neighbours, and the heartbeat period.
 //!
-//! Up to a limit all instances of a zone hear each other. In a larger zone each hears its nearest
-//! neighbours on a ring, on both sides, so that hearing is always mutual. The period grows with the
-//! number of neighbours, so that each instance sends as many heartbeats a second in a small zone as in a
-//! large one: small zones notice a death in 3 s, and large ones stay within their budget.
+//! Up to a limit, all instances of a zone exchange heartbeats with each other. In a larger zone each
+//! instance exchanges heartbeats with its nearest neighbours on both sides of a ring, which makes the
+//! relation mutual. The period grows with the number of neighbours, so that each instance sends as many
+//! heartbeats a second in a small zone as in a large one: small zones detect a dead instance within 3
+//! s, and large zones stay within their message budget.
 //!
 //! ```
 //! use damaskvane_membership::{plan, settings};
@@ -21,15 +22,15 @@
 
 const MS_PER_SECOND: u64 = 1_000;
 
-/// The time between two rounds of heartbeats to so many neighbours.
+/// Returns the time between two rounds of heartbeats for a number of neighbours.
 #[must_use]
 pub fn period(neighbours: usize, settings: &MembershipSettings) -> time::SpanMs {
     let per_second = u64::from(settings.heartbeats_per_second).max(1);
-    let wanted_ms = (neighbours as u64 * MS_PER_SECOND).div_ceil(per_second);
-    time::SpanMs::new(wanted_ms.clamp(settings.min_period_ms.get(), settings.max_period_ms.get()))
+    let needed_ms = (neighbours as u64 * MS_PER_SECOND).div_ceil(per_second);
+    time::SpanMs::new(needed_ms.clamp(settings.min_period_ms.get(), settings.max_period_ms.get()))
 }
 
-/// The instances of a zone with which `own` exchanges heartbeats.
+/// Returns the instances of `zone` with which `own` exchanges heartbeats.
 #[must_use]
 pub fn neighbours(
     own: &ids::InstanceId,
--- a/crates/damaskvane-membership/src/record.rs
+++ b/crates/damaskvane-membership/src/record.rs
@@ -1,4 +1,6 @@
-//! An instance as the platform's lagging list names it.
+//! Entry of an instance in the platform's list.
+//!
+//! Instances work with copies of the list, which lag behind the platform.
 //!
 //! ```
 //! use damaskvane_membership::record;
@@ -17,31 +19,32 @@
 /// One entry of the platform's list of instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// The instance.
+    /// Id of the instance.
     pub instance: ids::InstanceId,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     #[serde(rename = "availability_zone")]
     pub zone: ids::AvailabilityZoneId,
-    /// The region of that zone.
+    /// Region of the availability zone.
     pub region: ids::RegionId,
-    /// Which start of the instance announced the entry.
+    /// Incarnation of the instance that announced the entry.
     pub incarnation: ids::Incarnation,
-    /// Where clients reach it.
+    /// Address at which clients reach the instance.
     pub client_address: net::SocketAddr,
-    /// Where its peers reach it.
+    /// Address at which other instances reach the instance.
     pub peer_address: net::SocketAddr,
-    /// Where operators reach it.
+    /// Address at which operators reach the instance.
     pub operator_address: net::SocketAddr,
-    /// Whether it is about to stop.
+    /// Whether the instance is about to stop.
     pub leaving: bool,
-    /// Whether another instance took its authority away.
+    /// Whether another instance has revoked the authority of this incarnation.
     ///
-    /// Deleted at once, the entry would leave one that starts next without any sign of a start that may
-    /// still lend slots for a while: both would lend the same ones, and a backend server would shed.
+    /// A fenced entry is also called a fence record, and is kept for a while. If it were deleted at once,
+    /// an instance that starts next would have no trace of an incarnation that may still grant slots:
+    /// both would grant the same slots, and a backend server would shed requests.
     #[serde(default)]
     pub fenced: bool,
-    /// Whether the fenced start may take itself for the last of a zone that is cut off from the platform,
-    /// and so goes on for longer.
+    /// Whether the fenced incarnation may consider itself the last instance of a zone that is cut off
+    /// from the platform, and so keeps its authority for longer.
     #[serde(default)]
     pub goes_on_alone: bool,
 }
--- a/crates/damaskvane-membership/src/state.rs
+++ b/crates/damaskvane-membership/src/state.rs
@@ -1,8 +1,8 @@
-//! The states of an instance, and what proves that one is gone.
+//! States of an instance, and proofs that an instance is gone.
 //!
 //! Silence proves nothing: a paused process, a broken connection and a dead machine are equally silent.
-//! Silence alone therefore takes an instance out of look-up answers, but what it owns stays its own.
-//! That passes on only by proof.
+//! Silence alone therefore excludes an instance from lookup responses, but the instance remains the
+//! owner of what it owns. Ownership passes to another instance only by proof.
 //!
 //! ```
 //! use damaskvane_membership::state;
@@ -16,30 +16,30 @@
 use damaskvane_core::{ids, time};
 use serde::{Deserialize, Serialize};
 
-/// How an instance stands in the view of another.
+/// State of an instance as seen by another instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceState {
-    /// Heard of lately, or trusted by the list.
+    /// Sent a heartbeat recently, or is trusted because it is listed.
     Live,
-    /// Silent for longer than it should be.
+    /// Silent for longer than expected; or no longer listed, if it is not a neighbour.
     Suspect,
     /// Alive and about to stop.
     Leaving,
-    /// Silent for so long that it gets no work; it may still run.
+    /// Silent for so long that it gets no new work; the process may still run.
     Dead,
-    /// Proven to run no more, or to have lost all that it owned.
+    /// Proven to have stopped, or to have lost all that it owned.
     Gone,
 }
 
 impl InstanceState {
-    /// Whether a look-up answer may name the instance.
+    /// Returns whether a lookup response may name the instance.
     #[must_use]
     pub const fn takes_new_work(self) -> bool {
         matches!(self, Self::Live | Self::Suspect)
     }
 
-    /// The word for status and metrics.
+    /// Returns the label for status and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -58,24 +58,24 @@
     }
 }
 
-/// What proves that one start of an instance is gone.
+/// Proof that one incarnation of an instance is gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GoneProof {
-    /// Its machine answers that nothing listens at its address.
+    /// The machine refused the connection: no process listens at the instance's address.
     Refused,
-    /// The platform's list shows it no more, or shows it as fenced.
+    /// The platform's list no longer contains the instance, or contains it as fenced.
     Delisted,
-    /// This instance marked its object at the platform.
+    /// This instance marked the instance's entry at the platform as fenced.
     Fenced,
 }
 
-/// One start of an instance that is gone.
+/// One incarnation of an instance that is gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Gone {
-    /// Which start it was; a later one is not gone.
+    /// The incarnation that is gone; a later one is not.
     pub incarnation: ids::Incarnation,
-    /// The proof.
+    /// Proof that the incarnation is gone.
     pub proof: GoneProof,
-    /// From when on it surely does nothing more; it may lie ahead.
+    /// Time from which the incarnation certainly does nothing more; may lie in the future.
     pub from: time::TimeMs,
 }
