--- a/crates/damaskvane-dispatch/src/connection.rs
+++ b/crates/damaskvane-dispatch/src/connection.rs
@@ -9,9 +9,9 @@
 //! use damaskvane_dispatch::connection;
 //!
 //! let mut health = connection::ServerHealth::default();
-//! let silent = connection::Failure::Silent { on_fresh: false };
+//! let silent = connection::Failure::Silent { on_new_connection: false };
 //! assert_eq!(health.note_failure(silent), connection::Action::TryFresh);
-//! let silent = connection::Failure::Silent { on_fresh: true };
+//! let silent = connection::Failure::Silent { on_new_connection: true };
 //! assert_eq!(health.note_failure(silent), connection::Action::CountAgainst);
 //! ```
 
--- a/crates/damaskvane-dispatch/src/connection/failure.rs
+++ b/crates/damaskvane-dispatch/src/connection/failure.rs
@@ -15,12 +15,12 @@
     /// No byte within the time for one try.
     Silent {
         /// Whether it was opened for this exchange.
-        on_fresh: bool,
+        on_new_connection: bool,
     },
     /// Closed by the other end before the answer was whole.
     Closed {
         /// Whether it was opened for this exchange.
-        on_fresh: bool,
+        on_new_connection: bool,
     },
     /// The answer named another request.
     Crossed,
@@ -46,12 +46,20 @@
     /// What follows from the failure.
     pub const fn action(self) -> Action {
         match self {
-            Self::Silent { on_fresh: false } | Self::Closed { on_fresh: false } | Self::Crossed => {
-                Action::TryFresh
+            Self::Silent {
+                on_new_connection: false,
             }
-            Self::Refused | Self::Silent { on_fresh: true } | Self::Closed { on_fresh: true } => {
-                Action::CountAgainst
+            | Self::Closed {
+                on_new_connection: false,
             }
+            | Self::Crossed => Action::TryFresh,
+            Self::Refused
+            | Self::Silent {
+                on_new_connection: true,
+            }
+            | Self::Closed {
+                on_new_connection: true,
+            } => Action::CountAgainst,
             Self::Abandoned | Self::Shed => Action::Ignore,
         }
     }
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -54,14 +54,18 @@
 fn silent_kept_connections_do_not_count_against_a_server() {
     let mut health = connection::ServerHealth::default();
     for _ in 0..100 {
-        let silent = connection::Failure::Silent { on_fresh: false };
+        let silent = connection::Failure::Silent {
+            on_new_connection: false,
+        };
         assert_eq!(health.note_failure(silent), connection::Action::TryFresh);
         let shed = connection::Failure::Shed;
         assert_eq!(health.note_failure(shed), connection::Action::Ignore);
     }
     assert!(!health.is_suspect());
     for _ in 0..3 {
-        let silent = connection::Failure::Silent { on_fresh: true };
+        let silent = connection::Failure::Silent {
+            on_new_connection: true,
+        };
         assert_eq!(
             health.note_failure(silent),
             connection::Action::CountAgainst
@@ -78,8 +82,12 @@
     for failure in [
         connection::Failure::Abandoned,
         connection::Failure::Crossed,
-        connection::Failure::Closed { on_fresh: true },
-        connection::Failure::Silent { on_fresh: true },
+        connection::Failure::Closed {
+            on_new_connection: true,
+        },
+        connection::Failure::Silent {
+            on_new_connection: true,
+        },
     ] {
         assert!(!failure.leaves_reusable(), "{failure:?}");
     }
--- a/crates/damaskvane-engine/src/engine/servers/judgement.rs
+++ b/crates/damaskvane-engine/src/engine/servers/judgement.rs
@@ -24,8 +24,12 @@
         }
         ExchangeEnd::Refused => connection::Failure::Shed,
         ExchangeEnd::NotSent => connection::Failure::Refused,
-        ExchangeEnd::Lost | ExchangeEnd::Cut => connection::Failure::Closed { on_fresh: true },
-        ExchangeEnd::Silent => connection::Failure::Silent { on_fresh: true },
+        ExchangeEnd::Lost | ExchangeEnd::Cut => connection::Failure::Closed {
+            on_new_connection: true,
+        },
+        ExchangeEnd::Silent => connection::Failure::Silent {
+            on_new_connection: true,
+        },
         ExchangeEnd::Crossed => connection::Failure::Crossed,
     };
     let finish = if end.proves_not_run() {
