--- a/crates/damaskvane-dispatch/src/connection.rs
+++ b/crates/damaskvane-dispatch/src/connection.rs
@@ -10,7 +10,7 @@
 //!
 //! let mut health = connection::ServerHealth::default();
 //! let silent = connection::Failure::Silent { on_new_connection: false };
-//! assert_eq!(health.note_failure(silent), connection::Action::TryFresh);
+//! assert_eq!(health.note_failure(silent), connection::Action::RetryOnNewConnection);
 //! let silent = connection::Failure::Silent { on_new_connection: true };
 //! assert_eq!(health.note_failure(silent), connection::Action::CountAgainst);
 //! ```
--- a/crates/damaskvane-dispatch/src/connection/failure.rs
+++ b/crates/damaskvane-dispatch/src/connection/failure.rs
@@ -35,7 +35,7 @@
 #[must_use]
 pub enum Action {
     /// Nothing is known about the server; open a fresh connection before judging.
-    TryFresh,
+    RetryOnNewConnection,
     /// The failure counts against the server.
     CountAgainst,
     /// It says nothing about the server.
@@ -52,7 +52,7 @@
             | Self::Closed {
                 on_new_connection: false,
             }
-            | Self::Crossed => Action::TryFresh,
+            | Self::Crossed => Action::RetryOnNewConnection,
             Self::Refused
             | Self::Silent {
                 on_new_connection: true,
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -57,7 +57,10 @@
         let silent = connection::Failure::Silent {
             on_new_connection: false,
         };
-        assert_eq!(health.note_failure(silent), connection::Action::TryFresh);
+        assert_eq!(
+            health.note_failure(silent),
+            connection::Action::RetryOnNewConnection
+        );
         let shed = connection::Failure::Shed;
         assert_eq!(health.note_failure(shed), connection::Action::Ignore);
     }
