--- a/crates/damaskvane-dispatch/src/connection.rs
+++ b/crates/damaskvane-dispatch/src/connection.rs
@@ -12,7 +12,7 @@
 //! let silent = connection::Failure::Silent { on_new_connection: false };
 //! assert_eq!(health.note_failure(silent), connection::Action::RetryOnNewConnection);
 //! let silent = connection::Failure::Silent { on_new_connection: true };
-//! assert_eq!(health.note_failure(silent), connection::Action::CountAgainst);
+//! assert_eq!(health.note_failure(silent), connection::Action::CountAsServerFailure);
 //! ```
 
 mod failure;
--- a/crates/damaskvane-dispatch/src/connection/failure.rs
+++ b/crates/damaskvane-dispatch/src/connection/failure.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_dispatch::connection;
 //!
 //! let refused = connection::Failure::Refused;
-//! assert_eq!(refused.action(), connection::Action::CountAgainst);
+//! assert_eq!(refused.action(), connection::Action::CountAsServerFailure);
 //! ```
 
 /// How a connection failed.
@@ -37,7 +37,7 @@
     /// Nothing is known about the server; open a fresh connection before judging.
     RetryOnNewConnection,
     /// The failure counts against the server.
-    CountAgainst,
+    CountAsServerFailure,
     /// It says nothing about the server.
     Ignore,
 }
@@ -59,7 +59,7 @@
             }
             | Self::Closed {
                 on_new_connection: true,
-            } => Action::CountAgainst,
+            } => Action::CountAsServerFailure,
             Self::Abandoned | Self::Shed => Action::Ignore,
         }
     }
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -71,7 +71,7 @@
         };
         assert_eq!(
             health.note_failure(silent),
-            connection::Action::CountAgainst
+            connection::Action::CountAsServerFailure
         );
     }
     assert!(health.is_suspect());
--- a/crates/damaskvane-engine/src/engine/servers/judgement.rs
+++ b/crates/damaskvane-engine/src/engine/servers/judgement.rs
@@ -39,7 +39,7 @@
     };
     match failure.action() {
         connection::Action::Ignore => (finish, health::Outcome::Refused),
-        connection::Action::CountAgainst | connection::Action::RetryOnNewConnection => {
+        connection::Action::CountAsServerFailure | connection::Action::RetryOnNewConnection => {
             (finish, health::Outcome::Failed)
         }
     }
