--- a/crates/damaskvane-dispatch/src/connection/failure.rs
+++ b/crates/damaskvane-dispatch/src/connection/failure.rs
@@ -66,7 +66,7 @@
 
     /// Whether the connection may carry another exchange.
     #[must_use]
-    pub const fn leaves_reusable(self) -> bool {
+    pub const fn is_connection_reusable(self) -> bool {
         matches!(self, Self::Shed)
     }
 }
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -92,9 +92,9 @@
             on_new_connection: true,
         },
     ] {
-        assert!(!failure.leaves_reusable(), "{failure:?}");
+        assert!(!failure.is_connection_reusable(), "{failure:?}");
     }
-    assert!(connection::Failure::Shed.leaves_reusable());
+    assert!(connection::Failure::Shed.is_connection_reusable());
 }
 
 /// An entry instance is stopped as planned while clients hold look-up answers that name it. Stopped
