--- a/crates/damaskvane-dispatch/src/connection.rs
+++ b/crates/damaskvane-dispatch/src/connection.rs
@@ -10,9 +10,9 @@
 //!
 //! let mut health = connection::ServerHealth::default();
 //! let silent = connection::Failure::Silent { on_new_connection: false };
-//! assert_eq!(health.note_failure(silent), connection::Action::RetryOnNewConnection);
+//! assert_eq!(health.record_failure(silent), connection::Action::RetryOnNewConnection);
 //! let silent = connection::Failure::Silent { on_new_connection: true };
-//! assert_eq!(health.note_failure(silent), connection::Action::CountAsServerFailure);
+//! assert_eq!(health.record_failure(silent), connection::Action::CountAsServerFailure);
 //! ```
 
 mod failure;
--- a/crates/damaskvane-dispatch/src/connection/health.rs
+++ b/crates/damaskvane-dispatch/src/connection/health.rs
@@ -19,7 +19,7 @@
 
 impl ServerHealth {
     /// Notes a failure and says what to do next.
-    pub fn note_failure(&mut self, failure: failure::Failure) -> failure::Action {
+    pub fn record_failure(&mut self, failure: failure::Failure) -> failure::Action {
         let action = failure.action();
         if action == failure::Action::CountAsServerFailure {
             self.failures = self.failures.saturating_add(1);
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -58,11 +58,11 @@
             on_new_connection: false,
         };
         assert_eq!(
-            health.note_failure(silent),
+            health.record_failure(silent),
             connection::Action::RetryOnNewConnection
         );
         let shed = connection::Failure::Shed;
-        assert_eq!(health.note_failure(shed), connection::Action::Ignore);
+        assert_eq!(health.record_failure(shed), connection::Action::Ignore);
     }
     assert!(!health.is_suspect());
     for _ in 0..3 {
@@ -70,7 +70,7 @@
             on_new_connection: true,
         };
         assert_eq!(
-            health.note_failure(silent),
+            health.record_failure(silent),
             connection::Action::CountAsServerFailure
         );
     }
