--- a/crates/damaskvane-dispatch/src/connection/health.rs
+++ b/crates/damaskvane-dispatch/src/connection/health.rs
@@ -28,7 +28,7 @@
     }
 
     /// Notes a whole answer, of whatever status: errors that come at once are the service's own.
-    pub const fn note_success(&mut self) {
+    pub const fn record_success(&mut self) {
         self.failures = 0;
     }
 
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -75,7 +75,7 @@
         );
     }
     assert!(health.is_suspect());
-    health.note_success();
+    health.record_success();
     assert!(!health.is_suspect());
 }
 
