--- a/crates/damaskvane-dispatch/src/connection.rs
+++ b/crates/damaskvane-dispatch/src/connection.rs
@@ -9,9 +9,9 @@
 //! use damaskvane_dispatch::connection;
 //!
 //! let mut health = connection::ServerHealth::default();
-//! let silent = connection::Failure::Silent { on_new_connection: false };
+//! let silent = connection::Failure::Timeout { on_new_connection: false };
 //! assert_eq!(health.record_failure(silent), connection::Action::RetryOnNewConnection);
-//! let silent = connection::Failure::Silent { on_new_connection: true };
+//! let silent = connection::Failure::Timeout { on_new_connection: true };
 //! assert_eq!(health.record_failure(silent), connection::Action::CountAsServerFailure);
 //! ```
 
--- a/crates/damaskvane-dispatch/src/connection/failure.rs
+++ b/crates/damaskvane-dispatch/src/connection/failure.rs
@@ -13,7 +13,7 @@
     /// It could not be opened.
     Refused,
     /// No byte within the time for one try.
-    Silent {
+    Timeout {
         /// Whether it was opened for this exchange.
         on_new_connection: bool,
     },
@@ -46,7 +46,7 @@
     /// What follows from the failure.
     pub const fn action(self) -> Action {
         match self {
-            Self::Silent {
+            Self::Timeout {
                 on_new_connection: false,
             }
             | Self::Closed {
@@ -54,7 +54,7 @@
             }
             | Self::Crossed => Action::RetryOnNewConnection,
             Self::Refused
-            | Self::Silent {
+            | Self::Timeout {
                 on_new_connection: true,
             }
             | Self::Closed {
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -54,7 +54,7 @@
 fn silent_kept_connections_do_not_count_against_a_server() {
     let mut health = connection::ServerHealth::default();
     for _ in 0..100 {
-        let silent = connection::Failure::Silent {
+        let silent = connection::Failure::Timeout {
             on_new_connection: false,
         };
         assert_eq!(
@@ -66,7 +66,7 @@
     }
     assert!(!health.is_suspect());
     for _ in 0..3 {
-        let silent = connection::Failure::Silent {
+        let silent = connection::Failure::Timeout {
             on_new_connection: true,
         };
         assert_eq!(
@@ -88,7 +88,7 @@
         connection::Failure::Closed {
             on_new_connection: true,
         },
-        connection::Failure::Silent {
+        connection::Failure::Timeout {
             on_new_connection: true,
         },
     ] {
