--- a/crates/damaskvane-dispatch/src/connection/failure.rs
+++ b/crates/damaskvane-dispatch/src/connection/failure.rs
@@ -23,7 +23,7 @@
         on_new_connection: bool,
     },
     /// The answer named another request.
-    Crossed,
+    MismatchedResponse,
     /// The client went away or its deadline passed first; this instance abandoned the exchange.
     Abandoned,
     /// The backend server refused before running: it sheds load and is healthy.
@@ -52,7 +52,7 @@
             | Self::Closed {
                 on_new_connection: false,
             }
-            | Self::Crossed => Action::RetryOnNewConnection,
+            | Self::MismatchedResponse => Action::RetryOnNewConnection,
             Self::Refused
             | Self::Timeout {
                 on_new_connection: true,
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -84,7 +84,7 @@
 fn only_a_refusal_leaves_a_connection_usable() {
     for failure in [
         connection::Failure::Abandoned,
-        connection::Failure::Crossed,
+        connection::Failure::MismatchedResponse,
         connection::Failure::Closed {
             on_new_connection: true,
         },
--- a/crates/damaskvane-engine/src/engine/servers/judgement.rs
+++ b/crates/damaskvane-engine/src/engine/servers/judgement.rs
@@ -30,7 +30,7 @@
         ExchangeEnd::Silent => connection::Failure::Timeout {
             on_new_connection: true,
         },
-        ExchangeEnd::Crossed => connection::Failure::Crossed,
+        ExchangeEnd::Crossed => connection::Failure::MismatchedResponse,
     };
     let finish = if end.proves_not_run() {
         exchange::Finish::Ended
