--- a/crates/damaskvane-dispatch/src/admission.rs
+++ b/crates/damaskvane-dispatch/src/admission.rs
@@ -21,15 +21,15 @@
 //! ```
 
 mod drain_rate;
-mod given_up;
 mod lane;
 mod priority;
 mod queue;
+mod rejected;
 mod settings;
 mod waiting;
 
-pub use given_up::GivenUp;
 pub use priority::{ParsePriorityError, Priority};
 pub use queue::Queue;
+pub use rejected::Rejected;
 pub use settings::QueueSettings;
 pub use waiting::Waiting;
--- a/crates/damaskvane-dispatch/src/admission/queue.rs
+++ b/crates/damaskvane-dispatch/src/admission/queue.rs
@@ -11,7 +11,7 @@
 
 use damaskvane_core::{ids, time};
 
-use crate::admission::{given_up, lane, settings, waiting};
+use crate::admission::{lane, rejected, settings, waiting};
 use crate::refusal;
 
 /// Waiting requests of every service; the services take turns.
@@ -40,7 +40,7 @@
         &mut self,
         now: time::TimeMs,
         waiting: waiting::Waiting<R>,
-    ) -> Vec<given_up::GivenUp<R>> {
+    ) -> Vec<rejected::Rejected<R>> {
         let serial = self.next_serial;
         self.next_serial += 1;
         let service = waiting.service.clone();
@@ -79,7 +79,7 @@
     }
 
     /// Gives up the requests that have waited too long or would not finish in time.
-    pub fn expire(&mut self, now: time::TimeMs) -> Vec<given_up::GivenUp<R>> {
+    pub fn expire(&mut self, now: time::TimeMs) -> Vec<rejected::Rejected<R>> {
         let max_wait = time::SpanMs::new(self.settings.max_wait_ms);
         let min_run = time::SpanMs::new(self.settings.min_run_ms);
         let is_short = |entry: &lane::Entry<R>| entry.waiting.deadline.time_left(now) < min_run;
@@ -92,7 +92,7 @@
                 } else {
                     refusal::RefusalReason::QueueTimeout
                 };
-                given_up.push(given_up::GivenUp {
+                given_up.push(rejected::Rejected {
                     request: entry.waiting.request,
                     reason,
                     retry_after: retry_after(&self.settings, lane, reason, now),
@@ -132,7 +132,7 @@
         &mut self,
         now: time::TimeMs,
         service: &ids::ServiceId,
-    ) -> Option<given_up::GivenUp<R>> {
+    ) -> Option<rejected::Rejected<R>> {
         let lane = self.lanes.get_mut(service)?;
         let is_full = lane.len() > self.settings.max_waiting;
         let drains_in = lane.rate.time_for(now, lane.len());
@@ -147,7 +147,7 @@
         } else {
             refusal::RefusalReason::Overloaded
         };
-        Some(given_up::GivenUp {
+        Some(rejected::Rejected {
             request: entry.waiting.request,
             reason,
             retry_after: retry_after(&self.settings, lane, reason, now),
--- a/crates/damaskvane-dispatch/src/admission/given_up.rs
+++ b/crates/damaskvane-dispatch/src/admission/rejected.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_core::time;
 //! use damaskvane_dispatch::{admission, refusal};
 //!
-//! let given_up = admission::GivenUp {
+//! let given_up = admission::Rejected {
 //!     request: "late",
 //!     reason: refusal::RefusalReason::QueueTimeout,
 //!     retry_after: time::SpanMs::new(100),
@@ -19,7 +19,7 @@
 /// A request to refuse now, for instance by [`crate::exchange::Received::refuse_until`].
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "the client waits for this answer"]
-pub struct GivenUp<R> {
+pub struct Rejected<R> {
     /// The request.
     pub request: R,
     /// Why it is given up.
--- a/crates/damaskvane-engine/src/engine/answers.rs
+++ b/crates/damaskvane-engine/src/engine/answers.rs
@@ -81,7 +81,7 @@
     pub(super) fn give_up_all(
         &mut self,
         now: time::TimeMs,
-        given_up: impl IntoIterator<Item = admission::GivenUp<LocalId>>,
+        given_up: impl IntoIterator<Item = admission::Rejected<LocalId>>,
     ) {
         for given_up in given_up {
             self.give_up_until(now, given_up.request, given_up.reason, given_up.retry_after);
