--- a/crates/damaskvane-dispatch/src/admission.rs
+++ b/crates/damaskvane-dispatch/src/admission.rs
@@ -9,7 +9,7 @@
 //!
 //! let mut queue = admission::Queue::new(admission::QueueSettings::default());
 //! let now = time::TimeMs::ZERO;
-//! let waiting = admission::Waiting {
+//! let waiting = admission::QueuedRequest {
 //!     request: "first",
 //!     service: "rider-desk".parse()?,
 //!     priority: admission::Priority::Normal,
@@ -24,12 +24,12 @@
 mod lane;
 mod priority;
 mod queue;
+mod queued_request;
 mod rejected;
 mod settings;
-mod waiting;
 
 pub use priority::{ParsePriorityError, Priority};
 pub use queue::Queue;
+pub use queued_request::QueuedRequest;
 pub use rejected::Rejected;
 pub use settings::QueueSettings;
-pub use waiting::Waiting;
--- a/crates/damaskvane-dispatch/src/admission/lane.rs
+++ b/crates/damaskvane-dispatch/src/admission/lane.rs
@@ -4,7 +4,7 @@
 
 use damaskvane_core::time;
 
-use crate::admission::{drain_rate, priority, waiting};
+use crate::admission::{drain_rate, priority, queued_request};
 
 /// Requests by priority, then by age.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
 
 #[derive(Debug)]
 pub(super) struct Entry<R> {
-    pub(super) waiting: waiting::Waiting<R>,
+    pub(super) waiting: queued_request::QueuedRequest<R>,
     pub(super) since: time::TimeMs,
 }
 
--- a/crates/damaskvane-dispatch/src/admission/queue.rs
+++ b/crates/damaskvane-dispatch/src/admission/queue.rs
@@ -11,7 +11,7 @@
 
 use damaskvane_core::{ids, time};
 
-use crate::admission::{lane, rejected, settings, waiting};
+use crate::admission::{lane, queued_request, rejected, settings};
 use crate::refusal;
 
 /// Waiting requests of every service; the services take turns.
@@ -39,7 +39,7 @@
     pub fn push(
         &mut self,
         now: time::TimeMs,
-        waiting: waiting::Waiting<R>,
+        waiting: queued_request::QueuedRequest<R>,
     ) -> Vec<rejected::Rejected<R>> {
         let serial = self.next_serial;
         self.next_serial += 1;
--- a/crates/damaskvane-dispatch/src/admission/waiting.rs
+++ b/crates/damaskvane-dispatch/src/admission/queued_request.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_dispatch::admission;
 //!
-//! fn is_urgent<R>(waiting: &admission::Waiting<R>) -> bool {
+//! fn is_urgent<R>(waiting: &admission::QueuedRequest<R>) -> bool {
 //!     waiting.priority == admission::Priority::High
 //! }
 //! ```
@@ -15,7 +15,7 @@
 
 /// A request with what its place in the queue depends on.
 #[derive(Debug)]
-pub struct Waiting<R> {
+pub struct QueuedRequest<R> {
     /// The request, for instance an [`crate::exchange::Received`].
     pub request: R,
     /// The service it is for.
--- a/crates/damaskvane-dispatch/tests/admission.rs
+++ b/crates/damaskvane-dispatch/tests/admission.rs
@@ -12,8 +12,8 @@
     service: &str,
     priority: admission::Priority,
     deadline_ms: u64,
-) -> admission::Waiting<u32> {
-    admission::Waiting {
+) -> admission::QueuedRequest<u32> {
+    admission::QueuedRequest {
         request,
         service: service.parse().expect("a service"),
         priority,
--- a/crates/damaskvane-engine/src/engine/submit.rs
+++ b/crates/damaskvane-engine/src/engine/submit.rs
@@ -77,7 +77,7 @@
         let id = self.insert(origin, request, deadline, Stage::Queued(received));
         let given_up = self.queue.push(
             now,
-            admission::Waiting {
+            admission::QueuedRequest {
                 request: id,
                 service,
                 priority,
