--- a/crates/damaskvane-dispatch/src/home.rs
+++ b/crates/damaskvane-dispatch/src/home.rs
@@ -36,7 +36,6 @@
 //! ```
 
 mod adopted;
-mod answer_size;
 mod attempt;
 mod begin;
 mod error;
@@ -49,6 +48,7 @@
 mod record;
 mod records;
 mod renewal;
+mod response_size;
 mod routes;
 mod scope;
 mod settings;
@@ -58,13 +58,13 @@
 mod tombstones;
 mod transfer;
 
-pub use answer_size::AnswerSize;
 pub use attempt::Attempt;
 pub use begin::{Begin, Finish};
 pub use error::HandoverError;
 pub use handover::{HandedRecord, HandedState, Handover};
 pub use name::{Home, ParseHomeError};
 pub use permit::{DispatchPermit, WaiterId};
+pub use response_size::ResponseSize;
 pub use scope::Scope;
 pub use settings::HomeSettings;
 pub use superseded::Barred;
--- a/crates/damaskvane-dispatch/src/home/expiry.rs
+++ b/crates/damaskvane-dispatch/src/home/expiry.rs
@@ -2,12 +2,12 @@
 
 use damaskvane_core::ids;
 
-use crate::home::answer_size::AnswerSize;
+use crate::home::response_size::ResponseSize;
 use crate::home::{begin, name, record, scope, superseded, table};
 use crate::outcome;
 use crate::refusal;
 
-impl<A: Clone + AnswerSize> table::HomeTable<A> {
+impl<A: Clone + ResponseSize> table::HomeTable<A> {
     pub(super) fn give_up(
         &mut self,
         scope: scope::Scope,
--- a/crates/damaskvane-dispatch/src/home/place.rs
+++ b/crates/damaskvane-dispatch/src/home/place.rs
@@ -2,7 +2,7 @@
 
 use damaskvane_core::ids;
 
-use crate::home::answer_size::AnswerSize;
+use crate::home::response_size::ResponseSize;
 use crate::home::{adopted, name, scope, table};
 use crate::refusal;
 
@@ -16,7 +16,7 @@
     Lost(refusal::RefusalReason),
 }
 
-impl<A: Clone + AnswerSize> table::HomeTable<A> {
+impl<A: Clone + ResponseSize> table::HomeTable<A> {
     pub(super) fn place(&self, home: &name::Home, scope: &scope::Scope) -> Place {
         if self.is_own(home) {
             return self.own_place(home, scope);
--- a/crates/damaskvane-dispatch/src/home/records.rs
+++ b/crates/damaskvane-dispatch/src/home/records.rs
@@ -4,7 +4,7 @@
 
 use damaskvane_core::time;
 
-use crate::home::answer_size::AnswerSize;
+use crate::home::response_size::ResponseSize;
 use crate::home::{permit, record, scope};
 use crate::outcome;
 
@@ -21,7 +21,7 @@
     reserved_bytes: u64,
 }
 
-impl<A: AnswerSize> Records<A> {
+impl<A: ResponseSize> Records<A> {
     /// Every running key reserves `reserved_bytes` for its answer.
     pub(super) const fn new(reserved_bytes: u64) -> Self {
         Self {
--- a/crates/damaskvane-dispatch/src/home/renewal.rs
+++ b/crates/damaskvane-dispatch/src/home/renewal.rs
@@ -6,7 +6,7 @@
 
 use damaskvane_core::{ids, time};
 
-use crate::home::answer_size::AnswerSize;
+use crate::home::response_size::ResponseSize;
 use crate::home::{scope, table, tombstones};
 
 /// Thousandths of `max_tombstones` at which a new incarnation is due.
@@ -26,7 +26,7 @@
     until: time::TimeMs,
 }
 
-impl<A: Clone + AnswerSize> table::HomeTable<A> {
+impl<A: Clone + ResponseSize> table::HomeTable<A> {
     /// Takes a new incarnation without a restart, so that tombstones can be dropped.
     ///
     /// Kept outcomes stay. The incarnation before takes new keys for another 30 s, so that look-up answers
--- a/crates/damaskvane-dispatch/src/home/table.rs
+++ b/crates/damaskvane-dispatch/src/home/table.rs
@@ -12,7 +12,7 @@
 
 use damaskvane_core::{ids, time};
 
-use crate::home::answer_size::AnswerSize;
+use crate::home::response_size::ResponseSize;
 use crate::home::{
     attempt, begin, handover, name, permit, place, record, records, renewal, routes, scope,
     settings, superseded, surrender, tombstones,
@@ -40,7 +40,7 @@
     broken_invariants: u64,
 }
 
-impl<A: Clone + AnswerSize> HomeTable<A> {
+impl<A: Clone + ResponseSize> HomeTable<A> {
     /// The empty table of an instance that has just started.
     #[must_use]
     pub fn new(me: name::Home, settings: settings::HomeSettings) -> Self {
--- a/crates/damaskvane-dispatch/src/home/transfer.rs
+++ b/crates/damaskvane-dispatch/src/home/transfer.rs
@@ -17,13 +17,13 @@
 
 use damaskvane_core::time;
 
-use crate::home::answer_size::AnswerSize;
+use crate::home::response_size::ResponseSize;
 use crate::home::{adopted, begin, error, handover, name, parts, record, surrender, table};
 
 /// How much of its bounds a table fills when it holds an adopted one as well.
 const ADOPTION_FACTOR: usize = 2;
 
-impl<A: Clone + AnswerSize> table::HomeTable<A> {
+impl<A: Clone + ResponseSize> table::HomeTable<A> {
     /// Ends dispatching and hands the table to one successor, for good.
     ///
     /// The parts are the same on every call, so that they can be sent again.
--- a/crates/damaskvane-engine/src/message/answer.rs
+++ b/crates/damaskvane-engine/src/message/answer.rs
@@ -43,7 +43,7 @@
     }
 }
 
-impl home::AnswerSize for BackendAnswer {
+impl home::ResponseSize for BackendAnswer {
     fn size_bytes(&self) -> u64 {
         self.len() as u64
     }
