--- a/crates/damaskvane-dispatch/src/home/table.rs
+++ b/crates/damaskvane-dispatch/src/home/table.rs
@@ -113,7 +113,7 @@
     }
 
     /// Notes who answers for a departed home, as its successor or a peer tells.
-    pub fn learn_successor(
+    pub fn record_successor(
         &mut self,
         now: time::TimeMs,
         departed: name::Home,
--- a/crates/damaskvane-dispatch/src/model/run.rs
+++ b/crates/damaskvane-dispatch/src/model/run.rs
@@ -176,7 +176,7 @@
                 successor,
             } => {
                 let table = &mut self.instances[at].table;
-                table.learn_successor(self.now, departed, successor);
+                table.record_successor(self.now, departed, successor);
             }
             event::Event::Restart { at } => self.kill(at),
             event::Event::Fault => self.fault(),
--- a/crates/damaskvane-dispatch/tests/handover.rs
+++ b/crates/damaskvane-dispatch/tests/handover.rs
@@ -171,8 +171,8 @@
         assert!(is_replay(&third.begin(at(6), &attempt(key, "a/1", 2))));
     }
     let mut restarted = table("a/2");
-    restarted.learn_successor(at(7), home_of("a/1"), home_of("b/1"));
-    restarted.learn_successor(at(7), home_of("b/1"), home_of("c/1"));
+    restarted.record_successor(at(7), home_of("a/1"), home_of("b/1"));
+    restarted.record_successor(at(7), home_of("b/1"), home_of("c/1"));
     let forwarded = restarted.begin(at(8), &attempt("k", "a/1", 2));
     assert!(matches!(forwarded, home::Begin::Forward(home) if home == home_of("c/1")));
 }
@@ -187,7 +187,7 @@
     let lost = restarted.begin(at(1), &attempt("k", "a/1", 2));
     assert_eq!(reason(&lost), Some(refusal::RefusalReason::HomeRestarted));
     for (departed, successor) in new.successors() {
-        restarted.learn_successor(at(2), departed.clone(), successor.clone());
+        restarted.record_successor(at(2), departed.clone(), successor.clone());
     }
     let forwarded = restarted.begin(at(3), &attempt("k", "a/1", 2));
     assert!(matches!(forwarded, home::Begin::Forward(home) if home == home_of("b/1")));
--- a/crates/damaskvane-engine/src/engine.rs
+++ b/crates/damaskvane-engine/src/engine.rs
@@ -198,7 +198,7 @@
             peer::PeerMessage::Renewed(home) => self.renewal_told(from, home),
             peer::PeerMessage::Departed(departed) => {
                 self.keys
-                    .learn_successor(now, departed.departed, departed.successor);
+                    .record_successor(now, departed.departed, departed.successor);
             }
         }
     }
