--- a/crates/damaskvane-dispatch/src/home/renewal.rs
+++ b/crates/damaskvane-dispatch/src/home/renewal.rs
@@ -54,7 +54,7 @@
 
     /// Whether a new incarnation is due: new keys are refused once the tombstones are full.
     #[must_use]
-    pub fn wants_renewal(&self) -> bool {
+    pub fn needs_renewal(&self) -> bool {
         self.previous.is_none()
             && self.surrender.is_none()
             && self.taken_keys() * 1000 >= self.settings.max_tombstones * RENEWAL_PERMILLE
--- a/crates/damaskvane-dispatch/src/model/faults.rs
+++ b/crates/damaskvane-dispatch/src/model/faults.rs
@@ -78,7 +78,7 @@
             for finish in self.instances[at].table.expire(self.now) {
                 self.answer_waiters(at, finish);
             }
-            if self.instances[at].table.wants_renewal() {
+            if self.instances[at].table.needs_renewal() {
                 self.instances[at].renew();
             }
         }
--- a/crates/damaskvane-engine/src/engine/renewal.rs
+++ b/crates/damaskvane-engine/src/engine/renewal.rs
@@ -23,7 +23,7 @@
     /// take the milliseconds of the wall clock for their incarnation, so that no later start gets a
     /// number that was reached by counting up here.
     pub(super) fn renew_keys(&mut self) {
-        if !self.keys.wants_renewal() {
+        if !self.keys.needs_renewal() {
             return;
         }
         let next = self.keys.home().incarnation.next();
