--- a/crates/damaskvane-dispatch/src/home/handover.rs
+++ b/crates/damaskvane-dispatch/src/home/handover.rs
@@ -30,14 +30,14 @@
     /// The departed homes: the leaving one and those it had adopted itself, with their tombstones.
     pub homes: Vec<(name::Home, Vec<u64>)>,
     /// The keys with an outcome or still running.
-    pub records: Vec<HandedRecord<A>>,
+    pub records: Vec<HandoverRecord<A>>,
     /// Keys whose tries up to a number must not run.
     pub superseded: Vec<(scope::Scope, superseded::Barred)>,
 }
 
 /// One key of a handover.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HandedRecord<A> {
+pub struct HandoverRecord<A> {
     /// The key at its home.
     pub scope: scope::Scope,
     /// The incarnation that took the key.
--- a/crates/damaskvane-dispatch/src/home/parts.rs
+++ b/crates/damaskvane-dispatch/src/home/parts.rs
@@ -8,7 +8,7 @@
     pub(super) from: name::Home,
     pub(super) successor: name::Home,
     pub(super) homes: Vec<(name::Home, Vec<u64>)>,
-    pub(super) records: Vec<handover::HandedRecord<A>>,
+    pub(super) records: Vec<handover::HandoverRecord<A>>,
     pub(super) superseded: Vec<(scope::Scope, superseded::Barred)>,
 }
 
--- a/crates/damaskvane-dispatch/src/home/record.rs
+++ b/crates/damaskvane-dispatch/src/home/record.rs
@@ -60,7 +60,7 @@
         &self,
         scope: &scope::Scope,
         now: time::TimeMs,
-    ) -> handover::HandedRecord<A> {
+    ) -> handover::HandoverRecord<A> {
         let state = match &self.state {
             State::Running { given_up_at, .. } => handover::HandedState::Running {
                 time_left: given_up_at.since(now),
@@ -70,7 +70,7 @@
                 time_left: until.since(now),
             },
         };
-        handover::HandedRecord {
+        handover::HandoverRecord {
             scope: scope.clone(),
             incarnation: self.incarnation,
             fingerprint: self.fingerprint,
--- a/crates/damaskvane-dispatch/src/home/surrender.rs
+++ b/crates/damaskvane-dispatch/src/home/surrender.rs
@@ -7,7 +7,7 @@
 pub(super) struct Surrender<A> {
     successor: Option<name::Home>,
     parts: Vec<handover::Handover<A>>,
-    amendments: Vec<handover::HandedRecord<A>>,
+    amendments: Vec<handover::HandoverRecord<A>>,
 }
 
 impl<A> Surrender<A> {
@@ -38,13 +38,13 @@
         &self.parts
     }
 
-    pub(super) fn amend(&mut self, record: handover::HandedRecord<A>) {
+    pub(super) fn amend(&mut self, record: handover::HandoverRecord<A>) {
         if self.successor.is_some() {
             self.amendments.push(record);
         }
     }
 
-    pub(super) fn take_amendments(&mut self) -> Vec<handover::HandedRecord<A>> {
+    pub(super) fn take_amendments(&mut self) -> Vec<handover::HandoverRecord<A>> {
         core::mem::take(&mut self.amendments)
     }
 }
--- a/crates/damaskvane-dispatch/src/home/table.rs
+++ b/crates/damaskvane-dispatch/src/home/table.rs
@@ -337,7 +337,7 @@
     ) {
         let time_left = self.settings.window();
         if let Some(surrender) = &mut self.surrender {
-            surrender.amend(handover::HandedRecord {
+            surrender.amend(handover::HandoverRecord {
                 scope: scope.clone(),
                 incarnation: record.incarnation,
                 fingerprint: record.fingerprint,
--- a/crates/damaskvane-dispatch/src/home/transfer.rs
+++ b/crates/damaskvane-dispatch/src/home/transfer.rs
@@ -68,7 +68,7 @@
     }
 
     /// Outcomes that became known after the handover, to be sent to the successor in this order.
-    pub fn take_amendments(&mut self) -> Vec<handover::HandedRecord<A>> {
+    pub fn take_amendments(&mut self) -> Vec<handover::HandoverRecord<A>> {
         self.surrender
             .as_mut()
             .map(surrender::Surrender::take_amendments)
@@ -109,7 +109,7 @@
     pub fn accept_amendment(
         &mut self,
         now: time::TimeMs,
-        amendment: handover::HandedRecord<A>,
+        amendment: handover::HandoverRecord<A>,
     ) -> Option<begin::Finish<A>> {
         self.advance(now);
         let handover::HandedState::Done { outcome, .. } = amendment.state else {
@@ -157,7 +157,7 @@
         }
     }
 
-    fn insert_handed(&mut self, handed: handover::HandedRecord<A>) {
+    fn insert_handed(&mut self, handed: handover::HandoverRecord<A>) {
         if self.records.get(&handed.scope).is_some() {
             return;
         }
--- a/crates/damaskvane-dispatch/src/model/event.rs
+++ b/crates/damaskvane-dispatch/src/model/event.rs
@@ -46,7 +46,7 @@
     },
     Amendment {
         to: home::Home,
-        record: Box<home::HandedRecord<u64>>,
+        record: Box<home::HandoverRecord<u64>>,
     },
     /// An instance hears who answers for a departed home.
     Learn {
--- a/crates/damaskvane-dispatch/src/model/run.rs
+++ b/crates/damaskvane-dispatch/src/model/run.rs
@@ -325,7 +325,7 @@
         let _ = self.instances[at].table.accept_handover(self.now, part);
     }
 
-    fn receive_amendment(&mut self, to: &home::Home, record: home::HandedRecord<u64>) {
+    fn receive_amendment(&mut self, to: &home::Home, record: home::HandoverRecord<u64>) {
         let at = self.index_of(to);
         let finish = self.instances[at].table.accept_amendment(self.now, record);
         if let Some(finish) = finish {
--- a/crates/damaskvane-dispatch/tests/support/small_world.rs
+++ b/crates/damaskvane-dispatch/tests/support/small_world.rs
@@ -59,7 +59,7 @@
         number: u32,
     },
     Part(Box<home::Handover<u64>>),
-    Amendment(Box<home::HandedRecord<u64>>),
+    Amendment(Box<home::HandoverRecord<u64>>),
 }
 
 #[derive(Debug)]
--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -230,7 +230,7 @@
     pub(super) fn amended(
         &mut self,
         now: time::TimeMs,
-        record: home::HandedRecord<Arc<message::BackendAnswer>>,
+        record: home::HandoverRecord<Arc<message::BackendAnswer>>,
     ) {
         if let Some(finish) = self.keys.accept_amendment(now, record) {
             self.answer_waiters(finish);
--- a/crates/damaskvane-engine/src/peer/peer_message.rs
+++ b/crates/damaskvane-engine/src/peer/peer_message.rs
@@ -32,7 +32,7 @@
     /// The successor holds a part.
     HandoverTaken(departure::HandoverTaken),
     /// An outcome that a leaving instance learned after its handover.
-    Amendment(Box<home::HandedRecord<Arc<message::BackendAnswer>>>),
+    Amendment(Box<home::HandoverRecord<Arc<message::BackendAnswer>>>),
     /// A backend server died while it ran these requests.
     Incident(Box<quarantine::Incident>),
     /// A request is suspect no more.
