--- a/crates/damaskvane-dispatch/src/home/handover.rs
+++ b/crates/damaskvane-dispatch/src/home/handover.rs
@@ -4,9 +4,9 @@
 //! use damaskvane_core::time;
 //! use damaskvane_dispatch::home;
 //!
-//! let state: home::HandedState<Vec<u8>> =
-//!     home::HandedState::Running { time_left: time::SpanMs::new(5) };
-//! assert!(matches!(state, home::HandedState::Running { .. }));
+//! let state: home::HandoverState<Vec<u8>> =
+//!     home::HandoverState::Running { time_left: time::SpanMs::new(5) };
+//! assert!(matches!(state, home::HandoverState::Running { .. }));
 //! ```
 
 use damaskvane_core::{ids, time};
@@ -47,12 +47,12 @@
     /// The highest try that has been seen.
     pub highest_try: u32,
     /// What is known of the key.
-    pub state: HandedState<A>,
+    pub state: HandoverState<A>,
 }
 
 /// What is known of a handed key.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum HandedState<A> {
+pub enum HandoverState<A> {
     /// It runs at the predecessor, which sends the outcome when it is there.
     Running {
         /// The time left until the outcome is given up.
--- a/crates/damaskvane-dispatch/src/home/record.rs
+++ b/crates/damaskvane-dispatch/src/home/record.rs
@@ -62,10 +62,10 @@
         now: time::TimeMs,
     ) -> handover::HandoverRecord<A> {
         let state = match &self.state {
-            State::Running { given_up_at, .. } => handover::HandedState::Running {
+            State::Running { given_up_at, .. } => handover::HandoverState::Running {
                 time_left: given_up_at.since(now),
             },
-            State::Done { outcome, until } => handover::HandedState::Done {
+            State::Done { outcome, until } => handover::HandoverState::Done {
                 outcome: outcome.clone(),
                 time_left: until.since(now),
             },
--- a/crates/damaskvane-dispatch/src/home/table.rs
+++ b/crates/damaskvane-dispatch/src/home/table.rs
@@ -342,7 +342,7 @@
                 incarnation: record.incarnation,
                 fingerprint: record.fingerprint,
                 highest_try: record.highest_try,
-                state: handover::HandedState::Done {
+                state: handover::HandoverState::Done {
                     outcome: outcome.clone(),
                     time_left,
                 },
--- a/crates/damaskvane-dispatch/src/home/transfer.rs
+++ b/crates/damaskvane-dispatch/src/home/transfer.rs
@@ -112,7 +112,7 @@
         amendment: handover::HandoverRecord<A>,
     ) -> Option<begin::Finish<A>> {
         self.advance(now);
-        let handover::HandedState::Done { outcome, .. } = amendment.state else {
+        let handover::HandoverState::Done { outcome, .. } = amendment.state else {
             return None;
         };
         let record = self.records.get(&amendment.scope)?;
@@ -162,11 +162,11 @@
             return;
         }
         let state = match handed.state {
-            handover::HandedState::Running { time_left } => record::State::Running {
+            handover::HandoverState::Running { time_left } => record::State::Running {
                 given_up_at: self.now + time_left,
                 waiters: Vec::new(),
             },
-            handover::HandedState::Done { outcome, time_left } => record::State::Done {
+            handover::HandoverState::Done { outcome, time_left } => record::State::Done {
                 outcome,
                 until: self.now + time_left,
             },
