--- a/crates/damaskvane-dispatch/src/home.rs
+++ b/crates/damaskvane-dispatch/src/home.rs
@@ -61,7 +61,7 @@
 pub use attempt::Attempt;
 pub use begin::{Begin, Finish};
 pub use error::HandoverError;
-pub use handover::{Handover, HandoverRecord, HandoverState};
+pub use handover::{HandoverPart, HandoverRecord, HandoverState};
 pub use name::{Home, ParseHomeError};
 pub use permit::{DispatchPermit, WaiterId};
 pub use response_size::ResponseSize;
--- a/crates/damaskvane-dispatch/src/home/handover.rs
+++ b/crates/damaskvane-dispatch/src/home/handover.rs
@@ -18,7 +18,7 @@
 
 /// One message of a handover. All parts together are the whole table; each may arrive twice.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Handover<A> {
+pub struct HandoverPart<A> {
     /// The home that leaves.
     pub from: name::Home,
     /// The one instance that may dispatch the departed homes' keys from now on.
--- a/crates/damaskvane-dispatch/src/home/parts.rs
+++ b/crates/damaskvane-dispatch/src/home/parts.rs
@@ -14,7 +14,7 @@
 
 impl<A> WholeTable<A> {
     /// Parts of so many records; the first also carries the tombstones and superseded tries.
-    pub(super) fn split(self, records_per_part: usize) -> Vec<handover::Handover<A>> {
+    pub(super) fn split(self, records_per_part: usize) -> Vec<handover::HandoverPart<A>> {
         let chunk = records_per_part.max(1);
         let parts = self.records.len().div_ceil(chunk).max(1);
         let mut homes = self.homes;
@@ -24,7 +24,7 @@
         for part in 0..parts {
             let later_homes = homes.iter().map(|(home, _)| (home.clone(), Vec::new()));
             let later_homes = later_homes.collect();
-            messages.push(handover::Handover {
+            messages.push(handover::HandoverPart {
                 from: self.from.clone(),
                 successor: self.successor.clone(),
                 part: u32::try_from(part).unwrap_or(u32::MAX),
--- a/crates/damaskvane-dispatch/src/home/surrender.rs
+++ b/crates/damaskvane-dispatch/src/home/surrender.rs
@@ -6,7 +6,7 @@
 #[derive(Debug)]
 pub(super) struct Surrender<A> {
     successor: Option<name::Home>,
-    parts: Vec<handover::Handover<A>>,
+    parts: Vec<handover::HandoverPart<A>>,
     amendments: Vec<handover::HandoverRecord<A>>,
 }
 
@@ -20,7 +20,7 @@
         }
     }
 
-    pub(super) const fn to(successor: name::Home, parts: Vec<handover::Handover<A>>) -> Self {
+    pub(super) const fn to(successor: name::Home, parts: Vec<handover::HandoverPart<A>>) -> Self {
         Self {
             successor: Some(successor),
             parts,
@@ -34,7 +34,7 @@
 
     /// The parts as they were first built: parts of two builds must not be mixed, since the
     /// successor takes the table as whole once it has each number.
-    pub(super) fn parts(&self) -> &[handover::Handover<A>] {
+    pub(super) fn parts(&self) -> &[handover::HandoverPart<A>] {
         &self.parts
     }
 
--- a/crates/damaskvane-dispatch/src/home/transfer.rs
+++ b/crates/damaskvane-dispatch/src/home/transfer.rs
@@ -35,7 +35,7 @@
         &mut self,
         now: time::TimeMs,
         successor: &name::Home,
-    ) -> Result<&[handover::Handover<A>], error::HandoverError> {
+    ) -> Result<&[handover::HandoverPart<A>], error::HandoverError> {
         self.advance(now);
         if successor.instance == self.me.instance {
             return Err(error::HandoverError::Leaving);
@@ -85,7 +85,7 @@
     pub fn accept_handover(
         &mut self,
         now: time::TimeMs,
-        part: handover::Handover<A>,
+        part: handover::HandoverPart<A>,
     ) -> Result<(), error::HandoverError> {
         self.advance(now);
         if !self.is_own(&part.successor) {
@@ -126,7 +126,7 @@
         Some(self.resolve(&amendment.scope, record::PREDECESSORS_SERIAL, outcome))
     }
 
-    fn has_room_for(&self, part: &handover::Handover<A>) -> bool {
+    fn has_room_for(&self, part: &handover::HandoverPart<A>) -> bool {
         let tombstones: usize = part.homes.iter().map(|(_, digests)| digests.len()).sum();
         self.routes.has_room()
             && self.records.len() + part.records.len()
@@ -134,7 +134,7 @@
             && self.taken_keys() + tombstones <= self.settings.max_tombstones * ADOPTION_FACTOR
     }
 
-    fn adopt(&mut self, part: handover::Handover<A>) {
+    fn adopt(&mut self, part: handover::HandoverPart<A>) {
         let until = self.now + self.settings.window();
         let mut is_new = false;
         for (home, digests) in &part.homes {
@@ -186,7 +186,7 @@
         self.routes.learn(self.me.clone(), successor.clone(), until);
     }
 
-    fn parts_for(&self, successor: &name::Home) -> Vec<handover::Handover<A>> {
+    fn parts_for(&self, successor: &name::Home) -> Vec<handover::HandoverPart<A>> {
         let mut homes = vec![(self.me.clone(), self.tombstones.to_vec())];
         // A table that is not whole can't be passed on as one.
         for adopted in self.routes.all_adopted().filter(|home| home.is_whole()) {
--- a/crates/damaskvane-dispatch/src/model/event.rs
+++ b/crates/damaskvane-dispatch/src/model/event.rs
@@ -42,7 +42,7 @@
     },
     Part {
         to: home::Home,
-        part: Box<home::Handover<u64>>,
+        part: Box<home::HandoverPart<u64>>,
     },
     Amendment {
         to: home::Home,
--- a/crates/damaskvane-dispatch/src/model/run.rs
+++ b/crates/damaskvane-dispatch/src/model/run.rs
@@ -319,7 +319,7 @@
         });
     }
 
-    fn receive_part(&mut self, to: &home::Home, part: home::Handover<u64>) {
+    fn receive_part(&mut self, to: &home::Home, part: home::HandoverPart<u64>) {
         let at = self.index_of(to);
         // Refused parts are lost: the keys of the departed home are unknown then.
         let _ = self.instances[at].table.accept_handover(self.now, part);
--- a/crates/damaskvane-dispatch/tests/handover.rs
+++ b/crates/damaskvane-dispatch/tests/handover.rs
@@ -7,7 +7,7 @@
 
 use support::keys::{ANSWER, Table, at, attempt, dispatch, home_of, not_run, reason, table};
 
-fn hand_over(old: &mut Table, new: &mut Table, now_ms: u64) -> Vec<home::Handover<u64>> {
+fn hand_over(old: &mut Table, new: &mut Table, now_ms: u64) -> Vec<home::HandoverPart<u64>> {
     let successor = new.home().clone();
     let parts = old
         .hand_over(at(now_ms), &successor)
--- a/crates/damaskvane-dispatch/tests/support/small_world.rs
+++ b/crates/damaskvane-dispatch/tests/support/small_world.rs
@@ -58,7 +58,7 @@
         key: usize,
         number: u32,
     },
-    Part(Box<home::Handover<u64>>),
+    Part(Box<home::HandoverPart<u64>>),
     Amendment(Box<home::HandoverRecord<u64>>),
 }
 
--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -201,7 +201,7 @@
         &mut self,
         now: time::TimeMs,
         from: &home::Home,
-        part: home::Handover<Arc<message::BackendAnswer>>,
+        part: home::HandoverPart<Arc<message::BackendAnswer>>,
     ) {
         let number = part.part;
         // The home of the keys can be later than the process that sends them: it was renewed since.
--- a/crates/damaskvane-engine/src/peer/peer_message.rs
+++ b/crates/damaskvane-engine/src/peer/peer_message.rs
@@ -28,7 +28,7 @@
     /// The home's answer.
     ForwardAnswer(forward::ForwardAnswer),
     /// A part of a leaving instance's table of keys.
-    Handover(Box<home::Handover<Arc<message::BackendAnswer>>>),
+    Handover(Box<home::HandoverPart<Arc<message::BackendAnswer>>>),
     /// The successor holds a part.
     HandoverTaken(departure::HandoverTaken),
     /// An outcome that a leaving instance learned after its handover.
