--- a/crates/damaskvane-dispatch/src/home.rs
+++ b/crates/damaskvane-dispatch/src/home.rs
@@ -30,8 +30,8 @@
 //!     time_left: time::SpanMs::new(2_000),
 //! };
 //! let now = time::TimeMs::ZERO;
-//! assert!(matches!(table.begin(now, &attempt), home::Begin::Dispatch(_)));
-//! assert!(matches!(table.begin(now, &attempt), home::Begin::Join(_)));
+//! assert!(matches!(table.begin(now, &attempt), home::BeginDecision::Dispatch(_)));
+//! assert!(matches!(table.begin(now, &attempt), home::BeginDecision::Join(_)));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
@@ -59,7 +59,7 @@
 mod transfer;
 
 pub use attempt::Attempt;
-pub use begin::{Begin, Finish};
+pub use begin::{BeginDecision, Finish};
 pub use error::HandoverError;
 pub use handover::{HandoverPart, HandoverRecord, HandoverState};
 pub use name::{Home, ParseHomeError};
--- a/crates/damaskvane-dispatch/src/home/begin.rs
+++ b/crates/damaskvane-dispatch/src/home/begin.rs
@@ -4,8 +4,8 @@
 //! use damaskvane_dispatch::{home, outcome, refusal};
 //!
 //! let lost = outcome::Outcome::unknown(refusal::RefusalReason::HomeRestarted);
-//! let begin: home::Begin<Vec<u8>> = home::Begin::Answer(lost);
-//! assert!(matches!(begin, home::Begin::Answer(_)));
+//! let begin: home::BeginDecision<Vec<u8>> = home::BeginDecision::Answer(lost);
+//! assert!(matches!(begin, home::BeginDecision::Answer(_)));
 //! ```
 
 use crate::home::{name, permit};
@@ -14,7 +14,7 @@
 /// What to do with a try.
 #[derive(Debug)]
 #[must_use]
-pub enum Begin<A> {
+pub enum BeginDecision<A> {
     /// Run it; the permit goes back into [`crate::home::HomeTable::finish`] with the outcome.
     Dispatch(permit::DispatchPermit),
     /// An earlier try is running; its outcome will name this waiter.
--- a/crates/damaskvane-dispatch/src/home/table.rs
+++ b/crates/damaskvane-dispatch/src/home/table.rs
@@ -63,7 +63,11 @@
     }
 
     /// Decides on a try.
-    pub fn begin(&mut self, now: time::TimeMs, attempt: &attempt::Attempt) -> begin::Begin<A> {
+    pub fn begin(
+        &mut self,
+        now: time::TimeMs,
+        attempt: &attempt::Attempt,
+    ) -> begin::BeginDecision<A> {
         self.advance(now);
         let scope = attempt.scope();
         if let Some(begin) = self.begin_known(&scope, attempt) {
@@ -71,8 +75,10 @@
         }
         match self.place(&attempt.home, &scope) {
             place::Place::Here(incarnation) => self.begin_new(scope, incarnation, attempt),
-            place::Place::Elsewhere(home) => begin::Begin::Forward(home),
-            place::Place::Lost(reason) => begin::Begin::Answer(outcome::Outcome::unknown(reason)),
+            place::Place::Elsewhere(home) => begin::BeginDecision::Forward(home),
+            place::Place::Lost(reason) => {
+                begin::BeginDecision::Answer(outcome::Outcome::unknown(reason))
+            }
         }
     }
 
@@ -177,16 +183,16 @@
         &mut self,
         scope: &scope::Scope,
         attempt: &attempt::Attempt,
-    ) -> Option<begin::Begin<A>> {
+    ) -> Option<begin::BeginDecision<A>> {
         let record = self.records.get(scope)?;
         if record.fingerprint != attempt.fingerprint {
             // If the body that has the key is not run in the end, this try stays barred all the same.
             self.records.raise_highest_try(scope, attempt.try_number);
             let reason = refusal::RefusalReason::KeyReusedWithOtherBody;
-            return Some(begin::Begin::Answer(not_run(reason)));
+            return Some(begin::BeginDecision::Answer(not_run(reason)));
         }
         if let record::State::Done { outcome, .. } = &record.state {
-            return Some(begin::Begin::Answer(outcome.clone()));
+            return Some(begin::BeginDecision::Answer(outcome.clone()));
         }
         let waiter = permit::WaiterId::new(self.next_waiter);
         self.next_waiter += 1;
@@ -195,9 +201,9 @@
             .records
             .join(scope, waiter, attempt.try_number, max_waiters);
         Some(if joined {
-            begin::Begin::Join(waiter)
+            begin::BeginDecision::Join(waiter)
         } else {
-            begin::Begin::Answer(outcome::Outcome::unknown(
+            begin::BeginDecision::Answer(outcome::Outcome::unknown(
                 refusal::RefusalReason::TriesPending,
             ))
         })
@@ -208,20 +214,22 @@
         scope: scope::Scope,
         incarnation: ids::Incarnation,
         attempt: &attempt::Attempt,
-    ) -> begin::Begin<A> {
+    ) -> begin::BeginDecision<A> {
         if let Some(surrender) = &self.surrender {
             return match surrender.successor() {
-                Some(successor) => begin::Begin::Forward(successor.clone()),
-                None => begin::Begin::Answer(not_run(refusal::RefusalReason::InstanceLeaving)),
+                Some(successor) => begin::BeginDecision::Forward(successor.clone()),
+                None => {
+                    begin::BeginDecision::Answer(not_run(refusal::RefusalReason::InstanceLeaving))
+                }
             };
         }
         if self.superseded.covers(&scope, attempt.try_number) {
-            return begin::Begin::Answer(not_run(refusal::RefusalReason::TrySuperseded));
+            return begin::BeginDecision::Answer(not_run(refusal::RefusalReason::TrySuperseded));
         }
         self.is_worn_out |= self.taken_keys() >= self.settings.max_tombstones;
         if self.is_worn_out {
             // No bar is needed: earlier tries are refused too, until the incarnation ends.
-            return begin::Begin::Answer(not_run(refusal::RefusalReason::KeyTableFull));
+            return begin::BeginDecision::Answer(not_run(refusal::RefusalReason::KeyTableFull));
         }
         if self.is_full() {
             let bar = superseded::Barred {
@@ -229,7 +237,7 @@
                 incarnation,
             };
             self.bar(&scope, bar);
-            return begin::Begin::Answer(not_run(refusal::RefusalReason::KeyTableFull));
+            return begin::BeginDecision::Answer(not_run(refusal::RefusalReason::KeyTableFull));
         }
         self.dispatch(scope, incarnation, attempt)
     }
@@ -239,7 +247,7 @@
         scope: scope::Scope,
         incarnation: ids::Incarnation,
         attempt: &attempt::Attempt,
-    ) -> begin::Begin<A> {
+    ) -> begin::BeginDecision<A> {
         // Two dispatches of one key run a booking twice. The callers have looked the key up; this
         // stands for the day when one of them is changed.
         if self.records.get(&scope).is_some() || self.tombstones.contains(scope.digest()) {
@@ -259,13 +267,13 @@
             },
         };
         self.records.insert(scope.clone(), record);
-        begin::Begin::Dispatch(permit::DispatchPermit::new(scope, serial))
+        begin::BeginDecision::Dispatch(permit::DispatchPermit::new(scope, serial))
     }
 
-    fn refuse_unsafe(&mut self) -> begin::Begin<A> {
+    fn refuse_unsafe(&mut self) -> begin::BeginDecision<A> {
         self.broken_invariants += 1;
         debug_assert!(false, "a key would be dispatched twice");
-        begin::Begin::Answer(outcome::Outcome::unknown(
+        begin::BeginDecision::Answer(outcome::Outcome::unknown(
             refusal::RefusalReason::InternalInvariant,
         ))
     }
--- a/crates/damaskvane-dispatch/src/model/run.rs
+++ b/crates/damaskvane-dispatch/src/model/run.rs
@@ -243,12 +243,12 @@
         let attempt = self.attempt(trial);
         let now = self.now;
         match self.instances[at].table.begin(now, &attempt) {
-            home::Begin::Dispatch(permit) => self.dispatch(at, trial, permit),
-            home::Begin::Join(waiter) => {
+            home::BeginDecision::Dispatch(permit) => self.dispatch(at, trial, permit),
+            home::BeginDecision::Join(waiter) => {
                 self.instances[at].waiters.insert(waiter, trial);
             }
-            home::Begin::Answer(outcome) => self.answer(trial, outcome),
-            home::Begin::Forward(home) => self.forward(at, trial, &home, hops),
+            home::BeginDecision::Answer(outcome) => self.answer(trial, outcome),
+            home::BeginDecision::Forward(home) => self.forward(at, trial, &home, hops),
         }
     }
 
--- a/crates/damaskvane-dispatch/tests/handover.rs
+++ b/crates/damaskvane-dispatch/tests/handover.rs
@@ -28,8 +28,8 @@
         .collect()
 }
 
-fn is_replay(begin: &home::Begin<u64>) -> bool {
-    matches!(begin, home::Begin::Answer(outcome::Outcome::Completed(answer)) if *answer == ANSWER)
+fn is_replay(begin: &home::BeginDecision<u64>) -> bool {
+    matches!(begin, home::BeginDecision::Answer(outcome::Outcome::Completed(answer)) if *answer == ANSWER)
 }
 
 /// An entry instance is restarted as planned between a booking and its repeat. The successor gives the
@@ -43,7 +43,7 @@
     assert!(is_replay(&new.begin(at(3), &attempt("k", "a/1", 2))));
     drop(dispatch(&mut new, 3, &attempt("l", "a/1", 1)));
     let forwarded = old.begin(at(3), &attempt("m", "a/1", 1));
-    assert!(matches!(forwarded, home::Begin::Forward(home) if home == home_of("b/1")));
+    assert!(matches!(forwarded, home::BeginDecision::Forward(home) if home == home_of("b/1")));
 }
 
 /// The drain of an instance races a dispatch: the key is at a backend server while the table is handed
@@ -53,7 +53,7 @@
     let (mut old, mut new) = (table("a/1"), table("b/1"));
     let permit = dispatch(&mut old, 0, &attempt("k", "a/1", 1));
     let _ = hand_over(&mut old, &mut new, 2);
-    let home::Begin::Join(waiter) = new.begin(at(3), &attempt("k", "a/1", 2)) else {
+    let home::BeginDecision::Join(waiter) = new.begin(at(3), &attempt("k", "a/1", 2)) else {
         panic!("the key runs at the predecessor");
     };
     let _ = old.finish(at(4), permit, outcome::Outcome::Completed(ANSWER));
@@ -86,7 +86,7 @@
         assert!(new.accept_amendment(at(7), amendment).is_none());
     }
     let joined = new.begin(at(8), &attempt("k", "a/1", 3));
-    assert!(matches!(joined, home::Begin::Join(_)), "{joined:?}");
+    assert!(matches!(joined, home::BeginDecision::Join(_)), "{joined:?}");
 }
 
 /// The leaving instance is killed in the middle of its handover. A key that is in no part so far may
@@ -174,7 +174,7 @@
     restarted.record_successor(at(7), home_of("a/1"), home_of("b/1"));
     restarted.record_successor(at(7), home_of("b/1"), home_of("c/1"));
     let forwarded = restarted.begin(at(8), &attempt("k", "a/1", 2));
-    assert!(matches!(forwarded, home::Begin::Forward(home) if home == home_of("c/1")));
+    assert!(matches!(forwarded, home::BeginDecision::Forward(home) if home == home_of("c/1")));
 }
 
 /// The departed instance is back under its old address, and a client of its predecessor comes to it. It
@@ -190,7 +190,7 @@
         restarted.record_successor(at(2), departed.clone(), successor.clone());
     }
     let forwarded = restarted.begin(at(3), &attempt("k", "a/1", 2));
-    assert!(matches!(forwarded, home::Begin::Forward(home) if home == home_of("b/1")));
+    assert!(matches!(forwarded, home::BeginDecision::Forward(home) if home == home_of("b/1")));
 }
 
 /// A key is older than the window when its home leaves. The successor has to know that it was taken.
--- a/crates/damaskvane-dispatch/tests/home.rs
+++ b/crates/damaskvane-dispatch/tests/home.rs
@@ -21,7 +21,7 @@
     assert!(
         matches!(
             repeat,
-            home::Begin::Answer(outcome::Outcome::Completed(ANSWER))
+            home::BeginDecision::Answer(outcome::Outcome::Completed(ANSWER))
         ),
         "{repeat:?}"
     );
@@ -36,7 +36,7 @@
     let mut joined = Vec::new();
     for try_number in 2..=3 {
         match table.begin(at(1), &attempt("k", "a/1", try_number)) {
-            home::Begin::Join(waiter) => joined.push(waiter),
+            home::BeginDecision::Join(waiter) => joined.push(waiter),
             other => panic!("no join: {other:?}"),
         }
     }
@@ -76,7 +76,7 @@
         Some(refusal::RefusalReason::HomeRestarted)
     );
     let elsewhere = table.begin(at(0), &attempt("k", "b/1", 1));
-    assert!(matches!(elsewhere, home::Begin::Forward(home) if home == home_of("b/1")));
+    assert!(matches!(elsewhere, home::BeginDecision::Forward(home) if home == home_of("b/1")));
 }
 
 /// A try comes back after the outcome was dropped. Taken for a new key it would run again, and *not
@@ -135,7 +135,7 @@
         let repeat = table.begin(at(3), &attempt("k", "a/1", 2));
         assert!(matches!(
             repeat,
-            home::Begin::Answer(outcome::Outcome::Completed(ANSWER))
+            home::BeginDecision::Answer(outcome::Outcome::Completed(ANSWER))
         ));
     }
 }
@@ -161,7 +161,7 @@
     let permit = dispatch(&mut table, 0, &attempt("k", "a/1", 1));
     assert!(matches!(
         table.begin(at(1), &attempt("k", "a/1", 2)),
-        home::Begin::Join(_)
+        home::BeginDecision::Join(_)
     ));
     let given_up = table.expire(at(60_000));
     assert_eq!(given_up.len(), 1);
@@ -172,7 +172,7 @@
     let known = table.begin(at(60_003), &attempt("k", "a/1", 4));
     assert!(matches!(
         known,
-        home::Begin::Answer(outcome::Outcome::Completed(ANSWER))
+        home::BeginDecision::Answer(outcome::Outcome::Completed(ANSWER))
     ));
 }
 
--- a/crates/damaskvane-dispatch/tests/support/keys.rs
+++ b/crates/damaskvane-dispatch/tests/support/keys.rs
@@ -36,14 +36,14 @@
 
 pub fn dispatch(table: &mut Table, now_ms: u64, attempt: &home::Attempt) -> home::DispatchPermit {
     match table.begin(at(now_ms), attempt) {
-        home::Begin::Dispatch(permit) => permit,
+        home::BeginDecision::Dispatch(permit) => permit,
         other => panic!("no dispatch: {other:?}"),
     }
 }
 
-pub fn reason(begin: &home::Begin<u64>) -> Option<refusal::RefusalReason> {
+pub fn reason(begin: &home::BeginDecision<u64>) -> Option<refusal::RefusalReason> {
     match begin {
-        home::Begin::Answer(outcome) => outcome.reason(),
+        home::BeginDecision::Answer(outcome) => outcome.reason(),
         _ => None,
     }
 }
--- a/crates/damaskvane-dispatch/tests/support/small_world.rs
+++ b/crates/damaskvane-dispatch/tests/support/small_world.rs
@@ -209,18 +209,18 @@
     fn begin(&mut self, entry: usize, key: usize, number: u32) {
         let attempt = attempt(KEYS[key], HOMES[0], number);
         match self.tables[entry].begin(at(self.now_ms), &attempt) {
-            home::Begin::Dispatch(permit) => self.flights.push(Flight {
+            home::BeginDecision::Dispatch(permit) => self.flights.push(Flight {
                 entry,
                 key,
                 number,
                 permit: Some(permit),
                 is_over: false,
             }),
-            home::Begin::Join(waiter) => {
+            home::BeginDecision::Join(waiter) => {
                 self.waiters.insert((entry, waiter), (key, number));
             }
-            home::Begin::Answer(outcome) => self.check_answer(key, number, &outcome),
-            home::Begin::Forward(home) => {
+            home::BeginDecision::Answer(outcome) => self.check_answer(key, number, &outcome),
+            home::BeginDecision::Forward(home) => {
                 let entry = usize::from(home.instance == home_of(HOMES[1]).instance);
                 let message = Message::Try { entry, key, number };
                 self.network.push((message, 1));
--- a/crates/damaskvane-engine/src/engine/submit.rs
+++ b/crates/damaskvane-engine/src/engine/submit.rs
@@ -39,19 +39,21 @@
             time_left: deadline.time_left(now),
         };
         match self.keys.begin(now, &attempt) {
-            home::Begin::Dispatch(permit) => {
+            home::BeginDecision::Dispatch(permit) => {
                 let received =
                     exchange::Received::keyed(request.request_id.clone(), deadline, permit);
                 self.enqueue(now, origin, request, received);
             }
-            home::Begin::Join(waiter) => {
+            home::BeginDecision::Join(waiter) => {
                 let scope = home::Scope::new(attempt.home.instance, attempt.key);
                 let stage = Stage::Joined { scope, waiter };
                 let id = self.insert(origin, request, deadline, stage);
                 self.waiters.insert(waiter, id);
             }
-            home::Begin::Answer(outcome) => self.answer(Some(origin), outcome),
-            home::Begin::Forward(home) => self.forward(now, origin, request, deadline, home, hops),
+            home::BeginDecision::Answer(outcome) => self.answer(Some(origin), outcome),
+            home::BeginDecision::Forward(home) => {
+                self.forward(now, origin, request, deadline, home, hops)
+            }
         }
     }
 
