--- a/crates/damaskvane-dispatch/src/home.rs
+++ b/crates/damaskvane-dispatch/src/home.rs
@@ -59,7 +59,7 @@
 mod transfer;
 
 pub use attempt::Attempt;
-pub use begin::{BeginDecision, Finish};
+pub use begin::{BeginDecision, FinishedKey};
 pub use error::HandoverError;
 pub use handover::{HandoverPart, HandoverRecord, HandoverState};
 pub use name::{Home, ParseHomeError};
--- a/crates/damaskvane-dispatch/src/home/begin.rs
+++ b/crates/damaskvane-dispatch/src/home/begin.rs
@@ -31,7 +31,7 @@
 /// An outcome with those who wait for it.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
-pub struct Finish<A> {
+pub struct FinishedKey<A> {
     /// The outcome to answer with.
     pub outcome: outcome::Outcome<A>,
     /// Tries that joined the one that ran.
--- a/crates/damaskvane-dispatch/src/home/expiry.rs
+++ b/crates/damaskvane-dispatch/src/home/expiry.rs
@@ -12,7 +12,7 @@
         &mut self,
         scope: scope::Scope,
         record: record::Record<A>,
-    ) -> begin::Finish<A> {
+    ) -> begin::FinishedKey<A> {
         let outcome = outcome::Outcome::unknown(refusal::RefusalReason::OutcomeLost);
         let mut waiters = Vec::new();
         if let record::State::Running {
@@ -27,7 +27,7 @@
         };
         self.records
             .insert(scope, record::Record { state, ..record });
-        begin::Finish { outcome, waiters }
+        begin::FinishedKey { outcome, waiters }
     }
 
     pub(super) fn bury(&mut self, scope: &scope::Scope, incarnation: ids::Incarnation) {
--- a/crates/damaskvane-dispatch/src/home/table.rs
+++ b/crates/damaskvane-dispatch/src/home/table.rs
@@ -90,14 +90,14 @@
         now: time::TimeMs,
         permit: permit::DispatchPermit,
         outcome: outcome::Outcome<A>,
-    ) -> begin::Finish<A> {
+    ) -> begin::FinishedKey<A> {
         self.advance(now);
         let (scope, serial) = permit.into_parts();
         self.resolve(&scope, serial, outcome)
     }
 
     /// Gives up overdue outcomes as *unknown*, and drops what is older than its window.
-    pub fn expire(&mut self, now: time::TimeMs) -> Vec<begin::Finish<A>> {
+    pub fn expire(&mut self, now: time::TimeMs) -> Vec<begin::FinishedKey<A>> {
         self.advance(now);
         let mut finished = Vec::new();
         while let Some((scope, record)) = self.records.pop_due(self.now) {
@@ -283,7 +283,7 @@
         scope: &scope::Scope,
         serial: u64,
         outcome: outcome::Outcome<A>,
-    ) -> begin::Finish<A> {
+    ) -> begin::FinishedKey<A> {
         let is_open = self
             .records
             .get(scope)
@@ -295,7 +295,7 @@
         };
         let Some(record) = record else {
             // The outcome came after its window; the tombstone stays.
-            return begin::Finish {
+            return begin::FinishedKey {
                 outcome,
                 waiters: Vec::new(),
             };
@@ -323,7 +323,7 @@
             self.records
                 .insert(scope.clone(), record::Record { state, ..record });
         }
-        begin::Finish { outcome, waiters }
+        begin::FinishedKey { outcome, waiters }
     }
 
     fn outcome_to_keep(&self, outcome: &outcome::Outcome<A>) -> outcome::Outcome<A> {
--- a/crates/damaskvane-dispatch/src/home/transfer.rs
+++ b/crates/damaskvane-dispatch/src/home/transfer.rs
@@ -110,7 +110,7 @@
         &mut self,
         now: time::TimeMs,
         amendment: handover::HandoverRecord<A>,
-    ) -> Option<begin::Finish<A>> {
+    ) -> Option<begin::FinishedKey<A>> {
         self.advance(now);
         let handover::HandoverState::Done { outcome, .. } = amendment.state else {
             return None;
--- a/crates/damaskvane-dispatch/src/model/run.rs
+++ b/crates/damaskvane-dispatch/src/model/run.rs
@@ -299,7 +299,7 @@
         self.send_amendments(at);
     }
 
-    pub(super) fn answer_waiters(&mut self, at: usize, finish: home::Finish<u64>) {
+    pub(super) fn answer_waiters(&mut self, at: usize, finish: home::FinishedKey<u64>) {
         for waiter in finish.waiters {
             if let Some(trial) = self.instances[at].waiters.remove(&waiter) {
                 self.answer(trial, finish.outcome.clone());
--- a/crates/damaskvane-dispatch/tests/handover.rs
+++ b/crates/damaskvane-dispatch/tests/handover.rs
@@ -20,7 +20,7 @@
     parts
 }
 
-fn amend(old: &mut Table, new: &mut Table, now_ms: u64) -> Vec<home::Finish<u64>> {
+fn amend(old: &mut Table, new: &mut Table, now_ms: u64) -> Vec<home::FinishedKey<u64>> {
     let amendments = old.take_amendments();
     amendments
         .into_iter()
--- a/crates/damaskvane-dispatch/tests/support/small_world.rs
+++ b/crates/damaskvane-dispatch/tests/support/small_world.rs
@@ -292,7 +292,7 @@
         }
     }
 
-    fn answer_waiters(&mut self, entry: usize, finish: home::Finish<u64>) {
+    fn answer_waiters(&mut self, entry: usize, finish: home::FinishedKey<u64>) {
         for waiter in finish.waiters {
             if let Some((key, number)) = self.waiters.remove(&(entry, waiter)) {
                 self.check_answer(key, number, &finish.outcome);
--- a/crates/damaskvane-engine/src/engine/answers.rs
+++ b/crates/damaskvane-engine/src/engine/answers.rs
@@ -36,7 +36,10 @@
         }
     }
 
-    pub(super) fn answer_waiters(&mut self, finish: home::Finish<Arc<message::BackendAnswer>>) {
+    pub(super) fn answer_waiters(
+        &mut self,
+        finish: home::FinishedKey<Arc<message::BackendAnswer>>,
+    ) {
         for waiter in finish.waiters {
             let Some(id) = self.waiters.remove(&waiter) else {
                 continue;
