--- a/crates/damaskvane-dispatch/src/home/records.rs
+++ b/crates/damaskvane-dispatch/src/home/records.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    pub(super) fn leave(&mut self, scope: &scope::Scope, waiter: permit::WaiterId) {
+    pub(super) fn remove_waiter(&mut self, scope: &scope::Scope, waiter: permit::WaiterId) {
         if let Some(record) = self.entries.get_mut(scope)
             && let record::State::Running { waiters, .. } = &mut record.state
         {
--- a/crates/damaskvane-dispatch/src/home/table.rs
+++ b/crates/damaskvane-dispatch/src/home/table.rs
@@ -114,8 +114,8 @@
     }
 
     /// Forgets a waiter whose client went away or whose deadline passed.
-    pub fn leave(&mut self, scope: &scope::Scope, waiter: permit::WaiterId) {
-        self.records.leave(scope, waiter);
+    pub fn remove_waiter(&mut self, scope: &scope::Scope, waiter: permit::WaiterId) {
+        self.records.remove_waiter(scope, waiter);
     }
 
     /// Notes who answers for a departed home, as its successor or a peer tells.
--- a/crates/damaskvane-engine/src/engine/answers.rs
+++ b/crates/damaskvane-engine/src/engine/answers.rs
@@ -130,7 +130,7 @@
                 self.finish(now, pending.origin, forwarded.lost());
             }
             Stage::Joined { scope, waiter } => {
-                self.keys.leave(&scope, waiter);
+                self.keys.remove_waiter(&scope, waiter);
                 self.waiters.remove(&waiter);
                 let unknown = outcome::Outcome::unknown(refusal::RefusalReason::DeadlinePassed);
                 self.answer(pending.origin, unknown);
--- a/crates/damaskvane-engine/src/engine/submit.rs
+++ b/crates/damaskvane-engine/src/engine/submit.rs
@@ -186,7 +186,7 @@
                 self.give_up(now, id, refusal::RefusalReason::ClientGone);
             }
             Stage::Joined { scope, waiter } => {
-                self.keys.leave(scope, *waiter);
+                self.keys.remove_waiter(scope, *waiter);
                 self.waiters.remove(waiter);
                 self.requests.remove(&id);
             }
