--- a/crates/damaskvane-dispatch/src/admission/queue.rs
+++ b/crates/damaskvane-dispatch/src/admission/queue.rs
@@ -106,7 +106,7 @@
     }
 
     /// Takes out the requests that need no answer from here any more.
-    pub fn withdraw(&mut self, is_over: impl Fn(&R) -> bool) {
+    pub fn remove_where(&mut self, is_over: impl Fn(&R) -> bool) {
         for lane in self.lanes.values_mut() {
             lane.take_where(|entry| is_over(&entry.waiting.request));
             if lane.len() == 0 {
--- a/crates/damaskvane-engine/src/engine/answers.rs
+++ b/crates/damaskvane-engine/src/engine/answers.rs
@@ -109,7 +109,7 @@
         reason: refusal::RefusalReason,
         retry_after: time::SpanMs,
     ) {
-        self.queue.withdraw(|queued| *queued == id);
+        self.queue.remove_where(|queued| *queued == id);
         self.held.retain(|held| *held != id);
         let Some(pending) = self.requests.remove(&id) else {
             return;
