--- a/crates/damaskvane-dispatch/src/connection.rs
+++ b/crates/damaskvane-dispatch/src/connection.rs
@@ -1,18 +1,18 @@
-//! Which failures of a connection count against the backend server behind it.
+//! Decides which connection failures count against the backend server.
 //!
-//! A connection can go silent for good because something between the two ends has lost track of it,
-//! while new ones work. Judged by it, a healthy server would be taken out, and one would see its share
-//! move to the others for no reason. A failure on a kept connection therefore asks for a fresh one
-//! first; only failures of fresh connections count, and one success clears them.
+//! A reused connection can stop delivering bytes for good because a device on its path has dropped its
+//! state, while new connections to the same server work. Counting such failures would remove a healthy
+//! server and move its share to the others. A failure on a reused connection therefore first leads to a
+//! retry on a new connection. Only failures of new connections count, and one success resets the count.
 //!
 //! ```
 //! use damaskvane_dispatch::connection;
 //!
 //! let mut health = connection::ServerHealth::default();
-//! let silent = connection::Failure::Timeout { on_new_connection: false };
-//! assert_eq!(health.record_failure(silent), connection::Action::RetryOnNewConnection);
-//! let silent = connection::Failure::Timeout { on_new_connection: true };
-//! assert_eq!(health.record_failure(silent), connection::Action::CountAsServerFailure);
+//! let timeout = connection::Failure::Timeout { on_new_connection: false };
+//! assert_eq!(health.record_failure(timeout), connection::Action::RetryOnNewConnection);
+//! let timeout = connection::Failure::Timeout { on_new_connection: true };
+//! assert_eq!(health.record_failure(timeout), connection::Action::CountAsServerFailure);
 //! ```
 
 mod failure;
--- a/crates/damaskvane-dispatch/src/connection/failure.rs
+++ b/crates/damaskvane-dispatch/src/connection/failure.rs
@@ -1,4 +1,4 @@
-//! How a connection fails, and what follows.
+//! Kinds of connection failures and the action that follows each.
 //!
 //! ```
 //! use damaskvane_dispatch::connection;
@@ -7,43 +7,43 @@
 //! assert_eq!(refused.action(), connection::Action::CountAsServerFailure);
 //! ```
 
-/// How a connection failed.
+/// A failure of a connection to a backend server, as seen by an entry instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// It could not be opened.
+    /// The connection could not be opened.
     Refused,
-    /// No byte within the time for one try.
+    /// No byte arrived within the time for one attempt.
     Timeout {
-        /// Whether it was opened for this exchange.
+        /// Whether the connection was opened for this exchange.
         on_new_connection: bool,
     },
-    /// Closed by the other end before the answer was whole.
+    /// The backend server closed the connection before the response was complete.
     Closed {
-        /// Whether it was opened for this exchange.
+        /// Whether the connection was opened for this exchange.
         on_new_connection: bool,
     },
-    /// The answer named another request.
+    /// The response named another request.
     MismatchedResponse,
-    /// The client went away or its deadline passed first; this instance abandoned the exchange.
+    /// This instance abandoned the exchange: the client disconnected or its deadline passed first.
     Abandoned,
-    /// The backend server refused before running: it sheds load and is healthy.
+    /// The backend server rejected the request before running it; it sheds load and is healthy.
     Shed,
 }
 
-/// What follows from a failure. Except after [`Failure::Shed`], the connection is never used again.
+/// The action after a failure. Except after [`Failure::Shed`], the connection is never used again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 pub enum Action {
-    /// Nothing is known about the server; open a fresh connection before judging.
+    /// The failure may be the connection's alone; retry on a new connection before counting it.
     RetryOnNewConnection,
     /// The failure counts against the server.
     CountAsServerFailure,
-    /// It says nothing about the server.
+    /// The failure does not affect the health of the server.
     Ignore,
 }
 
 impl Failure {
-    /// What follows from the failure.
+    /// Returns the action that follows the failure.
     pub const fn action(self) -> Action {
         match self {
             Self::Timeout {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether the connection may carry another exchange.
+    /// Returns whether the connection may carry another exchange after the failure.
     #[must_use]
     pub const fn is_connection_reusable(self) -> bool {
         matches!(self, Self::Shed)
--- a/crates/damaskvane-dispatch/src/connection/health.rs
+++ b/crates/damaskvane-dispatch/src/connection/health.rs
@@ -1,4 +1,4 @@
-//! What an instance itself has seen of a backend server.
+//! Health of a backend server, from the connections of one entry instance.
 //!
 //! ```
 //! use damaskvane_dispatch::connection;
@@ -8,17 +8,17 @@
 
 use crate::connection::failure;
 
-/// Failures in a row of fresh connections after which a server is suspect.
+/// Consecutive failures of new connections after which a server is suspect.
 const FAILURES_TO_SUSPECT: u32 = 3;
 
-/// Failures of fresh connections since the last success.
+/// Counts failures of new connections to one backend server since its last complete response.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServerHealth {
     failures: u32,
 }
 
 impl ServerHealth {
-    /// Notes a failure and says what to do next.
+    /// Records a failure and returns the action that follows.
     pub fn record_failure(&mut self, failure: failure::Failure) -> failure::Action {
         let action = failure.action();
         if action == failure::Action::CountAsServerFailure {
@@ -27,12 +27,16 @@
         action
     }
 
-    /// Notes a whole answer, of whatever status: errors that come at once are the service's own.
+    /// Records a complete response of any status.
+    ///
+    /// An error status that arrives at once is an error of the service, not of its server.
     pub const fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// Whether to prefer other servers; how many may be left out at once is the slots' rule.
+    /// Returns whether other servers are to be preferred.
+    ///
+    /// How many servers may be left out at once is decided by the slots.
     #[must_use]
     pub const fn is_suspect(&self) -> bool {
         self.failures >= FAILURES_TO_SUSPECT
--- a/crates/damaskvane-dispatch/src/deadline.rs
+++ b/crates/damaskvane-dispatch/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadlines, which travel as the time left.
+//! Deadlines of requests, sent between processes as the remaining time.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -11,27 +11,27 @@
 
 use damaskvane_core::time;
 
-/// The point of this process's clock at which an answer has no use any more.
+/// The time on this process's clock after which the client no longer uses a response.
 ///
-/// Clocks of two processes are not compared: a step of one would make requests live for ever or die
-/// on arrival. The span that is left travels instead, and the way costs it nothing but its delay.
+/// Clocks of two processes are not compared: a step of one clock would make requests live for ever or
+/// expire on arrival. Messages carry the remaining time instead; the only error is the network delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Deadline(time::TimeMs);
 
 impl Deadline {
-    /// The deadline of a request that arrived now with some time left.
+    /// Returns the deadline of a request that arrived at `now` with `time_left` remaining.
     #[must_use]
     pub fn after(now: time::TimeMs, time_left: time::SpanMs) -> Self {
         Self(now + time_left)
     }
 
-    /// What to send on as the time left.
+    /// Returns the remaining time, to be sent with the request; zero once the deadline has passed.
     #[must_use]
     pub const fn time_left(self, now: time::TimeMs) -> time::SpanMs {
         self.0.since(now)
     }
 
-    /// Whether no time is left.
+    /// Returns whether the deadline has passed.
     #[must_use]
     pub fn is_past(self, now: time::TimeMs) -> bool {
         self.0 <= now
--- a/crates/damaskvane-dispatch/src/drain.rs
+++ b/crates/damaskvane-dispatch/src/drain.rs
@@ -1,7 +1,8 @@
-//! A backend server's life cycle as an entry instance sees it.
+//! The life cycle of a backend server, as tracked by an entry instance.
 //!
-//! A cold backend server starts slowly and warms up; a draining one takes no new work from the moment
-//! the drain is adopted, and is drained once nothing runs on it.
+//! A cold backend server receives a small share of requests, which grows during its warm-up. A draining
+//! server receives no new requests from the moment the drain takes effect, and is drained once no
+//! request runs on it.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-dispatch/src/drain/lifecycle.rs
+++ b/crates/damaskvane-dispatch/src/drain/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A backend server in whichever state it is, for tables of them.
+//! A backend server in any state of its life cycle, as a value for collections of servers.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -15,33 +15,33 @@
 
 use crate::drain::{server, settings, state};
 
-/// One backend server with its state.
+/// The life cycle state of one backend server.
 #[derive(Debug, Clone, Copy)]
 pub enum Lifecycle {
-    /// Just started.
+    /// The server has just started and warms up.
     Cold(server::Server<state::Cold>),
-    /// Takes its whole share.
+    /// The server receives its full share of requests.
     Active(server::Server<state::Active>),
-    /// Takes no new work.
+    /// The server receives no new requests; running ones finish.
     Draining(server::Server<state::Draining>),
-    /// Nothing runs on it.
+    /// No request runs on the server.
     Drained(server::Server<state::Drained>),
 }
 
 impl Lifecycle {
-    /// A backend server that has just started.
+    /// Returns the state of a backend server that has just started.
     #[must_use]
     pub const fn cold(now: time::TimeMs) -> Self {
         Self::Cold(server::Server::new(now))
     }
 
-    /// A backend server that was running before this instance started.
+    /// Returns the state of a backend server that was running before this instance started.
     #[must_use]
     pub const fn active(now: time::TimeMs) -> Self {
         Self::Active(server::Server::already_warm(now))
     }
 
-    /// Its share of the work; none if it takes no new work.
+    /// Returns the server's share of requests, or `None` if the server receives no new ones.
     #[must_use]
     pub fn share(
         &self,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Adopts a drain; one that is adopted again changes nothing.
+    /// Starts a drain; has no effect if the server is draining or drained already.
     pub fn drain(&mut self, now: time::TimeMs) {
         match *self {
             Self::Cold(server) => *self = Self::Draining(server.drain(now)),
@@ -64,14 +64,14 @@
         }
     }
 
-    /// Adopts the end of a drain, when the backend server was restarted.
+    /// Ends a drain after the backend server was restarted; the server is cold again.
     pub fn resume(&mut self, now: time::TimeMs) {
         if matches!(self, Self::Draining(_) | Self::Drained(_)) {
             *self = Self::cold(now);
         }
     }
 
-    /// Moves on when the warm-up is over or nothing runs any more.
+    /// Moves to the next state once the warm-up is over or, in a drain, `running` is zero.
     pub fn advance(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-dispatch/src/drain/server.rs
+++ b/crates/damaskvane-dispatch/src/drain/server.rs
@@ -1,4 +1,4 @@
-//! A backend server in one state.
+//! A backend server whose life cycle state is part of its type.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -15,9 +15,9 @@
 
 use crate::drain::{settings, state};
 
-const WHOLE_SHARE: u32 = 1_000;
+const FULL_SHARE_PERMILLE: u32 = 1_000;
 
-/// A backend server; only a cold or an active one has a share of the work.
+/// A backend server in state `S`; only a cold or active server receives new requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Server<S> {
     since: time::TimeMs,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Since when it has been in this state.
+    /// Returns the time at which the server entered this state.
     #[must_use]
     pub const fn since(&self) -> time::TimeMs {
         self.since
@@ -40,27 +40,27 @@
 }
 
 impl Server<state::Cold> {
-    /// A backend server that has just started.
+    /// Returns a backend server that started at `now`.
     #[must_use]
     pub const fn new(now: time::TimeMs) -> Self {
         Self::in_state(now)
     }
 
-    /// Its share of the work, which grows evenly over the warm-up.
+    /// Returns the server's share of requests, which grows linearly over the warm-up.
     #[must_use]
     pub fn share(&self, now: time::TimeMs, settings: &settings::WarmUpSettings) -> units::Permille {
-        let first = settings.first_share_permille.min(WHOLE_SHARE);
-        let rise = u64::from(WHOLE_SHARE - first);
+        let first = settings.first_share_permille.min(FULL_SHARE_PERMILLE);
+        let rise = u64::from(FULL_SHARE_PERMILLE - first);
         let elapsed_ms = now.since(self.since).get().min(settings.warm_up_ms);
         let grown = rise * elapsed_ms / settings.warm_up_ms.max(1);
-        units::Permille::new(first + u32::try_from(grown).unwrap_or(WHOLE_SHARE - first))
+        units::Permille::new(first + u32::try_from(grown).unwrap_or(FULL_SHARE_PERMILLE - first))
     }
 
-    /// The warm-up is over.
+    /// Returns the active server, once the warm-up is over.
     ///
     /// # Errors
     ///
-    /// The unchanged server, while the warm-up lasts.
+    /// Returns the unchanged server while the warm-up lasts.
     pub fn warm(
         self,
         now: time::TimeMs,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The drain was adopted.
+    /// Returns the server in its draining state, from `now` on.
     #[must_use]
     pub const fn drain(self, now: time::TimeMs) -> Server<state::Draining> {
         Server::in_state(now)
@@ -81,13 +81,13 @@
 }
 
 impl Server<state::Active> {
-    /// A backend server that was running before this instance started.
+    /// Returns a backend server that was running before this instance started.
     #[must_use]
     pub const fn already_warm(now: time::TimeMs) -> Self {
         Self::in_state(now)
     }
 
-    /// The drain was adopted.
+    /// Returns the server in its draining state, from `now` on.
     #[must_use]
     pub const fn drain(self, now: time::TimeMs) -> Server<state::Draining> {
         Server::in_state(now)
@@ -95,11 +95,11 @@
 }
 
 impl Server<state::Draining> {
-    /// Drained, once nothing runs.
+    /// Returns the drained server, once no request runs on it.
     ///
     /// # Errors
     ///
-    /// The unchanged server, while something runs.
+    /// Returns the unchanged server while `running` is not zero.
     pub fn finished(
         self,
         now: time::TimeMs,
@@ -114,7 +114,7 @@
 }
 
 impl Server<state::Drained> {
-    /// The backend server was restarted and takes work again.
+    /// Returns the server in its cold state, after a restart.
     #[must_use]
     pub const fn restarted(self, now: time::TimeMs) -> Server<state::Cold> {
         Server::in_state(now)
--- a/crates/damaskvane-dispatch/src/drain/settings.rs
+++ b/crates/damaskvane-dispatch/src/drain/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a cold start.
+//! Settings of a backend server's warm-up.
 //!
 //! ```
 //! use damaskvane_dispatch::drain;
@@ -8,13 +8,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How fast the share of a cold backend server grows.
+/// Duration of the warm-up and the share of requests at its start.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WarmUpSettings {
-    /// How long a backend server is cold.
+    /// Duration of the warm-up in milliseconds, from the start of the backend server.
     pub warm_up_ms: u64,
-    /// The share that it starts with, in thousandths of its whole one.
+    /// Share of requests at the start of the warm-up, in thousandths of the full share.
     pub first_share_permille: u32,
 }
 
--- a/crates/damaskvane-dispatch/src/drain/state.rs
+++ b/crates/damaskvane-dispatch/src/drain/state.rs
@@ -1,4 +1,4 @@
-//! The states of a backend server.
+//! Marker types for the life cycle states of a backend server.
 //!
 //! ```
 //! use damaskvane_dispatch::drain;
@@ -6,18 +6,18 @@
 //! fn takes_work(_server: &drain::Server<drain::Active>) {}
 //! ```
 
-/// Just started: its caches are empty, so that its share grows step by step.
+/// The server has just started; its caches are empty, so its share of requests grows gradually.
 #[derive(Debug, Clone, Copy)]
 pub struct Cold;
 
-/// Takes its whole share of work.
+/// The server receives its full share of requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Active;
 
-/// Takes no new work; what runs is let finish.
+/// The server receives no new requests; running requests finish.
 #[derive(Debug, Clone, Copy)]
 pub struct Draining;
 
-/// Nothing runs on it.
+/// No request runs on the server.
 #[derive(Debug, Clone, Copy)]
 pub struct Drained;
