--- a/crates/damaskvane-dispatch/src/admission.rs
+++ b/crates/damaskvane-dispatch/src/admission.rs
@@ -1,7 +1,7 @@
-//! Admission by priority and age under overload, fair between services.
+//! Admission of requests by priority and age under overload, fair between services.
 //!
-//! A request that can't be served in time is given up at once, with a retry-after worked out from the
-//! rate at which the queue drains; it is never held until near its deadline.
+//! A request that can't be served in time is rejected at once, rather than held until near its deadline.
+//! The retry-after of the response is computed from the rate at which the queue drains.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -21,11 +21,11 @@
 //! ```
 
 mod drain_rate;
-mod lane;
 mod priority;
 mod queue;
 mod queued_request;
 mod rejected;
+mod service_queue;
 mod settings;
 
 pub use priority::{ParsePriorityError, Priority};
--- a/crates/damaskvane-dispatch/src/admission/drain_rate.rs
+++ b/crates/damaskvane-dispatch/src/admission/drain_rate.rs
@@ -1,14 +1,15 @@
-//! How fast a service's queue drains.
+//! Estimates the time in which the queue of one service drains.
 
 use damaskvane_core::time;
 
-/// How long requests must have been waiting before departures say anything about the rate: a queue
-/// that is mostly empty drains as slowly as requests arrive.
-const MIN_EVIDENCE_MS: u64 = 500;
-/// What is older than about this counts half.
+/// Minimum time that the queue must have been non-empty before its rate is used: a queue that is
+/// mostly empty drains only as fast as requests arrive.
+const MIN_SAMPLE_MS: u64 = 500;
+/// Longest sample in milliseconds; a longer one is scaled down to half this length, so that recent
+/// departures weigh more.
 const WINDOW_MS: u64 = 1_000;
 
-/// Departures since requests began to wait.
+/// Counts departures since the queue was last empty.
 #[derive(Debug, Default)]
 pub(super) struct DrainRate {
     waiting_since: Option<time::TimeMs>,
@@ -16,15 +17,15 @@
 }
 
 impl DrainRate {
-    pub(super) fn note_waiting(&mut self, now: time::TimeMs) {
+    pub(super) fn record_waiting(&mut self, now: time::TimeMs) {
         self.waiting_since.get_or_insert(now);
     }
 
-    pub(super) fn note_empty(&mut self) {
+    pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
 
-    pub(super) fn note_departure(&mut self, now: time::TimeMs) {
+    pub(super) fn record_departure(&mut self, now: time::TimeMs) {
         self.departures += 1;
         let elapsed_ms = self.elapsed_ms(now);
         if elapsed_ms > WINDOW_MS {
@@ -35,11 +36,13 @@
         }
     }
 
-    /// The time in which so many requests drain, once there is evidence; none drained counts as one.
-    pub(super) fn time_for(&self, now: time::TimeMs, requests: usize) -> Option<time::SpanMs> {
+    /// Returns the time in which `requests` requests drain, or `None` while the sample is too short.
+    ///
+    /// A sample without departures counts as one departure.
+    pub(super) fn time_to_drain(&self, now: time::TimeMs, requests: usize) -> Option<time::SpanMs> {
         let elapsed_ms = self.elapsed_ms(now);
         let drains_in_ms = requests as u64 * elapsed_ms / self.departures.max(1);
-        (elapsed_ms >= MIN_EVIDENCE_MS).then(|| time::SpanMs::new(drains_in_ms))
+        (elapsed_ms >= MIN_SAMPLE_MS).then(|| time::SpanMs::new(drains_in_ms))
     }
 
     fn elapsed_ms(&self, now: time::TimeMs) -> u64 {
--- a/crates/damaskvane-dispatch/src/admission/priority.rs
+++ b/crates/damaskvane-dispatch/src/admission/priority.rs
@@ -1,4 +1,4 @@
-//! How urgent a request is.
+//! The priority of a request.
 //!
 //! ```
 //! use damaskvane_dispatch::admission;
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How urgent a request is; the more urgent one is less.
+/// The priority of a request; the more urgent priority orders before the less urgent one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
@@ -19,11 +19,11 @@
     /// Served after high.
     #[default]
     Normal,
-    /// Served last, given up first.
+    /// Served last, rejected first.
     Low,
 }
 
-/// a priority is high, normal or low; leave the header out for normal
+/// the priority must be high, normal or low; omit the header for normal
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParsePriorityError;
 
--- a/crates/damaskvane-dispatch/src/admission/queue.rs
+++ b/crates/damaskvane-dispatch/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The admission queue.
+//! The admission queue of an entry instance, with one queue per service.
 //!
 //! ```
 //! use damaskvane_dispatch::admission;
@@ -11,156 +11,166 @@
 
 use damaskvane_core::{ids, time};
 
-use crate::admission::{lane, queued_request, rejected, settings};
+use crate::admission::{queued_request, rejected, service_queue, settings};
 use crate::refusal;
 
-/// Waiting requests of every service; the services take turns.
+/// Queued requests of all services; the services are served in turn.
 #[derive(Debug)]
 pub struct Queue<R> {
     settings: settings::QueueSettings,
-    lanes: collections::BTreeMap<ids::ServiceId, lane::Lane<R>>,
+    service_queues: collections::BTreeMap<ids::ServiceId, service_queue::ServiceQueue<R>>,
     last_served: Option<ids::ServiceId>,
     next_serial: u64,
 }
 
 impl<R> Queue<R> {
-    /// An empty queue.
+    /// Returns an empty queue.
     #[must_use]
     pub const fn new(settings: settings::QueueSettings) -> Self {
         Self {
             settings,
-            lanes: collections::BTreeMap::new(),
+            service_queues: collections::BTreeMap::new(),
             last_served: None,
             next_serial: 0,
         }
     }
 
-    /// Adds a request; returns who is given up for it, which may be itself.
+    /// Adds a request and returns the requests rejected as a result, which may include the new one.
     pub fn push(
         &mut self,
         now: time::TimeMs,
-        waiting: queued_request::QueuedRequest<R>,
+        request: queued_request::QueuedRequest<R>,
     ) -> Vec<rejected::Rejected<R>> {
         let serial = self.next_serial;
         self.next_serial += 1;
-        let service = waiting.service.clone();
-        let lane = self
-            .lanes
+        let service = request.service.clone();
+        let service_queue = self
+            .service_queues
             .entry(service.clone())
-            .or_insert_with(lane::Lane::new);
-        lane.rate.note_waiting(now);
-        lane.push(
+            .or_insert_with(service_queue::ServiceQueue::new);
+        service_queue.rate.record_waiting(now);
+        service_queue.push(
             serial,
-            lane::Entry {
-                waiting,
+            service_queue::Entry {
+                queued: request,
                 since: now,
             },
         );
-        let mut given_up = self.expire(now);
-        given_up.extend(self.shed(now, &service));
-        given_up
+        let mut rejected = self.expire(now);
+        rejected.extend(self.shed(now, &service));
+        rejected
     }
 
-    /// Takes the next request of a service that has a free slot.
+    /// Removes and returns the next request of a service that has a free slot.
     pub fn pop(
         &mut self,
         now: time::TimeMs,
         has_slot: impl Fn(&ids::ServiceId) -> bool,
     ) -> Option<R> {
         let service = self.next_service(has_slot)?;
-        let lane = self.lanes.get_mut(&service)?;
-        let entry = lane.pop_first()?;
-        lane.rate.note_departure(now);
-        if lane.len() == 0 {
-            lane.rate.note_empty();
+        let service_queue = self.service_queues.get_mut(&service)?;
+        let entry = service_queue.pop_first()?;
+        service_queue.rate.record_departure(now);
+        if service_queue.len() == 0 {
+            service_queue.rate.reset();
         }
         self.last_served = Some(service);
-        Some(entry.waiting.request)
+        Some(entry.queued.request)
     }
 
-    /// Gives up the requests that have waited too long or would not finish in time.
+    /// Rejects the requests that have waited too long or have too little time left to run.
     pub fn expire(&mut self, now: time::TimeMs) -> Vec<rejected::Rejected<R>> {
         let max_wait = time::SpanMs::new(self.settings.max_wait_ms);
         let min_run = time::SpanMs::new(self.settings.min_run_ms);
-        let is_short = |entry: &lane::Entry<R>| entry.waiting.deadline.time_left(now) < min_run;
-        let mut given_up = Vec::new();
-        for lane in self.lanes.values_mut() {
-            let over = lane.take_where(|entry| is_short(entry) || entry.since + max_wait <= now);
-            for entry in over {
-                let reason = if is_short(&entry) {
+        let has_short_deadline =
+            |entry: &service_queue::Entry<R>| entry.queued.deadline.time_left(now) < min_run;
+        let mut rejected = Vec::new();
+        for service_queue in self.service_queues.values_mut() {
+            let removed = service_queue
+                .remove_where(|entry| has_short_deadline(entry) || entry.since + max_wait <= now);
+            for entry in removed {
+                let reason = if has_short_deadline(&entry) {
                     refusal::RefusalReason::DeadlineTooShort
                 } else {
                     refusal::RefusalReason::QueueTimeout
                 };
-                given_up.push(rejected::Rejected {
-                    request: entry.waiting.request,
+                rejected.push(rejected::Rejected {
+                    request: entry.queued.request,
                     reason,
-                    retry_after: retry_after(&self.settings, lane, reason, now),
+                    retry_after: retry_after(&self.settings, service_queue, reason, now),
                 });
             }
-            if lane.len() == 0 {
-                lane.rate.note_empty();
+            if service_queue.len() == 0 {
+                service_queue.rate.reset();
             }
         }
-        given_up
+        rejected
     }
 
-    /// Takes out the requests that need no answer from here any more.
-    pub fn remove_where(&mut self, is_over: impl Fn(&R) -> bool) {
-        for lane in self.lanes.values_mut() {
-            lane.take_where(|entry| is_over(&entry.waiting.request));
-            if lane.len() == 0 {
-                lane.rate.note_empty();
+    /// Removes the requests for which `predicate` holds, for instance because they were answered.
+    pub fn remove_where(&mut self, predicate: impl Fn(&R) -> bool) {
+        for service_queue in self.service_queues.values_mut() {
+            service_queue.remove_where(|entry| predicate(&entry.queued.request));
+            if service_queue.len() == 0 {
+                service_queue.rate.reset();
             }
         }
     }
 
-    /// How many requests wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.lanes.values().map(lane::Lane::len).sum()
+        self.service_queues
+            .values()
+            .map(service_queue::ServiceQueue::len)
+            .sum()
     }
 
-    /// Whether none waits.
+    /// Returns whether no request is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Gives up at once what can't drain within the longest wait, so that nobody waits for nothing.
+    /// Rejects one request if the queue is full or can't drain within the longest wait.
+    ///
+    /// The request would time out in the queue otherwise, and its client would wait in vain.
     fn shed(
         &mut self,
         now: time::TimeMs,
         service: &ids::ServiceId,
     ) -> Option<rejected::Rejected<R>> {
-        let lane = self.lanes.get_mut(service)?;
-        let is_full = lane.len() > self.settings.max_waiting;
-        let drains_in = lane.rate.time_for(now, lane.len());
-        let is_hopeless =
+        let service_queue = self.service_queues.get_mut(service)?;
+        let is_full = service_queue.len() > self.settings.max_waiting;
+        let drains_in = service_queue.rate.time_to_drain(now, service_queue.len());
+        let exceeds_max_wait =
             drains_in.is_some_and(|time| time > time::SpanMs::new(self.settings.max_wait_ms));
-        if !is_full && !is_hopeless {
+        if !is_full && !exceeds_max_wait {
             return None;
         }
-        let entry = lane.pop_last()?;
+        let entry = service_queue.pop_last()?;
         let reason = if is_full {
             refusal::RefusalReason::QueueFull
         } else {
             refusal::RefusalReason::Overloaded
         };
         Some(rejected::Rejected {
-            request: entry.waiting.request,
+            request: entry.queued.request,
             reason,
-            retry_after: retry_after(&self.settings, lane, reason, now),
+            retry_after: retry_after(&self.settings, service_queue, reason, now),
         })
     }
 
-    /// The first service after the one served last: a flood for one must not starve the others.
+    /// Returns the next ready service in turn, so that a flood for one service can't starve the others.
     fn next_service(&self, has_slot: impl Fn(&ids::ServiceId) -> bool) -> Option<ids::ServiceId> {
         let is_ready = |service: &&ids::ServiceId| {
-            self.lanes.get(*service).is_some_and(|lane| lane.len() > 0) && has_slot(service)
+            self.service_queues
+                .get(*service)
+                .is_some_and(|service_queue| service_queue.len() > 0)
+                && has_slot(service)
         };
         let is_later = |service: &&ids::ServiceId| Some(*service) > self.last_served.as_ref();
-        let mut ready = self.lanes.keys().filter(is_ready);
+        let mut ready = self.service_queues.keys().filter(is_ready);
         let first = ready.clone().next();
         ready.find(is_later).or(first).cloned()
     }
@@ -168,13 +178,16 @@
 
 fn retry_after<R>(
     settings: &settings::QueueSettings,
-    lane: &lane::Lane<R>,
+    service_queue: &service_queue::ServiceQueue<R>,
     reason: refusal::RefusalReason,
     now: time::TimeMs,
 ) -> time::SpanMs {
-    let waiting = lane.len() + 1;
-    let drains_in = lane.rate.time_for(now, waiting).map(time::SpanMs::get);
-    let wanted_ms = drains_in.unwrap_or_else(|| reason.default_retry_after().get());
-    let longest_ms = settings.max_retry_after_ms.max(settings.min_retry_after_ms);
-    time::SpanMs::new(wanted_ms.clamp(settings.min_retry_after_ms, longest_ms))
+    let waiting = service_queue.len() + 1;
+    let drains_in = service_queue
+        .rate
+        .time_to_drain(now, waiting)
+        .map(time::SpanMs::get);
+    let estimated_ms = drains_in.unwrap_or_else(|| reason.default_retry_after().get());
+    let max_ms = settings.max_retry_after_ms.max(settings.min_retry_after_ms);
+    time::SpanMs::new(estimated_ms.clamp(settings.min_retry_after_ms, max_ms))
 }
--- a/crates/damaskvane-dispatch/src/admission/queued_request.rs
+++ b/crates/damaskvane-dispatch/src/admission/queued_request.rs
@@ -1,4 +1,4 @@
-//! One request in the queue.
+//! One request in the admission queue.
 //!
 //! ```
 //! use damaskvane_dispatch::admission;
@@ -13,15 +13,15 @@
 use crate::admission::priority;
 use crate::deadline;
 
-/// A request with what its place in the queue depends on.
+/// A request with the properties that determine its position in the queue.
 #[derive(Debug)]
 pub struct QueuedRequest<R> {
     /// The request, for instance an [`crate::exchange::Received`].
     pub request: R,
-    /// The service it is for.
+    /// The service that the request addresses.
     pub service: ids::ServiceId,
-    /// How urgent it is.
+    /// The priority among the requests of the same service.
     pub priority: priority::Priority,
-    /// Its deadline.
+    /// The client's deadline; close to it the request is rejected.
     pub deadline: deadline::Deadline,
 }
--- a/crates/damaskvane-dispatch/src/admission/rejected.rs
+++ b/crates/damaskvane-dispatch/src/admission/rejected.rs
@@ -1,29 +1,30 @@
-//! A request that leaves the queue without being served.
+//! A request that the admission queue rejects.
 //!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_dispatch::{admission, refusal};
 //!
-//! let given_up = admission::Rejected {
+//! let rejected = admission::Rejected {
 //!     request: "late",
 //!     reason: refusal::RefusalReason::QueueTimeout,
 //!     retry_after: time::SpanMs::new(100),
 //! };
-//! assert!(given_up.reason.means_not_run());
+//! assert!(rejected.reason.means_not_run());
 //! ```
 
 use damaskvane_core::time;
 
 use crate::refusal;
 
-/// A request to refuse now, for instance by [`crate::exchange::Received::refuse_until`].
+/// A request that left the queue unserved and is to be refused at once, for instance by
+/// [`crate::exchange::Received::refuse_until`].
 #[derive(Debug, PartialEq, Eq)]
-#[must_use = "the client waits for this answer"]
+#[must_use = "the client waits for the response"]
 pub struct Rejected<R> {
-    /// The request.
+    /// The request, as it was queued.
     pub request: R,
-    /// Why it is given up.
+    /// The reason for the rejection.
     pub reason: refusal::RefusalReason,
-    /// When the requests that wait now will have been served.
+    /// Estimated time until the requests that wait now have been served, within the settings' bounds.
     pub retry_after: time::SpanMs,
 }
--- a/crates/damaskvane-dispatch/src/admission/service_queue.rs
+++ b/crates/damaskvane-dispatch/src/admission/service_queue.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of one service.
+//! The queue of one service.
 
 use std::collections;
 
@@ -6,53 +6,54 @@
 
 use crate::admission::{drain_rate, priority, queued_request};
 
-/// Requests by priority, then by age.
+/// Queued requests of one service, by priority and then by age.
 #[derive(Debug)]
-pub(super) struct Lane<R> {
-    waiting: collections::BTreeMap<(priority::Priority, u64), Entry<R>>,
+pub(super) struct ServiceQueue<R> {
+    entries: collections::BTreeMap<(priority::Priority, u64), Entry<R>>,
     pub(super) rate: drain_rate::DrainRate,
 }
 
 #[derive(Debug)]
 pub(super) struct Entry<R> {
-    pub(super) waiting: queued_request::QueuedRequest<R>,
+    pub(super) queued: queued_request::QueuedRequest<R>,
     pub(super) since: time::TimeMs,
 }
 
-impl<R> Lane<R> {
+impl<R> ServiceQueue<R> {
     pub(super) fn new() -> Self {
         Self {
-            waiting: collections::BTreeMap::new(),
+            entries: collections::BTreeMap::new(),
             rate: drain_rate::DrainRate::default(),
         }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.waiting.len()
+        self.entries.len()
     }
 
     pub(super) fn push(&mut self, serial: u64, entry: Entry<R>) {
-        self.waiting.insert((entry.waiting.priority, serial), entry);
+        self.entries.insert((entry.queued.priority, serial), entry);
     }
 
     pub(super) fn pop_first(&mut self) -> Option<Entry<R>> {
-        self.waiting.pop_first().map(|(_, entry)| entry)
+        self.entries.pop_first().map(|(_, entry)| entry)
     }
 
-    /// The least urgent and, among these, the latest.
+    /// Removes the latest of the least urgent requests.
     pub(super) fn pop_last(&mut self) -> Option<Entry<R>> {
-        self.waiting.pop_last().map(|(_, entry)| entry)
+        self.entries.pop_last().map(|(_, entry)| entry)
     }
 
-    pub(super) fn take_where(&mut self, is_over: impl Fn(&Entry<R>) -> bool) -> Vec<Entry<R>> {
-        let over: Vec<_> = self
-            .waiting
+    pub(super) fn remove_where(&mut self, predicate: impl Fn(&Entry<R>) -> bool) -> Vec<Entry<R>> {
+        let removed: Vec<_> = self
+            .entries
             .iter()
-            .filter(|(_, entry)| is_over(entry))
-            .map(|(place, _)| *place)
+            .filter(|(_, entry)| predicate(entry))
+            .map(|(position, _)| *position)
             .collect();
-        over.iter()
-            .filter_map(|place| self.waiting.remove(place))
+        removed
+            .iter()
+            .filter_map(|position| self.entries.remove(position))
             .collect()
     }
 }
--- a/crates/damaskvane-dispatch/src/admission/settings.rs
+++ b/crates/damaskvane-dispatch/src/admission/settings.rs
@@ -8,19 +8,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How many requests wait and for how long.
+/// Bounds on queued requests, their wait, and the retry-after of rejected ones.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct QueueSettings {
-    /// How many requests of one service wait.
+    /// Maximum number of queued requests of one service.
     pub max_waiting: usize,
-    /// The longest wait; long waits serve requests whose clients have given up.
+    /// Longest wait in the queue, in milliseconds.
+    ///
+    /// With a long wait, requests are served whose clients have already timed out.
     pub max_wait_ms: u64,
-    /// The time that a request needs once it is admitted; with less left it is given up.
+    /// Time in milliseconds that a request needs after admission; with less time left, the request is
+    /// rejected.
     pub min_run_ms: u64,
-    /// The shortest retry-after.
+    /// Shortest retry-after, in milliseconds.
     pub min_retry_after_ms: u64,
-    /// The longest retry-after, also while nothing drains.
+    /// Longest retry-after, in milliseconds; also the limit while the queue does not drain.
     pub max_retry_after_ms: u64,
 }
 
