--- a/crates/damaskvane-dispatch/src/home.rs
+++ b/crates/damaskvane-dispatch/src/home.rs
@@ -1,30 +1,32 @@
-//! At most once without a store on the path: the table of idempotency keys at their home.
+//! At-most-once dispatch without a store on the request path: the table of idempotency keys.
 //!
-//! A client names one *home*, an instance and its incarnation, on every try of a key. Only that
-//! home dispatches the key, and it does so once; other instances forward to it. Memory is lost in a
-//! restart, and a restarted home has another incarnation: it answers *outcome unknown* for the keys of
-//! its predecessor, never a second run. A planned stop surrenders the table to one successor first.
+//! A client names one *home*, an instance and its incarnation, on every attempt with a key. Only the
+//! home dispatches the key, and only once; other instances forward to the home. A restart loses the
+//! table and changes the incarnation: the restarted instance answers *outcome unknown* for the keys of
+//! earlier incarnations and never runs them again. A planned stop first hands the table over to one
+//! successor.
 //!
-//! *Not run* gives a key back: a later try may run it. With numbered tries the answer holds for the past
-//! too, since a try that was delayed behind it in the network is not run any more.
+//! After *not run*, a later attempt may run the key. If attempts are numbered, *not run* also covers
+//! the earlier attempts: one that was delayed in the network is not run when it arrives.
 //!
-//! A finished outcome is kept for a window. After it a key leaves eight bytes, a tombstone, and is
-//! answered with *outcome unknown*: were it forgotten, a late try would look like a new key and run
-//! a second time. Tombstones last as long as the incarnation; an instance whose tombstones fill up
-//! takes a new incarnation ([`HomeTable::renew`]). The one before takes new keys for a short while more
-//! and keeps its tombstones for it; older ones need none, since they take no new keys.
+//! A finished outcome is retained for a window. Afterwards the table stores an eight-byte tombstone for
+//! the key and answers *outcome unknown*; without the tombstone, a late attempt would look like a new
+//! key and run a second time. Tombstones are retained until the incarnation ends. An instance whose
+//! tombstones fill up takes a new incarnation ([`HomeTable::renew`]). The previous incarnation accepts
+//! new keys for a short time and retains its tombstones until then; older incarnations need no
+//! tombstones, since they accept no new keys.
 //!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_dispatch::{fingerprint, home};
 //!
-//! let me: home::Home = "sask-a-1/3".parse()?;
+//! let own_home: home::Home = "sask-a-1/3".parse()?;
 //! let mut table: home::HomeTable<Vec<u8>> =
-//!     home::HomeTable::new(me.clone(), home::HomeSettings::default());
+//!     home::HomeTable::new(own_home.clone(), home::HomeSettings::default());
 //! let body = fingerprint::Fingerprint::of(&"rider-desk".parse()?, "POST", "/book", b"meals");
 //! let attempt = home::Attempt {
 //!     key: "booking-1".parse()?,
-//!     home: me,
+//!     home: own_home,
 //!     fingerprint: body,
 //!     try_number: 1,
 //!     time_left: time::SpanMs::new(2_000),
@@ -35,16 +37,15 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod adopted;
 mod attempt;
 mod begin;
+mod closed_table;
 mod error;
 mod expiry;
 mod handover;
+mod key_owner;
 mod name;
-mod parts;
 mod permit;
-mod place;
 mod record;
 mod records;
 mod renewal;
@@ -52,9 +53,10 @@
 mod routes;
 mod scope;
 mod settings;
+mod snapshot;
 mod superseded;
-mod surrender;
 mod table;
+mod taken_over;
 mod tombstones;
 mod transfer;
 
@@ -67,5 +69,5 @@
 pub use response_size::ResponseSize;
 pub use scope::Scope;
 pub use settings::HomeSettings;
-pub use superseded::Barred;
+pub use superseded::SupersededAttempts;
 pub use table::HomeTable;
--- a/crates/damaskvane-dispatch/src/home/attempt.rs
+++ b/crates/damaskvane-dispatch/src/home/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a non-repeatable request.
+//! One attempt of a non-repeatable request.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -11,26 +11,26 @@
 use crate::fingerprint;
 use crate::home::{name, scope};
 
-/// One try of a non-repeatable request, as it reached an entry instance.
+/// One attempt of a client to run a non-repeatable request, as received by an entry instance.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// The client's name for the request.
+    /// The client's idempotency key, the same on every attempt.
     pub key: ids::IdempotencyKey,
-    /// The home that the client names on every try.
+    /// The home that the client names on every attempt.
     pub home: name::Home,
-    /// What is to run.
+    /// The fingerprint of the request to run.
     pub fingerprint: fingerprint::Fingerprint,
-    /// Which try of the client this is, from 1, or [`Attempt::UNNUMBERED`].
+    /// The client's number of the attempt, from 1, or [`Attempt::UNNUMBERED`].
     ///
-    /// It makes *not run* hold for the past too: a try that was delayed in the network and arrives
-    /// after a later one was answered with *not run* is not dispatched.
+    /// With numbers, *not run* also covers earlier attempts: an attempt that was delayed in the network
+    /// and arrives after a later one was answered with *not run* is not dispatched.
     pub try_number: u32,
-    /// The time left until the client's deadline.
+    /// The remaining time until the client's deadline.
     pub time_left: time::SpanMs,
 }
 
 impl Attempt {
-    /// The number of a try whose client does not number its tries.
+    /// The number of an attempt whose client does not number its attempts.
     pub const UNNUMBERED: u32 = 0;
 
     pub(super) fn scope(&self) -> scope::Scope {
--- a/crates/damaskvane-dispatch/src/home/begin.rs
+++ b/crates/damaskvane-dispatch/src/home/begin.rs
@@ -1,4 +1,4 @@
-//! What the table decides about a try.
+//! Decisions of the key table about an attempt.
 //!
 //! ```
 //! use damaskvane_dispatch::{home, outcome, refusal};
@@ -11,29 +11,29 @@
 use crate::home::{name, permit};
 use crate::outcome;
 
-/// What to do with a try.
+/// How to handle an attempt.
 #[derive(Debug)]
 #[must_use]
 pub enum BeginDecision<A> {
-    /// Run it; the permit goes back into [`crate::home::HomeTable::finish`] with the outcome.
+    /// Dispatch the request, then pass the permit to [`crate::home::HomeTable::finish`] with the outcome.
     Dispatch(permit::DispatchPermit),
-    /// An earlier try is running; its outcome will name this waiter.
+    /// Wait for an earlier attempt that is running; its outcome will list this waiter.
     Join(permit::WaiterId),
-    /// The outcome is known already: a replay, *not run* or *outcome unknown*.
+    /// Answer at once with a replayed outcome, *not run* or *outcome unknown*.
     Answer(outcome::Outcome<A>),
-    /// Another instance answers for this home.
+    /// Forward the attempt to the instance that answers for its home.
     ///
-    /// Where it can't be reached, the answer is *outcome unknown* (`home_unreachable`), also if no
-    /// byte of this try was sent: an earlier try may have reached it.
+    /// If that instance can't be reached, answer *outcome unknown* (`home_unreachable`), even if no byte
+    /// of this attempt was sent: an earlier attempt may have reached the instance.
     Forward(name::Home),
 }
 
-/// An outcome with those who wait for it.
+/// The outcome of a key with the attempts that wait for the outcome.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct FinishedKey<A> {
-    /// The outcome to answer with.
+    /// The outcome to answer to the client and to every waiter.
     pub outcome: outcome::Outcome<A>,
-    /// Tries that joined the one that ran.
+    /// The attempts that joined the dispatched one.
     pub waiters: Vec<permit::WaiterId>,
 }
--- a/crates/damaskvane-dispatch/src/home/closed_table.rs
+++ b/crates/damaskvane-dispatch/src/home/closed_table.rs
@@ -1,17 +1,18 @@
-//! The end of a table: nothing is dispatched from it any more.
+//! The state of a key table that dispatches no more keys.
 
 use crate::home::{handover, name};
 
-/// Who holds the table now, what was handed over, and what became known since.
+/// The successor that holds the table, the parts handed over, and the outcomes that arrived since.
 #[derive(Debug)]
-pub(super) struct Surrender<A> {
+pub(super) struct ClosedTable<A> {
     successor: Option<name::Home>,
     parts: Vec<handover::HandoverPart<A>>,
     amendments: Vec<handover::HandoverRecord<A>>,
 }
 
-impl<A> Surrender<A> {
-    /// No successor: keys that were not taken are *not run*, the others are lost with the process.
+impl<A> ClosedTable<A> {
+    /// Returns the state without a successor: new keys are *not run*, the table's keys are lost with
+    /// the process.
     pub(super) const fn without_successor() -> Self {
         Self {
             successor: None,
@@ -20,7 +21,10 @@
         }
     }
 
-    pub(super) const fn to(successor: name::Home, parts: Vec<handover::HandoverPart<A>>) -> Self {
+    pub(super) const fn handed_over_to(
+        successor: name::Home,
+        parts: Vec<handover::HandoverPart<A>>,
+    ) -> Self {
         Self {
             successor: Some(successor),
             parts,
@@ -32,8 +36,10 @@
         self.successor.as_ref()
     }
 
-    /// The parts as they were first built: parts of two builds must not be mixed, since the
-    /// successor takes the table as whole once it has each number.
+    /// Returns the parts as first built.
+    ///
+    /// Parts of two builds must not be mixed, since the successor treats the table as complete once
+    /// every part number has arrived.
     pub(super) fn parts(&self) -> &[handover::HandoverPart<A>] {
         &self.parts
     }
--- a/crates/damaskvane-dispatch/src/home/error.rs
+++ b/crates/damaskvane-dispatch/src/home/error.rs
@@ -1,4 +1,4 @@
-//! Why a table is not handed over.
+//! Errors of a table's handover.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -6,21 +6,21 @@
 //! assert!(home::HandoverError::TableFull.to_string().contains("max_entries"));
 //! ```
 
-/// Why a handover is refused.
+/// The reason for which a handover is refused.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum HandoverError {
-    /// the table was surrendered to {successor} already; send the rest there, a second successor could dispatch a key twice
+    /// the table was already handed over to {successor}; send the remaining parts there, a second successor could dispatch a key twice
     OtherSuccessor {
-        /// Who holds the table.
+        /// The home that holds the table, or "no successor" for a table that was closed.
         successor: String,
     },
-    /// the successor has no room for the table; choose one with fewer keys, or raise max_entries and max_bytes
+    /// the successor has no capacity for the table; choose one with fewer keys, or raise max_entries and max_tombstones
     TableFull,
-    /// this instance is leaving itself; choose a successor that stays
+    /// the instance is leaving or is the sender itself; choose another successor that stays
     Leaving,
-    /// the handover names {successor}, which is not this incarnation; the predecessor's keys stay unknown
+    /// the handover names {successor}, which is not an incarnation of this process; the keys of the predecessor stay unknown
     OtherIncarnation {
-        /// Whom the predecessor chose.
+        /// The home that the predecessor named as its successor.
         successor: String,
     },
 }
--- a/crates/damaskvane-dispatch/src/home/expiry.rs
+++ b/crates/damaskvane-dispatch/src/home/expiry.rs
@@ -1,4 +1,4 @@
-//! What becomes of keys that are overdue, older than the window, or given back.
+//! Expiry of keys that are overdue, older than the window, or answered with *not run*.
 
 use damaskvane_core::ids;
 
@@ -8,7 +8,7 @@
 use crate::refusal;
 
 impl<A: Clone + ResponseSize> table::HomeTable<A> {
-    pub(super) fn give_up(
+    pub(super) fn abandon(
         &mut self,
         scope: scope::Scope,
         record: record::Record<A>,
@@ -30,32 +30,37 @@
         begin::FinishedKey { outcome, waiters }
     }
 
-    pub(super) fn bury(&mut self, scope: &scope::Scope, incarnation: ids::Incarnation) {
+    pub(super) fn insert_tombstone(&mut self, scope: &scope::Scope, incarnation: ids::Incarnation) {
         let home = name::Home::new(scope.instance.clone(), incarnation);
-        if home == self.me {
+        if home == self.own_home {
             self.tombstones.insert(scope.digest());
         } else if let Some(previous) = self.previous.as_mut().filter(|previous| {
-            home.instance == self.me.instance && previous.incarnation == home.incarnation
+            home.instance == self.own_home.instance && previous.incarnation == home.incarnation
         }) {
             previous.tombstones.insert(scope.digest());
-        } else if let Some(adopted) = self.routes.adopted_mut(&home) {
-            adopted.add_tombstone(scope);
+        } else if let Some(taken_over) = self.routes.taken_over_mut(&home) {
+            taken_over.add_tombstone(scope);
         }
     }
 
-    pub(super) fn bar(&mut self, scope: &scope::Scope, bar: superseded::Barred) {
+    pub(super) fn supersede(
+        &mut self,
+        scope: &scope::Scope,
+        attempts: superseded::SupersededAttempts,
+    ) {
         let until = self.now + self.settings.window();
-        self.superseded.bar(scope, bar, until);
-        self.bury_superseded();
+        self.superseded.supersede(scope, attempts, until);
+        self.expire_superseded();
     }
 
-    /// Keys that were answered with *not run* and not tried again since: a try that comes now may be
-    /// an old one, so that running it could make that answer untrue.
-    pub(super) fn bury_superseded(&mut self) {
+    /// Adds tombstones for expired keys that were answered with *not run* and not attempted since.
+    ///
+    /// An attempt that arrives later may be an old one, and running it could make the answer false.
+    pub(super) fn expire_superseded(&mut self) {
         let max_superseded = self.settings.max_superseded;
-        while let Some((scope, bar)) = self.superseded.pop_due(self.now, max_superseded) {
+        while let Some((scope, attempts)) = self.superseded.pop_due(self.now, max_superseded) {
             if self.records.get(&scope).is_none() {
-                self.bury(&scope, bar.incarnation);
+                self.insert_tombstone(&scope, attempts.incarnation);
             }
         }
     }
--- a/crates/damaskvane-dispatch/src/home/handover.rs
+++ b/crates/damaskvane-dispatch/src/home/handover.rs
@@ -1,4 +1,4 @@
-//! What a leaving instance hands to its successor.
+//! Messages with which a leaving instance hands its key table to its successor.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -16,53 +16,53 @@
 use crate::home::{name, scope, superseded};
 use crate::outcome;
 
-/// One message of a handover. All parts together are the whole table; each may arrive twice.
+/// One message of a handover. All parts together are the complete table; each may arrive twice.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HandoverPart<A> {
-    /// The home that leaves.
+    /// The home of the leaving instance.
     pub from: name::Home,
-    /// The one instance that may dispatch the departed homes' keys from now on.
+    /// The only home that may dispatch the departed homes' keys from now on.
     pub successor: name::Home,
-    /// Which part this is, from 0.
+    /// The number of this part, from 0.
     pub part: u32,
-    /// How many parts there are.
+    /// The number of parts of the handover.
     pub parts: u32,
-    /// The departed homes: the leaving one and those it had adopted itself, with their tombstones.
+    /// The leaving home and the departed homes that it had taken over, each with its tombstones.
     pub homes: Vec<(name::Home, Vec<u64>)>,
-    /// The keys with an outcome or still running.
+    /// Keys that have an outcome or are running.
     pub records: Vec<HandoverRecord<A>>,
-    /// Keys whose tries up to a number must not run.
-    pub superseded: Vec<(scope::Scope, superseded::Barred)>,
+    /// Keys whose attempts up to a number must not run.
+    pub superseded: Vec<(scope::Scope, superseded::SupersededAttempts)>,
 }
 
 /// One key of a handover.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HandoverRecord<A> {
-    /// The key at its home.
+    /// The key and its home instance.
     pub scope: scope::Scope,
-    /// The incarnation that took the key.
+    /// The incarnation of the home instance that accepted the key.
     pub incarnation: ids::Incarnation,
-    /// What the key is bound to.
+    /// The fingerprint of the request that the key is bound to.
     pub fingerprint: fingerprint::Fingerprint,
-    /// The highest try that has been seen.
+    /// The highest attempt number received for the key.
     pub highest_try: u32,
-    /// What is known of the key.
+    /// Whether the key is running or has an outcome.
     pub state: HandoverState<A>,
 }
 
-/// What is known of a handed key.
+/// The state of a key in a handover.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum HandoverState<A> {
-    /// It runs at the predecessor, which sends the outcome when it is there.
+    /// The key runs at the predecessor, which sends the outcome once the run ends.
     Running {
-        /// The time left until the outcome is given up.
+        /// The remaining time until the outcome is abandoned as *unknown*.
         time_left: time::SpanMs,
     },
-    /// It has an outcome. *Not run* gives the key back: the successor may dispatch it.
+    /// The key has an outcome. After *not run*, the successor may dispatch the key.
     Done {
-        /// The outcome.
+        /// The outcome to replay.
         outcome: outcome::Outcome<A>,
-        /// The time left for which it is kept.
+        /// The remaining time for which the outcome is retained.
         time_left: time::SpanMs,
     },
 }
--- a/crates/damaskvane-dispatch/src/home/key_owner.rs
+++ b/crates/damaskvane-dispatch/src/home/key_owner.rs
@@ -1,66 +1,70 @@
-//! Where a key belongs that has no record here.
+//! Determines the owner of a key without a record in the table.
 
 use damaskvane_core::ids;
 
 use crate::home::response_size::ResponseSize;
-use crate::home::{adopted, name, scope, table};
+use crate::home::{name, scope, table, taken_over};
 use crate::refusal;
 
-/// Where a key without a record belongs.
+/// The instance that decides on a key without a record in the table.
 #[derive(Debug)]
-pub(super) enum Place {
-    /// Here, taken by this incarnation of its home instance.
-    Here(ids::Incarnation),
-    Elsewhere(name::Home),
-    /// Whether it ran is not known any more.
-    Lost(refusal::RefusalReason),
+pub(super) enum KeyOwner {
+    /// This instance, for the given incarnation of the key's home.
+    ThisInstance(ids::Incarnation),
+    OtherInstance(name::Home),
+    /// No instance knows whether the key ran.
+    Unknown(refusal::RefusalReason),
 }
 
 impl<A: Clone + ResponseSize> table::HomeTable<A> {
-    pub(super) fn place(&self, home: &name::Home, scope: &scope::Scope) -> Place {
+    pub(super) fn key_owner(&self, home: &name::Home, scope: &scope::Scope) -> KeyOwner {
         if self.is_own(home) {
-            return self.own_place(home, scope);
+            return self.owner_of_own_key(home, scope);
         }
         if self.routes.is_closed(home) {
-            return Place::Lost(refusal::RefusalReason::KeyExpired);
+            return KeyOwner::Unknown(refusal::RefusalReason::KeyExpired);
         }
-        if let Some(adopted) = self.routes.adopted_for(home) {
-            return adopted_place(adopted, home, scope);
+        if let Some(taken_over) = self.routes.taken_over_for(home) {
+            return owner_of_taken_over_key(taken_over, home, scope);
         }
         let successor = self.routes.resolve(home);
-        if successor.instance != self.me.instance {
-            Place::Elsewhere(successor)
+        if successor.instance != self.own_home.instance {
+            KeyOwner::OtherInstance(successor)
         } else if self.is_own(&successor) {
-            // Peers call this instance the successor, but the handover is not here yet.
-            Place::Lost(refusal::RefusalReason::HomeUnreachable)
+            // Peers name this instance as the successor, but the handover has not arrived yet.
+            KeyOwner::Unknown(refusal::RefusalReason::HomeUnreachable)
         } else {
-            Place::Lost(refusal::RefusalReason::HomeRestarted)
+            KeyOwner::Unknown(refusal::RefusalReason::HomeRestarted)
         }
     }
 
-    fn own_place(&self, home: &name::Home, scope: &scope::Scope) -> Place {
-        let is_current = home.incarnation == self.me.incarnation;
+    fn owner_of_own_key(&self, home: &name::Home, scope: &scope::Scope) -> KeyOwner {
+        let is_current = home.incarnation == self.own_home.incarnation;
         let is_taken = is_current && !self.tombstones.contains(scope.digest());
-        if is_taken || self.previous_takes(home.incarnation, scope) {
-            Place::Here(home.incarnation)
+        if is_taken || self.previous_accepts(home.incarnation, scope) {
+            KeyOwner::ThisInstance(home.incarnation)
         } else {
-            Place::Lost(refusal::RefusalReason::KeyExpired)
+            KeyOwner::Unknown(refusal::RefusalReason::KeyExpired)
         }
     }
 
-    /// Whether this process is or was the incarnation.
+    /// Returns whether this process has or had the home's incarnation.
     pub(super) fn is_own(&self, home: &name::Home) -> bool {
-        home.instance == self.me.instance
-            && (self.first_incarnation..=self.me.incarnation).contains(&home.incarnation)
+        home.instance == self.own_home.instance
+            && (self.first_incarnation..=self.own_home.incarnation).contains(&home.incarnation)
     }
 }
 
-fn adopted_place(adopted: &adopted::Adopted, home: &name::Home, scope: &scope::Scope) -> Place {
-    if !adopted.is_whole() {
-        Place::Lost(refusal::RefusalReason::HomeUnreachable)
-    } else if adopted.home() != home || adopted.has_tombstone(scope) {
-        Place::Lost(refusal::RefusalReason::KeyExpired)
+fn owner_of_taken_over_key(
+    taken_over: &taken_over::TakenOverHome,
+    home: &name::Home,
+    scope: &scope::Scope,
+) -> KeyOwner {
+    if !taken_over.is_complete() {
+        KeyOwner::Unknown(refusal::RefusalReason::HomeUnreachable)
+    } else if taken_over.home() != home || taken_over.has_tombstone(scope) {
+        KeyOwner::Unknown(refusal::RefusalReason::KeyExpired)
     } else {
-        Place::Here(home.incarnation)
+        KeyOwner::ThisInstance(home.incarnation)
     }
 }
--- a/crates/damaskvane-dispatch/src/home/name.rs
+++ b/crates/damaskvane-dispatch/src/home/name.rs
@@ -1,4 +1,4 @@
-//! The name of a home.
+//! The name of a home: an entry instance and its incarnation.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -14,23 +14,23 @@
 use damaskvane_core::ids;
 use serde::{Deserialize, Serialize};
 
-/// An instance and which of its starts: the place where a key may be dispatched.
+/// The instance and incarnation that alone may dispatch a key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Home {
     /// The entry instance.
     pub instance: ids::InstanceId,
-    /// Which start of it.
+    /// The incarnation, which changes with each restart or renewal of the instance.
     pub incarnation: ids::Incarnation,
 }
 
-/// {text:?} is no home; write instance/incarnation as the look-up answered them
+/// {text:?} is not a home; use instance/incarnation as given in the lookup response
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseHomeError {
     text: String,
 }
 
 impl Home {
-    /// The home of an instance's incarnation.
+    /// Returns the home of an instance's incarnation.
     #[must_use]
     pub const fn new(instance: ids::InstanceId, incarnation: ids::Incarnation) -> Self {
         Self {
--- a/crates/damaskvane-dispatch/src/home/permit.rs
+++ b/crates/damaskvane-dispatch/src/home/permit.rs
@@ -1,4 +1,4 @@
-//! The right to dispatch a key, and the name of a try that waits.
+//! The permit to dispatch a key, and the id of a waiting attempt.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -8,18 +8,18 @@
 
 use crate::home::scope;
 
-/// The right to dispatch a key once.
+/// The permit to dispatch a key once.
 ///
-/// It can't be copied: two holders would send a booking to two backend servers, and the client would
-/// find it standing twice. Only the table makes one, and finishing the key consumes it.
+/// A permit can't be copied: two holders would send a booking to two backend servers, and the booking
+/// would run twice. Only the table creates permits, and finishing the key consumes its permit.
 #[derive(Debug)]
-#[must_use = "a permit that is dropped leaves its key running until it is given up as unknown"]
+#[must_use = "the key of a dropped permit counts as running until it is abandoned as unknown"]
 pub struct DispatchPermit {
     scope: scope::Scope,
     serial: u64,
 }
 
-/// Names one try that waits for the outcome of another.
+/// The id of an attempt that waits for the outcome of another, unique within a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(u64);
 
@@ -28,7 +28,7 @@
         Self { scope, serial }
     }
 
-    /// The key that may be dispatched, at its home.
+    /// Returns the key that may be dispatched, with its home instance.
     #[must_use]
     pub const fn scope(&self) -> &scope::Scope {
         &self.scope
@@ -40,7 +40,7 @@
 }
 
 impl WaiterId {
-    /// Wraps a plain number.
+    /// Returns the id with the given number.
     #[must_use]
     pub const fn new(value: u64) -> Self {
         Self(value)
--- a/crates/damaskvane-dispatch/src/home/record.rs
+++ b/crates/damaskvane-dispatch/src/home/record.rs
@@ -1,4 +1,4 @@
-//! One key that has been dispatched.
+//! The record of one dispatched key.
 
 use damaskvane_core::{ids, time};
 
@@ -6,10 +6,10 @@
 use crate::home::{handover, permit, scope};
 use crate::outcome;
 
-/// The serial of a key that the predecessor dispatched; permits given here count from 1.
-pub(super) const PREDECESSORS_SERIAL: u64 = 0;
+/// The serial of keys that the predecessor dispatched; serials of permits issued here start at 1.
+pub(super) const PREDECESSOR_SERIAL: u64 = 0;
 
-/// A key that was dispatched here or by the predecessor, and what is known of it.
+/// A key that was dispatched by this instance or by the predecessor, with its state.
 #[derive(Debug)]
 pub(super) struct Record<A> {
     pub(super) incarnation: ids::Incarnation,
@@ -21,9 +21,9 @@
 
 #[derive(Debug)]
 pub(super) enum State<A> {
-    /// Dispatched, here or by the predecessor, without an outcome yet.
+    /// The key was dispatched, by this instance or the predecessor, and has no outcome yet.
     Running {
-        given_up_at: time::TimeMs,
+        abandon_at: time::TimeMs,
         waiters: Vec<permit::WaiterId>,
     },
     /// The outcome is `Completed` or `Unknown`; *not run* leaves no record.
@@ -34,16 +34,16 @@
 }
 
 impl<A> State<A> {
-    /// When the state ends: the outcome is given up, or its window is over.
+    /// Returns when the state ends: the outcome is abandoned, or its window is over.
     pub(super) const fn due(&self) -> time::TimeMs {
         match self {
-            Self::Running { given_up_at, .. } => *given_up_at,
+            Self::Running { abandon_at, .. } => *abandon_at,
             Self::Done { until, .. } => *until,
         }
     }
 
-    /// Whether an outcome may still arrive: it runs, or was given up.
-    pub(super) const fn is_open(&self) -> bool {
+    /// Returns whether an outcome may still arrive: the key is running or was abandoned.
+    pub(super) const fn accepts_outcome(&self) -> bool {
         match self {
             Self::Running { .. } => true,
             Self::Done { outcome, .. } => matches!(outcome, outcome::Outcome::Unknown(_)),
@@ -62,8 +62,8 @@
         now: time::TimeMs,
     ) -> handover::HandoverRecord<A> {
         let state = match &self.state {
-            State::Running { given_up_at, .. } => handover::HandoverState::Running {
-                time_left: given_up_at.since(now),
+            State::Running { abandon_at, .. } => handover::HandoverState::Running {
+                time_left: abandon_at.since(now),
             },
             State::Done { outcome, until } => handover::HandoverState::Done {
                 outcome: outcome.clone(),
--- a/crates/damaskvane-dispatch/src/home/records.rs
+++ b/crates/damaskvane-dispatch/src/home/records.rs
@@ -1,4 +1,4 @@
-//! The kept keys, with their memory and the points at which they are due.
+//! The records of a key table, with their memory and due times.
 
 use std::collections;
 
@@ -8,10 +8,10 @@
 use crate::home::{permit, record, scope};
 use crate::outcome;
 
-/// What a key takes besides its answer: two ids of at most 64 bytes, hash, map and queue entries.
+/// Memory of a key without its response: two ids of at most 64 bytes, hash, map and queue entries.
 const ENTRY_BYTES: u64 = 400;
 
-/// Keys by scope, and by the point at which something is to be done about them.
+/// Records by scope, and scopes by the time at which the record's state ends.
 #[derive(Debug)]
 pub(super) struct Records<A> {
     entries: collections::BTreeMap<scope::Scope, record::Record<A>>,
@@ -22,7 +22,7 @@
 }
 
 impl<A: ResponseSize> Records<A> {
-    /// Every running key reserves `reserved_bytes` for its answer.
+    /// Returns empty records; each running key reserves `reserved_bytes` for its response.
     pub(super) const fn new(reserved_bytes: u64) -> Self {
         Self {
             entries: collections::BTreeMap::new(),
@@ -49,7 +49,7 @@
         self.bytes
     }
 
-    /// The bytes after one more key was taken.
+    /// Returns the memory in bytes after one more key is accepted.
     pub(super) const fn bytes_with_one_more(&self) -> u64 {
         self.bytes + ENTRY_BYTES + self.reserved_bytes
     }
@@ -60,19 +60,19 @@
 
     pub(super) fn insert(&mut self, scope: scope::Scope, record: record::Record<A>) {
         self.remove(&scope);
-        self.count_in(&record.state);
+        self.add_to_totals(&record.state);
         self.due.insert((record.state.due(), scope.clone()));
         self.entries.insert(scope, record);
     }
 
     pub(super) fn remove(&mut self, scope: &scope::Scope) -> Option<record::Record<A>> {
         let record = self.entries.remove(scope)?;
-        self.count_out(&record.state);
+        self.subtract_from_totals(&record.state);
         self.due.remove(&(record.state.due(), scope.clone()));
         Some(record)
     }
 
-    /// Adds a waiter to a running key, up to `max_waiters`.
+    /// Adds a waiter to a running key; returns `false` at `max_waiters` or if the key does not run.
     pub(super) fn join(
         &mut self,
         scope: &scope::Scope,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes out the next key that is due.
+    /// Removes and returns the next key that is due.
     pub(super) fn pop_due(
         &mut self,
         now: time::TimeMs,
@@ -120,23 +120,23 @@
     }
 
     fn size(&self, state: &record::State<A>) -> u64 {
-        let answer_bytes = match state {
+        let response_bytes = match state {
             record::State::Running { .. } => self.reserved_bytes,
             record::State::Done {
-                outcome: outcome::Outcome::Completed(answer),
+                outcome: outcome::Outcome::Completed(response),
                 ..
-            } => answer.size_bytes(),
+            } => response.size_bytes(),
             record::State::Done { .. } => 0,
         };
-        ENTRY_BYTES + answer_bytes
+        ENTRY_BYTES + response_bytes
     }
 
-    fn count_in(&mut self, state: &record::State<A>) {
+    fn add_to_totals(&mut self, state: &record::State<A>) {
         self.bytes += self.size(state);
         self.running += usize::from(state.is_running());
     }
 
-    fn count_out(&mut self, state: &record::State<A>) {
+    fn subtract_from_totals(&mut self, state: &record::State<A>) {
         self.bytes -= self.size(state);
         self.running -= usize::from(state.is_running());
     }
--- a/crates/damaskvane-dispatch/src/home/renewal.rs
+++ b/crates/damaskvane-dispatch/src/home/renewal.rs
@@ -1,7 +1,7 @@
-//! A new incarnation without a restart.
+//! A new incarnation of a home without a restart.
 //!
 //! ```text
-//! tombstones three quarters full -> next incarnation; the one before takes new keys for a while still
+//! tombstones three quarters full -> next incarnation; the previous one accepts new keys for 30 s
 //! ```
 
 use damaskvane_core::{ids, time};
@@ -9,16 +9,17 @@
 use crate::home::response_size::ResponseSize;
 use crate::home::{scope, table, tombstones};
 
-/// Thousandths of `max_tombstones` at which a new incarnation is due.
-const RENEWAL_PERMILLE: usize = 750;
+/// Number of accepted keys, in thousandths of `max_tombstones`, at which a new incarnation is due.
+const RENEWAL_THRESHOLD_PERMILLE: usize = 750;
 
-/// How long look-up answers may still name the incarnation before.
-const GRACE: time::SpanMs = time::SpanMs::new(30_000);
+/// Time for which lookup responses may still name the previous incarnation.
+const PREVIOUS_GRACE: time::SpanMs = time::SpanMs::new(30_000);
 
-/// The incarnation before this one, with its own tombstones.
+/// The previous incarnation of this home, with its tombstones.
 ///
-/// Clients hold look-up answers that name it, and other instances give such answers until they hear of
-/// the new one. Without it their new keys would be answered *unknown* for some seconds.
+/// Clients hold lookup responses that name the previous incarnation, and other instances send such
+/// responses until they learn of the new one. If the previous incarnation accepted no keys, new keys of
+/// these clients would be answered with *unknown* for some seconds.
 #[derive(Debug)]
 pub(super) struct Previous {
     pub(super) incarnation: ids::Incarnation,
@@ -27,46 +28,51 @@
 }
 
 impl<A: Clone + ResponseSize> table::HomeTable<A> {
-    /// Takes a new incarnation without a restart, so that tombstones can be dropped.
+    /// Moves to a new incarnation without a restart, so that tombstones can be dropped.
     ///
-    /// Kept outcomes stay. The incarnation before takes new keys for another 30 s, so that look-up answers
-    /// can change over; after that its keys that are not kept are *unknown*. An incarnation that is not
-    /// higher, or a surrendered table, changes nothing.
+    /// Stored outcomes are retained. The previous incarnation accepts new keys for another 30 s, so that
+    /// lookup responses can change to the new one; afterwards its keys without a record are *unknown*.
+    /// The call has no effect if `incarnation` is not higher or the table is closed.
     pub fn renew(&mut self, incarnation: ids::Incarnation) {
-        if incarnation <= self.me.incarnation || self.surrender.is_some() {
+        if incarnation <= self.own_home.incarnation || self.closed_table.is_some() {
             return;
         }
         let previous = Previous {
-            incarnation: self.me.incarnation,
+            incarnation: self.own_home.incarnation,
             tombstones: core::mem::take(&mut self.tombstones),
-            until: self.now + GRACE,
+            until: self.now + PREVIOUS_GRACE,
         };
-        self.me.incarnation = incarnation;
-        if self.is_worn_out {
-            // Keys that were refused then carry no bar: an earlier try of theirs must not run now.
-            self.routes.close_adopted();
-            self.is_worn_out = false;
+        self.own_home.incarnation = incarnation;
+        if self.is_key_limit_reached {
+            // Keys rejected at the limit were not recorded as superseded, so that an earlier attempt of
+            // such a key could run now. The previous incarnation and the homes taken over therefore
+            // accept no more keys.
+            self.routes.close_all();
+            self.is_key_limit_reached = false;
             self.previous = None;
         } else {
             self.previous = Some(previous);
         }
     }
 
-    /// Whether a new incarnation is due: new keys are refused once the tombstones are full.
+    /// Returns whether a new incarnation is due.
+    ///
+    /// New keys are rejected once `max_tombstones` keys have been accepted.
     #[must_use]
     pub fn needs_renewal(&self) -> bool {
         self.previous.is_none()
-            && self.surrender.is_none()
-            && self.taken_keys() * 1000 >= self.settings.max_tombstones * RENEWAL_PERMILLE
+            && self.closed_table.is_none()
+            && self.accepted_keys() * 1000
+                >= self.settings.max_tombstones * RENEWAL_THRESHOLD_PERMILLE
     }
 
-    pub(super) fn end_grace(&mut self) {
+    pub(super) fn expire_previous(&mut self) {
         let now = self.now;
         self.previous = self.previous.take().filter(|previous| now < previous.until);
     }
 
-    /// Whether the incarnation before still takes the key.
-    pub(super) fn previous_takes(
+    /// Returns whether the previous incarnation still accepts the key.
+    pub(super) fn previous_accepts(
         &self,
         incarnation: ids::Incarnation,
         scope: &scope::Scope,
--- a/crates/damaskvane-dispatch/src/home/response_size.rs
+++ b/crates/damaskvane-dispatch/src/home/response_size.rs
@@ -1,4 +1,4 @@
-//! How much memory a kept answer takes.
+//! The memory size of a stored response.
 //!
 //! ```
 //! use damaskvane_dispatch::home::ResponseSize;
@@ -8,9 +8,9 @@
 
 use std::sync::Arc;
 
-/// The size of an answer that is kept for repeats.
+/// The size of a response that is stored for replay to repeated attempts.
 pub trait ResponseSize {
-    /// How many bytes the answer takes.
+    /// Returns the memory of the response in bytes.
     fn size_bytes(&self) -> u64;
 }
 
--- a/crates/damaskvane-dispatch/src/home/routes.rs
+++ b/crates/damaskvane-dispatch/src/home/routes.rs
@@ -1,62 +1,68 @@
-//! Which instance answers for a departed home.
+//! The instances that answer for departed homes.
 
 use std::collections;
 
 use damaskvane_core::time;
 
-use crate::home::{adopted, name};
+use crate::home::{name, taken_over};
 
-/// How many successors in a row are followed; a longer chain is older than the window.
+/// Maximum number of successors followed in a row; a longer chain is older than the window.
 const MAX_HOPS: usize = 8;
-/// How many departed homes are remembered: more than a day's planned restarts of the whole fleet.
+/// Maximum number of recorded departed homes: more than a day's planned restarts of all instances.
 const MAX_SUCCESSORS: usize = 1_024;
 
-/// Departed homes: those adopted here and the successors of the others.
+/// The departed homes that this instance took over, and the successors of the others.
 #[derive(Debug, Default)]
 pub(super) struct Routes {
-    adopted: collections::BTreeMap<name::Home, adopted::Adopted>,
+    taken_over: collections::BTreeMap<name::Home, taken_over::TakenOverHome>,
     closed: collections::BTreeSet<name::Home>,
     successors: collections::BTreeMap<name::Home, (name::Home, time::TimeMs)>,
 }
 
 impl Routes {
-    /// The adopted home that answers for `home`: itself, or a later incarnation of the same table.
-    pub(super) fn adopted_for(&self, home: &name::Home) -> Option<&adopted::Adopted> {
+    /// Returns the home taken over for `home`: the same one, or a later incarnation of its table.
+    pub(super) fn taken_over_for(&self, home: &name::Home) -> Option<&taken_over::TakenOverHome> {
         let later = home.clone()..;
-        self.adopted
+        self.taken_over
             .range(later)
-            .map(|(_, adopted)| adopted)
+            .map(|(_, taken_over)| taken_over)
             .next()
-            .filter(|adopted| adopted.home().instance == home.instance)
+            .filter(|taken_over| taken_over.home().instance == home.instance)
     }
 
-    pub(super) fn adopted_mut(&mut self, home: &name::Home) -> Option<&mut adopted::Adopted> {
-        self.adopted.get_mut(home)
+    pub(super) fn taken_over_mut(
+        &mut self,
+        home: &name::Home,
+    ) -> Option<&mut taken_over::TakenOverHome> {
+        self.taken_over.get_mut(home)
     }
 
-    pub(super) fn adopt(&mut self, adopted: adopted::Adopted) -> &mut adopted::Adopted {
-        self.adopted
-            .entry(adopted.home().clone())
-            .or_insert(adopted)
+    pub(super) fn take_over(
+        &mut self,
+        taken_over: taken_over::TakenOverHome,
+    ) -> &mut taken_over::TakenOverHome {
+        self.taken_over
+            .entry(taken_over.home().clone())
+            .or_insert(taken_over)
     }
 
-    /// Whether the home's adoption is over.
+    /// Returns whether the home's takeover has expired.
     ///
-    /// A part of its handover that arrives again after that must not open it anew: keys that ran here
-    /// since are forgotten, and would run a second time.
+    /// A repeated part of the handover must not reopen an expired takeover: keys that ran here since
+    /// are no longer recorded and would run a second time.
     pub(super) fn is_closed(&self, home: &name::Home) -> bool {
         self.closed.contains(home)
     }
 
-    pub(super) fn has_room(&self) -> bool {
-        self.closed.len() + self.adopted.len() < MAX_SUCCESSORS
+    pub(super) fn has_capacity(&self) -> bool {
+        self.closed.len() + self.taken_over.len() < MAX_SUCCESSORS
     }
 
-    pub(super) fn all_adopted(&self) -> impl Iterator<Item = &adopted::Adopted> {
-        self.adopted.values()
+    pub(super) fn all_taken_over(&self) -> impl Iterator<Item = &taken_over::TakenOverHome> {
+        self.taken_over.values()
     }
 
-    /// The last successor of a home, or the home itself.
+    /// Returns the last successor of a home, or the home itself.
     pub(super) fn resolve(&self, home: &name::Home) -> name::Home {
         let mut current = home;
         for _ in 0..MAX_HOPS {
@@ -68,15 +74,16 @@
         current.clone()
     }
 
-    /// Who took over from a home, or from a later incarnation: that one may be the same process, which
-    /// keeps the keys of its older incarnations.
+    /// Returns the successor of a home or of a later incarnation of the same instance.
+    ///
+    /// The later incarnation may be the same process, which retains the keys of its older incarnations.
     fn successor_of(&self, home: &name::Home) -> Option<&name::Home> {
         let (departed, (successor, _)) = self.successors.range(home.clone()..).next()?;
         (departed.instance == home.instance).then_some(successor)
     }
 
-    /// Notes a successor; the first one named stays, since a second can't hold the table.
-    pub(super) fn learn(
+    /// Records a successor; the first recorded one stays, since a second can't hold the table.
+    pub(super) fn record_successor(
         &mut self,
         departed: name::Home,
         successor: name::Home,
@@ -93,16 +100,20 @@
             .or_insert((successor, until));
     }
 
-    /// Ends every adoption: its keys that are not kept are *unknown* from here on.
-    pub(super) fn close_adopted(&mut self) {
+    /// Ends all takeovers; keys of these homes without a record are *unknown* from now on.
+    pub(super) fn close_all(&mut self) {
         self.close_where(|_| true);
     }
 
-    fn close_where(&mut self, is_over: impl Fn(&adopted::Adopted) -> bool) {
-        let over = self.adopted.values().filter(|adopted| is_over(adopted));
+    fn close_where(&mut self, is_expired: impl Fn(&taken_over::TakenOverHome) -> bool) {
+        let expired = self
+            .taken_over
+            .values()
+            .filter(|taken_over| is_expired(taken_over));
         self.closed
-            .extend(over.map(|adopted| adopted.home().clone()));
-        self.adopted.retain(|_, adopted| !is_over(adopted));
+            .extend(expired.map(|taken_over| taken_over.home().clone()));
+        self.taken_over
+            .retain(|_, taken_over| !is_expired(taken_over));
     }
 
     pub(super) fn successors(&self) -> impl Iterator<Item = (&name::Home, &name::Home)> {
@@ -112,7 +123,7 @@
     }
 
     pub(super) fn expire(&mut self, now: time::TimeMs) {
-        self.close_where(|adopted| adopted.is_over(now));
+        self.close_where(|taken_over| taken_over.is_expired(now));
         self.successors.retain(|_, (_, until)| now < *until);
     }
 }
--- a/crates/damaskvane-dispatch/src/home/scope.rs
+++ b/crates/damaskvane-dispatch/src/home/scope.rs
@@ -1,4 +1,4 @@
-//! What a key is unique within.
+//! The scope in which an idempotency key is unique: its home instance.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -11,23 +11,25 @@
 use damaskvane_core::{hash, ids};
 use serde::{Deserialize, Serialize};
 
-/// A key together with the instance that is its home.
+/// An idempotency key with its home instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Scope {
-    /// The instance named as home.
+    /// The instance that the client names as home.
     pub instance: ids::InstanceId,
-    /// The client's key.
+    /// The client's idempotency key.
     pub key: ids::IdempotencyKey,
 }
 
 impl Scope {
-    /// A key at its home instance.
+    /// Returns the scope of a key at its home instance.
     #[must_use]
     pub const fn new(instance: ids::InstanceId, key: ids::IdempotencyKey) -> Self {
         Self { instance, key }
     }
 
-    /// Eight bytes that stand for the scope; two scopes that share them are answered with *unknown*.
+    /// Returns an eight-byte digest of the scope, for tombstones.
+    ///
+    /// A new key whose digest equals that of a tombstone is answered with *unknown*.
     pub(super) fn digest(&self) -> u64 {
         let text = format!("{}/{}", self.instance, self.key);
         let hash = hash::ContentHash::of(text.as_bytes());
--- a/crates/damaskvane-dispatch/src/home/settings.rs
+++ b/crates/damaskvane-dispatch/src/home/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the key table.
+//! Settings of the idempotency key table.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -10,32 +10,32 @@
 use damaskvane_core::time;
 use serde::{Deserialize, Serialize};
 
-/// How long outcomes are kept and how much memory that may take.
+/// Retention of outcomes and bounds on the memory of the table.
 ///
 /// With the defaults a table takes at most 16 MiB for entries, about 6 MiB for 20,000 keys that were
-/// answered with *not run*, and about 16 bytes for each of 400,000 tombstones; while an adopted table
-/// is held as well, twice that.
+/// answered with *not run*, and about 16 bytes for each of 400,000 tombstones; twice as much while the
+/// table of a departed home is held too.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HomeSettings {
-    /// How long the outcome of a key is kept and replayed.
+    /// Time for which the outcome of a key is retained and replayed, in milliseconds.
     pub window_ms: u64,
-    /// How many keys are kept with their outcome.
+    /// Maximum number of keys that are running or stored with their outcome.
     pub max_entries: usize,
-    /// How many bytes the kept keys and outcomes take; a running key reserves `max_answer_bytes`.
+    /// Maximum bytes of all keys and outcomes; a running key reserves `max_answer_bytes`.
     pub max_bytes: u64,
-    /// The longest answer that is kept for a repeat.
+    /// Maximum bytes of a response that is stored for replay.
     pub max_answer_bytes: u64,
-    /// How many keys one incarnation takes over its life.
+    /// Maximum number of keys that one incarnation accepts.
     pub max_tombstones: usize,
-    /// How many tries of one key may wait for its outcome.
+    /// Maximum number of attempts that wait for the outcome of one key.
     pub max_waiters: usize,
-    /// How long after its deadline a running key's outcome is still awaited.
+    /// Time after its deadline for which a running key's outcome is awaited, in milliseconds.
     pub answer_grace_ms: u64,
-    /// How many keys that were answered with *not run* may be tried again; beyond it, the one that was
-    /// answered first is *unknown* before its window is over.
+    /// Maximum number of keys answered with *not run* that may be attempted again; beyond the maximum,
+    /// the key answered first becomes *unknown* before its window is over.
     pub max_superseded: usize,
-    /// How many records one message of a handover carries.
+    /// Maximum number of records in one message of a handover.
     pub handover_records: usize,
 }
 
--- a/crates/damaskvane-dispatch/src/home/snapshot.rs
+++ b/crates/damaskvane-dispatch/src/home/snapshot.rs
@@ -1,19 +1,21 @@
-//! Cutting a table into messages.
+//! Splits a key table into the messages of a handover.
 
 use crate::home::{handover, name, scope, superseded};
 
-/// All that a successor has to know.
+/// The contents of a key table that a successor needs.
 #[derive(Debug)]
-pub(super) struct WholeTable<A> {
+pub(super) struct TableSnapshot<A> {
     pub(super) from: name::Home,
     pub(super) successor: name::Home,
     pub(super) homes: Vec<(name::Home, Vec<u64>)>,
     pub(super) records: Vec<handover::HandoverRecord<A>>,
-    pub(super) superseded: Vec<(scope::Scope, superseded::Barred)>,
+    pub(super) superseded: Vec<(scope::Scope, superseded::SupersededAttempts)>,
 }
 
-impl<A> WholeTable<A> {
-    /// Parts of so many records; the first also carries the tombstones and superseded tries.
+impl<A> TableSnapshot<A> {
+    /// Splits the snapshot into parts of at most `records_per_part` records.
+    ///
+    /// The first part also carries the tombstones and the superseded attempts.
     pub(super) fn split(self, records_per_part: usize) -> Vec<handover::HandoverPart<A>> {
         let chunk = records_per_part.max(1);
         let parts = self.records.len().div_ceil(chunk).max(1);
--- a/crates/damaskvane-dispatch/src/home/superseded.rs
+++ b/crates/damaskvane-dispatch/src/home/superseded.rs
@@ -1,11 +1,11 @@
-//! Tries that must not run any more, because a later try was answered with *not run*.
+//! Attempts that must not run, because a later attempt was answered with *not run*.
 //!
 //! ```
 //! use damaskvane_core::ids;
 //! use damaskvane_dispatch::home;
 //!
-//! let barred = home::Barred { through: 2, incarnation: ids::Incarnation::new(1) };
-//! assert_eq!(barred.through, 2);
+//! let attempts = home::SupersededAttempts { highest_try: 2, incarnation: ids::Incarnation::new(1) };
+//! assert_eq!(attempts.highest_try, 2);
 //! ```
 
 use std::collections;
@@ -15,78 +15,87 @@
 
 use crate::home::{attempt, scope};
 
-/// How far the tries of a key are barred.
+/// The attempts of a key that must not run: all up to a number.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct Barred {
-    /// The highest try that must not run.
-    pub through: u32,
+pub struct SupersededAttempts {
+    /// The number of the highest attempt that must not run.
+    #[serde(rename = "through")]
+    pub highest_try: u32,
     /// The incarnation of the key's home.
     pub incarnation: ids::Incarnation,
 }
 
-/// Bars tries up to a number, for a bounded number of keys.
+/// Superseded attempts of a bounded number of keys.
 ///
-/// A try may lie unread in the socket of a paused instance while the client's next try is answered
-/// with *not run*. If the first one ran on resumption, the client would hold a true-looking *not run*
-/// for a booking that stands.
+/// An attempt may wait unread in the socket of a paused instance while the client's next attempt is
+/// answered with *not run*. If the first attempt ran once the instance resumes, the client would hold a
+/// false *not run* for a booking that exists.
 #[derive(Debug, Default)]
 pub(super) struct Superseded {
-    barred: collections::BTreeMap<scope::Scope, (Barred, time::TimeMs)>,
+    entries: collections::BTreeMap<scope::Scope, (SupersededAttempts, time::TimeMs)>,
     due: collections::BTreeSet<(time::TimeMs, scope::Scope)>,
 }
 
 impl Superseded {
-    pub(super) fn bar(&mut self, scope: &scope::Scope, bar: Barred, until: time::TimeMs) {
-        if bar.through == attempt::Attempt::UNNUMBERED {
+    pub(super) fn supersede(
+        &mut self,
+        scope: &scope::Scope,
+        attempts: SupersededAttempts,
+        until: time::TimeMs,
+    ) {
+        if attempts.highest_try == attempt::Attempt::UNNUMBERED {
             return;
         }
-        let through = match self.remove(scope) {
-            Some(earlier) => earlier.through.max(bar.through),
-            None => bar.through,
+        let highest_try = match self.remove(scope) {
+            Some(earlier) => earlier.highest_try.max(attempts.highest_try),
+            None => attempts.highest_try,
+        };
+        let attempts = SupersededAttempts {
+            highest_try,
+            ..attempts
         };
-        let bar = Barred { through, ..bar };
         self.due.insert((until, scope.clone()));
-        self.barred.insert(scope.clone(), (bar, until));
+        self.entries.insert(scope.clone(), (attempts, until));
     }
 
-    pub(super) fn covers(&self, scope: &scope::Scope, try_number: u32) -> bool {
+    pub(super) fn contains(&self, scope: &scope::Scope, try_number: u32) -> bool {
         try_number != attempt::Attempt::UNNUMBERED
             && self
-                .barred
+                .entries
                 .get(scope)
-                .is_some_and(|(bar, _)| try_number <= bar.through)
+                .is_some_and(|(attempts, _)| try_number <= attempts.highest_try)
     }
 
     pub(super) fn len(&self) -> usize {
-        self.barred.len()
+        self.entries.len()
     }
 
-    /// Takes out the next key that is due, or the oldest if there are more than `max_barred`.
+    /// Removes and returns the next key that is due, or the oldest if there are over `max_entries`.
     pub(super) fn pop_due(
         &mut self,
         now: time::TimeMs,
-        max_barred: usize,
-    ) -> Option<(scope::Scope, Barred)> {
-        let is_over_bound = self.barred.len() > max_barred;
+        max_entries: usize,
+    ) -> Option<(scope::Scope, SupersededAttempts)> {
+        let is_over_bound = self.entries.len() > max_entries;
         let (_, scope) = self
             .due
             .first()
             .filter(|(until, _)| is_over_bound || *until <= now)?;
         let scope = scope.clone();
-        let bar = self.remove(&scope)?;
-        Some((scope, bar))
+        let attempts = self.remove(&scope)?;
+        Some((scope, attempts))
     }
 
-    pub(super) fn pairs(&self) -> Vec<(scope::Scope, Barred)> {
-        self.barred
+    pub(super) fn to_vec(&self) -> Vec<(scope::Scope, SupersededAttempts)> {
+        self.entries
             .iter()
-            .map(|(scope, (bar, _))| (scope.clone(), *bar))
+            .map(|(scope, (attempts, _))| (scope.clone(), *attempts))
             .collect()
     }
 
-    fn remove(&mut self, scope: &scope::Scope) -> Option<Barred> {
-        let (bar, until) = self.barred.remove(scope)?;
+    fn remove(&mut self, scope: &scope::Scope) -> Option<SupersededAttempts> {
+        let (attempts, until) = self.entries.remove(scope)?;
         self.due.remove(&(until, scope.clone()));
-        Some(bar)
+        Some(attempts)
     }
 }
--- a/crates/damaskvane-dispatch/src/home/table.rs
+++ b/crates/damaskvane-dispatch/src/home/table.rs
@@ -1,11 +1,11 @@
-//! The table of a home's idempotency keys.
+//! The table of idempotency keys of one home.
 //!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_dispatch::home;
 //!
-//! let me: home::Home = "sask-a-1/3".parse()?;
-//! let table: home::HomeTable<u64> = home::HomeTable::new(me, home::HomeSettings::default());
+//! let own_home: home::Home = "sask-a-1/3".parse()?;
+//! let table: home::HomeTable<u64> = home::HomeTable::new(own_home, home::HomeSettings::default());
 //! assert_eq!(table.running(), 0);
 //! # Ok::<(), home::ParseHomeError>(())
 //! ```
@@ -14,16 +14,16 @@
 
 use crate::home::response_size::ResponseSize;
 use crate::home::{
-    attempt, begin, handover, name, permit, place, record, records, renewal, routes, scope,
-    settings, superseded, surrender, tombstones,
+    attempt, begin, closed_table, handover, key_owner, name, permit, record, records, renewal,
+    routes, scope, settings, superseded, tombstones,
 };
 use crate::outcome;
 use crate::refusal;
 
-/// Decides on every try of the keys whose home is here, and knows where the others belong.
+/// Decides on each attempt of the keys whose home is this instance, and routes the others.
 #[derive(Debug)]
 pub struct HomeTable<A> {
-    pub(super) me: name::Home,
+    pub(super) own_home: name::Home,
     pub(super) first_incarnation: ids::Incarnation,
     pub(super) settings: settings::HomeSettings,
     pub(super) now: time::TimeMs,
@@ -31,9 +31,9 @@
     pub(super) tombstones: tombstones::Tombstones,
     pub(super) superseded: superseded::Superseded,
     pub(super) routes: routes::Routes,
-    pub(super) surrender: Option<surrender::Surrender<A>>,
-    /// Set for the rest of the incarnation once it has taken as many keys as it may.
-    pub(super) is_worn_out: bool,
+    pub(super) closed_table: Option<closed_table::ClosedTable<A>>,
+    /// Set once the incarnation has accepted `max_tombstones` keys, until the incarnation ends.
+    pub(super) is_key_limit_reached: bool,
     pub(super) previous: Option<renewal::Previous>,
     next_serial: u64,
     next_waiter: u64,
@@ -41,28 +41,28 @@
 }
 
 impl<A: Clone + ResponseSize> HomeTable<A> {
-    /// The empty table of an instance that has just started.
+    /// Returns the empty table of an instance that has just started.
     #[must_use]
-    pub fn new(me: name::Home, settings: settings::HomeSettings) -> Self {
+    pub fn new(own_home: name::Home, settings: settings::HomeSettings) -> Self {
         Self {
-            first_incarnation: me.incarnation,
-            me,
+            first_incarnation: own_home.incarnation,
+            own_home,
             now: time::TimeMs::ZERO,
             records: records::Records::new(settings.max_answer_bytes),
             settings,
             tombstones: tombstones::Tombstones::default(),
             superseded: superseded::Superseded::default(),
             routes: routes::Routes::default(),
-            surrender: None,
-            is_worn_out: false,
+            closed_table: None,
+            is_key_limit_reached: false,
             previous: None,
-            next_serial: record::PREDECESSORS_SERIAL + 1,
+            next_serial: record::PREDECESSOR_SERIAL + 1,
             next_waiter: 0,
             broken_invariants: 0,
         }
     }
 
-    /// Decides on a try.
+    /// Decides how to handle an attempt.
     pub fn begin(
         &mut self,
         now: time::TimeMs,
@@ -73,10 +73,12 @@
         if let Some(begin) = self.begin_known(&scope, attempt) {
             return begin;
         }
-        match self.place(&attempt.home, &scope) {
-            place::Place::Here(incarnation) => self.begin_new(scope, incarnation, attempt),
-            place::Place::Elsewhere(home) => begin::BeginDecision::Forward(home),
-            place::Place::Lost(reason) => {
+        match self.key_owner(&attempt.home, &scope) {
+            key_owner::KeyOwner::ThisInstance(incarnation) => {
+                self.begin_new(scope, incarnation, attempt)
+            }
+            key_owner::KeyOwner::OtherInstance(home) => begin::BeginDecision::Forward(home),
+            key_owner::KeyOwner::Unknown(reason) => {
                 begin::BeginDecision::Answer(outcome::Outcome::unknown(reason))
             }
         }
@@ -84,7 +86,7 @@
 
     /// Ends a dispatch with its outcome, which goes to the client and to each waiter.
     ///
-    /// It may come late: an outcome replaces the *unknown* that was answered in its place.
+    /// A late outcome replaces the *unknown* that was answered when the key was overdue.
     pub fn finish(
         &mut self,
         now: time::TimeMs,
@@ -96,29 +98,29 @@
         self.resolve(&scope, serial, outcome)
     }
 
-    /// Gives up overdue outcomes as *unknown*, and drops what is older than its window.
+    /// Abandons overdue outcomes as *unknown* and removes entries whose window has ended.
     pub fn expire(&mut self, now: time::TimeMs) -> Vec<begin::FinishedKey<A>> {
         self.advance(now);
         let mut finished = Vec::new();
         while let Some((scope, record)) = self.records.pop_due(self.now) {
             if record.state.is_running() {
-                finished.push(self.give_up(scope, record));
+                finished.push(self.abandon(scope, record));
             } else {
-                self.bury(&scope, record.incarnation);
+                self.insert_tombstone(&scope, record.incarnation);
             }
         }
-        self.bury_superseded();
+        self.expire_superseded();
         self.routes.expire(self.now);
-        self.end_grace();
+        self.expire_previous();
         finished
     }
 
-    /// Forgets a waiter whose client went away or whose deadline passed.
+    /// Removes a waiter whose client disconnected or whose deadline passed.
     pub fn remove_waiter(&mut self, scope: &scope::Scope, waiter: permit::WaiterId) {
         self.records.remove_waiter(scope, waiter);
     }
 
-    /// Notes who answers for a departed home, as its successor or a peer tells.
+    /// Records the successor of a departed home, as reported by the successor or a peer.
     pub fn record_successor(
         &mut self,
         now: time::TimeMs,
@@ -127,54 +129,54 @@
     ) {
         self.advance(now);
         let until = self.now + self.settings.window();
-        self.routes.learn(departed, successor, until);
+        self.routes.record_successor(departed, successor, until);
     }
 
-    /// The departed homes whose successor is known, this instance's own adoptions included.
+    /// Returns the departed homes with known successors, including those this instance took over.
     ///
-    /// Tell them to every instance that starts: the restarted process of a departed home has heard no
-    /// announcement, and would answer *unknown* to clients of its predecessor that come to it.
+    /// Send them to every instance that starts: the restarted process of a departed home has received
+    /// no announcement, and would answer *unknown* to clients of its predecessor.
     pub fn successors(&self) -> impl Iterator<Item = (&name::Home, &name::Home)> {
         self.routes.successors()
     }
 
-    /// The home that look-ups name for this instance.
+    /// Returns the home that lookups name for this instance.
     #[must_use]
     pub const fn home(&self) -> &name::Home {
-        &self.me
+        &self.own_home
     }
 
-    /// How many keys are kept with their outcome or running.
+    /// Returns the number of keys that are running or stored with their outcome.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no key is kept.
+    /// Returns whether no key is running or stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.len() == 0
     }
 
-    /// How many keys run: what a planned stop waits for.
+    /// Returns the number of running keys, for which a planned stop waits.
     #[must_use]
     pub const fn running(&self) -> usize {
         self.records.running()
     }
 
-    /// How many bytes the kept keys take, with what running ones reserve.
+    /// Returns the memory of all keys in bytes, including what running keys reserve.
     #[must_use]
     pub const fn bytes(&self) -> u64 {
         self.records.bytes()
     }
 
-    /// How many unsafe actions were refused because an invariant was broken; always zero.
+    /// Returns the number of dispatches refused because an invariant was broken; zero without a defect.
     #[must_use]
     pub const fn broken_invariants(&self) -> u64 {
         self.broken_invariants
     }
 
-    /// A clock that steps back is ignored: a window never grows shorter or longer by it.
+    /// Advances the table's time; a step back is ignored, so that it changes the length of no window.
     pub(super) fn advance(&mut self, now: time::TimeMs) {
         self.now = self.now.max(now);
     }
@@ -186,7 +188,7 @@
     ) -> Option<begin::BeginDecision<A>> {
         let record = self.records.get(scope)?;
         if record.fingerprint != attempt.fingerprint {
-            // If the body that has the key is not run in the end, this try stays barred all the same.
+            // If the request bound to the key ends as *not run*, this attempt must be superseded too.
             self.records.raise_highest_try(scope, attempt.try_number);
             let reason = refusal::RefusalReason::KeyReusedWithOtherBody;
             return Some(begin::BeginDecision::Answer(not_run(reason)));
@@ -215,28 +217,28 @@
         incarnation: ids::Incarnation,
         attempt: &attempt::Attempt,
     ) -> begin::BeginDecision<A> {
-        if let Some(surrender) = &self.surrender {
-            return match surrender.successor() {
+        if let Some(closed_table) = &self.closed_table {
+            return match closed_table.successor() {
                 Some(successor) => begin::BeginDecision::Forward(successor.clone()),
                 None => {
                     begin::BeginDecision::Answer(not_run(refusal::RefusalReason::InstanceLeaving))
                 }
             };
         }
-        if self.superseded.covers(&scope, attempt.try_number) {
+        if self.superseded.contains(&scope, attempt.try_number) {
             return begin::BeginDecision::Answer(not_run(refusal::RefusalReason::TrySuperseded));
         }
-        self.is_worn_out |= self.taken_keys() >= self.settings.max_tombstones;
-        if self.is_worn_out {
-            // No bar is needed: earlier tries are refused too, until the incarnation ends.
+        self.is_key_limit_reached |= self.accepted_keys() >= self.settings.max_tombstones;
+        if self.is_key_limit_reached {
+            // Earlier attempts need no supersede entry: they are rejected too until the incarnation ends.
             return begin::BeginDecision::Answer(not_run(refusal::RefusalReason::KeyTableFull));
         }
         if self.is_full() {
-            let bar = superseded::Barred {
-                through: attempt.try_number,
+            let attempts = superseded::SupersededAttempts {
+                highest_try: attempt.try_number,
                 incarnation,
             };
-            self.bar(&scope, bar);
+            self.supersede(&scope, attempts);
             return begin::BeginDecision::Answer(not_run(refusal::RefusalReason::KeyTableFull));
         }
         self.dispatch(scope, incarnation, attempt)
@@ -248,8 +250,8 @@
         incarnation: ids::Incarnation,
         attempt: &attempt::Attempt,
     ) -> begin::BeginDecision<A> {
-        // Two dispatches of one key run a booking twice. The callers have looked the key up; this
-        // stands for the day when one of them is changed.
+        // Two dispatches of one key would run a booking twice. The callers have looked up the key; the
+        // check guards against a future change of a caller.
         if self.records.get(&scope).is_some() || self.tombstones.contains(scope.digest()) {
             return self.refuse_unsafe();
         }
@@ -262,7 +264,7 @@
             serial,
             highest_try: attempt.try_number,
             state: record::State::Running {
-                given_up_at: self.now + attempt.time_left + grace,
+                abandon_at: self.now + attempt.time_left + grace,
                 waiters: Vec::new(),
             },
         };
@@ -284,17 +286,17 @@
         serial: u64,
         outcome: outcome::Outcome<A>,
     ) -> begin::FinishedKey<A> {
-        let is_open = self
+        let accepts_outcome = self
             .records
             .get(scope)
-            .is_some_and(|record| record.serial == serial && record.state.is_open());
-        let record = if is_open {
+            .is_some_and(|record| record.serial == serial && record.state.accepts_outcome());
+        let record = if accepts_outcome {
             self.records.remove(scope)
         } else {
             None
         };
         let Some(record) = record else {
-            // The outcome came after its window; the tombstone stays.
+            // The outcome arrived after the window of its key; the tombstone stays.
             return begin::FinishedKey {
                 outcome,
                 waiters: Vec::new(),
@@ -308,16 +310,16 @@
         {
             waiters = joined;
         }
-        let kept = self.outcome_to_keep(&outcome);
+        let stored = self.outcome_to_store(&outcome);
         if let outcome::Outcome::NotRun(_) = outcome {
-            let bar = superseded::Barred {
-                through: record.highest_try,
+            let attempts = superseded::SupersededAttempts {
+                highest_try: record.highest_try,
                 incarnation: record.incarnation,
             };
-            self.bar(scope, bar);
+            self.supersede(scope, attempts);
         } else {
             let state = record::State::Done {
-                outcome: kept,
+                outcome: stored,
                 until: self.now + self.settings.window(),
             };
             self.records
@@ -326,10 +328,10 @@
         begin::FinishedKey { outcome, waiters }
     }
 
-    fn outcome_to_keep(&self, outcome: &outcome::Outcome<A>) -> outcome::Outcome<A> {
+    fn outcome_to_store(&self, outcome: &outcome::Outcome<A>) -> outcome::Outcome<A> {
         match outcome {
-            outcome::Outcome::Completed(answer)
-                if answer.size_bytes() > self.settings.max_answer_bytes =>
+            outcome::Outcome::Completed(response)
+                if response.size_bytes() > self.settings.max_answer_bytes =>
             {
                 outcome::Outcome::unknown(refusal::RefusalReason::AnswerNotKept)
             }
@@ -344,8 +346,8 @@
         outcome: &outcome::Outcome<A>,
     ) {
         let time_left = self.settings.window();
-        if let Some(surrender) = &mut self.surrender {
-            surrender.amend(handover::HandoverRecord {
+        if let Some(closed_table) = &mut self.closed_table {
+            closed_table.amend(handover::HandoverRecord {
                 scope: scope.clone(),
                 incarnation: record.incarnation,
                 fingerprint: record.fingerprint,
@@ -358,8 +360,10 @@
         }
     }
 
-    /// Every kept key becomes a tombstone one day, so both count against that bound now.
-    pub(super) fn taken_keys(&self) -> usize {
+    /// Returns the number of keys that count against `max_tombstones`.
+    ///
+    /// Every stored key becomes a tombstone in the end, so stored keys count from the start.
+    pub(super) fn accepted_keys(&self) -> usize {
         self.tombstones.len() + self.records.len() + self.superseded.len()
     }
 
--- a/crates/damaskvane-dispatch/src/home/taken_over.rs
+++ b/crates/damaskvane-dispatch/src/home/taken_over.rs
@@ -1,4 +1,4 @@
-//! A departed home whose keys this instance answers.
+//! A departed home whose keys this instance took over.
 
 use std::collections;
 
@@ -6,21 +6,21 @@
 
 use crate::home::{name, scope, tombstones};
 
-/// A departed home whose handover is being received or has been.
+/// A departed home whose handover has arrived in part or completely.
 #[derive(Debug)]
-pub(super) struct Adopted {
+pub(super) struct TakenOverHome {
     home: name::Home,
     tombstones: tombstones::Tombstones,
-    missing: collections::BTreeSet<u32>,
+    missing_parts: collections::BTreeSet<u32>,
     until: time::TimeMs,
 }
 
-impl Adopted {
+impl TakenOverHome {
     pub(super) fn new(home: name::Home, parts: u32, until: time::TimeMs) -> Self {
         Self {
             home,
             tombstones: tombstones::Tombstones::default(),
-            missing: (0..parts).collect(),
+            missing_parts: (0..parts).collect(),
             until,
         }
     }
@@ -29,18 +29,18 @@
         &self.home
     }
 
-    /// Notes a part; `false` if it was there already.
+    /// Records a part and its tombstones; returns `false` if the part had already arrived.
     pub(super) fn receive(&mut self, part: u32, digests: &[u64]) -> bool {
         self.tombstones.extend(digests);
-        self.missing.remove(&part)
+        self.missing_parts.remove(&part)
     }
 
-    /// Whether the whole table is there; before, an absent key may be in a missing part.
-    pub(super) fn is_whole(&self) -> bool {
-        self.missing.is_empty()
+    /// Returns whether all parts have arrived; until then, an absent key may be in a missing part.
+    pub(super) fn is_complete(&self) -> bool {
+        self.missing_parts.is_empty()
     }
 
-    pub(super) fn is_over(&self, now: time::TimeMs) -> bool {
+    pub(super) fn is_expired(&self, now: time::TimeMs) -> bool {
         self.until <= now
     }
 
--- a/crates/damaskvane-dispatch/src/home/tombstones.rs
+++ b/crates/damaskvane-dispatch/src/home/tombstones.rs
@@ -1,8 +1,8 @@
-//! Keys whose outcome is no longer kept.
+//! Tombstones of keys whose outcome is no longer retained.
 
 use std::collections;
 
-/// Digests of the keys that an incarnation has taken and no longer keeps.
+/// Digests of the keys that an incarnation accepted and no longer stores.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Tombstones {
     digests: collections::BTreeSet<u64>,
--- a/crates/damaskvane-dispatch/src/home/transfer.rs
+++ b/crates/damaskvane-dispatch/src/home/transfer.rs
@@ -18,70 +18,81 @@
 use damaskvane_core::time;
 
 use crate::home::response_size::ResponseSize;
-use crate::home::{adopted, begin, error, handover, name, parts, record, surrender, table};
+use crate::home::{
+    begin, closed_table, error, handover, name, record, snapshot, table, taken_over,
+};
 
-/// How much of its bounds a table fills when it holds an adopted one as well.
-const ADOPTION_FACTOR: usize = 2;
+/// Factor on the table's bounds while the table also holds a table taken over from another home.
+const TAKEOVER_FACTOR: usize = 2;
 
 impl<A: Clone + ResponseSize> table::HomeTable<A> {
-    /// Ends dispatching and hands the table to one successor, for good.
+    /// Ends dispatching for good and returns the parts of the table for one successor.
     ///
-    /// The parts are the same on every call, so that they can be sent again.
+    /// Every call returns the same parts, so that they can be sent again.
     ///
     /// # Errors
     ///
-    /// Another successor holds the table already, or the successor is this instance.
+    /// Fails if the table was handed over to another successor or closed, or if the successor is this
+    /// instance.
     pub fn hand_over(
         &mut self,
         now: time::TimeMs,
         successor: &name::Home,
     ) -> Result<&[handover::HandoverPart<A>], error::HandoverError> {
         self.advance(now);
-        if successor.instance == self.me.instance {
+        if successor.instance == self.own_home.instance {
             return Err(error::HandoverError::Leaving);
         }
-        let held_by = self.surrender.as_ref().map(surrender::Surrender::successor);
+        let held_by = self
+            .closed_table
+            .as_ref()
+            .map(closed_table::ClosedTable::successor);
         match held_by {
             None => {
                 let parts = self.parts_for(successor);
-                self.learn_departed(successor);
-                self.surrender = Some(surrender::Surrender::to(successor.clone(), parts));
+                self.record_own_successor(successor);
+                self.closed_table = Some(closed_table::ClosedTable::handed_over_to(
+                    successor.clone(),
+                    parts,
+                ));
             }
             Some(held_by) if held_by == Some(successor) => {}
             Some(held_by) => {
                 return Err(error::HandoverError::OtherSuccessor {
-                    successor: held_by.map_or_else(|| "nobody".to_owned(), ToString::to_string),
+                    successor: held_by
+                        .map_or_else(|| "no successor".to_owned(), ToString::to_string),
                 });
             }
         }
         Ok(self
-            .surrender
+            .closed_table
             .as_ref()
-            .map_or(&[], surrender::Surrender::parts))
+            .map_or(&[], closed_table::ClosedTable::parts))
     }
 
-    /// Ends dispatching without a successor: new keys are *not run* from here on.
+    /// Ends dispatching without a successor; new keys are answered with *not run* from now on.
     pub fn close(&mut self) {
-        if self.surrender.is_none() {
-            self.surrender = Some(surrender::Surrender::without_successor());
+        if self.closed_table.is_none() {
+            self.closed_table = Some(closed_table::ClosedTable::without_successor());
         }
     }
 
-    /// Outcomes that became known after the handover, to be sent to the successor in this order.
+    /// Takes the outcomes that arrived after the handover, to be sent to the successor in this order.
     pub fn take_amendments(&mut self) -> Vec<handover::HandoverRecord<A>> {
-        self.surrender
+        self.closed_table
             .as_mut()
-            .map(surrender::Surrender::take_amendments)
+            .map(closed_table::ClosedTable::take_amendments)
             .unwrap_or_default()
     }
 
-    /// Takes over a part of a departed home's table; a part that arrives again changes nothing.
+    /// Takes over a part of a departed home's table; a repeated part changes nothing.
     ///
-    /// Until every part is there, a key of the departed home that is not in one is *unknown*.
+    /// Until every part has arrived, a key that no received part contains is *unknown*.
     ///
     /// # Errors
     ///
-    /// The part is for another incarnation, the table has no room, or this instance is leaving.
+    /// Fails if the part names another successor, the table has no capacity, or this instance is
+    /// leaving.
     pub fn accept_handover(
         &mut self,
         now: time::TimeMs,
@@ -93,19 +104,19 @@
                 successor: part.successor.to_string(),
             });
         }
-        if self.surrender.is_some() {
+        if self.closed_table.is_some() {
             return Err(error::HandoverError::Leaving);
         }
-        if !self.has_room_for(&part) {
+        if !self.has_capacity_for(&part) {
             return Err(error::HandoverError::TableFull);
         }
-        self.adopt(part);
+        self.take_over(part);
         Ok(())
     }
 
-    /// Takes over an outcome that became known to the predecessor after its handover.
+    /// Applies an outcome that the predecessor received after its handover.
     ///
-    /// `None` if the key is not kept or was dispatched here since.
+    /// Returns `None` if the key is not in the table or was dispatched here since.
     pub fn accept_amendment(
         &mut self,
         now: time::TimeMs,
@@ -116,54 +127,58 @@
             return None;
         };
         let record = self.records.get(&amendment.scope)?;
-        if record.serial != record::PREDECESSORS_SERIAL {
+        if record.serial != record::PREDECESSOR_SERIAL {
             return None;
         }
-        // Tries that joined at the predecessor after the handover hear its outcome as well; if it is
-        // *not run*, they are barred with the others.
+        // Attempts that joined at the predecessor after the handover receive the same outcome; after
+        // *not run*, they are superseded like the others.
         self.records
             .raise_highest_try(&amendment.scope, amendment.highest_try);
-        Some(self.resolve(&amendment.scope, record::PREDECESSORS_SERIAL, outcome))
+        Some(self.resolve(&amendment.scope, record::PREDECESSOR_SERIAL, outcome))
     }
 
-    fn has_room_for(&self, part: &handover::HandoverPart<A>) -> bool {
+    fn has_capacity_for(&self, part: &handover::HandoverPart<A>) -> bool {
         let tombstones: usize = part.homes.iter().map(|(_, digests)| digests.len()).sum();
-        self.routes.has_room()
+        self.routes.has_capacity()
             && self.records.len() + part.records.len()
-                <= self.settings.max_entries * ADOPTION_FACTOR
-            && self.taken_keys() + tombstones <= self.settings.max_tombstones * ADOPTION_FACTOR
+                <= self.settings.max_entries * TAKEOVER_FACTOR
+            && self.accepted_keys() + tombstones <= self.settings.max_tombstones * TAKEOVER_FACTOR
     }
 
-    fn adopt(&mut self, part: handover::HandoverPart<A>) {
+    fn take_over(&mut self, part: handover::HandoverPart<A>) {
         let until = self.now + self.settings.window();
         let mut is_new = false;
         for (home, digests) in &part.homes {
             if self.routes.is_closed(home) {
                 continue;
             }
-            let adopted = adopted::Adopted::new(home.clone(), part.parts, until);
-            is_new |= self.routes.adopt(adopted).receive(part.part, digests);
-            self.routes.learn(home.clone(), self.me.clone(), until);
+            let taken_over = taken_over::TakenOverHome::new(home.clone(), part.parts, until);
+            is_new |= self
+                .routes
+                .take_over(taken_over)
+                .receive(part.part, digests);
+            self.routes
+                .record_successor(home.clone(), self.own_home.clone(), until);
         }
-        // A part that is there already must not bring back a key that has changed since.
+        // A repeated part must not restore the old state of a key that has changed since.
         if !is_new {
             return;
         }
         for record in part.records {
-            self.insert_handed(record);
+            self.insert_handover_record(record);
         }
-        for (scope, barred) in part.superseded {
-            self.bar(&scope, barred);
+        for (scope, attempts) in part.superseded {
+            self.supersede(&scope, attempts);
         }
     }
 
-    fn insert_handed(&mut self, handed: handover::HandoverRecord<A>) {
-        if self.records.get(&handed.scope).is_some() {
+    fn insert_handover_record(&mut self, handover_record: handover::HandoverRecord<A>) {
+        if self.records.get(&handover_record.scope).is_some() {
             return;
         }
-        let state = match handed.state {
+        let state = match handover_record.state {
             handover::HandoverState::Running { time_left } => record::State::Running {
-                given_up_at: self.now + time_left,
+                abandon_at: self.now + time_left,
                 waiters: Vec::new(),
             },
             handover::HandoverState::Done { outcome, time_left } => record::State::Done {
@@ -172,37 +187,42 @@
             },
         };
         let record = record::Record {
-            incarnation: handed.incarnation,
-            fingerprint: handed.fingerprint,
-            serial: record::PREDECESSORS_SERIAL,
-            highest_try: handed.highest_try,
+            incarnation: handover_record.incarnation,
+            fingerprint: handover_record.fingerprint,
+            serial: record::PREDECESSOR_SERIAL,
+            highest_try: handover_record.highest_try,
             state,
         };
-        self.records.insert(handed.scope, record);
+        self.records.insert(handover_record.scope, record);
     }
 
-    fn learn_departed(&mut self, successor: &name::Home) {
+    fn record_own_successor(&mut self, successor: &name::Home) {
         let until = self.now + self.settings.window();
-        self.routes.learn(self.me.clone(), successor.clone(), until);
+        self.routes
+            .record_successor(self.own_home.clone(), successor.clone(), until);
     }
 
     fn parts_for(&self, successor: &name::Home) -> Vec<handover::HandoverPart<A>> {
-        let mut homes = vec![(self.me.clone(), self.tombstones.to_vec())];
-        // A table that is not whole can't be passed on as one.
-        for adopted in self.routes.all_adopted().filter(|home| home.is_whole()) {
-            homes.push((adopted.home().clone(), adopted.tombstones().to_vec()));
+        let mut homes = vec![(self.own_home.clone(), self.tombstones.to_vec())];
+        // An incomplete table can't be handed over, since the next successor would treat it as complete.
+        for taken_over in self
+            .routes
+            .all_taken_over()
+            .filter(|home| home.is_complete())
+        {
+            homes.push((taken_over.home().clone(), taken_over.tombstones().to_vec()));
         }
         let records = self
             .records
             .iter()
             .map(|(scope, record)| record.hand_over(scope, self.now))
             .collect();
-        let table = parts::WholeTable {
-            from: self.me.clone(),
+        let table = snapshot::TableSnapshot {
+            from: self.own_home.clone(),
             successor: successor.clone(),
             homes,
             records,
-            superseded: self.superseded.pairs(),
+            superseded: self.superseded.to_vec(),
         };
         table.split(self.settings.handover_records)
     }
