--- a/crates/damaskvane-engine/src/engine/submit.rs
+++ b/crates/damaskvane-engine/src/engine/submit.rs
@@ -52,7 +52,7 @@
             }
             home::BeginDecision::Answer(outcome) => self.answer(Some(origin), outcome),
             home::BeginDecision::Forward(home) => {
-                self.forward(now, origin, request, deadline, home, hops)
+                self.forward(now, origin, request, deadline, home, hops);
             }
         }
     }
