--- a/crates/damaskvane-dispatch/src/home/renewal.rs
+++ b/crates/damaskvane-dispatch/src/home/renewal.rs
@@ -44,7 +44,7 @@
         };
         self.own_home.incarnation = incarnation;
         if self.is_key_limit_reached {
-            // Keys rejected at the limit were not recorded as superseded, so that an earlier attempt of
+            // Keys rejected at the limit were not recorded as superseded: an earlier attempt of
             // such a key could run now. The previous incarnation and the homes taken over therefore
             // accept no more keys.
             self.routes.close_all();
--- a/crates/damaskvane-dispatch/src/home/table.rs
+++ b/crates/damaskvane-dispatch/src/home/table.rs
@@ -20,7 +20,8 @@
 use crate::outcome;
 use crate::refusal;
 
-/// Decides on each attempt of the keys whose home is this instance, and routes the others.
+/// Decides on each attempt of the keys whose home is this instance, or a departed home that this
+/// instance took over, and names the instance to forward other attempts to.
 #[derive(Debug)]
 pub struct HomeTable<A> {
     pub(super) own_home: name::Home,
--- a/crates/damaskvane-dispatch/src/lib.rs
+++ b/crates/damaskvane-dispatch/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! # Crate guide
 //!
-//! - [`home`]: at-most-once dispatch by a table of idempotency keys at the instance that the client names.
+//! - [`home`]: at-most-once dispatch by a table of idempotency keys at the home instance.
 //! - [`admission`]: the queue in which requests wait for a slot.
 //! - [`connection`]: the failures of a connection that count against a backend server.
 //! - [`drain`]: the life cycle of a backend server, from its cold start to its drain.
