--- a/crates/damaskvane-bench/src/steering/world.rs
+++ b/crates/damaskvane-bench/src/steering/world.rs
@@ -188,7 +188,7 @@
 
     fn tick(&mut self) {
         while let Some((reader, report)) = self.wire.arrived(self.now_us) {
-            self.deciders[reader].view.adopt(report);
+            self.deciders[reader].view.apply_digest(report);
         }
         // Instances plan once a second, each zone's at a moment of its own.
         let tick = self.now_us / TICK_US;
--- a/crates/damaskvane-entry/src/control/steering.rs
+++ b/crates/damaskvane-entry/src/control/steering.rs
@@ -180,7 +180,7 @@
         for held in self.steering.exchange.digests(now) {
             let taken_at = time::TimeMs::new(now.get().saturating_sub(held.age.get()));
             let digest = held.body.to_digest(held.zone, held.sequence, taken_at);
-            self.steering.view.adopt(digest);
+            self.steering.view.apply_digest(digest);
         }
     }
 
--- a/crates/damaskvane-steering/src/digest.rs
+++ b/crates/damaskvane-steering/src/digest.rs
@@ -7,8 +7,8 @@
 //! let mut view = digest::View::default();
 //! let zone: damaskvane_core::ids::AvailabilityZoneId = "sask-a".parse()?;
 //! let report = digest::ZoneDigest::new(zone, 1, time::TimeMs::new(500));
-//! assert!(view.adopt(report.clone()));
-//! assert!(!view.adopt(report), "a repeated sequence is no fresh report");
+//! assert!(view.apply_digest(report.clone()));
+//! assert!(!view.apply_digest(report), "a repeated sequence is no fresh report");
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
 
--- a/crates/damaskvane-steering/src/digest/view.rs
+++ b/crates/damaskvane-steering/src/digest/view.rs
@@ -26,7 +26,7 @@
     /// A frozen reporter sends the same numbers again and again; if each arrival made them young, the
     /// planner would steer by them for ever. Only a higher sequence counts as news, and a report
     /// that claims to be taken later than a clock can explain is the caller's to reject.
-    pub fn adopt(&mut self, report: ZoneDigest) -> bool {
+    pub fn apply_digest(&mut self, report: ZoneDigest) -> bool {
         let held = self.digests.get(&report.zone);
         if held.is_some_and(|held| held.sequence >= report.sequence) {
             return false;
--- a/crates/damaskvane-steering/tests/common/mod.rs
+++ b/crates/damaskvane-steering/tests/common/mod.rs
@@ -68,7 +68,7 @@
 /// Fresh reports of all zones, with the same demand of each zone's clients.
 pub(crate) fn all_report(view: &mut digest::View, sequence: u64, now_ms: u64, demand: u64) {
     for id in topology().zones.keys() {
-        view.adopt(report(id, sequence, now_ms, demand));
+        view.apply_digest(report(id, sequence, now_ms, demand));
     }
 }
 
--- a/crates/damaskvane-steering/tests/planner.rs
+++ b/crates/damaskvane-steering/tests/planner.rs
@@ -74,7 +74,7 @@
         for step in 1..120 {
             for id in topology.zones.keys() {
                 if rng.random_range(0..4) > 0 {
-                    view.adopt(random_report(&mut rng, id, step));
+                    view.apply_digest(random_report(&mut rng, id, step));
                 }
                 if rng.random_range(0..40) == 0 {
                     view.set_cut_off(id, rng.random());
@@ -134,7 +134,7 @@
     let mut plan = None;
     for step in 1..60 {
         for (id, demand) in demand {
-            view.adopt(common::report(&zone(id), step, step * STEP_MS, *demand));
+            view.apply_digest(common::report(&zone(id), step, step * STEP_MS, *demand));
         }
         plan = Some(planner.plan(topology, &view, plan.as_ref(), at(step * STEP_MS)));
     }
--- a/crates/damaskvane-steering/tests/planner_faults.rs
+++ b/crates/damaskvane-steering/tests/planner_faults.rs
@@ -20,7 +20,7 @@
         let service = report.services.get_mut(&service_id()).unwrap();
         service.running = units::Slots::ZERO;
         service.refused = rps(30);
-        view.adopt(report);
+        view.apply_digest(report);
         plan = Some(planner.plan(&topology(), &view, plan.as_ref(), at(step * STEP_MS)));
     }
     let plan = plan.unwrap();
@@ -45,7 +45,7 @@
     for id in topology().zones.keys() {
         let mut report = common::report(id, 1, 0, 40);
         report.services.get_mut(&service_id()).unwrap().capacity = rate::Rate::ZERO;
-        view.adopt(report);
+        view.apply_digest(report);
     }
     let plan = planner.plan(&topology(), &view, None, at(0));
     assert_eq!(
@@ -69,7 +69,7 @@
             let is_lost = step > 20 && topology().zones[id].as_str() == "ab";
             view.set_cut_off(id, is_lost);
             if !is_lost {
-                view.adopt(common::report(id, step, now_ms, 120));
+                view.apply_digest(common::report(id, step, now_ms, 120));
             }
         }
         if step == 26 {
@@ -101,13 +101,13 @@
             let is_ab = topology().zones[id].as_str() == "ab";
             view.set_cut_off(id, step > 20 && is_ab);
             if step <= 20 {
-                view.adopt(common::report(id, step, now_ms, 100));
+                view.apply_digest(common::report(id, step, now_ms, 100));
             } else if !is_ab {
                 let mut report = common::report(id, step, now_ms, 100);
                 let service = report.services.get_mut(&service_id()).unwrap();
                 service.demand.insert(zone("ab-a"), rps(25));
                 service.demand.insert(zone("ab-b"), rps(25));
-                view.adopt(report);
+                view.apply_digest(report);
             }
         }
         plan = Some(planner.plan(&topology(), &view, plan.as_ref(), at(now_ms)));
@@ -132,7 +132,7 @@
             let is_silent = step > 20 && topology().zones[id].as_str() == "ab";
             view.set_cut_off(id, is_silent);
             if !is_silent {
-                view.adopt(common::report(id, step, step * STEP_MS, 100));
+                view.apply_digest(common::report(id, step, step * STEP_MS, 100));
             }
         }
         plan = Some(planner.plan(&topology(), &view, plan.as_ref(), at(step * STEP_MS)));
@@ -155,11 +155,11 @@
     for step in 1..40 {
         all_report(&mut view, step, step * STEP_MS, 100);
         if step == 20 {
-            view.adopt(common::report(&zone("ab-a"), 10_000, step * STEP_MS, 5_000));
+            view.apply_digest(common::report(&zone("ab-a"), 10_000, step * STEP_MS, 5_000));
         }
         if step == 21 {
             view.forget(&zone("ab-a"));
-            view.adopt(common::report(&zone("ab-a"), step, step * STEP_MS, 100));
+            view.apply_digest(common::report(&zone("ab-a"), step, step * STEP_MS, 100));
         }
         let next = planner.plan(&topology(), &view, plan.as_ref(), at(step * STEP_MS));
         let sources = next.services[&service_id()].sources.values();
--- a/crates/damaskvane-steering/tests/staleness.rs
+++ b/crates/damaskvane-steering/tests/staleness.rs
@@ -59,7 +59,7 @@
                 100
             };
             if !silent || *id != zone("mb-a") {
-                view.adopt(common::report(id, sequence, now_ms, demand));
+                view.apply_digest(common::report(id, sequence, now_ms, demand));
             }
         }
         let is_cut = silent && reach == Reach::CutOff;
@@ -127,7 +127,7 @@
         for id in topology().zones.keys() {
             view.set_cut_off(id, step >= 10 && *id != zone("ab-a"));
         }
-        view.adopt(common::report(&zone("ab-a"), step, step * 1_000, 100));
+        view.apply_digest(common::report(&zone("ab-a"), step, step * 1_000, 100));
         plan = Some(planner.plan(&topology(), &view, plan.as_ref(), at(step * 1_000)));
     }
     let plan = plan.unwrap();
@@ -143,8 +143,8 @@
 fn a_repeated_report_grows_old() {
     let mut view = digest::View::default();
     let limits = staleness::Limits::default();
-    assert!(view.adopt(common::report(&zone("ab-a"), 7, 0, 100)));
+    assert!(view.apply_digest(common::report(&zone("ab-a"), 7, 0, 100)));
     let repeated = common::report(&zone("ab-a"), 7, 16_000, 100);
-    assert!(!view.adopt(repeated));
+    assert!(!view.apply_digest(repeated));
     assert_eq!(view.age(&zone("ab-a"), limits, at(16_000)), Age::Gone);
 }
