--- a/crates/damaskvane-bench/src/steering/digests.rs
+++ b/crates/damaskvane-bench/src/steering/digests.rs
@@ -77,7 +77,7 @@
             .smooth_answered_rps
             .iter()
             .zip(&self.smooth_turned_away_rps);
-        let look_ups = answered.map(|(answered, refused)| digest::LookUps {
+        let look_ups = answered.map(|(answered, refused)| digest::Lookups {
             answered: to_rate(*answered),
             refused: to_rate(*refused),
         });
--- a/crates/damaskvane-entry/src/load/zone_load.rs
+++ b/crates/damaskvane-entry/src/load/zone_load.rs
@@ -139,7 +139,7 @@
                 .look_ups
                 .iter()
                 .map(|(zone, (answered, refused))| {
-                    let look_ups = digest::LookUps {
+                    let look_ups = digest::Lookups {
                         answered: *answered,
                         refused: *refused,
                     };
--- a/crates/damaskvane-steering/src/digest.rs
+++ b/crates/damaskvane-steering/src/digest.rs
@@ -16,4 +16,4 @@
 mod zone;
 
 pub use view::View;
-pub use zone::{LookUps, ServiceDigest, ZoneDigest};
+pub use zone::{Lookups, ServiceDigest, ZoneDigest};
--- a/crates/damaskvane-steering/src/digest/zone.rs
+++ b/crates/damaskvane-steering/src/digest/zone.rs
@@ -27,7 +27,7 @@
 
 /// Look-ups that a zone's entry instances answered, for the clients of one source zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LookUps {
+pub struct Lookups {
     /// Answered with zones to use.
     pub answered: rate::Rate,
     /// Refused for want of capacity.
@@ -46,7 +46,7 @@
     /// Look-ups by the source zone of the client, counted over the same span as the demand.
     ///
     /// A source of which no look-up was refused may be left out.
-    pub look_ups: BTreeMap<ids::AvailabilityZoneId, LookUps>,
+    pub look_ups: BTreeMap<ids::AvailabilityZoneId, Lookups>,
     /// Requests refused for want of capacity, by the zone or by its backend servers.
     pub refused: rate::Rate,
     /// Requests that failed on a backend server.
