--- a/crates/damaskvane-bench/src/steering/digests.rs
+++ b/crates/damaskvane-bench/src/steering/digests.rs
@@ -77,12 +77,12 @@
             .smooth_answered_rps
             .iter()
             .zip(&self.smooth_turned_away_rps);
-        let look_ups = answered.map(|(answered, refused)| digest::Lookups {
+        let lookups = answered.map(|(answered, refused)| digest::Lookups {
             answered: to_rate(*answered),
             refused: to_rate(*refused),
         });
         digest::ServiceDigest {
-            look_ups: deployment.zones.iter().cloned().zip(look_ups).collect(),
+            lookups: deployment.zones.iter().cloned().zip(lookups).collect(),
             capacity: to_rate(deployment.capacity_rps(service, zone)),
             running: units::Slots::new(self.running),
             demand: demand
--- a/crates/damaskvane-entry/src/load/zone_load.rs
+++ b/crates/damaskvane-entry/src/load/zone_load.rs
@@ -135,7 +135,7 @@
             capacity: self.capacity,
             running: self.running,
             demand: self.demand.clone(),
-            look_ups: self
+            lookups: self
                 .look_ups
                 .iter()
                 .map(|(zone, (answered, refused))| {
--- a/crates/damaskvane-steering/src/digest/zone.rs
+++ b/crates/damaskvane-steering/src/digest/zone.rs
@@ -46,7 +46,7 @@
     /// Look-ups by the source zone of the client, counted over the same span as the demand.
     ///
     /// A source of which no look-up was refused may be left out.
-    pub look_ups: BTreeMap<ids::AvailabilityZoneId, Lookups>,
+    pub lookups: BTreeMap<ids::AvailabilityZoneId, Lookups>,
     /// Requests refused for want of capacity, by the zone or by its backend servers.
     pub refused: rate::Rate,
     /// Requests that failed on a backend server.
--- a/crates/damaskvane-steering/src/planner/demand.rs
+++ b/crates/damaskvane-steering/src/planner/demand.rs
@@ -150,13 +150,9 @@
     // Clients refused at the look-up arrive nowhere; without them, demand would seem to fall by
     // what was refused, and rise again once they are let in. The part is counted, since the part
     // that was planned is in force only after answers have left the caches.
-    let look_ups = || {
-        reports
-            .iter()
-            .filter_map(|report| report.look_ups.get(zone))
-    };
-    let answered: rate::Rate = look_ups().map(|look_ups| look_ups.answered).sum();
-    let refused: rate::Rate = look_ups().map(|look_ups| look_ups.refused).sum();
+    let lookups = || reports.iter().filter_map(|report| report.lookups.get(zone));
+    let answered: rate::Rate = lookups().map(|lookups| lookups.answered).sum();
+    let refused: rate::Rate = lookups().map(|lookups| lookups.refused).sum();
     let offered = if answered > rate::Rate::ZERO {
         arrived.scaled((answered + refused).milli(), answered.milli())
     } else {
