--- a/crates/damaskvane-entry/src/control/steering.rs
+++ b/crates/damaskvane-entry/src/control/steering.rs
@@ -265,10 +265,10 @@
         } else {
             policy::Policy::Latency
         },
-        answer_ttl: services()
+        lookup_ttl: services()
             .map(|service| service.lookup_ttl_ms)
             .max()
-            .unwrap_or(defaults.answer_ttl),
+            .unwrap_or(defaults.lookup_ttl),
         ..defaults
     }
 }
--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -28,7 +28,7 @@
     /// How long a grant lasts.
     pub lasts: time::SpanMs,
     /// How long clients keep a look-up answer.
-    pub answer_ttl: time::SpanMs,
+    pub lookup_ttl: time::SpanMs,
     /// What every source may use without a grant.
     pub static_shares: BTreeMap<ids::AvailabilityZoneId, rate::Rate>,
     /// The part of what is free that one grant may take, in thousandths.
@@ -39,7 +39,7 @@
     fn default() -> Self {
         Self {
             lasts: time::SpanMs::new(5_000),
-            answer_ttl: time::SpanMs::new(2_000),
+            lookup_ttl: time::SpanMs::new(2_000),
             static_shares: BTreeMap::new(),
             greed_permille: 500,
         }
@@ -94,7 +94,7 @@
         self.forget_lapsed(now);
         let rate = self.affordable(source, ask.rate, account);
         let rate = self.assert_safe(source, rate, account);
-        let free_at = now + self.settings.lasts + self.settings.answer_ttl;
+        let free_at = now + self.settings.lasts + self.settings.lookup_ttl;
         let entry = Outstanding { rate, free_at };
         self.outstanding
             .entry(source.clone())
--- a/crates/damaskvane-steering/src/plan/service.rs
+++ b/crates/damaskvane-steering/src/plan/service.rs
@@ -94,7 +94,7 @@
         &mut self,
         previous: Option<&Self>,
         now: time::TimeMs,
-        answer_ttl: time::SpanMs,
+        lookup_ttl: time::SpanMs,
     ) {
         if let Some(previous) = previous {
             // Look-ups are answered from a plan until the next one is made, so a plan's answers
@@ -106,7 +106,7 @@
                 .map(|(made_at, _)| *made_at);
             let next_made = next_made.chain([now]);
             let kept = previous.answered.iter().zip(next_made);
-            let kept = kept.filter(|(_, next)| now.since(*next) < answer_ttl);
+            let kept = kept.filter(|(_, next)| now.since(*next) < lookup_ttl);
             self.answered = kept.map(|(entry, _)| entry.clone()).collect();
         }
         self.answered.push((now, self.shares()));
--- a/crates/damaskvane-steering/src/planner.rs
+++ b/crates/damaskvane-steering/src/planner.rs
@@ -99,6 +99,6 @@
         reported: capacity::reported(inputs),
         ..plan::ServicePlan::default()
     };
-    plan.remember(inputs.previous, inputs.now, inputs.settings.answer_ttl);
+    plan.remember(inputs.previous, inputs.now, inputs.settings.lookup_ttl);
     plan
 }
--- a/crates/damaskvane-steering/src/planner/settings.rs
+++ b/crates/damaskvane-steering/src/planner/settings.rs
@@ -17,7 +17,7 @@
     /// What the deployment weighs most.
     pub policy: policy::Policy,
     /// How long clients keep a look-up answer.
-    pub answer_ttl: time::SpanMs,
+    pub lookup_ttl: time::SpanMs,
     /// When reports turn old and gone.
     pub limits: staleness::Limits,
     /// The part of a zone's capacity that steering may promise, in thousandths.
@@ -36,7 +36,7 @@
     fn default() -> Self {
         Self {
             policy: policy::Policy::Latency,
-            answer_ttl: time::SpanMs::new(2_000),
+            lookup_ttl: time::SpanMs::new(2_000),
             limits: staleness::Limits::default(),
             usable_permille: 980,
             margin_permille: 400,
--- a/crates/damaskvane-steering/tests/planner.rs
+++ b/crates/damaskvane-steering/tests/planner.rs
@@ -88,7 +88,7 @@
                 .map(|to| worst_arrival(&recent, &plan, to))
                 .collect();
             recent.push_back(shares(&plan));
-            if recent.len() as u64 * STEP_MS > settings.answer_ttl.get() + STEP_MS {
+            if recent.len() as u64 * STEP_MS > settings.lookup_ttl.get() + STEP_MS {
                 recent.pop_front();
             }
             for (to, before) in topology.zones.keys().zip(before) {
