--- a/crates/damaskvane-bench/src/steering/decider.rs
+++ b/crates/damaskvane-bench/src/steering/decider.rs
@@ -125,8 +125,9 @@
         if moves_at_once && is_moved {
             return Answer::Zone(SHIFT_DESTINATION);
         }
-        let live =
-            |zone: &usize| self.view.reach(&deployment.zones[*zone]) == staleness::Reach::Connected;
+        let live = |zone: &usize| {
+            self.view.reach(&deployment.zones[*zone]) == staleness::Reachability::Connected
+        };
         let zones: Vec<_> = deployment
             .nearest(asker.source)
             .iter()
--- a/crates/damaskvane-steering/src/digest/view.rs
+++ b/crates/damaskvane-steering/src/digest/view.rs
@@ -51,11 +51,11 @@
 
     /// Whether a zone answers heartbeats.
     #[must_use]
-    pub fn reach(&self, zone: &ids::AvailabilityZoneId) -> staleness::Reach {
+    pub fn reach(&self, zone: &ids::AvailabilityZoneId) -> staleness::Reachability {
         if self.cut_off.contains(zone) {
-            staleness::Reach::CutOff
+            staleness::Reachability::CutOff
         } else {
-            staleness::Reach::Connected
+            staleness::Reachability::Connected
         }
     }
 
--- a/crates/damaskvane-steering/src/staleness.rs
+++ b/crates/damaskvane-steering/src/staleness.rs
@@ -5,7 +5,7 @@
 //! ```
 //! use damaskvane_steering::staleness;
 //!
-//! let decision = staleness::decide(staleness::Age::Old, staleness::Reach::Connected);
+//! let decision = staleness::decide(staleness::Age::Old, staleness::Reachability::Connected);
 //! assert_eq!(decision, staleness::Decision::Hold);
 //! ```
 
@@ -24,7 +24,7 @@
 
 /// Whether a zone answers heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// It answers.
     Connected,
     /// It does not.
@@ -80,11 +80,11 @@
 /// the cut, and clients sent there would wait for a time-out. One would notice requests that hang
 /// while the digests look healthy.
 #[must_use]
-pub const fn decide(age: Age, reach: Reach) -> Decision {
+pub const fn decide(age: Age, reach: Reachability) -> Decision {
     match (age, reach) {
-        (_, Reach::CutOff) => Decision::Exclude,
-        (Age::Fresh, Reach::Connected) => Decision::Measured,
-        (Age::Old, Reach::Connected) => Decision::Hold,
-        (Age::Gone, Reach::Connected) => Decision::StaticShare,
+        (_, Reachability::CutOff) => Decision::Exclude,
+        (Age::Fresh, Reachability::Connected) => Decision::Measured,
+        (Age::Old, Reachability::Connected) => Decision::Hold,
+        (Age::Gone, Reachability::Connected) => Decision::StaticShare,
     }
 }
--- a/crates/damaskvane-steering/tests/staleness.rs
+++ b/crates/damaskvane-steering/tests/staleness.rs
@@ -6,15 +6,15 @@
 use common::{all_report, at, planned_to, rps, topology, zone};
 use damaskvane_core::time;
 use damaskvane_steering::{digest, planner, rate, staleness};
-use staleness::{Age, Decision, Reach};
+use staleness::{Age, Decision, Reachability};
 
-const TABLE: [(Age, Reach, Decision); 6] = [
-    (Age::Fresh, Reach::Connected, Decision::Measured),
-    (Age::Old, Reach::Connected, Decision::Hold),
-    (Age::Gone, Reach::Connected, Decision::StaticShare),
-    (Age::Fresh, Reach::CutOff, Decision::Exclude),
-    (Age::Old, Reach::CutOff, Decision::Exclude),
-    (Age::Gone, Reach::CutOff, Decision::Exclude),
+const TABLE: [(Age, Reachability, Decision); 6] = [
+    (Age::Fresh, Reachability::Connected, Decision::Measured),
+    (Age::Old, Reachability::Connected, Decision::Hold),
+    (Age::Gone, Reachability::Connected, Decision::StaticShare),
+    (Age::Fresh, Reachability::CutOff, Decision::Exclude),
+    (Age::Old, Reachability::CutOff, Decision::Exclude),
+    (Age::Gone, Reachability::CutOff, Decision::Exclude),
 ];
 
 #[test]
@@ -44,7 +44,7 @@
 
 /// Plans one step after the report of `mb-a` reached an age, with 160 requests a second of its clients
 /// before and 190 wished for by a neighbour.
-fn planned_to_mb_a(silent_ms: u64, reach: Reach) -> (rate::Rate, rate::Rate) {
+fn planned_to_mb_a(silent_ms: u64, reach: Reachability) -> (rate::Rate, rate::Rate) {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
     let (mut before, mut plan) = (rate::Rate::ZERO, None);
@@ -62,7 +62,7 @@
                 view.apply_digest(common::report(id, sequence, now_ms, demand));
             }
         }
-        let is_cut = silent && reach == Reach::CutOff;
+        let is_cut = silent && reach == Reachability::CutOff;
         view.set_cut_off(&zone("mb-a"), is_cut);
         let next = planner.plan(&topology(), &view, plan.as_ref(), at(now_ms));
         if now_ms == last_heard_ms {
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_fresh_report_is_steered_by() {
-    let (before, after) = planned_to_mb_a(3_000, Reach::Connected);
+    let (before, after) = planned_to_mb_a(3_000, Reachability::Connected);
     assert!(
         after > before,
         "{after} after {before}: the neighbour's clients come in"
@@ -86,15 +86,15 @@
 /// sends it every neighbour's overflow at once; its users are refused.
 #[test]
 fn an_old_report_holds_what_was_planned() {
-    let (_, at_old) = planned_to_mb_a(4_000, Reach::Connected);
-    let (_, later) = planned_to_mb_a(14_000, Reach::Connected);
+    let (_, at_old) = planned_to_mb_a(4_000, Reachability::Connected);
+    let (_, later) = planned_to_mb_a(14_000, Reachability::Connected);
     assert!(later <= at_old, "{later} after {at_old}");
     assert!(later >= rps(90), "its own clients stay: {later}");
 }
 
 #[test]
 fn a_zone_without_a_report_gets_its_static_share() {
-    let (_, after) = planned_to_mb_a(20_000, Reach::Connected);
+    let (_, after) = planned_to_mb_a(20_000, Reachability::Connected);
     assert!(after > rps(80) && after <= rps(190 + 10), "{after}");
     let planner = planner::Planner::new(planner::Settings::default());
     let plan = planner.plan(&topology(), &digest::View::default(), None, at(0));
@@ -108,7 +108,7 @@
 #[test]
 fn a_zone_cut_off_gets_nothing_at_any_age() {
     for silent_ms in [1_000, 10_000, 20_000] {
-        let (_, after) = planned_to_mb_a(silent_ms, Reach::CutOff);
+        let (_, after) = planned_to_mb_a(silent_ms, Reachability::CutOff);
         assert_eq!(after, rate::Rate::ZERO, "{silent_ms} ms");
     }
 }
