--- a/crates/damaskvane-bench/src/steering/decider.rs
+++ b/crates/damaskvane-bench/src/steering/decider.rs
@@ -126,7 +126,7 @@
             return Answer::Zone(SHIFT_DESTINATION);
         }
         let live = |zone: &usize| {
-            self.view.reach(&deployment.zones[*zone]) == staleness::Reachability::Connected
+            self.view.reachability(&deployment.zones[*zone]) == staleness::Reachability::Connected
         };
         let zones: Vec<_> = deployment
             .nearest(asker.source)
--- a/crates/damaskvane-steering/src/digest/view.rs
+++ b/crates/damaskvane-steering/src/digest/view.rs
@@ -51,7 +51,7 @@
 
     /// Whether a zone answers heartbeats.
     #[must_use]
-    pub fn reach(&self, zone: &ids::AvailabilityZoneId) -> staleness::Reachability {
+    pub fn reachability(&self, zone: &ids::AvailabilityZoneId) -> staleness::Reachability {
         if self.cut_off.contains(zone) {
             staleness::Reachability::CutOff
         } else {
--- a/crates/damaskvane-steering/src/planner/inputs.rs
+++ b/crates/damaskvane-steering/src/planner/inputs.rs
@@ -69,7 +69,7 @@
 
     pub(super) fn decision(&self, zone: &ids::AvailabilityZoneId) -> staleness::Decision {
         let age = self.view.age(zone, self.settings.limits, self.now);
-        staleness::decide(age, self.view.reach(zone))
+        staleness::decide(age, self.view.reachability(zone))
     }
 
     pub(super) fn report(&self, zone: &ids::AvailabilityZoneId) -> Option<&digest::ServiceDigest> {
--- a/crates/damaskvane-steering/src/staleness.rs
+++ b/crates/damaskvane-steering/src/staleness.rs
@@ -80,8 +80,8 @@
 /// the cut, and clients sent there would wait for a time-out. One would notice requests that hang
 /// while the digests look healthy.
 #[must_use]
-pub const fn decide(age: Age, reach: Reachability) -> Decision {
-    match (age, reach) {
+pub const fn decide(age: Age, reachability: Reachability) -> Decision {
+    match (age, reachability) {
         (_, Reachability::CutOff) => Decision::Exclude,
         (Age::Fresh, Reachability::Connected) => Decision::Measured,
         (Age::Old, Reachability::Connected) => Decision::Hold,
--- a/crates/damaskvane-steering/tests/staleness.rs
+++ b/crates/damaskvane-steering/tests/staleness.rs
@@ -19,8 +19,12 @@
 
 #[test]
 fn every_age_and_reach_has_its_decision() {
-    for (age, reach, decision) in TABLE {
-        assert_eq!(staleness::decide(age, reach), decision, "{age:?} {reach:?}");
+    for (age, reachability, decision) in TABLE {
+        assert_eq!(
+            staleness::decide(age, reachability),
+            decision,
+            "{age:?} {reachability:?}"
+        );
     }
 }
 
@@ -44,7 +48,7 @@
 
 /// Plans one step after the report of `mb-a` reached an age, with 160 requests a second of its clients
 /// before and 190 wished for by a neighbour.
-fn planned_to_mb_a(silent_ms: u64, reach: Reachability) -> (rate::Rate, rate::Rate) {
+fn planned_to_mb_a(silent_ms: u64, reachability: Reachability) -> (rate::Rate, rate::Rate) {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
     let (mut before, mut plan) = (rate::Rate::ZERO, None);
@@ -62,7 +66,7 @@
                 view.apply_digest(common::report(id, sequence, now_ms, demand));
             }
         }
-        let is_cut = silent && reach == Reachability::CutOff;
+        let is_cut = silent && reachability == Reachability::CutOff;
         view.set_cut_off(&zone("mb-a"), is_cut);
         let next = planner.plan(&topology(), &view, plan.as_ref(), at(now_ms));
         if now_ms == last_heard_ms {
