--- a/crates/damaskvane-steering/src/digest/view.rs
+++ b/crates/damaskvane-steering/src/digest/view.rs
@@ -53,7 +53,7 @@
     #[must_use]
     pub fn reachability(&self, zone: &ids::AvailabilityZoneId) -> staleness::Reachability {
         if self.cut_off.contains(zone) {
-            staleness::Reachability::CutOff
+            staleness::Reachability::Unreachable
         } else {
             staleness::Reachability::Connected
         }
--- a/crates/damaskvane-steering/src/staleness.rs
+++ b/crates/damaskvane-steering/src/staleness.rs
@@ -28,7 +28,7 @@
     /// It answers.
     Connected,
     /// It does not.
-    CutOff,
+    Unreachable,
 }
 
 /// What the planner does with a destination zone.
@@ -82,7 +82,7 @@
 #[must_use]
 pub const fn decide(age: Age, reachability: Reachability) -> Decision {
     match (age, reachability) {
-        (_, Reachability::CutOff) => Decision::Exclude,
+        (_, Reachability::Unreachable) => Decision::Exclude,
         (Age::Fresh, Reachability::Connected) => Decision::Measured,
         (Age::Old, Reachability::Connected) => Decision::Hold,
         (Age::Gone, Reachability::Connected) => Decision::StaticShare,
--- a/crates/damaskvane-steering/tests/staleness.rs
+++ b/crates/damaskvane-steering/tests/staleness.rs
@@ -12,9 +12,9 @@
     (Age::Fresh, Reachability::Connected, Decision::Measured),
     (Age::Old, Reachability::Connected, Decision::Hold),
     (Age::Gone, Reachability::Connected, Decision::StaticShare),
-    (Age::Fresh, Reachability::CutOff, Decision::Exclude),
-    (Age::Old, Reachability::CutOff, Decision::Exclude),
-    (Age::Gone, Reachability::CutOff, Decision::Exclude),
+    (Age::Fresh, Reachability::Unreachable, Decision::Exclude),
+    (Age::Old, Reachability::Unreachable, Decision::Exclude),
+    (Age::Gone, Reachability::Unreachable, Decision::Exclude),
 ];
 
 #[test]
@@ -66,7 +66,7 @@
                 view.apply_digest(common::report(id, sequence, now_ms, demand));
             }
         }
-        let is_cut = silent && reachability == Reachability::CutOff;
+        let is_cut = silent && reachability == Reachability::Unreachable;
         view.set_cut_off(&zone("mb-a"), is_cut);
         let next = planner.plan(&topology(), &view, plan.as_ref(), at(now_ms));
         if now_ms == last_heard_ms {
@@ -112,7 +112,7 @@
 #[test]
 fn a_zone_cut_off_gets_nothing_at_any_age() {
     for silent_ms in [1_000, 10_000, 20_000] {
-        let (_, after) = planned_to_mb_a(silent_ms, Reachability::CutOff);
+        let (_, after) = planned_to_mb_a(silent_ms, Reachability::Unreachable);
         assert_eq!(after, rate::Rate::ZERO, "{silent_ms} ms");
     }
 }
