--- a/crates/damaskvane-bench/src/steering/world.rs
+++ b/crates/damaskvane-bench/src/steering/world.rs
@@ -181,7 +181,7 @@
                     Fault::Heal => is_other_side,
                     _ => is_hit,
                 };
-                decider.view.set_cut_off(id, seen_away && is_away);
+                decider.view.set_unreachable(id, seen_away && is_away);
             }
         }
     }
--- a/crates/damaskvane-steering/src/digest/view.rs
+++ b/crates/damaskvane-steering/src/digest/view.rs
@@ -41,7 +41,7 @@
     }
 
     /// Says whether a zone answers heartbeats.
-    pub fn set_cut_off(&mut self, zone: &ids::AvailabilityZoneId, cut_off: bool) {
+    pub fn set_unreachable(&mut self, zone: &ids::AvailabilityZoneId, cut_off: bool) {
         if cut_off {
             self.cut_off.insert(zone.clone());
         } else {
--- a/crates/damaskvane-steering/tests/planner.rs
+++ b/crates/damaskvane-steering/tests/planner.rs
@@ -77,7 +77,7 @@
                     view.apply_digest(random_report(&mut rng, id, step));
                 }
                 if rng.random_range(0..40) == 0 {
-                    view.set_cut_off(id, rng.random());
+                    view.set_unreachable(id, rng.random());
                 }
             }
             let plan = planner.plan(&topology, &view, previous.as_ref(), at(step * STEP_MS));
--- a/crates/damaskvane-steering/tests/planner_faults.rs
+++ b/crates/damaskvane-steering/tests/planner_faults.rs
@@ -67,7 +67,7 @@
         let now_ms = step * STEP_MS;
         for id in topology().zones.keys() {
             let is_lost = step > 20 && topology().zones[id].as_str() == "ab";
-            view.set_cut_off(id, is_lost);
+            view.set_unreachable(id, is_lost);
             if !is_lost {
                 view.apply_digest(common::report(id, step, now_ms, 120));
             }
@@ -99,7 +99,7 @@
         let now_ms = step * STEP_MS;
         for id in topology().zones.keys() {
             let is_ab = topology().zones[id].as_str() == "ab";
-            view.set_cut_off(id, step > 20 && is_ab);
+            view.set_unreachable(id, step > 20 && is_ab);
             if step <= 20 {
                 view.apply_digest(common::report(id, step, now_ms, 100));
             } else if !is_ab {
@@ -130,7 +130,7 @@
     for step in 1..30 {
         for id in topology().zones.keys() {
             let is_silent = step > 20 && topology().zones[id].as_str() == "ab";
-            view.set_cut_off(id, is_silent);
+            view.set_unreachable(id, is_silent);
             if !is_silent {
                 view.apply_digest(common::report(id, step, step * STEP_MS, 100));
             }
--- a/crates/damaskvane-steering/tests/staleness.rs
+++ b/crates/damaskvane-steering/tests/staleness.rs
@@ -67,7 +67,7 @@
             }
         }
         let is_cut = silent && reachability == Reachability::Unreachable;
-        view.set_cut_off(&zone("mb-a"), is_cut);
+        view.set_unreachable(&zone("mb-a"), is_cut);
         let next = planner.plan(&topology(), &view, plan.as_ref(), at(now_ms));
         if now_ms == last_heard_ms {
             before = planned_to(&next, &zone("mb-a"));
@@ -129,7 +129,7 @@
             all_report(&mut view, step, step * 1_000, 100);
         }
         for id in topology().zones.keys() {
-            view.set_cut_off(id, step >= 10 && *id != zone("ab-a"));
+            view.set_unreachable(id, step >= 10 && *id != zone("ab-a"));
         }
         view.apply_digest(common::report(&zone("ab-a"), step, step * 1_000, 100));
         plan = Some(planner.plan(&topology(), &view, plan.as_ref(), at(step * 1_000)));
