--- a/crates/damaskvane-steering/src/planner/demand.rs
+++ b/crates/damaskvane-steering/src/planner/demand.rs
@@ -51,7 +51,7 @@
         staleness::Decision::Measured => false,
         staleness::Decision::Hold | staleness::Decision::StaticShare => true,
         staleness::Decision::Exclude => {
-            inputs.view.age(zone, inputs.settings.limits, inputs.now) != staleness::Age::Gone
+            inputs.view.age(zone, inputs.settings.limits, inputs.now) != staleness::Age::Expired
         }
     }
 }
--- a/crates/damaskvane-steering/src/staleness.rs
+++ b/crates/damaskvane-steering/src/staleness.rs
@@ -19,7 +19,7 @@
     /// Too old to act on, young enough to keep to.
     Old,
     /// Too old to mean anything, or never received.
-    Gone,
+    Expired,
 }
 
 /// Whether a zone answers heartbeats.
@@ -69,7 +69,7 @@
         match taken_at.map(|taken_at| now.since(taken_at)) {
             Some(age) if age <= self.fresh => Age::Fresh,
             Some(age) if age <= self.old => Age::Old,
-            _ => Age::Gone,
+            _ => Age::Expired,
         }
     }
 }
@@ -85,6 +85,6 @@
         (_, Reachability::Unreachable) => Decision::Exclude,
         (Age::Fresh, Reachability::Connected) => Decision::Measured,
         (Age::Old, Reachability::Connected) => Decision::Hold,
-        (Age::Gone, Reachability::Connected) => Decision::StaticShare,
+        (Age::Expired, Reachability::Connected) => Decision::StaticShare,
     }
 }
--- a/crates/damaskvane-steering/tests/staleness.rs
+++ b/crates/damaskvane-steering/tests/staleness.rs
@@ -11,10 +11,10 @@
 const TABLE: [(Age, Reachability, Decision); 6] = [
     (Age::Fresh, Reachability::Connected, Decision::Measured),
     (Age::Old, Reachability::Connected, Decision::Hold),
-    (Age::Gone, Reachability::Connected, Decision::StaticShare),
+    (Age::Expired, Reachability::Connected, Decision::StaticShare),
     (Age::Fresh, Reachability::Unreachable, Decision::Exclude),
     (Age::Old, Reachability::Unreachable, Decision::Exclude),
-    (Age::Gone, Reachability::Unreachable, Decision::Exclude),
+    (Age::Expired, Reachability::Unreachable, Decision::Exclude),
 ];
 
 #[test]
@@ -36,8 +36,8 @@
         (Some(3_000), Age::Fresh),
         (Some(3_001), Age::Old),
         (Some(15_000), Age::Old),
-        (Some(15_001), Age::Gone),
-        (None, Age::Gone),
+        (Some(15_001), Age::Expired),
+        (None, Age::Expired),
     ];
     for (age_ms, age) in cases {
         let taken_at = age_ms.map(|age_ms: u64| at(100_000 - age_ms));
@@ -150,5 +150,5 @@
     assert!(view.apply_digest(common::report(&zone("ab-a"), 7, 0, 100)));
     let repeated = common::report(&zone("ab-a"), 7, 16_000, 100);
     assert!(!view.apply_digest(repeated));
-    assert_eq!(view.age(&zone("ab-a"), limits, at(16_000)), Age::Gone);
+    assert_eq!(view.age(&zone("ab-a"), limits, at(16_000)), Age::Expired);
 }
