--- a/crates/damaskvane-bench/src/steering/decider.rs
+++ b/crates/damaskvane-bench/src/steering/decider.rs
@@ -103,7 +103,7 @@
         match report {
             _ if age != staleness::Age::Fresh => shift::Signal::Unknown,
             Some(report) if report.shows_overload() => shift::Signal::Overload,
-            _ => shift::Signal::Calm,
+            _ => shift::Signal::Healthy,
         }
     }
 
--- a/crates/damaskvane-entry/src/control/shifts.rs
+++ b/crates/damaskvane-entry/src/control/shifts.rs
@@ -152,5 +152,5 @@
     if failing > service.arrivals().milli() * ERRORS_PERMILLE && failing > 0 {
         return shift::Signal::Errors;
     }
-    shift::Signal::Calm
+    shift::Signal::Healthy
 }
--- a/crates/damaskvane-steering/src/shift.rs
+++ b/crates/damaskvane-steering/src/shift.rs
@@ -10,7 +10,7 @@
 //!
 //! let order = shift::Order { target_permille: 500, ..shift::Order::default() };
 //! let shift = shift::Shift::accept(order).start(time::TimeMs::ZERO);
-//! let stage = shift.advance(time::TimeMs::ZERO, shift::Signal::Calm);
+//! let stage = shift.advance(time::TimeMs::ZERO, shift::Signal::Healthy);
 //! assert!(stage.progress().moved_permille <= 50);
 //! ```
 
--- a/crates/damaskvane-steering/src/shift/order.rs
+++ b/crates/damaskvane-steering/src/shift/order.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
     /// A fresh report without overload or errors.
-    Calm,
+    Healthy,
     /// No fresh report.
     Unknown,
     /// Overload.
@@ -55,7 +55,7 @@
     /// Whether the shift must not go on.
     #[must_use]
     pub const fn stops(self) -> bool {
-        !matches!(self, Self::Calm)
+        !matches!(self, Self::Healthy)
     }
 
     /// Whether the shift must be taken back.
--- a/crates/damaskvane-steering/tests/shift.rs
+++ b/crates/damaskvane-steering/tests/shift.rs
@@ -25,7 +25,7 @@
             0 => shift::Signal::Overload,
             1 => shift::Signal::Errors,
             2 => shift::Signal::Unknown,
-            _ => shift::Signal::Calm,
+            _ => shift::Signal::Healthy,
         };
         stage = stage.advance(at(now_ms), signal);
         assert_eq!(stage.progress().refused_unsafe, 0);
@@ -65,7 +65,7 @@
 fn a_calm_shift_completes() {
     let mut stage = start(shift::Order::default());
     for step in 0..2_000 {
-        stage = stage.advance(at(step * 1_000), shift::Signal::Calm);
+        stage = stage.advance(at(step * 1_000), shift::Signal::Healthy);
     }
     assert_eq!(stage.progress().phase, shift::Phase::Complete);
     assert_eq!(stage.progress().moved_permille, 1_000);
@@ -78,7 +78,7 @@
     let mut steps = Vec::new();
     for now_ms in (0..60_000).step_by(500) {
         let before = stage.progress().moved_permille;
-        stage = stage.advance(at(now_ms), shift::Signal::Calm);
+        stage = stage.advance(at(now_ms), shift::Signal::Healthy);
         let moved = stage.progress().moved_permille - before;
         if moved > 0 {
             steps.push((now_ms, moved));
@@ -99,20 +99,20 @@
     for signal in [shift::Signal::Overload, shift::Signal::Errors] {
         let mut stage = start(shift::Order::default());
         for now_ms in (0..100_000).step_by(1_000) {
-            stage = stage.advance(at(now_ms), shift::Signal::Calm);
+            stage = stage.advance(at(now_ms), shift::Signal::Healthy);
         }
         let before = stage.progress().moved_permille;
         stage = stage.advance(at(100_000), signal);
         let after = stage.progress();
         assert_eq!(after.phase, shift::Phase::Frozen);
         assert!(after.moved_permille < before, "{after:?} after {before}");
-        stage = stage.advance(at(129_999), shift::Signal::Calm);
+        stage = stage.advance(at(129_999), shift::Signal::Healthy);
         assert_eq!(
             stage.progress().phase,
             shift::Phase::Frozen,
             "calm for less than 30 s"
         );
-        stage = stage.advance(at(130_000), shift::Signal::Calm);
+        stage = stage.advance(at(130_000), shift::Signal::Healthy);
         assert_eq!(stage.progress().phase, shift::Phase::Ramping);
     }
 }
@@ -120,7 +120,7 @@
 #[test]
 fn without_a_fresh_report_a_shift_holds() {
     let mut stage = start(shift::Order::default());
-    stage = stage.advance(at(0), shift::Signal::Calm);
+    stage = stage.advance(at(0), shift::Signal::Healthy);
     let before = stage.progress().moved_permille;
     for now_ms in (1_000..200_000).step_by(1_000) {
         stage = stage.advance(at(now_ms), shift::Signal::Unknown);
@@ -135,9 +135,9 @@
     let shift = shift::Shift::accept(shift::Order::default()).resume(400, at(5_000));
     let mut stage = shift::Stage::Ramping(shift);
     for now_ms in (5_000..65_000).step_by(1_000) {
-        stage = stage.advance(at(now_ms), shift::Signal::Calm);
+        stage = stage.advance(at(now_ms), shift::Signal::Healthy);
         assert_eq!(stage.progress().moved_permille, 400, "{now_ms}");
     }
-    stage = stage.advance(at(65_000), shift::Signal::Calm);
+    stage = stage.advance(at(65_000), shift::Signal::Healthy);
     assert!(stage.progress().moved_permille > 400);
 }
