--- a/crates/damaskvane-bench/src/steering/decider.rs
+++ b/crates/damaskvane-bench/src/steering/decider.rs
@@ -66,7 +66,7 @@
             window: time::SpanMs::new(30_000),
             first_step_permille: 50,
             warm_up: time::SpanMs::new(5_000),
-            calm: time::SpanMs::new(15_000),
+            recovery_time: time::SpanMs::new(15_000),
         };
         let shift = shift::Shift::accept(order).start(now);
         self.shift = Some(shift::Stage::Ramping(shift));
--- a/crates/damaskvane-entry/src/control/shifts.rs
+++ b/crates/damaskvane-entry/src/control/shifts.rs
@@ -1,7 +1,7 @@
 //! Moves of traffic that tickets order, as this instance carries them out.
 //!
 //! ```text
-//! declared shift -> steps under its cap while the destination is calm -> share of clients moved
+//! declared shift -> steps under its cap while the destination is recovery_time -> share of clients moved
 //! ```
 
 use std::collections::BTreeMap;
@@ -124,7 +124,7 @@
         window: declared.window_ms,
         first_step_permille: (target_permille / steps).max(1),
         warm_up: step.max(SHORTEST_STEP),
-        calm: time::SpanMs::new(declared.ramp_ms.get().max(SHORTEST_CALM_MS)),
+        recovery_time: time::SpanMs::new(declared.ramp_ms.get().max(SHORTEST_CALM_MS)),
     }
 }
 
--- a/crates/damaskvane-steering/src/shift/machine.rs
+++ b/crates/damaskvane-steering/src/shift/machine.rs
@@ -179,7 +179,7 @@
             }
             return Stage::Frozen(self);
         }
-        if now.since(self.phase.troubled_at) < self.order.calm {
+        if now.since(self.phase.troubled_at) < self.order.recovery_time {
             return Stage::Frozen(self);
         }
         Stage::Ramping(self.with_phase(Ramping {
--- a/crates/damaskvane-steering/src/shift/order.rs
+++ b/crates/damaskvane-steering/src/shift/order.rs
@@ -22,7 +22,7 @@
     /// How long caches at the other end take to warm up; the time between two steps.
     pub warm_up: time::SpanMs,
     /// How long it must be calm before a frozen shift goes on.
-    pub calm: time::SpanMs,
+    pub recovery_time: time::SpanMs,
 }
 
 impl Default for Order {
@@ -33,7 +33,7 @@
             window: time::SpanMs::new(60_000),
             first_step_permille: 20,
             warm_up: time::SpanMs::new(10_000),
-            calm: time::SpanMs::new(30_000),
+            recovery_time: time::SpanMs::new(30_000),
         }
     }
 }
