--- a/crates/damaskvane-steering/src/credit.rs
+++ b/crates/damaskvane-steering/src/credit.rs
@@ -21,4 +21,4 @@
 
 pub use granter::{Account, Granter, GranterSettings};
 pub use holder::{Holder, Permit};
-pub use message::{Ask, Grant};
+pub use message::{CreditRequest, Grant};
--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -9,7 +9,7 @@
 //!     capacity: rate::Rate::per_second(100),
 //!     local: rate::Rate::per_second(60),
 //! };
-//! let ask = credit::Ask { number: 1, rate: rate::Rate::per_second(90) };
+//! let ask = credit::CreditRequest { number: 1, rate: rate::Rate::per_second(90) };
 //! let grant = granter.grant(&"mb-a".parse()?, ask, account, time::TimeMs::ZERO);
 //! assert!(grant.rate <= rate::Rate::per_second(40));
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
@@ -19,7 +19,7 @@
 
 use damaskvane_core::{ids, time};
 
-use crate::credit::message::{Ask, Grant};
+use crate::credit::message::{CreditRequest, Grant};
 use crate::rate;
 
 /// Settings of a receiver.
@@ -87,7 +87,7 @@
     pub fn grant(
         &mut self,
         source: &ids::AvailabilityZoneId,
-        ask: Ask,
+        ask: CreditRequest,
         account: Account,
         now: time::TimeMs,
     ) -> Grant {
--- a/crates/damaskvane-steering/src/credit/holder.rs
+++ b/crates/damaskvane-steering/src/credit/holder.rs
@@ -14,7 +14,7 @@
 
 use damaskvane_core::time;
 
-use crate::credit::message::{Ask, Grant};
+use crate::credit::message::{CreditRequest, Grant};
 use crate::rate;
 
 /// What one request costs, in millionths: a rate in thousandths times milliseconds.
@@ -75,14 +75,14 @@
     }
 
     /// Asks for rate; the life of the grant counts from now.
-    pub fn ask(&mut self, rate: rate::Rate, now: time::TimeMs) -> Ask {
+    pub fn ask(&mut self, rate: rate::Rate, now: time::TimeMs) -> CreditRequest {
         let number = self.next_number;
         self.next_number += 1;
         self.open.push_back((number, now));
         if self.open.len() > OPEN_ASKS {
             self.open.pop_front();
         }
-        Ask { number, rate }
+        CreditRequest { number, rate }
     }
 
     /// Takes a grant in; false for one that answers no open ask or has lapsed on its way.
--- a/crates/damaskvane-steering/src/credit/message.rs
+++ b/crates/damaskvane-steering/src/credit/message.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_steering::{credit, rate};
 //!
-//! let ask = credit::Ask { number: 1, rate: rate::Rate::per_second(5) };
+//! let ask = credit::CreditRequest { number: 1, rate: rate::Rate::per_second(5) };
 //! assert_eq!(ask.number, 1);
 //! ```
 
@@ -13,7 +13,7 @@
 
 /// A source asks a receiver for rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
+pub struct CreditRequest {
     /// Names the ask; the grant repeats it.
     pub number: u64,
     /// The rate that the source would use.
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -166,7 +166,7 @@
 #[test]
 fn a_receiver_over_its_capacity_renews_nothing() {
     let mut granter = credit::Granter::new(settings());
-    let ask = credit::Ask {
+    let ask = credit::CreditRequest {
         number: 1,
         rate: rps(60),
     };
@@ -196,7 +196,7 @@
         capacity: rps(200),
         local: rps(50),
     };
-    let ask = |rate| credit::Ask { number: 1, rate };
+    let ask = |rate| credit::CreditRequest { number: 1, rate };
     granter.grant(&zone("mb-a"), ask(rps(60)), account, at(0));
     granter.grant(&zone("mb-a"), ask(rps(5)), account, at(1_000));
     assert_eq!(granter.reserved(), rps(60 + 3 + 3));
