--- a/crates/damaskvane-steering/src/credit.rs
+++ b/crates/damaskvane-steering/src/credit.rs
@@ -10,8 +10,8 @@
 //! use damaskvane_steering::{credit, rate};
 //!
 //! let mut holder = credit::Holder::new(rate::Rate::per_second(2), time::TimeMs::ZERO);
-//! let ask = holder.ask(rate::Rate::per_second(10), time::TimeMs::ZERO);
-//! assert_eq!(ask.rate, rate::Rate::per_second(10));
+//! let request = holder.request(rate::Rate::per_second(10), time::TimeMs::ZERO);
+//! assert_eq!(request.rate, rate::Rate::per_second(10));
 //! assert_eq!(holder.rate(time::TimeMs::ZERO), rate::Rate::per_second(2));
 //! ```
 
--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -9,8 +9,8 @@
 //!     capacity: rate::Rate::per_second(100),
 //!     local: rate::Rate::per_second(60),
 //! };
-//! let ask = credit::CreditRequest { number: 1, rate: rate::Rate::per_second(90) };
-//! let grant = granter.grant(&"mb-a".parse()?, ask, account, time::TimeMs::ZERO);
+//! let request = credit::CreditRequest { number: 1, rate: rate::Rate::per_second(90) };
+//! let grant = granter.grant(&"mb-a".parse()?, request, account, time::TimeMs::ZERO);
 //! assert!(grant.rate <= rate::Rate::per_second(40));
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
@@ -87,12 +87,12 @@
     pub fn grant(
         &mut self,
         source: &ids::AvailabilityZoneId,
-        ask: CreditRequest,
+        request: CreditRequest,
         account: Account,
         now: time::TimeMs,
     ) -> Grant {
         self.forget_lapsed(now);
-        let rate = self.affordable(source, ask.rate, account);
+        let rate = self.affordable(source, request.rate, account);
         let rate = self.assert_safe(source, rate, account);
         let free_at = now + self.settings.lasts + self.settings.lookup_ttl;
         let entry = Outstanding { rate, free_at };
@@ -101,7 +101,7 @@
             .or_default()
             .push(entry);
         Grant {
-            number: ask.number,
+            number: request.number,
             rate,
             lasts: self.settings.lasts,
         }
--- a/crates/damaskvane-steering/src/credit/holder.rs
+++ b/crates/damaskvane-steering/src/credit/holder.rs
@@ -75,7 +75,7 @@
     }
 
     /// Asks for rate; the life of the grant counts from now.
-    pub fn ask(&mut self, rate: rate::Rate, now: time::TimeMs) -> CreditRequest {
+    pub fn request(&mut self, rate: rate::Rate, now: time::TimeMs) -> CreditRequest {
         let number = self.next_number;
         self.next_number += 1;
         self.open.push_back((number, now));
--- a/crates/damaskvane-steering/src/credit/message.rs
+++ b/crates/damaskvane-steering/src/credit/message.rs
@@ -3,8 +3,8 @@
 //! ```
 //! use damaskvane_steering::{credit, rate};
 //!
-//! let ask = credit::CreditRequest { number: 1, rate: rate::Rate::per_second(5) };
-//! assert_eq!(ask.number, 1);
+//! let request = credit::CreditRequest { number: 1, rate: rate::Rate::per_second(5) };
+//! assert_eq!(request.number, 1);
 //! ```
 
 use damaskvane_core::time;
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -22,9 +22,9 @@
 #[test]
 fn a_grant_lapses_to_the_static_share() {
     let mut holder = credit::Holder::new(rps(3), at(0));
-    let ask = holder.ask(rps(40), at(1_000));
+    let request = holder.request(rps(40), at(1_000));
     let grant = credit::Grant {
-        number: ask.number,
+        number: request.number,
         rate: rps(40),
         lasts: time::SpanMs::new(5_000),
     };
@@ -42,9 +42,9 @@
 #[test]
 fn a_late_grant_is_not_used() {
     let mut holder = credit::Holder::new(rps(3), at(0));
-    let ask = holder.ask(rps(40), at(0));
+    let request = holder.request(rps(40), at(0));
     let grant = credit::Grant {
-        number: ask.number,
+        number: request.number,
         rate: rps(40),
         lasts: time::SpanMs::new(5_000),
     };
@@ -57,10 +57,10 @@
 #[test]
 fn a_permit_is_void_once_its_grant_has_lapsed() {
     let mut holder = credit::Holder::new(rps(3), at(0));
-    let ask = holder.ask(rps(40), at(0));
+    let request = holder.request(rps(40), at(0));
     holder.accept(
         credit::Grant {
-            number: ask.number,
+            number: request.number,
             rate: rps(40),
             lasts: time::SpanMs::new(5_000),
         },
@@ -74,10 +74,10 @@
 #[test]
 fn tokens_follow_the_rate() {
     let mut holder = credit::Holder::new(rps(3), at(0));
-    let ask = holder.ask(rps(40), at(0));
+    let request = holder.request(rps(40), at(0));
     holder.accept(
         credit::Grant {
-            number: ask.number,
+            number: request.number,
             rate: rps(40),
             lasts: time::SpanMs::new(5_000),
         },
@@ -96,10 +96,10 @@
 #[test]
 fn a_source_without_any_rate_sends_nothing() {
     let mut holder = credit::Holder::new(rate::Rate::ZERO, at(0));
-    let ask = holder.ask(rps(4), at(0));
+    let request = holder.request(rps(4), at(0));
     holder.accept(
         credit::Grant {
-            number: ask.number,
+            number: request.number,
             rate: rate::Rate::ZERO,
             lasts: time::SpanMs::new(5_000),
         },
@@ -135,12 +135,12 @@
                 if rng.random_range(0..10) > 0 {
                     continue;
                 }
-                let ask = holder.ask(rps(rng.random_range(0..300)), at(now_ms));
+                let request = holder.request(rps(rng.random_range(0..300)), at(now_ms));
                 let account = credit::Account {
                     capacity: rps(200),
                     local,
                 };
-                let grant = granter.grant(&zone(SOURCES[index]), ask, account, at(now_ms));
+                let grant = granter.grant(&zone(SOURCES[index]), request, account, at(now_ms));
                 if rng.random_range(0..5) > 0 {
                     on_the_way.push((now_ms + rng.random_range(0..8_000), index, grant));
                 }
@@ -166,7 +166,7 @@
 #[test]
 fn a_receiver_over_its_capacity_renews_nothing() {
     let mut granter = credit::Granter::new(settings());
-    let ask = credit::CreditRequest {
+    let request = credit::CreditRequest {
         number: 1,
         rate: rps(60),
     };
@@ -174,13 +174,16 @@
         capacity: rps(200),
         local: rps(50),
     };
-    assert_eq!(granter.grant(&zone("mb-a"), ask, calm, at(0)).rate, rps(60));
+    assert_eq!(
+        granter.grant(&zone("mb-a"), request, calm, at(0)).rate,
+        rps(60)
+    );
     let over = credit::Account {
         capacity: rps(200),
         local: rps(180),
     };
     assert_eq!(
-        granter.grant(&zone("mb-a"), ask, over, at(1_000)).rate,
+        granter.grant(&zone("mb-a"), request, over, at(1_000)).rate,
         rps(3)
     );
     granter.forget_lapsed(at(8_000));
@@ -196,9 +199,9 @@
         capacity: rps(200),
         local: rps(50),
     };
-    let ask = |rate| credit::CreditRequest { number: 1, rate };
-    granter.grant(&zone("mb-a"), ask(rps(60)), account, at(0));
-    granter.grant(&zone("mb-a"), ask(rps(5)), account, at(1_000));
+    let request = |rate| credit::CreditRequest { number: 1, rate };
+    granter.grant(&zone("mb-a"), request(rps(60)), account, at(0));
+    granter.grant(&zone("mb-a"), request(rps(5)), account, at(1_000));
     assert_eq!(granter.reserved(), rps(60 + 3 + 3));
     granter.forget_lapsed(at(7_000));
     assert_eq!(granter.reserved(), rps(5 + 3 + 3));
