--- a/crates/damaskvane-steering/src/credit.rs
+++ b/crates/damaskvane-steering/src/credit.rs
@@ -19,6 +19,6 @@
 mod holder;
 mod message;
 
-pub use granter::{Account, Granter, GranterSettings};
+pub use granter::{Granter, GranterSettings, LocalLoad};
 pub use holder::{Holder, Permit};
 pub use message::{CreditRequest, Grant};
--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -5,7 +5,7 @@
 //! use damaskvane_steering::{credit, rate};
 //!
 //! let mut granter = credit::Granter::new(credit::GranterSettings::default());
-//! let account = credit::Account {
+//! let account = credit::LocalLoad {
 //!     capacity: rate::Rate::per_second(100),
 //!     local: rate::Rate::per_second(60),
 //! };
@@ -48,7 +48,7 @@
 
 /// What the receiver measures of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Account {
+pub struct LocalLoad {
     /// What the zone can carry.
     pub capacity: rate::Rate,
     /// What its own clients use, with those that may come back from a cached answer.
@@ -88,7 +88,7 @@
         &mut self,
         source: &ids::AvailabilityZoneId,
         request: CreditRequest,
-        account: Account,
+        account: LocalLoad,
         now: time::TimeMs,
     ) -> Grant {
         self.forget_lapsed(now);
@@ -156,7 +156,7 @@
         &self,
         source: &ids::AvailabilityZoneId,
         asked: rate::Rate,
-        account: Account,
+        account: LocalLoad,
     ) -> rate::Rate {
         let reserved = self.reserved();
         let free = account.capacity.saturating_sub(account.local + reserved);
@@ -176,7 +176,7 @@
         &mut self,
         source: &ids::AvailabilityZoneId,
         rate: rate::Rate,
-        account: Account,
+        account: LocalLoad,
     ) -> rate::Rate {
         let before = self.reserved_for(source);
         let added = rate.saturating_sub(before);
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -136,7 +136,7 @@
                     continue;
                 }
                 let request = holder.request(rps(rng.random_range(0..300)), at(now_ms));
-                let account = credit::Account {
+                let account = credit::LocalLoad {
                     capacity: rps(200),
                     local,
                 };
@@ -170,7 +170,7 @@
         number: 1,
         rate: rps(60),
     };
-    let calm = credit::Account {
+    let calm = credit::LocalLoad {
         capacity: rps(200),
         local: rps(50),
     };
@@ -178,7 +178,7 @@
         granter.grant(&zone("mb-a"), request, calm, at(0)).rate,
         rps(60)
     );
-    let over = credit::Account {
+    let over = credit::LocalLoad {
         capacity: rps(200),
         local: rps(180),
     };
@@ -195,7 +195,7 @@
 #[test]
 fn a_smaller_renewal_keeps_the_larger_grant_reserved_until_it_lapses() {
     let mut granter = credit::Granter::new(settings());
-    let account = credit::Account {
+    let account = credit::LocalLoad {
         capacity: rps(200),
         local: rps(50),
     };
