--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -5,12 +5,12 @@
 //! use damaskvane_steering::{credit, rate};
 //!
 //! let mut granter = credit::Granter::new(credit::GranterSettings::default());
-//! let account = credit::LocalLoad {
+//! let load = credit::LocalLoad {
 //!     capacity: rate::Rate::per_second(100),
 //!     local: rate::Rate::per_second(60),
 //! };
 //! let request = credit::CreditRequest { number: 1, rate: rate::Rate::per_second(90) };
-//! let grant = granter.grant(&"mb-a".parse()?, request, account, time::TimeMs::ZERO);
+//! let grant = granter.grant(&"mb-a".parse()?, request, load, time::TimeMs::ZERO);
 //! assert!(grant.rate <= rate::Rate::per_second(40));
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
@@ -88,12 +88,12 @@
         &mut self,
         source: &ids::AvailabilityZoneId,
         request: CreditRequest,
-        account: LocalLoad,
+        load: LocalLoad,
         now: time::TimeMs,
     ) -> Grant {
         self.forget_lapsed(now);
-        let rate = self.affordable(source, request.rate, account);
-        let rate = self.assert_safe(source, rate, account);
+        let rate = self.affordable(source, request.rate, load);
+        let rate = self.assert_safe(source, rate, load);
         let free_at = now + self.settings.lasts + self.settings.lookup_ttl;
         let entry = Outstanding { rate, free_at };
         self.outstanding
@@ -156,12 +156,12 @@
         &self,
         source: &ids::AvailabilityZoneId,
         asked: rate::Rate,
-        account: LocalLoad,
+        load: LocalLoad,
     ) -> rate::Rate {
         let reserved = self.reserved();
-        let free = account.capacity.saturating_sub(account.local + reserved);
+        let free = load.capacity.saturating_sub(load.local + reserved);
         let rise = free.permille(self.settings.greed_permille);
-        let kept = if account.capacity >= account.local + reserved {
+        let kept = if load.capacity >= load.local + reserved {
             self.reserved_for(source)
         } else {
             // Over capacity already, because capacity fell or local demand rose: nothing granted is
@@ -176,13 +176,13 @@
         &mut self,
         source: &ids::AvailabilityZoneId,
         rate: rate::Rate,
-        account: LocalLoad,
+        load: LocalLoad,
     ) -> rate::Rate {
         let before = self.reserved_for(source);
         let added = rate.saturating_sub(before);
-        let sum = self.reserved() + added + account.local;
-        let is_safe = added == rate::Rate::ZERO || sum <= account.capacity;
-        debug_assert!(is_safe, "{sum} granted and local over {}", account.capacity);
+        let sum = self.reserved() + added + load.local;
+        let is_safe = added == rate::Rate::ZERO || sum <= load.capacity;
+        debug_assert!(is_safe, "{sum} granted and local over {}", load.capacity);
         if is_safe {
             return rate;
         }
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -136,11 +136,11 @@
                     continue;
                 }
                 let request = holder.request(rps(rng.random_range(0..300)), at(now_ms));
-                let account = credit::LocalLoad {
+                let load = credit::LocalLoad {
                     capacity: rps(200),
                     local,
                 };
-                let grant = granter.grant(&zone(SOURCES[index]), request, account, at(now_ms));
+                let grant = granter.grant(&zone(SOURCES[index]), request, load, at(now_ms));
                 if rng.random_range(0..5) > 0 {
                     on_the_way.push((now_ms + rng.random_range(0..8_000), index, grant));
                 }
@@ -195,13 +195,13 @@
 #[test]
 fn a_smaller_renewal_keeps_the_larger_grant_reserved_until_it_lapses() {
     let mut granter = credit::Granter::new(settings());
-    let account = credit::LocalLoad {
+    let load = credit::LocalLoad {
         capacity: rps(200),
         local: rps(50),
     };
     let request = |rate| credit::CreditRequest { number: 1, rate };
-    granter.grant(&zone("mb-a"), request(rps(60)), account, at(0));
-    granter.grant(&zone("mb-a"), request(rps(5)), account, at(1_000));
+    granter.grant(&zone("mb-a"), request(rps(60)), load, at(0));
+    granter.grant(&zone("mb-a"), request(rps(5)), load, at(1_000));
     assert_eq!(granter.reserved(), rps(60 + 3 + 3));
     granter.forget_lapsed(at(7_000));
     assert_eq!(granter.reserved(), rps(5 + 3 + 3));
