--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GranterSettings {
     /// How long a grant lasts.
-    pub lasts: time::SpanMs,
+    pub lifetime: time::SpanMs,
     /// How long clients keep a look-up answer.
     pub lookup_ttl: time::SpanMs,
     /// What every source may use without a grant.
@@ -38,7 +38,7 @@
 impl Default for GranterSettings {
     fn default() -> Self {
         Self {
-            lasts: time::SpanMs::new(5_000),
+            lifetime: time::SpanMs::new(5_000),
             lookup_ttl: time::SpanMs::new(2_000),
             static_shares: BTreeMap::new(),
             greed_permille: 500,
@@ -94,7 +94,7 @@
         self.forget_lapsed(now);
         let rate = self.affordable(source, request.rate, load);
         let rate = self.assert_safe(source, rate, load);
-        let free_at = now + self.settings.lasts + self.settings.lookup_ttl;
+        let free_at = now + self.settings.lifetime + self.settings.lookup_ttl;
         let entry = Outstanding { rate, free_at };
         self.outstanding
             .entry(source.clone())
@@ -103,7 +103,7 @@
         Grant {
             number: request.number,
             rate,
-            lasts: self.settings.lasts,
+            lifetime: self.settings.lifetime,
         }
     }
 
--- a/crates/damaskvane-steering/src/credit/holder.rs
+++ b/crates/damaskvane-steering/src/credit/holder.rs
@@ -94,7 +94,7 @@
         let Some((_, asked_at)) = position.and_then(|position| self.open.remove(position)) else {
             return false;
         };
-        let lapses_at = asked_at + grant.lasts;
+        let lapses_at = asked_at + grant.lifetime;
         if now >= lapses_at {
             return false;
         }
--- a/crates/damaskvane-steering/src/credit/message.rs
+++ b/crates/damaskvane-steering/src/credit/message.rs
@@ -28,5 +28,5 @@
     /// The rate that may be used.
     pub rate: rate::Rate,
     /// How long, counted by the source from its ask.
-    pub lasts: time::SpanMs,
+    pub lifetime: time::SpanMs,
 }
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -26,7 +26,7 @@
     let grant = credit::Grant {
         number: request.number,
         rate: rps(40),
-        lasts: time::SpanMs::new(5_000),
+        lifetime: time::SpanMs::new(5_000),
     };
     assert!(holder.accept(grant, at(1_400)));
     assert_eq!(holder.rate(at(5_999)), rps(40));
@@ -46,7 +46,7 @@
     let grant = credit::Grant {
         number: request.number,
         rate: rps(40),
-        lasts: time::SpanMs::new(5_000),
+        lifetime: time::SpanMs::new(5_000),
     };
     assert!(!holder.accept(grant, at(5_000)));
     assert_eq!(holder.rate(at(5_000)), rps(3));
@@ -62,7 +62,7 @@
         credit::Grant {
             number: request.number,
             rate: rps(40),
-            lasts: time::SpanMs::new(5_000),
+            lifetime: time::SpanMs::new(5_000),
         },
         at(10),
     );
@@ -79,7 +79,7 @@
         credit::Grant {
             number: request.number,
             rate: rps(40),
-            lasts: time::SpanMs::new(5_000),
+            lifetime: time::SpanMs::new(5_000),
         },
         at(0),
     );
@@ -101,7 +101,7 @@
         credit::Grant {
             number: request.number,
             rate: rate::Rate::ZERO,
-            lasts: time::SpanMs::new(5_000),
+            lifetime: time::SpanMs::new(5_000),
         },
         at(0),
     );
