--- a/crates/damaskvane-steering/src/credit/holder.rs
+++ b/crates/damaskvane-steering/src/credit/holder.rs
@@ -5,9 +5,9 @@
 //! use damaskvane_steering::{credit, rate};
 //!
 //! let mut holder = credit::Holder::new(rate::Rate::per_second(1), time::TimeMs::ZERO);
-//! assert!(holder.take(time::TimeMs::ZERO).is_some());
-//! assert!(holder.take(time::TimeMs::ZERO).is_none(), "the share of a second is used up");
-//! assert!(holder.take(time::TimeMs::new(1_000)).is_some());
+//! assert!(holder.acquire(time::TimeMs::ZERO).is_some());
+//! assert!(holder.acquire(time::TimeMs::ZERO).is_none(), "the share of a second is used up");
+//! assert!(holder.acquire(time::TimeMs::new(1_000)).is_some());
 //! ```
 
 use std::collections::VecDeque;
@@ -119,7 +119,7 @@
     }
 
     /// Takes leave for one request, if the rate allows it.
-    pub fn take(&mut self, now: time::TimeMs) -> Option<Permit> {
+    pub fn acquire(&mut self, now: time::TimeMs) -> Option<Permit> {
         self.count(now);
         self.tokens_micro = self.tokens_micro.checked_sub(COST_MICRO)?;
         let held = self.held.filter(|held| now < held.lapses_at);
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -66,7 +66,7 @@
         },
         at(10),
     );
-    let permit = holder.take(at(4_000)).unwrap();
+    let permit = holder.acquire(at(4_000)).unwrap();
     assert!(permit.is_valid(at(4_999)));
     assert!(!permit.is_valid(at(5_000)));
 }
@@ -85,7 +85,7 @@
     );
     let mut taken = BTreeMap::new();
     for now_ms in 0..10_000 {
-        while holder.take(at(now_ms)).is_some() {
+        while holder.acquire(at(now_ms)).is_some() {
             *taken.entry(now_ms / 1_000).or_insert(0) += 1;
         }
     }
@@ -105,7 +105,7 @@
         },
         at(0),
     );
-    assert!((0..20).all(|step| holder.take(at(step * 1_000)).is_none()));
+    assert!((0..20).all(|step| holder.acquire(at(step * 1_000)).is_none()));
 }
 
 /// Asks and grants are delayed and lost, local demand jumps, and sources ask for all they can get.
