--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -91,7 +91,7 @@
         load: LocalLoad,
         now: time::TimeMs,
     ) -> Grant {
-        self.forget_lapsed(now);
+        self.remove_expired(now);
         let rate = self.affordable(source, request.rate, load);
         let rate = self.assert_safe(source, rate, load);
         let free_at = now + self.settings.lifetime + self.settings.lookup_ttl;
@@ -133,7 +133,7 @@
     }
 
     /// Frees what has lapsed.
-    pub fn forget_lapsed(&mut self, now: time::TimeMs) {
+    pub fn remove_expired(&mut self, now: time::TimeMs) {
         for outstanding in self.outstanding.values_mut() {
             outstanding.retain(|entry| now < entry.free_at);
         }
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -122,7 +122,7 @@
         let mut on_the_way: Vec<(u64, usize, credit::Grant)> = Vec::new();
         let mut local = rps(100);
         for now_ms in (0..120_000).step_by(100) {
-            granter.forget_lapsed(at(now_ms));
+            granter.remove_expired(at(now_ms));
             // Local clients are admitted up to what is not reserved, as the entry instance does.
             let wished = rps(rng.random_range(50..200));
             local = if rng.random_range(0..20) == 0 {
@@ -186,7 +186,7 @@
         granter.grant(&zone("mb-a"), request, over, at(1_000)).rate,
         rps(3)
     );
-    granter.forget_lapsed(at(8_000));
+    granter.remove_expired(at(8_000));
     assert_eq!(granter.reserved(), rps(9));
 }
 
@@ -203,6 +203,6 @@
     granter.grant(&zone("mb-a"), request(rps(60)), load, at(0));
     granter.grant(&zone("mb-a"), request(rps(5)), load, at(1_000));
     assert_eq!(granter.reserved(), rps(60 + 3 + 3));
-    granter.forget_lapsed(at(7_000));
+    granter.remove_expired(at(7_000));
     assert_eq!(granter.reserved(), rps(5 + 3 + 3));
 }
