--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -122,7 +122,7 @@
 
     /// What the zone's own clients may use.
     #[must_use]
-    pub fn local_room(&self, capacity: rate::Rate) -> rate::Rate {
+    pub fn local_capacity(&self, capacity: rate::Rate) -> rate::Rate {
         capacity.saturating_sub(self.reserved())
     }
 
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -130,7 +130,7 @@
             } else {
                 local
             };
-            local = local.min(granter.local_room(rps(200)));
+            local = local.min(granter.local_capacity(rps(200)));
             for (index, holder) in holders.iter_mut().enumerate() {
                 if rng.random_range(0..10) > 0 {
                     continue;
