--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -66,7 +66,7 @@
 pub struct Granter {
     settings: GranterSettings,
     outstanding: BTreeMap<ids::AvailabilityZoneId, Vec<Outstanding>>,
-    refused_unsafe: u64,
+    limit_violations: u64,
 }
 
 impl Granter {
@@ -76,7 +76,7 @@
         Self {
             settings,
             outstanding: BTreeMap::new(),
-            refused_unsafe: 0,
+            limit_violations: 0,
         }
     }
 
@@ -128,8 +128,8 @@
 
     /// Grants that were cut because they broke the sum; always zero unless the code is wrong.
     #[must_use]
-    pub const fn refused_unsafe(&self) -> u64 {
-        self.refused_unsafe
+    pub const fn limit_violations(&self) -> u64 {
+        self.limit_violations
     }
 
     /// Frees what has lapsed.
@@ -186,7 +186,7 @@
         if is_safe {
             return rate;
         }
-        self.refused_unsafe += 1;
+        self.limit_violations += 1;
         before
     }
 }
--- a/crates/damaskvane-steering/src/shift/ledger.rs
+++ b/crates/damaskvane-steering/src/shift/ledger.rs
@@ -20,7 +20,7 @@
     cap_permille: u32,
     window: time::SpanMs,
     moves: VecDeque<(time::TimeMs, u32)>,
-    refused_unsafe: u64,
+    limit_violations: u64,
 }
 
 impl Ledger {
@@ -31,7 +31,7 @@
             cap_permille,
             window,
             moves: VecDeque::new(),
-            refused_unsafe: 0,
+            limit_violations: 0,
         }
     }
 
@@ -69,7 +69,7 @@
         let room = self.room(now);
         debug_assert!(moved_permille <= room, "{moved_permille} moves over {room}");
         if moved_permille > room {
-            self.refused_unsafe += 1;
+            self.limit_violations += 1;
         }
         let allowed = moved_permille.min(room);
         if allowed > 0 {
@@ -80,7 +80,7 @@
 
     /// Moves that were cut because they broke the cap; always zero unless the code is wrong.
     #[must_use]
-    pub const fn refused_unsafe(&self) -> u64 {
-        self.refused_unsafe
+    pub const fn limit_violations(&self) -> u64 {
+        self.limit_violations
     }
 }
--- a/crates/damaskvane-steering/src/shift/machine.rs
+++ b/crates/damaskvane-steering/src/shift/machine.rs
@@ -68,7 +68,7 @@
             phase,
             moved_permille: self.moved_permille,
             target_permille: self.order.target_permille,
-            refused_unsafe: self.ledger.refused_unsafe(),
+            limit_violations: self.ledger.limit_violations(),
         }
     }
 
--- a/crates/damaskvane-steering/src/shift/progress.rs
+++ b/crates/damaskvane-steering/src/shift/progress.rs
@@ -42,5 +42,5 @@
     /// The part that shall be moved, in thousandths.
     pub target_permille: u32,
     /// Moves cut because they broke the cap; always zero unless the code is wrong.
-    pub refused_unsafe: u64,
+    pub limit_violations: u64,
 }
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -158,7 +158,7 @@
                 used + local <= rps(200),
                 "seed {seed} at {now_ms}: {used} and {local}"
             );
-            assert_eq!(granter.refused_unsafe(), 0);
+            assert_eq!(granter.limit_violations(), 0);
         }
     }
 }
--- a/crates/damaskvane-steering/tests/shift.rs
+++ b/crates/damaskvane-steering/tests/shift.rs
@@ -28,7 +28,7 @@
             _ => shift::Signal::Healthy,
         };
         stage = stage.advance(at(now_ms), signal);
-        assert_eq!(stage.progress().refused_unsafe, 0);
+        assert_eq!(stage.progress().limit_violations, 0);
         moved.push((now_ms, stage.progress().moved_permille));
     }
     moved
