--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -140,7 +140,7 @@
             .get(server)
             .map(|entry| &entry.service);
         if let Some(pool) = service.and_then(|service| self.pools.get_mut(service)) {
-            pool.reported(server, healthy, now);
+            pool.record_report(server, healthy, now);
         }
     }
 
--- a/crates/damaskvane-steering/src/health/pool.rs
+++ b/crates/damaskvane-steering/src/health/pool.rs
@@ -70,7 +70,12 @@
     }
 
     /// A server's report says whether it is healthy.
-    pub fn reported(&mut self, server: &ids::BackendServerId, healthy: bool, now: time::TimeMs) {
+    pub fn record_report(
+        &mut self,
+        server: &ids::BackendServerId,
+        healthy: bool,
+        now: time::TimeMs,
+    ) {
         if let Some(seen) = self.servers.get_mut(server) {
             seen.report = Some((now, healthy));
         }
--- a/crates/damaskvane-steering/tests/health.rs
+++ b/crates/damaskvane-steering/tests/health.rs
@@ -37,7 +37,7 @@
     for count in 1..=20 {
         let (mut pool, servers) = pool(count);
         for server in &servers {
-            pool.reported(server, false, at(60_000));
+            pool.record_report(server, false, at(60_000));
         }
         let out = pool
             .admissions(at(60_000))
@@ -51,7 +51,7 @@
 #[test]
 fn a_server_that_just_answered_outweighs_its_report() {
     let (mut pool, servers) = pool(3);
-    pool.reported(&servers[0], false, at(60_000));
+    pool.record_report(&servers[0], false, at(60_000));
     assert_eq!(
         pool.admission(&servers[0], at(60_000)),
         Admission::Out {
@@ -65,7 +65,7 @@
 #[test]
 fn an_old_report_says_nothing() {
     let (mut pool, servers) = pool(3);
-    pool.reported(&servers[0], false, at(60_000));
+    pool.record_report(&servers[0], false, at(60_000));
     assert_eq!(pool.admission(&servers[0], at(65_001)), Admission::Full);
 }
 
@@ -77,7 +77,7 @@
         pool.started(&servers[0]);
         pool.ended(&servers[0], Outcome::Failed, at(60_000));
     }
-    pool.reported(&servers[0], true, at(60_000));
+    pool.record_report(&servers[0], true, at(60_000));
     assert_eq!(
         pool.admission(&servers[0], at(60_001)),
         Admission::Out {
