--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -281,7 +281,7 @@
             let _ = budget.open();
         }
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.started(server);
+            pool.record_start(server);
         }
     }
 
--- a/crates/damaskvane-steering/src/health/pool.rs
+++ b/crates/damaskvane-steering/src/health/pool.rs
@@ -82,7 +82,7 @@
     }
 
     /// A request was sent to a server.
-    pub fn started(&mut self, server: &ids::BackendServerId) {
+    pub fn record_start(&mut self, server: &ids::BackendServerId) {
         if let Some(seen) = self.servers.get_mut(server) {
             seen.in_flight += 1;
         }
--- a/crates/damaskvane-steering/tests/health.rs
+++ b/crates/damaskvane-steering/tests/health.rs
@@ -74,7 +74,7 @@
 fn failures_take_a_server_out_whatever_its_report_says() {
     let (mut pool, servers) = pool(3);
     for _ in 0..3 {
-        pool.started(&servers[0]);
+        pool.record_start(&servers[0]);
         pool.ended(&servers[0], Outcome::Failed, at(60_000));
     }
     pool.record_report(&servers[0], true, at(60_000));
@@ -85,7 +85,7 @@
         }
     );
     assert_eq!(pool.admission(&servers[0], at(62_000)), Admission::Probe);
-    pool.started(&servers[0]);
+    pool.record_start(&servers[0]);
     assert!(
         !pool.admission(&servers[0], at(62_001)).takes_work(),
         "one probe at a time"
