--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -303,7 +303,7 @@
             budget.close();
         }
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.ended(&server, outcome, now);
+            pool.record_end(&server, outcome, now);
         }
         let actions = self.slots.finish(now, &taken.into_released(), finish);
         self.actions.extend(actions);
--- a/crates/damaskvane-steering/src/health/pool.rs
+++ b/crates/damaskvane-steering/src/health/pool.rs
@@ -89,10 +89,15 @@
     }
 
     /// A request on a server ended.
-    pub fn ended(&mut self, server: &ids::BackendServerId, outcome: Outcome, now: time::TimeMs) {
+    pub fn record_end(
+        &mut self,
+        server: &ids::BackendServerId,
+        outcome: Outcome,
+        now: time::TimeMs,
+    ) {
         let failures_out = self.settings.failures_out;
         if let Some(seen) = self.servers.get_mut(server) {
-            seen.ended(outcome, now, failures_out);
+            seen.record_end(outcome, now, failures_out);
         }
     }
 
--- a/crates/damaskvane-steering/src/health/seen.rs
+++ b/crates/damaskvane-steering/src/health/seen.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    pub(super) fn ended(&mut self, outcome: Outcome, now: time::TimeMs, failures_out: u32) {
+    pub(super) fn record_end(&mut self, outcome: Outcome, now: time::TimeMs, failures_out: u32) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match outcome {
             Outcome::Answered { took } => {
--- a/crates/damaskvane-steering/tests/health.rs
+++ b/crates/damaskvane-steering/tests/health.rs
@@ -58,7 +58,7 @@
             reason: OutReason::Report
         }
     );
-    pool.ended(&servers[0], answered(), at(60_100));
+    pool.record_end(&servers[0], answered(), at(60_100));
     assert_eq!(pool.admission(&servers[0], at(60_200)), Admission::Full);
 }
 
@@ -75,7 +75,7 @@
     let (mut pool, servers) = pool(3);
     for _ in 0..3 {
         pool.record_start(&servers[0]);
-        pool.ended(&servers[0], Outcome::Failed, at(60_000));
+        pool.record_end(&servers[0], Outcome::Failed, at(60_000));
     }
     pool.record_report(&servers[0], true, at(60_000));
     assert_eq!(
@@ -90,7 +90,7 @@
         !pool.admission(&servers[0], at(62_001)).takes_work(),
         "one probe at a time"
     );
-    pool.ended(&servers[0], answered(), at(62_100));
+    pool.record_end(&servers[0], answered(), at(62_100));
     assert_eq!(
         pool.admission(&servers[0], at(62_100)),
         Admission::Part { permille: 200 }
@@ -110,13 +110,13 @@
 fn a_server_that_refuses_gets_half() {
     let (mut pool, servers) = pool(3);
     for _ in 0..3 {
-        pool.ended(&servers[0], Outcome::Refused, at(60_000));
+        pool.record_end(&servers[0], Outcome::Refused, at(60_000));
     }
     assert_eq!(
         pool.admission(&servers[0], at(60_000)),
         Admission::Part { permille: 500 }
     );
-    pool.ended(&servers[0], answered(), at(60_100));
+    pool.record_end(&servers[0], answered(), at(60_100));
     assert_eq!(pool.admission(&servers[0], at(60_100)), Admission::Full);
 }
 
@@ -125,7 +125,7 @@
     let (mut pool, servers) = pool(3);
     for (index, took_ms) in [(0, 400), (1, 50), (2, 50)] {
         let took = time::SpanMs::new(took_ms);
-        pool.ended(&servers[index], Outcome::Answered { took }, at(60_000));
+        pool.record_end(&servers[index], Outcome::Answered { took }, at(60_000));
     }
     assert_eq!(
         pool.admission(&servers[0], at(60_000)),
