--- a/crates/damaskvane-steering/src/health.rs
+++ b/crates/damaskvane-steering/src/health.rs
@@ -20,7 +20,7 @@
 mod seen;
 mod settings;
 
-pub use admission::{Admission, OutReason};
+pub use admission::{Admission, ExclusionReason};
 pub use pool::Pool;
 pub use seen::Outcome;
 pub use settings::Settings;
--- a/crates/damaskvane-steering/src/health/admission.rs
+++ b/crates/damaskvane-steering/src/health/admission.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_steering::health;
 //!
 //! assert!(health::Admission::Full.takes_work());
-//! assert!(!health::Admission::Out { reason: health::OutReason::Leaving }.takes_work());
+//! assert!(!health::Admission::Out { reason: health::ExclusionReason::Leaving }.takes_work());
 //! ```
 
 /// What a backend server gets.
@@ -22,13 +22,13 @@
     /// Nothing new.
     Out {
         /// Why.
-        reason: OutReason,
+        reason: ExclusionReason,
     },
 }
 
 /// Why a backend server gets nothing new.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OutReason {
+pub enum ExclusionReason {
     /// It leaves, or is not of the pool.
     Leaving,
     /// Its requests fail.
--- a/crates/damaskvane-steering/src/health/pool.rs
+++ b/crates/damaskvane-steering/src/health/pool.rs
@@ -14,7 +14,7 @@
 
 use damaskvane_core::{ids, time};
 
-use crate::health::admission::{Admission, OutReason};
+use crate::health::admission::{Admission, ExclusionReason};
 use crate::health::seen::{Outcome, Seen};
 use crate::health::settings::Settings;
 
@@ -105,16 +105,16 @@
     #[must_use]
     pub fn admission(&self, server: &ids::BackendServerId, now: time::TimeMs) -> Admission {
         let Some(seen) = self.servers.get(server) else {
-            return out(OutReason::Leaving);
+            return out(ExclusionReason::Leaving);
         };
         if seen.leaving {
-            return out(OutReason::Leaving);
+            return out(ExclusionReason::Leaving);
         }
         if seen.failures >= self.settings.failures_out {
             return self.after_failures(seen, now);
         }
         if self.out_by_report(now).contains(server) {
-            return out(OutReason::Report);
+            return out(ExclusionReason::Report);
         }
         self.part(seen, now)
     }
@@ -135,7 +135,7 @@
         if waited && seen.in_flight == 0 {
             Admission::Probe
         } else {
-            out(OutReason::Failures)
+            out(ExclusionReason::Failures)
         }
     }
 
@@ -207,6 +207,6 @@
     }
 }
 
-const fn out(reason: OutReason) -> Admission {
+const fn out(reason: ExclusionReason) -> Admission {
     Admission::Out { reason }
 }
--- a/crates/damaskvane-steering/tests/health.rs
+++ b/crates/damaskvane-steering/tests/health.rs
@@ -3,7 +3,7 @@
 
 use damaskvane_core::{ids, time};
 use damaskvane_steering::health;
-use health::{Admission, OutReason, Outcome};
+use health::{Admission, ExclusionReason, Outcome};
 
 fn at(ms: u64) -> time::TimeMs {
     time::TimeMs::new(ms)
@@ -55,7 +55,7 @@
     assert_eq!(
         pool.admission(&servers[0], at(60_000)),
         Admission::Out {
-            reason: OutReason::Report
+            reason: ExclusionReason::Report
         }
     );
     pool.record_end(&servers[0], answered(), at(60_100));
@@ -81,7 +81,7 @@
     assert_eq!(
         pool.admission(&servers[0], at(60_001)),
         Admission::Out {
-            reason: OutReason::Failures
+            reason: ExclusionReason::Failures
         }
     );
     assert_eq!(pool.admission(&servers[0], at(62_000)), Admission::Probe);
@@ -141,7 +141,7 @@
     assert_eq!(
         pool.admission(&servers[0], at(60_000)),
         Admission::Out {
-            reason: OutReason::Leaving
+            reason: ExclusionReason::Leaving
         }
     );
     pool.join(servers[0].clone(), at(60_000));
