--- a/crates/damaskvane-steering/src/health/admission.rs
+++ b/crates/damaskvane-steering/src/health/admission.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_steering::health;
 //!
 //! assert!(health::Admission::Full.takes_work());
-//! assert!(!health::Admission::Out { reason: health::ExclusionReason::Leaving }.takes_work());
+//! assert!(!health::Admission::Excluded { reason: health::ExclusionReason::Leaving }.takes_work());
 //! ```
 
 /// What a backend server gets.
@@ -20,7 +20,7 @@
     /// One request at a time, to see whether it works again.
     Probe,
     /// Nothing new.
-    Out {
+    Excluded {
         /// Why.
         reason: ExclusionReason,
     },
@@ -41,7 +41,7 @@
     /// Whether new work may be sent.
     #[must_use]
     pub const fn takes_work(self) -> bool {
-        !matches!(self, Self::Out { .. })
+        !matches!(self, Self::Excluded { .. })
     }
 
     /// How many of a server's slots may be used; a probe uses one.
@@ -54,7 +54,7 @@
                 if part == 0 { 1 } else { part }
             }
             Self::Probe => 1,
-            Self::Out { .. } => 0,
+            Self::Excluded { .. } => 0,
         }
     }
 }
--- a/crates/damaskvane-steering/src/health/pool.rs
+++ b/crates/damaskvane-steering/src/health/pool.rs
@@ -208,5 +208,5 @@
 }
 
 const fn out(reason: ExclusionReason) -> Admission {
-    Admission::Out { reason }
+    Admission::Excluded { reason }
 }
--- a/crates/damaskvane-steering/tests/health.rs
+++ b/crates/damaskvane-steering/tests/health.rs
@@ -54,7 +54,7 @@
     pool.record_report(&servers[0], false, at(60_000));
     assert_eq!(
         pool.admission(&servers[0], at(60_000)),
-        Admission::Out {
+        Admission::Excluded {
             reason: ExclusionReason::Report
         }
     );
@@ -80,7 +80,7 @@
     pool.record_report(&servers[0], true, at(60_000));
     assert_eq!(
         pool.admission(&servers[0], at(60_001)),
-        Admission::Out {
+        Admission::Excluded {
             reason: ExclusionReason::Failures
         }
     );
@@ -140,7 +140,7 @@
     pool.leave(&servers[0]);
     assert_eq!(
         pool.admission(&servers[0], at(60_000)),
-        Admission::Out {
+        Admission::Excluded {
             reason: ExclusionReason::Leaving
         }
     );
