--- a/crates/damaskvane-steering/src/digest/view.rs
+++ b/crates/damaskvane-steering/src/digest/view.rs
@@ -36,7 +36,7 @@
     }
 
     /// Forgets a zone's report, so that a restarted sequence is taken in again.
-    pub fn forget(&mut self, zone: &ids::AvailabilityZoneId) {
+    pub fn remove(&mut self, zone: &ids::AvailabilityZoneId) {
         self.digests.remove(zone);
     }
 
--- a/crates/damaskvane-steering/src/health/pool.rs
+++ b/crates/damaskvane-steering/src/health/pool.rs
@@ -65,7 +65,7 @@
     }
 
     /// A server is gone for good.
-    pub fn forget(&mut self, server: &ids::BackendServerId) {
+    pub fn remove(&mut self, server: &ids::BackendServerId) {
         self.servers.remove(server);
     }
 
--- a/crates/damaskvane-steering/tests/planner_faults.rs
+++ b/crates/damaskvane-steering/tests/planner_faults.rs
@@ -158,7 +158,7 @@
             view.apply_digest(common::report(&zone("ab-a"), 10_000, step * STEP_MS, 5_000));
         }
         if step == 21 {
-            view.forget(&zone("ab-a"));
+            view.remove(&zone("ab-a"));
             view.apply_digest(common::report(&zone("ab-a"), step, step * STEP_MS, 100));
         }
         let next = planner.plan(&topology(), &view, plan.as_ref(), at(step * STEP_MS));
