--- a/crates/damaskvane-steering/src/planner/fill.rs
+++ b/crates/damaskvane-steering/src/planner/fill.rs
@@ -99,7 +99,7 @@
     let step_permille = match limit.decision {
         // Numbers that are old may hide an overload; what they allowed once is kept, no more.
         staleness::Decision::Hold | staleness::Decision::Exclude => 0,
-        _ if capacity.any_excluded() => inputs.settings.rescue_step_permille,
+        _ if capacity.any_excluded() => inputs.settings.failover_step_permille,
         _ => inputs.settings.step_permille,
     };
     free.min(limit.capacity.permille(step_permille))
--- a/crates/damaskvane-steering/src/planner/settings.rs
+++ b/crates/damaskvane-steering/src/planner/settings.rs
@@ -27,7 +27,7 @@
     /// By how much of a zone's capacity its planned flow may rise in one step, in thousandths.
     pub step_permille: u32,
     /// The same while a zone is out of reach and its clients need a place.
-    pub rescue_step_permille: u32,
+    pub failover_step_permille: u32,
     /// When a refused client may come back.
     pub retry_after: time::SpanMs,
 }
@@ -41,7 +41,7 @@
             usable_permille: 980,
             margin_permille: 400,
             step_permille: 100,
-            rescue_step_permille: 500,
+            failover_step_permille: 500,
             retry_after: time::SpanMs::new(2_000),
         }
     }
--- a/crates/damaskvane-steering/tests/planner.rs
+++ b/crates/damaskvane-steering/tests/planner.rs
@@ -102,7 +102,7 @@
                     after <= usable.max(before),
                     "seed {seed} step {step} {to}: {after}"
                 );
-                let may_rise = rps(200).permille(settings.rescue_step_permille);
+                let may_rise = rps(200).permille(settings.failover_step_permille);
                 let rose = after.saturating_sub(before);
                 assert!(
                     previous.is_none() || rose <= may_rise,
