--- a/crates/damaskvane-steering/src/input.rs
+++ b/crates/damaskvane-steering/src/input.rs
@@ -1,4 +1,4 @@
-//! What the operators declared, as the planner needs it.
+//! Planner input declared by operators.
 //!
 //! ```
 //! use damaskvane_steering::input;
--- a/crates/damaskvane-steering/src/input/latency.rs
+++ b/crates/damaskvane-steering/src/input/latency.rs
@@ -10,11 +10,11 @@
 /// One-way latency by distance class, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Latency {
-    /// Between a client and its own zone.
+    /// Latency between a client and its own zone.
     pub to_clients_ms: u32,
-    /// Between two zones of a region.
+    /// Latency between two zones of a region.
     pub between_zones_ms: u32,
-    /// Between two regions.
+    /// Latency between two regions.
     pub between_regions_ms: u32,
 }
 
--- a/crates/damaskvane-steering/src/input/movement.rs
+++ b/crates/damaskvane-steering/src/input/movement.rs
@@ -1,4 +1,4 @@
-//! A part of a source's clients that a ticket moves.
+//! Part of a source zone's clients that a shift ticket moves.
 //!
 //! ```
 //! use damaskvane_steering::input;
@@ -15,19 +15,19 @@
 
 use damaskvane_core::ids;
 
-/// A part of a source's clients that a ticket moves, as far as its shift has come.
+/// Part of a source zone's clients that a shift ticket moves, at the current progress of the shift.
 ///
-/// The planner places this part first, as far as the destination's capacity allows; what does not
-/// fit is steered as if it had not been moved.
+/// The planner places this part first, up to the destination's capacity. The excess is steered as
+/// if it had not been moved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Movement {
-    /// The service.
+    /// Service whose traffic moves.
     pub service: ids::ServiceId,
-    /// Whose clients move.
+    /// Zone whose clients move.
     pub source: ids::AvailabilityZoneId,
-    /// Where they move to.
+    /// Zone that the clients move to.
     pub destination: ids::AvailabilityZoneId,
-    /// The part of the clients, in thousandths: [`Progress::moved_permille`] of the shift.
+    /// Part of the clients, in thousandths: [`Progress::moved_permille`] of the shift.
     ///
     /// [`Progress::moved_permille`]: crate::shift::Progress::moved_permille
     pub moved_permille: u32,
--- a/crates/damaskvane-steering/src/input/service.rs
+++ b/crates/damaskvane-steering/src/input/service.rs
@@ -1,4 +1,4 @@
-//! A service and where its backend servers stand.
+//! Service with the slots of its backend servers.
 //!
 //! ```
 //! use damaskvane_core::units;
@@ -22,16 +22,17 @@
 
 const MS_PER_SECOND: u64 = 1_000;
 
-/// A service: its slots by zone, and what one request costs.
+/// Slots of a service by zone, and the cost of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// How long a request typically holds a slot.
+    /// How long a request typically occupies a slot, in milliseconds.
     pub typical_time_ms: u32,
-    /// Bytes of a typical request with its answer, charged against links between regions.
+    /// Bytes of a typical request and its response, charged against the links between regions.
     pub typical_bytes: u32,
     /// Slots of all backend servers of the service, by zone.
     pub slots: BTreeMap<ids::AvailabilityZoneId, units::Slots>,
-    /// The share of a zone's capacity that other zones may use together without a fresh grant.
+    /// Part of a zone's capacity that all other zones together may use without a valid grant, in
+    /// thousandths.
     pub static_share_permille: u32,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl Service {
-    /// The declared capacity of a zone: slots over the typical time.
+    /// Returns the declared capacity of a zone: slots divided by the typical time.
     #[must_use]
     pub fn capacity(&self, zone: &ids::AvailabilityZoneId) -> rate::Rate {
         let slots = self.slots.get(zone).map_or(0, |slots| slots.get());
@@ -55,7 +56,8 @@
         rate::Rate::per_second(u64::from(slots)).scaled(MS_PER_SECOND, time_ms)
     }
 
-    /// What one of `others` source zones may send to a zone without a fresh grant.
+    /// Returns the rate that each of `others` source zones may send to a zone without a valid
+    /// grant.
     #[must_use]
     pub fn static_share(&self, zone: &ids::AvailabilityZoneId, others: usize) -> rate::Rate {
         let together = self.capacity(zone).permille(self.static_share_permille);
--- a/crates/damaskvane-steering/src/input/topology.rs
+++ b/crates/damaskvane-steering/src/input/topology.rs
@@ -14,38 +14,41 @@
 use crate::input::movement::Movement;
 use crate::input::service::Service;
 
-/// How far a destination zone is from a source zone, nearest first.
+/// Distance class of a destination zone from a source zone, nearest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// The destination is the source.
+    /// The destination is the source zone.
     SameZone,
-    /// Another zone of the source's region.
+    /// The destination is another zone of the source's region.
     SameRegion,
-    /// A zone of another region.
-    Elsewhere,
+    /// The destination is in another region.
+    OtherRegion,
 }
 
-/// Everything declared that steering depends on.
+/// Declared topology of a deployment, as far as steering depends on it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Topology {
-    /// Every zone with its region.
+    /// Region of every zone.
     pub zones: BTreeMap<ids::AvailabilityZoneId, ids::RegionId>,
     /// Every service with its slots.
     pub services: BTreeMap<ids::ServiceId, Service>,
-    /// The budget of the link between two regions, each way; regions in ascending order.
+    /// Budget of the link between two regions in each direction, by the pair of regions in
+    /// ascending order.
     ///
     /// A pair that is absent has no limit.
     pub links: BTreeMap<(ids::RegionId, ids::RegionId), units::MegabitsPerSecond>,
-    /// Latency by distance.
+    /// Latency by distance class.
     pub latency: Latency,
-    /// Latency measured between two zones, where it differs from its distance class.
+    /// Latency measured between two zones, where it differs from the latency of their distance
+    /// class, in milliseconds.
     pub measured_latency_ms: BTreeMap<(ids::AvailabilityZoneId, ids::AvailabilityZoneId), u32>,
-    /// Parts of sources that tickets move now.
+    /// Parts of source zones' clients that shift tickets move at present.
     pub movements: Vec<Movement>,
 }
 
 impl Topology {
-    /// How far apart two zones are; an unknown zone is elsewhere.
+    /// Returns the distance class of two zones; an unknown zone counts as
+    /// [`Distance::OtherRegion`].
     #[must_use]
     pub fn distance(
         &self,
@@ -57,11 +60,12 @@
         }
         match (self.zones.get(source), self.zones.get(destination)) {
             (Some(left), Some(right)) if left == right => Distance::SameRegion,
-            _ => Distance::Elsewhere,
+            _ => Distance::OtherRegion,
         }
     }
 
-    /// One-way latency from a client of the source zone to the destination zone.
+    /// Returns the one-way latency from a client of the source zone to the destination zone, in
+    /// milliseconds.
     #[must_use]
     pub fn latency_ms(
         &self,
@@ -73,12 +77,13 @@
         let between_ms = between_ms.unwrap_or(match self.distance(source, destination) {
             Distance::SameZone => 0,
             Distance::SameRegion => self.latency.between_zones_ms,
-            Distance::Elsewhere => self.latency.between_regions_ms,
+            Distance::OtherRegion => self.latency.between_regions_ms,
         });
         self.latency.to_clients_ms + between_ms
     }
 
-    /// The link budget between the regions of two zones; none within a region or where undeclared.
+    /// Returns the link budget between the regions of two zones, or `None` within a region or for a
+    /// link without a limit.
     #[must_use]
     pub fn link(
         &self,
@@ -94,7 +99,8 @@
         self.links.get(&pair).copied()
     }
 
-    /// The zone that stands for a client of which only the region is known.
+    /// Returns the zone to assume for a client of which only the region is known, chosen by the
+    /// client's hash.
     #[must_use]
     pub fn zone_of(
         &self,
--- a/crates/damaskvane-steering/src/plan.rs
+++ b/crates/damaskvane-steering/src/plan.rs
@@ -1,4 +1,4 @@
-//! Weights from every source zone to every destination zone, by service.
+//! Weights from every source zone to every destination zone, per service.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -16,25 +16,26 @@
 use damaskvane_core::{ids, time};
 
 pub use service::ServicePlan;
-pub(crate) use service::{Estimate, Reported};
+pub(crate) use service::{Estimate, ReportedCapacity};
 pub use source::{Share, SourcePlan};
 
-/// The whole, in millionths.
+/// The whole of a source's clients, in millionths.
 pub const WHOLE_PPM: u32 = 1_000_000;
 
-/// Weights for every service, made at one point in time.
+/// Traffic plan for all services, computed at one point in time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// When the plan was made.
+    /// Time at which the plan was computed.
     pub made_at: time::TimeMs,
-    /// The plan of each service.
+    /// Plan of each service.
     pub services: BTreeMap<ids::ServiceId, ServicePlan>,
-    /// Invariants found broken while planning; each refused the unsafe part of the plan.
+    /// Number of invariants violated during planning. The planner drops the unsafe part of the plan
+    /// on each violation.
     pub broken_invariants: u32,
 }
 
 impl Plan {
-    /// A plan that sends nothing anywhere.
+    /// Creates a plan without services; every lookup is refused under it.
     #[must_use]
     pub const fn empty(made_at: time::TimeMs) -> Self {
         Self {
@@ -44,7 +45,8 @@
         }
     }
 
-    /// The plan for the clients of one source zone.
+    /// Returns the plan for the clients of one source zone, if the plan covers the service and the
+    /// zone.
     #[must_use]
     pub fn source(
         &self,
--- a/crates/damaskvane-steering/src/plan/service.rs
+++ b/crates/damaskvane-steering/src/plan/service.rs
@@ -1,4 +1,4 @@
-//! The plan of one service, with what the next plan needs to know of the last ones.
+//! Plan of one service, with the state that the next plan is computed from.
 //!
 //! ```
 //! use damaskvane_steering::plan;
@@ -18,51 +18,54 @@
 
 /// The last two capacities that a zone reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Reported {
-    /// The sequence of the later report.
+pub(crate) struct ReportedCapacity {
+    /// Sequence number of the latest report.
     pub(crate) sequence: u64,
-    /// The capacity in it.
+    /// Capacity in the latest report.
     pub(crate) last: rate::Rate,
-    /// The capacity in the report before it.
-    pub(crate) before: rate::Rate,
+    /// Capacity in the report before the latest.
+    pub(crate) previous: rate::Rate,
 }
 
-/// An estimate of demand with its trend.
+/// Estimate of a source zone's demand with its trend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Estimate {
-    /// The demand now, in thousandths of a request a second.
+    /// Current demand, in thousandths of a request per second.
     pub(crate) level_milli: i64,
-    /// By how much it rises in a step.
+    /// Rise of the demand per step, in thousandths of a request per second.
     pub(crate) trend_milli: i64,
-    /// How far the last count was from what was expected.
-    pub(crate) change_milli: i64,
+    /// Deviation of the last measured demand from its forecast, in thousandths of a request per
+    /// second.
+    pub(crate) residual_milli: i64,
 }
 
-/// The plan of one service.
+/// Plan of one service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServicePlan {
-    /// The plan for each source zone.
+    /// Plan for the clients of each source zone.
     pub sources: BTreeMap<ids::AvailabilityZoneId, SourcePlan>,
-    /// The part of a zone's capacity that is trusted after overload, in thousandths; absent is all.
+    /// Trust in each zone's capacity after overload, in thousandths; full trust where absent.
     pub trusted_permille: BTreeMap<ids::AvailabilityZoneId, u32>,
-    /// The sequence of the report that last changed the trust in a zone.
-    pub judged_sequence: BTreeMap<ids::AvailabilityZoneId, u64>,
-    /// The last two capacities that each zone reported, the later one first, with its sequence.
-    pub(crate) reported: BTreeMap<ids::AvailabilityZoneId, Reported>,
-    /// The estimate of each source's demand, for the next plan.
+    /// Sequence number of the last report of each zone that was applied to the trust.
+    pub applied_sequence: BTreeMap<ids::AvailabilityZoneId, u64>,
+    /// The last two capacities that each zone reported.
+    pub(crate) reported: BTreeMap<ids::AvailabilityZoneId, ReportedCapacity>,
+    /// Demand estimate of each source zone.
     pub(crate) estimates: BTreeMap<ids::AvailabilityZoneId, Estimate>,
-    /// Shares that clients may still hold in their caches, with the time of the last answer.
-    pub(crate) answered: Vec<(time::TimeMs, Shares)>,
+    /// Shares that clients may still use because of cached lookup results, oldest first, with the
+    /// time at which their plan was computed.
+    pub(crate) cached_shares: Vec<(time::TimeMs, Shares)>,
 }
 
 impl ServicePlan {
-    /// The trusted part of a zone's capacity, in thousandths.
+    /// Returns the trust in a zone's capacity, in thousandths.
     #[must_use]
     pub fn trusted_permille(&self, zone: &ids::AvailabilityZoneId) -> u32 {
         self.trusted_permille.get(zone).copied().unwrap_or(1_000)
     }
 
-    /// The largest part of a source's clients that may still use a destination from their caches.
+    /// Returns the largest share of a source's clients that may still use a destination because of
+    /// cached lookup results, in millionths.
     #[must_use]
     pub fn cached_ppm(
         &self,
@@ -70,46 +73,50 @@
         destination: &ids::AvailabilityZoneId,
     ) -> u32 {
         let pair = (source.clone(), destination.clone());
-        let shares = self.answered.iter();
+        let shares = self.cached_shares.iter();
         let cached = shares.filter_map(|(_, shares)| shares.get(&pair)).max();
         cached.copied().unwrap_or(0).min(WHOLE_PPM)
     }
 
-    /// All parts of sources that clients may still use from their caches; a pair may come twice.
+    /// Returns all shares that clients may still use because of cached lookup results, as source,
+    /// destination and millionths.
+    ///
+    /// A pair of zones may occur more than once.
     pub(crate) fn cached(
         &self,
     ) -> impl Iterator<Item = (&ids::AvailabilityZoneId, &ids::AvailabilityZoneId, u32)> {
-        let shares = self.answered.iter().flat_map(|(_, shares)| shares);
+        let shares = self.cached_shares.iter().flat_map(|(_, shares)| shares);
         shares.map(|((source, destination), share_ppm)| (source, destination, *share_ppm))
     }
 
-    /// Whether any earlier plan can still be in a cache.
+    /// Returns whether lookup results of an earlier plan may still be cached.
     #[must_use]
     pub fn has_history(&self) -> bool {
-        !self.answered.is_empty()
+        !self.cached_shares.is_empty()
     }
 
-    /// Keeps the shares of `previous` that clients may still hold, and adds those of this plan.
-    pub(crate) fn remember(
+    /// Retains the shares of `previous` that clients may still have cached, and adds the shares of
+    /// this plan.
+    pub(crate) fn record_shares(
         &mut self,
         previous: Option<&Self>,
         now: time::TimeMs,
         lookup_ttl: time::SpanMs,
     ) {
         if let Some(previous) = previous {
-            // Look-ups are answered from a plan until the next one is made, so a plan's answers
-            // are out of the caches one TTL after its successor was made.
+            // Lookups use a plan until the next one is computed, so a plan's results have left the
+            // caches one TTL after its successor was computed.
             let next_made = previous
-                .answered
+                .cached_shares
                 .iter()
                 .skip(1)
                 .map(|(made_at, _)| *made_at);
             let next_made = next_made.chain([now]);
-            let kept = previous.answered.iter().zip(next_made);
-            let kept = kept.filter(|(_, next)| now.since(*next) < lookup_ttl);
-            self.answered = kept.map(|(entry, _)| entry.clone()).collect();
+            let retained = previous.cached_shares.iter().zip(next_made);
+            let retained = retained.filter(|(_, next)| now.since(*next) < lookup_ttl);
+            self.cached_shares = retained.map(|(entry, _)| entry.clone()).collect();
         }
-        self.answered.push((now, self.shares()));
+        self.cached_shares.push((now, self.shares()));
     }
 
     fn shares(&self) -> Shares {
--- a/crates/damaskvane-steering/src/planner.rs
+++ b/crates/damaskvane-steering/src/planner.rs
@@ -1,9 +1,11 @@
-//! Makes the next plan out of the topology, the reports, the previous plan and the time.
+//! Computes the next traffic plan from the topology, the zone reports, the previous plan and the
+//! current time.
 //!
-//! The same input gives the same plan on every instance. Demand is what the zones count by source;
-//! destinations are filled nearest first in steps of use, so that the policy's knee decides when
-//! clients go farther. A plan never promises more of a zone than its capacity less what clients may
-//! still send from cached answers.
+//! The computation is deterministic: every instance derives the same plan from the same input.
+//! Demand is measured by source zone. Destination zones are filled nearest first, in steps of
+//! utilization, and the policy's knee sets the utilization at which clients are sent farther away.
+//! Planned flow never exceeds a zone's capacity minus the traffic that clients may still send
+//! because of cached lookup results.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -31,26 +33,28 @@
 
 pub use settings::Settings;
 
-/// Makes plans under one set of settings.
+/// Computes plans with one set of settings.
 #[derive(Debug, Clone)]
 pub struct Planner {
     settings: Settings,
 }
 
 impl Planner {
-    /// A planner with these settings.
+    /// Creates a planner with `settings`.
     #[must_use]
     pub const fn new(settings: Settings) -> Self {
         Self { settings }
     }
 
-    /// The settings in use.
+    /// Returns the settings that the planner was created with.
     #[must_use]
     pub const fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Makes the plan that follows `previous`.
+    /// Computes the plan that replaces `previous` at the time `now`.
+    ///
+    /// `previous` is `None` for the first plan of an instance.
     #[must_use]
     pub fn plan(
         &self,
@@ -84,9 +88,9 @@
     links: &mut links::Budgets,
     broken_invariants: &mut u32,
 ) -> plan::ServicePlan {
-    let trust = capacity::Trust::judge(inputs);
+    let trust = capacity::Trust::update(inputs);
     let estimates = demand::estimate(inputs);
-    let demand = estimates.iter().copied().map(demand::ahead).collect();
+    let demand = estimates.iter().copied().map(demand::forecast).collect();
     let capacity = capacity::Capacity::of(inputs, &trust);
     let cached = flows::Flows::cached(inputs, &demand);
     let mut planned = fill::fill(inputs, links, &capacity, &demand, &cached);
@@ -94,11 +98,11 @@
     let mut plan = plan::ServicePlan {
         sources: planned.into_sources(inputs, &demand),
         trusted_permille: trust.trusted_permille,
-        judged_sequence: trust.judged_sequence,
+        applied_sequence: trust.applied_sequence,
         estimates: inputs.by_zone(estimates),
         reported: capacity::reported(inputs),
         ..plan::ServicePlan::default()
     };
-    plan.remember(inputs.previous, inputs.now, inputs.settings.lookup_ttl);
+    plan.record_shares(inputs.previous, inputs.now, inputs.settings.lookup_ttl);
     plan
 }
--- a/crates/damaskvane-steering/src/planner/capacity.rs
+++ b/crates/damaskvane-steering/src/planner/capacity.rs
@@ -1,4 +1,4 @@
-//! How much each destination zone may be promised.
+//! Limits on the traffic that each destination zone may be assigned.
 
 use std::collections::BTreeMap;
 
@@ -7,75 +7,80 @@
 use crate::planner::inputs::Inputs;
 use crate::{digest, plan, rate, staleness};
 
-/// A report of less than this part of the declared capacity needs evidence, in thousandths.
-const BELIEVED_PERMILLE: u32 = 250;
+/// Lower bound for a reported capacity without evidence of overload, in thousandths of the declared
+/// capacity.
+const MIN_UNCONFIRMED_PERMILLE: u32 = 250;
 
-/// Overload without refusals cuts the trusted part of a zone to this part of itself, in thousandths.
-const MILDEST_CUT_PERMILLE: u32 = 950;
+/// Upper bound of the factor that reduces a zone's trust on overload, in thousandths. Applies to
+/// overload without refused requests.
+const MAX_OVERLOAD_FACTOR_PERMILLE: u32 = 950;
 
-/// Refusals cut it to the part that was carried, but to no less than this at once, in thousandths.
-const TRUST_CUT_PERMILLE: u32 = 850;
+/// Lower bound of the factor that reduces a zone's trust on overload, in thousandths. The factor is
+/// the part of the arrivals that was not refused.
+const MIN_OVERLOAD_FACTOR_PERMILLE: u32 = 850;
 
-/// Trust never falls below this, in thousandths, so that recovery can show.
-const LEAST_TRUST_PERMILLE: u32 = 250;
+/// Lowest trust of a zone, in thousandths. Above zero, so that the zone still receives traffic that
+/// can show its recovery.
+const MIN_TRUST_PERMILLE: u32 = 250;
 
 /// Trust regained with each report that shows no overload, in thousandths.
 const TRUST_GAIN_PERMILLE: u32 = 30;
 
-/// The trusted part of each zone's capacity after what its reports showed.
+/// Trust in each zone's capacity, reduced by reports of overload.
 pub(super) struct Trust {
     pub(super) trusted_permille: BTreeMap<ids::AvailabilityZoneId, u32>,
-    pub(super) judged_sequence: BTreeMap<ids::AvailabilityZoneId, u64>,
+    pub(super) applied_sequence: BTreeMap<ids::AvailabilityZoneId, u64>,
 }
 
-/// What a destination zone may be promised.
+/// Limit on the traffic that one destination zone may be assigned.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Limit {
-    /// How the report of the zone is used.
+    /// How the planner uses the zone's latest report.
     pub(super) decision: staleness::Decision,
-    /// What the zone can carry.
+    /// Capacity of the zone.
     pub(super) capacity: rate::Rate,
-    /// The most that steering promises, below the capacity.
+    /// Maximum flow that the planner assigns; at most the capacity.
     pub(super) usable: rate::Rate,
 }
 
-/// The limits of every destination zone, by index.
+/// Limits of all destination zones, by zone index.
 pub(super) struct Capacity {
     pub(super) limits: Vec<Limit>,
 }
 
 impl Trust {
-    /// Cuts trust where a new report shows overload and regains it slowly where it shows none.
+    /// Reduces the trust in zones whose new report shows overload and restores it step by step
+    /// otherwise.
     ///
-    /// Each report is judged once: a frozen one would otherwise cut trust, or regain it, with every
-    /// plan made.
-    pub(super) fn judge(inputs: &Inputs<'_>) -> Self {
+    /// Each report is applied once. Otherwise a frozen report would reduce or restore trust with
+    /// every plan.
+    pub(super) fn update(inputs: &Inputs<'_>) -> Self {
         let mut trust = Self {
             trusted_permille: BTreeMap::new(),
-            judged_sequence: BTreeMap::new(),
+            applied_sequence: BTreeMap::new(),
         };
         for zone in &inputs.geometry.zones {
-            trust.judge_zone(inputs, zone);
+            trust.update_zone(inputs, zone);
         }
         trust
     }
 
-    fn judge_zone(&mut self, inputs: &Inputs<'_>, zone: &ids::AvailabilityZoneId) {
-        let before = inputs
+    fn update_zone(&mut self, inputs: &Inputs<'_>, zone: &ids::AvailabilityZoneId) {
+        let previous = inputs
             .previous
             .map_or(1_000, |plan| plan.trusted_permille(zone));
-        let judged = inputs
+        let applied_sequence = inputs
             .previous
-            .and_then(|plan| plan.judged_sequence.get(zone));
+            .and_then(|plan| plan.applied_sequence.get(zone));
         let digest = inputs.view.digest(zone);
-        let news = digest.filter(|digest| judged != Some(&digest.sequence));
-        let report = news.and_then(|digest| digest.services.get(inputs.id));
-        let after = report.map_or(before, |report| adjust(before, report));
+        let new_digest = digest.filter(|digest| applied_sequence != Some(&digest.sequence));
+        let report = new_digest.and_then(|digest| digest.services.get(inputs.id));
+        let after = report.map_or(previous, |report| adjust(previous, report));
         if after < 1_000 {
             self.trusted_permille.insert((*zone).clone(), after);
         }
         if let Some(digest) = digest {
-            self.judged_sequence
+            self.applied_sequence
                 .insert((*zone).clone(), digest.sequence);
         }
     }
@@ -87,9 +92,10 @@
     }
     let refused_ppm = report.refused.share_of(report.arrivals());
     let carried_permille = 1_000 - refused_ppm / 1_000;
-    let cut_permille = carried_permille.clamp(TRUST_CUT_PERMILLE, MILDEST_CUT_PERMILLE);
-    let cut = trusted_permille * cut_permille / 1_000;
-    cut.max(LEAST_TRUST_PERMILLE)
+    let factor_permille =
+        carried_permille.clamp(MIN_OVERLOAD_FACTOR_PERMILLE, MAX_OVERLOAD_FACTOR_PERMILLE);
+    let reduced = trusted_permille * factor_permille / 1_000;
+    reduced.max(MIN_TRUST_PERMILLE)
 }
 
 impl Capacity {
@@ -116,7 +122,7 @@
         staleness::Decision::Exclude => rate::Rate::ZERO,
         staleness::Decision::StaticShare => declared,
         staleness::Decision::Measured | staleness::Decision::Hold => {
-            believed(inputs, zone, declared)
+            accepted_capacity(inputs, zone, declared)
         }
     };
     let trusted_permille = trust.trusted_permille.get(zone).copied().unwrap_or(1_000);
@@ -128,12 +134,14 @@
     }
 }
 
-/// The reported capacity, at most the declared one, and hardly less without evidence.
+/// Returns the reported capacity, limited to the declared capacity and bounded below unless the
+/// report shows overload.
 ///
-/// A false report of no capacity would empty a healthy zone on to its neighbours, and such reports
-/// from all zones would refuse everyone. One would notice refusals without a single failure. Without
-/// evidence a fall therefore counts only when two reports in a row show it, and then down to a part.
-fn believed(
+/// A false report of zero capacity would push a healthy zone's traffic onto its neighbors, and such
+/// reports from all zones would cause every client to be refused although no request fails. A drop
+/// without overload therefore takes effect only after two consecutive reports show it, and never
+/// below [`MIN_UNCONFIRMED_PERMILLE`].
+fn accepted_capacity(
     inputs: &Inputs<'_>,
     zone: &ids::AvailabilityZoneId,
     declared: rate::Rate,
@@ -144,38 +152,46 @@
     if report.shows_overload() {
         return report.capacity.min(declared);
     }
-    let reported = last_two(inputs, zone);
-    let larger = reported.map_or(report.capacity, |two| two.last.max(two.before));
+    let reported = last_two_capacities(inputs, zone);
+    let larger = reported.map_or(report.capacity, |reported| {
+        reported.last.max(reported.previous)
+    });
     larger
         .min(declared)
-        .max(declared.permille(BELIEVED_PERMILLE))
+        .max(declared.permille(MIN_UNCONFIRMED_PERMILLE))
 }
 
-/// The last two capacities that a zone reported, the one at hand included.
-fn last_two(inputs: &Inputs<'_>, zone: &ids::AvailabilityZoneId) -> Option<plan::Reported> {
+/// Returns the last two capacities that a zone reported, including the current report.
+fn last_two_capacities(
+    inputs: &Inputs<'_>,
+    zone: &ids::AvailabilityZoneId,
+) -> Option<plan::ReportedCapacity> {
     let sequence = inputs.view.digest(zone)?.sequence;
     let last = inputs.report(zone)?.capacity;
-    let held = inputs
+    let stored = inputs
         .previous
         .and_then(|plan| plan.reported.get(zone).copied());
-    match held {
-        Some(held) if held.sequence == sequence => Some(held),
-        Some(held) => Some(plan::Reported {
+    match stored {
+        Some(stored) if stored.sequence == sequence => Some(stored),
+        Some(stored) => Some(plan::ReportedCapacity {
             sequence,
             last,
-            before: held.last,
+            previous: stored.last,
         }),
-        None => Some(plan::Reported {
+        None => Some(plan::ReportedCapacity {
             sequence,
             last,
-            before: last,
+            previous: last,
         }),
     }
 }
 
-/// What the next plan needs to know of the capacities that the zones reported.
-pub(super) fn reported(inputs: &Inputs<'_>) -> BTreeMap<ids::AvailabilityZoneId, plan::Reported> {
+/// Collects the reported capacities that the next plan needs.
+pub(super) fn reported(
+    inputs: &Inputs<'_>,
+) -> BTreeMap<ids::AvailabilityZoneId, plan::ReportedCapacity> {
     let zones = inputs.geometry.zones.iter();
-    let reported = zones.filter_map(|zone| Some(((*zone).clone(), last_two(inputs, zone)?)));
+    let reported =
+        zones.filter_map(|zone| Some(((*zone).clone(), last_two_capacities(inputs, zone)?)));
     reported.collect()
 }
--- a/crates/damaskvane-steering/src/planner/check.rs
+++ b/crates/damaskvane-steering/src/planner/check.rs
@@ -1,15 +1,17 @@
-//! Asserts that no destination is promised more than its capacity.
+//! Check that no destination zone is assigned more than its capacity.
 
 use crate::planner::capacity::Capacity;
 use crate::planner::flows::Flows;
 use crate::planner::inputs::Inputs;
 use crate::rate;
 
-/// Cuts every promise that breaks the capacity of its destination and counts the cuts.
+/// Clears all flows to a destination whose limit is exceeded and returns the number of such
+/// destinations.
 ///
-/// The filling keeps within capacity by construction. Should a later change break that, a zone would
-/// be sent more than it can carry by all instances at once, which shows as refusals in a zone while
-/// others are free. The promise is cut instead, counted, and a run under test aborts.
+/// The fill algorithm stays within capacity by construction. If a later change breaks this, all
+/// instances together would send a zone more than it can carry, and that zone would refuse requests
+/// while others have free capacity. Release builds clear the flows and count the violation; debug
+/// builds panic.
 pub(super) fn enforce(
     inputs: &Inputs<'_>,
     capacity: &Capacity,
@@ -23,8 +25,11 @@
         let worst = cached.sum_to(destination) + rise;
         let within_capacity = sum <= limit.usable;
         let within_cached = rise == rate::Rate::ZERO || worst <= limit.usable;
-        debug_assert!(within_capacity, "{sum} promised over {limit:?}");
-        debug_assert!(within_cached, "{worst} with cached answers over {limit:?}");
+        debug_assert!(within_capacity, "planned flow {sum} exceeds {limit:?}");
+        debug_assert!(
+            within_cached,
+            "flow {worst} including cached lookup results exceeds {limit:?}"
+        );
         if !within_capacity || !within_cached {
             broken += 1;
             for source in 0..inputs.zone_count() {
--- a/crates/damaskvane-steering/src/planner/fill.rs
+++ b/crates/damaskvane-steering/src/planner/fill.rs
@@ -1,4 +1,4 @@
-//! Fills destinations with the demand of the sources, nearest first and level by level.
+//! Assignment of the sources' demand to destination zones, nearest first and level by level.
 
 use crate::planner::capacity::Capacity;
 use crate::planner::demand::Demand;
@@ -7,24 +7,25 @@
 use crate::planner::links::Budgets;
 use crate::{input, plan, rate, staleness};
 
-/// The height of a level of use above the policy's knee, in thousandths.
+/// Step between utilization levels above the policy's knee, in thousandths.
 const LEVEL_PERMILLE: u32 = 50;
 
-/// The highest level: all that is usable.
+/// Highest utilization level, in thousandths: the whole usable capacity.
 const LEVEL_LIMIT_PERMILLE: u32 = 1_000;
 
-/// How often a level is gone through for what a first division left over.
-const ROUNDS: usize = 2;
+/// Passes over each level and distance; a later pass assigns what an earlier one left over.
+const ROUNDS_PER_LEVEL: usize = 2;
 
-/// What a source keeps in one step of what it has beyond the even part while others lack theirs.
-const KEPT_SURPLUS_PERMILLE: u32 = 800;
+/// Part of its surplus over the fair share that a source retains per step while other sources lack
+/// theirs, in thousandths.
+const RETAINED_SURPLUS_PERMILLE: u32 = 800;
 
 const UNLIMITED: rate::Rate = rate::Rate::from_milli(u64::MAX);
 
 const DISTANCES: [input::Distance; 3] = [
     input::Distance::SameZone,
     input::Distance::SameRegion,
-    input::Distance::Elsewhere,
+    input::Distance::OtherRegion,
 ];
 
 struct Fill<'a> {
@@ -33,14 +34,15 @@
     capacity: &'a Capacity,
     remaining: Demand,
     used: Vec<rate::Rate>,
-    /// What the clients of a source may still send from their caches, less what is planned again.
+    /// Traffic that clients may still send because of cached lookup results, minus the part that is
+    /// planned again.
     cached: Flows,
-    /// By how much the flow to a destination may still rise above what caches may send.
+    /// Remaining rise of the flow to each destination above the cached traffic.
     rise: Vec<rate::Rate>,
     planned: Flows,
 }
 
-/// Works out the flows of one service and charges the links for them.
+/// Computes the flows of one service and charges the links for them.
 pub(super) fn fill(
     inputs: &Inputs<'_>,
     links: &mut Budgets,
@@ -48,7 +50,7 @@
     demand: &Demand,
     cached: &Flows,
 ) -> Flows {
-    let (first, rest) = fair_parts(demand, capacity.usable_sum());
+    let (first, rest) = fair_shares(demand, capacity.usable_sum());
     let rise = |destination| rise_limit(inputs, capacity, cached.sum_to(destination), destination);
     let mut fill = Fill {
         inputs,
@@ -58,22 +60,25 @@
         used: vec![rate::Rate::ZERO; inputs.zone_count()],
         cached: cached.clone(),
         rise: (0..inputs.zone_count()).map(rise).collect(),
-        planned: Flows::none(inputs),
+        planned: Flows::zero(inputs),
     };
-    fill.movements();
-    fill.all_levels();
-    let rest = fill.beyond_fair_part(rest);
+    fill.place_movements();
+    fill.fill_levels();
+    let rest = fill.demand_beyond_fair_share(rest);
     for (remaining, rest) in fill.remaining.iter_mut().zip(rest) {
         *remaining += rest;
     }
-    fill.all_levels();
+    fill.fill_levels();
     fill.planned
 }
 
-/// Splits demand into a part that all capacity can carry, the same for every source, and the rest.
+/// Splits demand into the fair share that the total capacity can carry and the rest.
 ///
-/// Near clients would otherwise keep everything in a shortage and far ones lose everything.
-fn fair_parts(demand: &Demand, usable: rate::Rate) -> (Demand, Demand) {
+/// The fair share is the same part of the demand for every source.
+///
+/// Without fair shares, in a shortage, clients near a zone would keep all of its capacity and
+/// distant clients would lose all of theirs.
+fn fair_shares(demand: &Demand, usable: rate::Rate) -> (Demand, Demand) {
     let offered: rate::Rate = demand.iter().copied().sum();
     let fits = usable.min(offered);
     let part = |rate: &rate::Rate| rate.scaled(fits.milli(), offered.milli());
@@ -97,7 +102,7 @@
         return free;
     }
     let step_permille = match limit.decision {
-        // Numbers that are old may hide an overload; what they allowed once is kept, no more.
+        // An old report may hide an overload: the flow that it allowed is kept but not raised.
         staleness::Decision::Hold | staleness::Decision::Exclude => 0,
         _ if capacity.any_excluded() => inputs.settings.failover_step_permille,
         _ => inputs.settings.step_permille,
@@ -106,12 +111,13 @@
 }
 
 impl Fill<'_> {
-    /// What the sources may have beyond the part that is the same for all.
+    /// Returns the demand beyond the fair share that each source may place.
     ///
-    /// Links, steps or static shares can leave capacity that the even part could not use. But while
-    /// some source has not got its even part, those that have more give it up step by step: the room
-    /// would otherwise go back to them each time, since only their clients are in the caches.
-    fn beyond_fair_part(&self, rest: Demand) -> Demand {
+    /// Links, steps or static shares can leave capacity that the fair shares could not use. While
+    /// some source lacks its fair share, the sources with a surplus give it up step by step.
+    /// Otherwise the free capacity would return to the same sources each time, since only their
+    /// clients have cached lookup results.
+    fn demand_beyond_fair_share(&self, rest: Demand) -> Demand {
         if self
             .remaining
             .iter()
@@ -119,15 +125,15 @@
         {
             return rest;
         }
-        let kept = |(source, rest): (usize, rate::Rate)| {
+        let retained = |(source, rest): (usize, rate::Rate)| {
             let planned = self.planned.flows.from(source).iter().copied().sum();
-            let surplus = self.previous_flow(source).saturating_sub(planned);
-            rest.min(surplus.permille(KEPT_SURPLUS_PERMILLE))
+            let surplus = self.previous_source_flow(source).saturating_sub(planned);
+            rest.min(surplus.permille(RETAINED_SURPLUS_PERMILLE))
         };
-        rest.into_iter().enumerate().map(kept).collect()
+        rest.into_iter().enumerate().map(retained).collect()
     }
 
-    fn previous_flow(&self, source: usize) -> rate::Rate {
+    fn previous_source_flow(&self, source: usize) -> rate::Rate {
         let previous = self.inputs.previous;
         let zone = self.inputs.geometry.zones[source];
         let planned = previous.and_then(|plan| plan.sources.get(zone));
@@ -136,22 +142,23 @@
         })
     }
 
-    /// Places the parts that tickets move, as far as their destinations have room.
-    fn movements(&mut self) {
+    /// Places the demand that shift tickets move, limited by the capacity available at the
+    /// destinations.
+    fn place_movements(&mut self) {
         let inputs = self.inputs;
         let movements = inputs.geometry.topology.movements.iter();
         for movement in movements.filter(|movement| movement.service == *inputs.id) {
             let source = inputs.geometry.index(&movement.source);
             let destination = inputs.geometry.index(&movement.destination);
             if let (Some(source), Some(destination)) = (source, destination) {
-                let wish = self.remaining[source].permille(movement.moved_permille);
-                let room = self.room(LEVEL_LIMIT_PERMILLE, source, destination);
-                self.add(source, destination, wish.min(room));
+                let request = self.remaining[source].permille(movement.moved_permille);
+                let available = self.available(LEVEL_LIMIT_PERMILLE, source, destination);
+                self.add(source, destination, request.min(available));
             }
         }
     }
 
-    fn all_levels(&mut self) {
+    fn fill_levels(&mut self) {
         let mut level_permille = self.inputs.settings.policy.knee_permille();
         while self
             .remaining
@@ -159,7 +166,7 @@
             .any(|remaining| *remaining > rate::Rate::ZERO)
         {
             for distance in DISTANCES {
-                self.one_distance(level_permille.min(LEVEL_LIMIT_PERMILLE), distance);
+                self.fill_distance(level_permille.min(LEVEL_LIMIT_PERMILLE), distance);
             }
             if level_permille >= LEVEL_LIMIT_PERMILLE {
                 break;
@@ -168,18 +175,19 @@
         }
     }
 
-    fn one_distance(&mut self, level_permille: u32, distance: input::Distance) {
-        for _ in 0..ROUNDS {
-            let wishes = self.wishes(level_permille, distance);
+    fn fill_distance(&mut self, level_permille: u32, distance: input::Distance) {
+        for _ in 0..ROUNDS_PER_LEVEL {
+            let requests = self.requests(level_permille, distance);
             for destination in 0..self.inputs.zone_count() {
-                self.serve(level_permille, destination, &wishes);
+                self.allocate(level_permille, destination, &requests);
             }
         }
     }
 
-    /// Divides what remains of each source over the destinations at a distance, by their room.
-    fn wishes(&self, level_permille: u32, distance: input::Distance) -> Flows {
-        let mut wishes = Flows::none(self.inputs);
+    /// Divides the remaining demand of each source among the destinations at one distance, in
+    /// proportion to their available capacity.
+    fn requests(&self, level_permille: u32, distance: input::Distance) -> Flows {
+        let mut requests = Flows::zero(self.inputs);
         let zones = 0..self.inputs.zone_count();
         for (source, remaining) in self.remaining.iter().enumerate() {
             if *remaining == rate::Rate::ZERO {
@@ -189,74 +197,85 @@
             let near = zones
                 .clone()
                 .filter(|zone| geometry.distance(source, *zone) == distance);
-            let room = near.map(|zone| (zone, self.room(level_permille, source, zone)));
-            let room: Vec<_> = room.filter(|(_, room)| *room > rate::Rate::ZERO).collect();
-            let sum: rate::Rate = room.iter().map(|(_, room)| *room).sum();
-            for (zone, room) in room {
-                let wish = (*remaining).min(sum).scaled(room.milli(), sum.milli());
-                *wishes.flows.at_mut(source, zone) = wish;
+            let available = near.map(|zone| (zone, self.available(level_permille, source, zone)));
+            let available: Vec<_> = available
+                .filter(|(_, available)| *available > rate::Rate::ZERO)
+                .collect();
+            let sum: rate::Rate = available.iter().map(|(_, available)| *available).sum();
+            for (zone, available) in available {
+                let request = (*remaining).min(sum).scaled(available.milli(), sum.milli());
+                *requests.flows.at_mut(source, zone) = request;
             }
         }
-        wishes
+        requests
     }
 
-    /// Gives the sources that wish for a destination an equal part of their wishes.
-    fn serve(&mut self, level_permille: u32, destination: usize, wishes: &Flows) {
-        let wished = wishes.sum_to(destination);
-        if wished == rate::Rate::ZERO {
+    /// Allocates a destination's available capacity among its sources, in proportion to their
+    /// requests.
+    fn allocate(&mut self, level_permille: u32, destination: usize, requests: &Flows) {
+        let requested = requests.sum_to(destination);
+        if requested == rate::Rate::ZERO {
             return;
         }
-        let room = self.level_room(level_permille, destination).min(wished);
+        let available = self
+            .available_at_level(level_permille, destination)
+            .min(requested);
         for source in 0..self.inputs.zone_count() {
-            let wish = wishes.flows.at(source, destination);
-            let part = wish.scaled(room.milli(), wished.milli());
-            let flow = part.min(self.room(level_permille, source, destination));
+            let request = requests.flows.at(source, destination);
+            let part = request.scaled(available.milli(), requested.milli());
+            let flow = part.min(self.available(level_permille, source, destination));
             self.add(source, destination, flow);
         }
     }
 
-    fn level_room(&self, level_permille: u32, destination: usize) -> rate::Rate {
+    fn available_at_level(&self, level_permille: u32, destination: usize) -> rate::Rate {
         let usable = self.capacity.limits[destination].usable;
         usable
             .permille(level_permille)
             .saturating_sub(self.used[destination])
     }
 
-    fn room(&self, level_permille: u32, source: usize, destination: usize) -> rate::Rate {
-        let room = self.level_room(level_permille, destination);
-        if room == rate::Rate::ZERO {
-            return room;
+    fn available(&self, level_permille: u32, source: usize, destination: usize) -> rate::Rate {
+        let available = self.available_at_level(level_permille, destination);
+        if available == rate::Rate::ZERO {
+            return available;
         }
         let cached = self.cached.flows.at(source, destination);
-        let room = room.min(cached + self.rise[destination]);
-        let room = room.min(self.unmeasured_room(source, destination));
+        let available = available.min(cached + self.rise[destination]);
+        let available = available.min(self.staleness_limit(source, destination));
         let inputs = self.inputs;
         let link = self
             .links
-            .room(inputs.geometry, inputs.service, source, destination);
-        link.map_or(room, |link| room.min(link))
+            .available(inputs.geometry, inputs.service, source, destination);
+        link.map_or(available, |link| available.min(link))
     }
 
-    /// What a zone may get from one source where its report is old or gone.
-    fn unmeasured_room(&self, source: usize, destination: usize) -> rate::Rate {
+    /// Returns the flow that a destination without a fresh report may still receive from one
+    /// source.
+    fn staleness_limit(&self, source: usize, destination: usize) -> rate::Rate {
         let allowed = match self.capacity.limits[destination].decision {
             staleness::Decision::Measured => return UNLIMITED,
             staleness::Decision::Exclude => rate::Rate::ZERO,
-            staleness::Decision::Hold => self.held(source, destination),
+            staleness::Decision::Hold => self.held_flow(source, destination),
             staleness::Decision::StaticShare => self.static_share(source, destination),
         };
         allowed.saturating_sub(self.planned.flows.at(source, destination))
     }
 
-    /// The flow of the previous plan. The share alone would let the flow rise with the demand.
-    fn held(&self, source: usize, destination: usize) -> rate::Rate {
+    /// Returns the flow of the previous plan.
+    ///
+    /// A limit on the share alone would let the flow rise with the demand.
+    fn held_flow(&self, source: usize, destination: usize) -> rate::Rate {
         let zones = &self.inputs.geometry.zones;
         let previous = self.inputs.previous;
         let planned = previous.and_then(|plan| plan.sources.get(zones[source]));
         planned.map_or(rate::Rate::ZERO, |planned| planned.flow(zones[destination]))
     }
 
-    /// Its own clients get all but the static share, every other source its part of that.
+    /// Returns the flow allowed by the declared capacity alone.
+    ///
+    /// The zone's own clients receive everything but the static share, and every other source zone
+    /// an equal part of the static share.
     fn static_share(&self, source: usize, destination: usize) -> rate::Rate {
         let capacity = self.capacity.limits[destination].capacity;
         let service = self.inputs.service;
--- a/crates/damaskvane-steering/src/planner/flows.rs
+++ b/crates/damaskvane-steering/src/planner/flows.rs
@@ -1,4 +1,4 @@
-//! Flows from sources to destinations.
+//! Flows from source zones to destination zones.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,24 @@
 use crate::planner::matrix::Matrix;
 use crate::{plan, rate};
 
-/// Flows from sources to destinations, by index.
+/// Matrix of flows from source zones to destination zones, by zone index.
 #[derive(Debug, Clone)]
 pub(super) struct Flows {
     pub(super) flows: Matrix<rate::Rate>,
 }
 
 impl Flows {
-    pub(super) fn none(inputs: &Inputs<'_>) -> Self {
+    pub(super) fn zero(inputs: &Inputs<'_>) -> Self {
         Self {
             flows: Matrix::new(inputs.zone_count()),
         }
     }
 
-    /// What the clients of each source may still send from their caches.
+    /// Returns the traffic that clients of each source may still send because of cached lookup
+    /// results.
     pub(super) fn cached(inputs: &Inputs<'_>, demand: &Demand) -> Self {
         let cached_ppm = inputs.cached_ppm();
-        let mut cached = Self::none(inputs);
+        let mut cached = Self::zero(inputs);
         for (source, demand) in demand.iter().enumerate() {
             for destination in 0..inputs.zone_count() {
                 let flow = demand.ppm(cached_ppm.at(source, destination));
@@ -35,12 +36,13 @@
         cached
     }
 
-    /// Everything that goes to a destination.
+    /// Returns the total flow to a destination.
     pub(super) fn sum_to(&self, destination: usize) -> rate::Rate {
         self.flows.to(destination).sum()
     }
 
-    /// What the sources send to a destination above what they have in `cached`.
+    /// Returns by how much the flows to a destination exceed those in `cached`, summed over the
+    /// sources.
     pub(super) fn rise_to(&self, destination: usize, cached: &Self) -> rate::Rate {
         let pairs = self.flows.to(destination).zip(cached.flows.to(destination));
         pairs
@@ -48,7 +50,7 @@
             .sum()
     }
 
-    /// Turns flows into shares of each source's demand.
+    /// Converts flows to shares of each source's demand, nearest destination first.
     pub(super) fn into_sources(
         self,
         inputs: &Inputs<'_>,
--- a/crates/damaskvane-steering/src/planner/inputs.rs
+++ b/crates/damaskvane-steering/src/planner/inputs.rs
@@ -1,4 +1,4 @@
-//! What planning one service reads, with zones as indices.
+//! Inputs for planning one service, with zones addressed by index.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::planner::settings::Settings;
 use crate::{digest, input, plan, staleness};
 
-/// The zones of a topology in ascending order, and how far apart they are.
+/// Zones of a topology in ascending order, and the region of each.
 pub(super) struct Geometry<'a> {
     pub(super) topology: &'a input::Topology,
     pub(super) zones: Vec<&'a ids::AvailabilityZoneId>,
@@ -16,7 +16,7 @@
     pub(super) region_ids: Vec<&'a ids::RegionId>,
 }
 
-/// What planning one service reads.
+/// Inputs for planning one service.
 pub(super) struct Inputs<'a> {
     pub(super) settings: &'a Settings,
     pub(super) geometry: &'a Geometry<'a>,
@@ -47,7 +47,7 @@
         } else if self.regions[source] == self.regions[destination] {
             input::Distance::SameRegion
         } else {
-            input::Distance::Elsewhere
+            input::Distance::OtherRegion
         }
     }
 
@@ -61,7 +61,7 @@
         self.geometry.zones.len()
     }
 
-    /// Names values that stand in order of the zones.
+    /// Maps values in zone order to their zone ids.
     pub(super) fn by_zone<T>(&self, values: Vec<T>) -> BTreeMap<ids::AvailabilityZoneId, T> {
         let zones = self.geometry.zones.iter();
         zones.map(|zone| (*zone).clone()).zip(values).collect()
@@ -76,7 +76,8 @@
         self.view.digest(zone)?.services.get(self.id)
     }
 
-    /// The largest parts of the sources that clients may still use from their caches.
+    /// Returns the largest share of each source's clients that may still use each destination
+    /// because of cached lookup results, in millionths.
     pub(super) fn cached_ppm(&self) -> Matrix<u32> {
         let mut cached = Matrix::new(self.zone_count());
         let Some(previous) = self.previous else {
--- a/crates/damaskvane-steering/src/planner/links.rs
+++ b/crates/damaskvane-steering/src/planner/links.rs
@@ -1,4 +1,4 @@
-//! Byte budgets of the links between regions.
+//! Bandwidth budgets of the links between regions.
 
 use crate::planner::inputs::Geometry;
 use crate::planner::matrix::Matrix;
@@ -7,31 +7,32 @@
 const BITS_PER_BYTE: u64 = 8;
 const BITS_PER_MEGABIT: u64 = 1_000_000;
 
-/// What is left of every link's budget, in bits a second.
+/// Remaining budget of every link, in bits per second; `None` for a link without a limit.
 ///
-/// All services share the links, so one set of budgets is passed through the whole plan. Each link
-/// has its budget each way; a request goes one way and its answer the other, and the declared size
-/// does not say how it divides. The whole is therefore charged to the pair, whichever region sends.
+/// All services share the links, so one set of budgets is used for the whole plan. A link has its
+/// budget in each direction. A request uses one direction and its response the other, but the
+/// declared size covers both together. The whole size is therefore charged to the pair of regions,
+/// whichever one sends.
 pub(super) struct Budgets {
-    left_bits: Matrix<Option<u64>>,
+    remaining_bits: Matrix<Option<u64>>,
 }
 
 impl Budgets {
     pub(super) fn new(geometry: &Geometry<'_>) -> Self {
-        let mut left_bits = Matrix::new(geometry.region_ids.len());
+        let mut remaining_bits = Matrix::new(geometry.region_ids.len());
         for ((left, right), budget) in &geometry.topology.links {
             let left = geometry.region_ids.binary_search(&left);
             let right = geometry.region_ids.binary_search(&right);
             if let (Ok(left), Ok(right)) = (left, right) {
                 let bits = u64::from(budget.get()) * BITS_PER_MEGABIT;
-                *left_bits.at_mut(left.min(right), left.max(right)) = Some(bits);
+                *remaining_bits.at_mut(left.min(right), left.max(right)) = Some(bits);
             }
         }
-        Self { left_bits }
+        Self { remaining_bits }
     }
 
-    /// The flow that still fits between two zones; none where the link has no limit.
-    pub(super) fn room(
+    /// Returns the flow that still fits between two zones, or `None` where the link has no limit.
+    pub(super) fn available(
         &self,
         geometry: &Geometry<'_>,
         service: &input::Service,
@@ -39,11 +40,11 @@
         destination: usize,
     ) -> Option<rate::Rate> {
         let (left, right) = link_of(geometry, source, destination)?;
-        let left_bits = self.left_bits.at(left, right)?;
-        Some(rate::Rate::per_second(left_bits).scaled(1, bits(service)))
+        let remaining_bits = self.remaining_bits.at(left, right)?;
+        Some(rate::Rate::per_second(remaining_bits).scaled(1, bits(service)))
     }
 
-    /// Charges a flow between two zones.
+    /// Subtracts a flow between two zones from the budget of their link.
     pub(super) fn charge(
         &mut self,
         geometry: &Geometry<'_>,
@@ -54,9 +55,9 @@
         let Some((left, right)) = link_of(geometry, source, destination) else {
             return;
         };
-        if let Some(left_bits) = self.left_bits.at_mut(left, right) {
+        if let Some(remaining_bits) = self.remaining_bits.at_mut(left, right) {
             let used = flow.scaled(bits(service), 1_000).milli();
-            *left_bits = left_bits.saturating_sub(used.saturating_add(1));
+            *remaining_bits = remaining_bits.saturating_sub(used.saturating_add(1));
         }
     }
 }
--- a/crates/damaskvane-steering/src/planner/matrix.rs
+++ b/crates/damaskvane-steering/src/planner/matrix.rs
@@ -1,4 +1,4 @@
-//! A value for every pair of source and destination zone, by their indices.
+//! Square matrix of values by source zone index and destination zone index.
 
 #[derive(Debug, Clone)]
 pub(super) struct Matrix<T> {
@@ -22,12 +22,12 @@
         &mut self.cells[source * self.zones + destination]
     }
 
-    /// The values of all sources for one destination.
+    /// Returns the values of all sources for one destination.
     pub(super) fn to(&self, destination: usize) -> impl Iterator<Item = T> + '_ {
         (0..self.zones).map(move |source| self.at(source, destination))
     }
 
-    /// The values of one source for all destinations.
+    /// Returns the values of one source for all destinations.
     pub(super) fn from(&self, source: usize) -> &[T] {
         &self.cells[source * self.zones..(source + 1) * self.zones]
     }
--- a/crates/damaskvane-steering/src/planner/settings.rs
+++ b/crates/damaskvane-steering/src/planner/settings.rs
@@ -14,21 +14,24 @@
 /// Settings of the planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// What the deployment weighs most.
+    /// Trade-off between latency and free capacity.
     pub policy: policy::Policy,
-    /// How long clients keep a look-up answer.
+    /// How long clients cache a lookup result.
     pub lookup_ttl: time::SpanMs,
-    /// When reports turn old and gone.
+    /// Ages at which zone reports become old and expire.
     pub limits: staleness::Limits,
-    /// The part of a zone's capacity that steering may promise, in thousandths.
+    /// Part of a zone's capacity that the planner may assign, in thousandths.
     pub usable_permille: u32,
-    /// What is kept free besides, in thousandths of the root of the capacity in requests a second.
+    /// Additional reserve, in thousandths of the square root of the capacity in requests per
+    /// second.
     pub margin_permille: u32,
-    /// By how much of a zone's capacity its planned flow may rise in one step, in thousandths.
+    /// Maximum rise of the planned flow to a zone in one step, in thousandths of the zone's
+    /// capacity.
     pub step_permille: u32,
-    /// The same while a zone is out of reach and its clients need a place.
+    /// Maximum rise in one step while some zone is excluded and its clients need capacity
+    /// elsewhere, in thousandths.
     pub failover_step_permille: u32,
-    /// When a refused client may come back.
+    /// How long a refused client waits before its next lookup.
     pub retry_after: time::SpanMs,
 }
 
@@ -48,15 +51,15 @@
 }
 
 impl Settings {
-    /// What steering may promise of a capacity.
+    /// Returns the part of a capacity that the planner may assign.
     ///
-    /// Arrivals deviate from their mean by its root, so a margin that is a part of the capacity alone
-    /// is too much for a large zone and too little for a small one, which is then sent more than it
-    /// carries in one second of ten.
+    /// The standard deviation of the arrivals is the square root of their mean. A reserve
+    /// proportional to the capacity alone is too large for a large zone and too small for a small
+    /// one, which would then receive more than it can carry in one second of ten.
     #[must_use]
     pub fn usable(&self, capacity: rate::Rate) -> rate::Rate {
-        // The root of a rate in thousandths is in roots of a thousandth; times 1,000 under the root,
-        // it is in thousandths again.
+        // The square root of a rate in thousandths has the unit of the root of a thousandth; the
+        // factor 1,000 under the root converts the result to thousandths.
         let root = rate::Rate::from_milli(capacity.scaled(1_000, 1).milli().isqrt());
         let margin = root.permille(self.margin_permille);
         capacity
