--- a/crates/damaskvane-steering/src/shift.rs
+++ b/crates/damaskvane-steering/src/shift.rs
@@ -1,8 +1,9 @@
-//! Moves of traffic by ticket, under a cap.
+//! Planned shifts of traffic between zones, ordered by ticket and limited by a cap.
 //!
-//! A shift ramps: each step waits for the caches at the other end to warm up and is at most half of
-//! what is there already. Overload or errors freeze it and take it back a step at a time. All moves,
-//! forward and back, are entered in a ledger that asserts the cap over any window.
+//! A shift moves traffic in steps. Each step waits until the caches at the destination are warm and
+//! is at most half of the traffic moved so far. Overload or errors freeze the shift and revert it
+//! step by step. A ledger records all moves, forward and back, and enforces the cap over any
+//! window.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-steering/src/shift/ledger.rs
+++ b/crates/damaskvane-steering/src/shift/ledger.rs
@@ -1,20 +1,20 @@
-//! Every move of a shift, so that the cap is asserted over any window.
+//! Record of a shift's moves that enforces the cap over any window.
 //!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_steering::shift;
 //!
 //! let mut ledger = shift::Ledger::new(100, time::SpanMs::new(60_000));
-//! assert_eq!(ledger.enter(80, time::TimeMs::ZERO), 80);
-//! assert_eq!(ledger.room(time::TimeMs::new(59_999)), 20);
-//! assert_eq!(ledger.room(time::TimeMs::new(60_000)), 100);
+//! assert_eq!(ledger.record(80, time::TimeMs::ZERO), 80);
+//! assert_eq!(ledger.available(time::TimeMs::new(59_999)), 20);
+//! assert_eq!(ledger.available(time::TimeMs::new(60_000)), 100);
 //! ```
 
 use std::collections::VecDeque;
 
 use damaskvane_core::time;
 
-/// The moves of the last window.
+/// Moves of the last window, and the cap on their sum.
 #[derive(Debug, Clone)]
 pub struct Ledger {
     cap_permille: u32,
@@ -24,7 +24,9 @@
 }
 
 impl Ledger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
+    ///
+    /// `cap_permille` limits the sum of the moves in any `window`, in thousandths of the clients.
     #[must_use]
     pub const fn new(cap_permille: u32, window: time::SpanMs) -> Self {
         Self {
@@ -35,17 +37,17 @@
         }
     }
 
-    /// A ledger that allows no move before a whole window has passed.
+    /// Creates a ledger that allows no move before a whole window has passed.
     ///
-    /// An instance that takes over a shift does not know what moved just before.
+    /// For an instance that resumes a shift and has no record of the moves just before.
     #[must_use]
-    pub fn spent(cap_permille: u32, window: time::SpanMs, now: time::TimeMs) -> Self {
+    pub fn exhausted(cap_permille: u32, window: time::SpanMs, now: time::TimeMs) -> Self {
         let mut ledger = Self::new(cap_permille, window);
         ledger.moves.push_back((now, cap_permille));
         ledger
     }
 
-    /// What has moved in the window that ends now.
+    /// Returns the sum of the moves in the window that ends at `now`, in thousandths.
     #[must_use]
     pub fn moved(&self, now: time::TimeMs) -> u32 {
         let recent = self.moves.iter();
@@ -53,32 +55,38 @@
         recent.map(|(_, moved)| moved).sum()
     }
 
-    /// What may still move now.
+    /// Returns how much may still move at `now`, in thousandths.
     #[must_use]
-    pub fn room(&self, now: time::TimeMs) -> u32 {
+    pub fn available(&self, now: time::TimeMs) -> u32 {
         self.cap_permille.saturating_sub(self.moved(now))
     }
 
-    /// Enters a move and returns what of it is allowed.
+    /// Records a move and returns the part of it that the cap allows.
     ///
-    /// The machine asks for no more than the room. Should a change to it break that, a shift would
-    /// pass the cap its ticket promises; the rest of the move is refused instead, and counted.
-    pub fn enter(&mut self, moved_permille: u32, now: time::TimeMs) -> u32 {
+    /// The shift never requests more than is available. If a later change breaks this, the rest of
+    /// the move is refused and counted; otherwise the shift would exceed the cap that its ticket
+    /// promises.
+    pub fn record(&mut self, moved_permille: u32, now: time::TimeMs) -> u32 {
         self.moves
             .retain(|(moved_at, _)| now.since(*moved_at) < self.window);
-        let room = self.room(now);
-        debug_assert!(moved_permille <= room, "{moved_permille} moves over {room}");
-        if moved_permille > room {
+        let available = self.available(now);
+        debug_assert!(
+            moved_permille <= available,
+            "move of {moved_permille} exceeds the available {available}"
+        );
+        if moved_permille > available {
             self.limit_violations += 1;
         }
-        let allowed = moved_permille.min(room);
+        let allowed = moved_permille.min(available);
         if allowed > 0 {
             self.moves.push_back((now, allowed));
         }
         allowed
     }
 
-    /// Moves that were cut because they broke the cap; always zero unless the code is wrong.
+    /// Returns the number of moves that were reduced because they exceeded the cap.
+    ///
+    /// A value above zero indicates a programming error.
     #[must_use]
     pub const fn limit_violations(&self) -> u64 {
         self.limit_violations
--- a/crates/damaskvane-steering/src/shift/machine.rs
+++ b/crates/damaskvane-steering/src/shift/machine.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a shift; each phase allows only what makes sense in it.
+//! State machine of a shift; the type of each phase has only the operations valid in it.
 //!
 //! ```
 //! use damaskvane_steering::shift;
@@ -14,37 +14,38 @@
 use crate::shift::progress::{Phase, Progress};
 use crate::shift::stage::Stage;
 
-/// The part of the cap that moves forward may use, in thousandths; the rest is kept for going back.
+/// Part of the cap that forward moves may use, in thousandths; the rest is reserved for reverting.
 const FORWARD_PERMILLE: u32 = 667;
 
-/// A step is at most this part of what has moved, in thousandths, so that caches stay mostly warm.
+/// Maximum step, in thousandths of the traffic moved so far, so that most cache entries at the
+/// destination stay warm.
 const GROWTH_PERMILLE: u32 = 500;
 
-/// A step back takes this part of what has moved, in thousandths.
-const BACK_PERMILLE: u32 = 250;
+/// Size of a reverting step, in thousandths of the traffic moved so far.
+const REVERT_PERMILLE: u32 = 250;
 
-/// Accepted and not started.
+/// Phase of a shift that is accepted and not started.
 #[derive(Debug, Clone, Copy)]
 pub struct Accepted;
 
-/// Moves forward; the time of the last step.
+/// Phase of a shift that moves forward, with the time of the last step.
 #[derive(Debug, Clone, Copy)]
 pub struct Ramping {
     stepped_at: Option<time::TimeMs>,
 }
 
-/// Holds or goes back.
+/// Phase of a shift that pauses or reverts.
 #[derive(Debug, Clone, Copy)]
 pub struct Frozen {
     stepped_at: time::TimeMs,
-    troubled_at: time::TimeMs,
+    unhealthy_at: time::TimeMs,
 }
 
-/// All is moved.
+/// Phase of a shift that has reached its target.
 #[derive(Debug, Clone, Copy)]
 pub struct Complete;
 
-/// A shift of traffic in phase `P`.
+/// A planned shift of traffic in phase `P`.
 #[derive(Debug, Clone)]
 pub struct Shift<P> {
     order: Order,
@@ -75,9 +76,9 @@
     fn freeze(self, now: time::TimeMs, signal: Signal) -> Stage {
         let mut frozen = self.with_phase(Frozen {
             stepped_at: now,
-            troubled_at: now,
+            unhealthy_at: now,
         });
-        if signal.turns_back() {
+        if signal.reverts() {
             frozen.step_back(now);
         }
         Stage::Frozen(frozen)
@@ -85,7 +86,7 @@
 }
 
 impl Shift<Accepted> {
-    /// A shift as its ticket orders it.
+    /// Creates a shift from the order of its ticket.
     #[must_use]
     pub const fn accept(order: Order) -> Self {
         Self {
@@ -96,18 +97,19 @@
         }
     }
 
-    /// Starts to move.
+    /// Starts the shift; nothing has moved yet.
     #[must_use]
     pub fn start(self, _now: time::TimeMs) -> Shift<Ramping> {
         self.with_phase(Ramping { stepped_at: None })
     }
 
-    /// Takes over a shift that others have brought so far; nothing moves for one window.
+    /// Resumes a shift of which other instances have already moved `moved_permille`; nothing more
+    /// moves for one window.
     ///
-    /// A restarted instance that began at zero would send everyone back at once.
+    /// If a restarted instance began at zero, it would send all moved clients back at once.
     #[must_use]
     pub fn resume(self, moved_permille: u32, now: time::TimeMs) -> Shift<Ramping> {
-        let ledger = Ledger::spent(self.order.cap_permille, self.order.window, now);
+        let ledger = Ledger::exhausted(self.order.cap_permille, self.order.window, now);
         let moved_permille = moved_permille.min(self.order.target_permille);
         let resumed = Self {
             ledger,
@@ -119,7 +121,7 @@
         })
     }
 
-    /// How far the shift is.
+    /// Returns the progress of the shift.
     #[must_use]
     pub fn progress(&self) -> Progress {
         self.progress_in(Phase::Accepted)
@@ -127,7 +129,8 @@
 }
 
 impl Shift<Ramping> {
-    /// Steps forward when the last step is warm, or freezes.
+    /// Moves one step forward if the warm-up of the last step is over, or freezes the shift if
+    /// `signal` requires it.
     #[must_use]
     pub fn advance(mut self, now: time::TimeMs, signal: Signal) -> Stage {
         if signal.stops() {
@@ -144,7 +147,7 @@
         Stage::Ramping(self)
     }
 
-    /// How far the shift is.
+    /// Returns the progress of the shift.
     #[must_use]
     pub fn progress(&self) -> Progress {
         self.progress_in(Phase::Ramping)
@@ -154,12 +157,14 @@
         let growth = self.moved_permille * GROWTH_PERMILLE / 1_000;
         let step = growth.max(self.order.first_step_permille);
         let reserve = self.order.cap_permille - self.order.cap_permille * FORWARD_PERMILLE / 1_000;
-        let room = self.ledger.room(now).saturating_sub(reserve);
-        let left = self
+        let available = self.ledger.available(now).saturating_sub(reserve);
+        let remaining_permille = self
             .order
             .target_permille
             .saturating_sub(self.moved_permille);
-        let allowed = self.ledger.enter(step.min(room).min(left), now);
+        let allowed = self
+            .ledger
+            .record(step.min(available).min(remaining_permille), now);
         if allowed > 0 {
             self.moved_permille += allowed;
             self.phase.stepped_at = Some(now);
@@ -168,18 +173,19 @@
 }
 
 impl Shift<Frozen> {
-    /// Goes back while there is trouble, and on once it has been calm long enough.
+    /// Reverts while the destination shows overload or errors, and resumes after it has been
+    /// healthy for the recovery time.
     #[must_use]
     pub fn advance(mut self, now: time::TimeMs, signal: Signal) -> Stage {
         if signal.stops() {
-            self.phase.troubled_at = now;
+            self.phase.unhealthy_at = now;
             let waited = now.since(self.phase.stepped_at) >= self.order.warm_up;
-            if signal.turns_back() && waited {
+            if signal.reverts() && waited {
                 self.step_back(now);
             }
             return Stage::Frozen(self);
         }
-        if now.since(self.phase.troubled_at) < self.order.recovery_time {
+        if now.since(self.phase.unhealthy_at) < self.order.recovery_time {
             return Stage::Frozen(self);
         }
         Stage::Ramping(self.with_phase(Ramping {
@@ -187,32 +193,34 @@
         }))
     }
 
-    /// How far the shift is.
+    /// Returns the progress of the shift.
     #[must_use]
     pub fn progress(&self) -> Progress {
         self.progress_in(Phase::Frozen)
     }
 
     fn step_back(&mut self, now: time::TimeMs) {
-        let part = self.moved_permille * BACK_PERMILLE / 1_000;
+        let part = self.moved_permille * REVERT_PERMILLE / 1_000;
         let step = part.max(self.order.first_step_permille);
-        let step = step.min(self.moved_permille).min(self.ledger.room(now));
-        self.moved_permille -= self.ledger.enter(step, now);
+        let step = step
+            .min(self.moved_permille)
+            .min(self.ledger.available(now));
+        self.moved_permille -= self.ledger.record(step, now);
         self.phase.stepped_at = now;
     }
 }
 
 impl Shift<Complete> {
-    /// Stays complete, unless the destination shows trouble.
+    /// Stays complete, or freezes and reverts if the destination shows overload or errors.
     #[must_use]
     pub fn advance(self, now: time::TimeMs, signal: Signal) -> Stage {
-        if signal.turns_back() {
+        if signal.reverts() {
             return self.freeze(now, signal);
         }
         Stage::Complete(self)
     }
 
-    /// How far the shift is.
+    /// Returns the progress of the shift.
     #[must_use]
     pub fn progress(&self) -> Progress {
         self.progress_in(Phase::Complete)
--- a/crates/damaskvane-steering/src/shift/order.rs
+++ b/crates/damaskvane-steering/src/shift/order.rs
@@ -1,4 +1,4 @@
-//! What a ticket orders, and what the shift listens to.
+//! Order of a shift, and the health signals of its destination.
 //!
 //! ```
 //! use damaskvane_steering::shift;
@@ -8,20 +8,20 @@
 
 use damaskvane_core::time;
 
-/// What a ticket orders of a shift.
+/// Parameters of a shift, as its ticket orders them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Order {
-    /// The part of the clients that shall be moved in the end, in thousandths.
+    /// Part of the clients that is moved when the shift is complete, in thousandths.
     pub target_permille: u32,
-    /// The most that may move in any window, forward and back together, in thousandths.
+    /// Maximum sum of the moves in any window, forward and back together, in thousandths.
     pub cap_permille: u32,
-    /// The window of the cap.
+    /// Window of the cap.
     pub window: time::SpanMs,
-    /// The first step, in thousandths.
+    /// First step, and minimum of later steps, in thousandths.
     pub first_step_permille: u32,
-    /// How long caches at the other end take to warm up; the time between two steps.
+    /// Minimum time between two steps, in which the caches at the destination warm up.
     pub warm_up: time::SpanMs,
-    /// How long it must be calm before a frozen shift goes on.
+    /// How long the destination must be healthy before a frozen shift resumes.
     pub recovery_time: time::SpanMs,
 }
 
@@ -38,29 +38,29 @@
     }
 }
 
-/// What the destination shows.
+/// Health of a shift's destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// A fresh report without overload or errors.
+    /// The destination has a fresh report without overload or errors.
     Healthy,
-    /// No fresh report.
+    /// The destination has no fresh report.
     Unknown,
-    /// Overload.
+    /// The destination is overloaded.
     Overload,
-    /// Rising errors.
+    /// The destination's errors rise.
     Errors,
 }
 
 impl Signal {
-    /// Whether the shift must not go on.
+    /// Returns whether the signal stops a shift from moving forward.
     #[must_use]
     pub const fn stops(self) -> bool {
         !matches!(self, Self::Healthy)
     }
 
-    /// Whether the shift must be taken back.
+    /// Returns whether the signal requires the shift to be reverted.
     #[must_use]
-    pub const fn turns_back(self) -> bool {
+    pub const fn reverts(self) -> bool {
         matches!(self, Self::Overload | Self::Errors)
     }
 }
--- a/crates/damaskvane-steering/src/shift/progress.rs
+++ b/crates/damaskvane-steering/src/shift/progress.rs
@@ -1,4 +1,4 @@
-//! What an operator watches of a shift.
+//! Progress of a shift, as operators see it.
 //!
 //! ```
 //! use damaskvane_steering::shift;
@@ -8,16 +8,16 @@
 
 use core::fmt;
 
-/// The phase of a shift.
+/// Phase of a shift.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Accepted, not started.
+    /// Accepted and not started.
     Accepted,
-    /// Moves forward.
+    /// Moves forward step by step.
     Ramping,
-    /// Holds or goes back.
+    /// Pauses or reverts.
     Frozen,
-    /// All is moved.
+    /// The target is reached.
     Complete,
 }
 
@@ -32,15 +32,16 @@
     }
 }
 
-/// How far a shift is.
+/// Progress of a shift.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
-    /// The phase.
+    /// Current phase.
     pub phase: Phase,
-    /// The part of the clients that is moved, in thousandths.
+    /// Part of the clients that is moved, in thousandths.
     pub moved_permille: u32,
-    /// The part that shall be moved, in thousandths.
+    /// Part of the clients that the shift moves in total, in thousandths.
     pub target_permille: u32,
-    /// Moves cut because they broke the cap; always zero unless the code is wrong.
+    /// Number of moves that were reduced because they exceeded the cap. A value above zero
+    /// indicates a programming error.
     pub limit_violations: u64,
 }
--- a/crates/damaskvane-steering/src/shift/stage.rs
+++ b/crates/damaskvane-steering/src/shift/stage.rs
@@ -1,4 +1,4 @@
-//! A started shift in whichever phase it is.
+//! A started shift in any phase.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -15,19 +15,19 @@
 use crate::shift::order::Signal;
 use crate::shift::progress::Progress;
 
-/// A started shift in whichever phase it is.
+/// A started shift in any phase.
 #[derive(Debug, Clone)]
 pub enum Stage {
-    /// It moves forward.
+    /// The shift moves forward.
     Ramping(Shift<Ramping>),
-    /// It holds or goes back.
+    /// The shift pauses or reverts.
     Frozen(Shift<Frozen>),
-    /// All is moved.
+    /// The shift has reached its target.
     Complete(Shift<Complete>),
 }
 
 impl Stage {
-    /// Goes on with what the destination shows now.
+    /// Advances the shift according to the destination's health at `now`.
     #[must_use]
     pub fn advance(self, now: time::TimeMs, signal: Signal) -> Self {
         match self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// How far the shift is.
+    /// Returns the progress of the shift.
     #[must_use]
     pub fn progress(&self) -> Progress {
         match self {
