--- a/crates/damaskvane-steering/src/health.rs
+++ b/crates/damaskvane-steering/src/health.rs
@@ -1,8 +1,9 @@
-//! Which backend servers of a pool take work, by reports and by what is seen in use.
+//! Health of the backend servers of a pool, from health reports and from the outcomes of requests.
 //!
-//! Reports lag and mislead. What this instance sees of its own requests goes first: a server that has
-//! just answered is not taken out on a report, and all reports together take out no more than a set
-//! part of the pool. A server that comes in cold gets a part of the work that grows.
+//! Health reports lag and can be wrong, so the outcomes of this instance's own requests take
+//! precedence. A server that has just responded is not excluded because of a report, and reports
+//! alone exclude no more than a configured part of the pool. The share of a cold server increases
+//! gradually.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -17,10 +18,10 @@
 
 mod admission;
 mod pool;
-mod seen;
+mod server;
 mod settings;
 
 pub use admission::{Admission, ExclusionReason};
 pub use pool::Pool;
-pub use seen::Outcome;
+pub use server::Outcome;
 pub use settings::Settings;
--- a/crates/damaskvane-steering/src/health/admission.rs
+++ b/crates/damaskvane-steering/src/health/admission.rs
@@ -1,4 +1,4 @@
-//! What a backend server gets.
+//! Share of new requests that a backend server receives.
 //!
 //! ```
 //! use damaskvane_steering::health;
@@ -7,44 +7,44 @@
 //! assert!(!health::Admission::Excluded { reason: health::ExclusionReason::Leaving }.takes_work());
 //! ```
 
-/// What a backend server gets.
+/// Share of new requests that a backend server receives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Its full part of the work.
+    /// Its full share.
     Full,
     /// A part of its slots.
     Part {
-        /// The part, in thousandths.
+        /// Part of the slots, in thousandths.
         permille: u32,
     },
-    /// One request at a time, to see whether it works again.
+    /// One request at a time, to test whether the server has recovered.
     Probe,
-    /// Nothing new.
+    /// No new requests.
     Excluded {
-        /// Why.
+        /// Why the server is excluded.
         reason: ExclusionReason,
     },
 }
 
-/// Why a backend server gets nothing new.
+/// Reason why a backend server receives no new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExclusionReason {
-    /// It leaves, or is not of the pool.
+    /// The server leaves, or is not in the pool.
     Leaving,
-    /// Its requests fail.
+    /// Consecutive requests to the server failed.
     Failures,
-    /// Its report says so, and nothing seen speaks against it.
+    /// The server's health report is unhealthy, and no recent response contradicts it.
     Report,
 }
 
 impl Admission {
-    /// Whether new work may be sent.
+    /// Returns whether new requests may be sent.
     #[must_use]
     pub const fn takes_work(self) -> bool {
         !matches!(self, Self::Excluded { .. })
     }
 
-    /// How many of a server's slots may be used; a probe uses one.
+    /// Returns how many of a server's `slots` may be used; one for a probe.
     #[must_use]
     pub const fn slots(self, slots: u32) -> u32 {
         match self {
--- a/crates/damaskvane-steering/src/health/seen.rs
+++ b/crates/damaskvane-steering/src/health/server.rs
@@ -1,4 +1,4 @@
-//! What this instance sees of one backend server.
+//! Observations of one backend server by this instance.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -12,28 +12,28 @@
 
 const LATENCY_WEIGHT: u64 = 8;
 
-/// How a request on a backend server ended.
+/// Outcome of a request on a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// The server sent a complete response.
     Answered {
-        /// How long it took.
+        /// Time from sending the request to the complete response.
         took: time::SpanMs,
     },
-    /// Refused before it ran.
+    /// The server refused the request before running it.
     Refused,
-    /// By a dead connection or a time-out.
+    /// The connection broke or the request timed out.
     Failed,
 }
 
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Seen {
+pub(super) struct ServerState {
     pub(super) joined_at: time::TimeMs,
-    /// Whether it was at work before this instance knew it.
+    /// Whether the server was running before this instance added it.
     pub(super) is_warm: bool,
     pub(super) leaving: bool,
-    pub(super) answered_at: Option<time::TimeMs>,
-    pub(super) failed_at: Option<time::TimeMs>,
+    pub(super) last_response_at: Option<time::TimeMs>,
+    pub(super) last_failure_at: Option<time::TimeMs>,
     pub(super) failures: u32,
     pub(super) refusals: u32,
     pub(super) latency_us: u64,
@@ -41,14 +41,14 @@
     pub(super) report: Option<(time::TimeMs, bool)>,
 }
 
-impl Seen {
+impl ServerState {
     pub(super) const fn new(now: time::TimeMs) -> Self {
         Self {
             joined_at: now,
             is_warm: false,
             leaving: false,
-            answered_at: None,
-            failed_at: None,
+            last_response_at: None,
+            last_failure_at: None,
             failures: 0,
             refusals: 0,
             latency_us: 0,
@@ -57,24 +57,30 @@
         }
     }
 
-    pub(super) fn record_end(&mut self, outcome: Outcome, now: time::TimeMs, failures_out: u32) {
+    pub(super) fn record_end(
+        &mut self,
+        outcome: Outcome,
+        now: time::TimeMs,
+        exclusion_failures: u32,
+    ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match outcome {
             Outcome::Answered { took } => {
-                if self.failures >= failures_out {
-                    // It was out and works again: its caches are cold, as after a start.
+                if self.failures >= exclusion_failures {
+                    // The server was excluded and has recovered. Its caches are cold, as after a
+                    // start.
                     self.joined_at = now;
                     self.is_warm = false;
                 }
                 self.failures = 0;
                 self.refusals = 0;
-                self.answered_at = Some(now);
+                self.last_response_at = Some(now);
                 self.add_latency(took);
             }
             Outcome::Refused => self.refusals += 1,
             Outcome::Failed => {
                 self.failures += 1;
-                self.failed_at = Some(now);
+                self.last_failure_at = Some(now);
             }
         }
     }
