--- a/crates/damaskvane-steering/src/credit.rs
+++ b/crates/damaskvane-steering/src/credit.rs
@@ -1,9 +1,10 @@
-//! Rate that a receiving zone grants to the other zones.
+//! Request rate that a receiving zone grants to the other zones.
 //!
-//! A source asks, the receiver grants out of its measured headroom, and the grant lapses by itself.
-//! The source counts the life of a grant from the moment it *asked*, the receiver from the moment it
-//! *granted*, which is later: whatever the delay between them, the source stops first. The receiver
-//! adds the life of a look-up answer, since clients go on using what they were told.
+//! A source zone requests credit, the receiving zone grants it from its measured headroom, and the
+//! grant expires on its own. The source counts the lifetime of a grant from the time of its
+//! *request*, and the receiver counts from the later time of its *grant*. The source therefore
+//! stops first, whatever the delay between them. The receiver adds the TTL of lookup results, since
+//! clients continue to use the results that they have cached.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -1,4 +1,4 @@
-//! The receiver's side: how much of one service's capacity is promised, and to whom.
+//! Receiver's side of the credit: grants of one service's capacity, by source zone.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -25,14 +25,14 @@
 /// Settings of a receiver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GranterSettings {
-    /// How long a grant lasts.
+    /// Lifetime of a grant.
     pub lifetime: time::SpanMs,
-    /// How long clients keep a look-up answer.
+    /// How long clients cache a lookup result.
     pub lookup_ttl: time::SpanMs,
-    /// What every source may use without a grant.
+    /// Rate that each source zone may use without a grant.
     pub static_shares: BTreeMap<ids::AvailabilityZoneId, rate::Rate>,
-    /// The part of what is free that one grant may take, in thousandths.
-    pub greed_permille: u32,
+    /// Maximum part of the free capacity that one grant may take, in thousandths.
+    pub max_grant_permille: u32,
 }
 
 impl Default for GranterSettings {
@@ -41,27 +41,28 @@
             lifetime: time::SpanMs::new(5_000),
             lookup_ttl: time::SpanMs::new(2_000),
             static_shares: BTreeMap::new(),
-            greed_permille: 500,
+            max_grant_permille: 500,
         }
     }
 }
 
-/// What the receiver measures of itself.
+/// Capacity and load that a receiving zone measures of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalLoad {
-    /// What the zone can carry.
+    /// Capacity of the zone.
     pub capacity: rate::Rate,
-    /// What its own clients use, with those that may come back from a cached answer.
+    /// Load of the zone's own clients, including clients that may return because of a cached lookup
+    /// result.
     pub local: rate::Rate,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Outstanding {
     rate: rate::Rate,
-    free_at: time::TimeMs,
+    released_at: time::TimeMs,
 }
 
-/// How much of one service's capacity is promised, and to whom.
+/// Tracks how much of one service's capacity is granted to each source zone.
 #[derive(Debug)]
 pub struct Granter {
     settings: GranterSettings,
@@ -70,7 +71,7 @@
 }
 
 impl Granter {
-    /// A receiver that has granted nothing.
+    /// Creates a granter without grants.
     #[must_use]
     pub const fn new(settings: GranterSettings) -> Self {
         Self {
@@ -80,10 +81,10 @@
         }
     }
 
-    /// Answers an ask out of what is free.
+    /// Grants a credit request from the free capacity.
     ///
-    /// A renewal may be smaller than the grant before it, which the source may use until it lapses:
-    /// the larger of both stays reserved until then.
+    /// A renewal may be smaller than the previous grant, which the source may use until that grant
+    /// expires. The larger of both stays reserved until then.
     pub fn grant(
         &mut self,
         source: &ids::AvailabilityZoneId,
@@ -92,10 +93,10 @@
         now: time::TimeMs,
     ) -> Grant {
         self.remove_expired(now);
-        let rate = self.affordable(source, request.rate, load);
-        let rate = self.assert_safe(source, rate, load);
-        let free_at = now + self.settings.lifetime + self.settings.lookup_ttl;
-        let entry = Outstanding { rate, free_at };
+        let rate = self.grantable(source, request.rate, load);
+        let rate = self.limit_to_capacity(source, rate, load);
+        let released_at = now + self.settings.lifetime + self.settings.lookup_ttl;
+        let entry = Outstanding { rate, released_at };
         self.outstanding
             .entry(source.clone())
             .or_default()
@@ -107,7 +108,7 @@
         }
     }
 
-    /// What is reserved for all other zones, static shares included.
+    /// Returns the rate reserved for all other zones, including static shares.
     #[must_use]
     pub fn reserved(&self) -> rate::Rate {
         let mut sources: Vec<_> = self.settings.static_shares.keys().collect();
@@ -120,22 +121,24 @@
             .sum()
     }
 
-    /// What the zone's own clients may use.
+    /// Returns the part of `capacity` that the zone's own clients may use.
     #[must_use]
     pub fn local_capacity(&self, capacity: rate::Rate) -> rate::Rate {
         capacity.saturating_sub(self.reserved())
     }
 
-    /// Grants that were cut because they broke the sum; always zero unless the code is wrong.
+    /// Returns the number of grants that were reduced because they exceeded the capacity.
+    ///
+    /// A value above zero indicates a programming error.
     #[must_use]
     pub const fn limit_violations(&self) -> u64 {
         self.limit_violations
     }
 
-    /// Frees what has lapsed.
+    /// Removes expired grants and releases their rate.
     pub fn remove_expired(&mut self, now: time::TimeMs) {
         for outstanding in self.outstanding.values_mut() {
-            outstanding.retain(|entry| now < entry.free_at);
+            outstanding.retain(|entry| now < entry.released_at);
         }
         self.outstanding
             .retain(|_, outstanding| !outstanding.is_empty());
@@ -152,27 +155,31 @@
         largest.max(self.static_share(source))
     }
 
-    fn affordable(
+    fn grantable(
         &self,
         source: &ids::AvailabilityZoneId,
-        asked: rate::Rate,
+        requested: rate::Rate,
         load: LocalLoad,
     ) -> rate::Rate {
         let reserved = self.reserved();
         let free = load.capacity.saturating_sub(load.local + reserved);
-        let rise = free.permille(self.settings.greed_permille);
-        let kept = if load.capacity >= load.local + reserved {
+        let rise = free.permille(self.settings.max_grant_permille);
+        let retained = if load.capacity >= load.local + reserved {
             self.reserved_for(source)
         } else {
-            // Over capacity already, because capacity fell or local demand rose: nothing granted is
-            // renewed, so that the sum comes down as grants lapse.
+            // The capacity is exceeded already, because capacity fell or local load rose. No grant
+            // is renewed, so that the sum falls as grants expire.
             rate::Rate::ZERO
         };
-        asked.min(kept + rise).max(self.static_share(source))
+        requested
+            .min(retained + rise)
+            .max(self.static_share(source))
     }
 
-    /// Asserts: reserved and local together stay within capacity, or nothing is added to them.
-    fn assert_safe(
+    /// Limits a grant so that reserved rate and local load together stay within capacity.
+    ///
+    /// A grant that adds nothing to the reserved rate always passes.
+    fn limit_to_capacity(
         &mut self,
         source: &ids::AvailabilityZoneId,
         rate: rate::Rate,
@@ -182,7 +189,11 @@
         let added = rate.saturating_sub(before);
         let sum = self.reserved() + added + load.local;
         let is_safe = added == rate::Rate::ZERO || sum <= load.capacity;
-        debug_assert!(is_safe, "{sum} granted and local over {}", load.capacity);
+        debug_assert!(
+            is_safe,
+            "granted and local rate {sum} exceeds the capacity {}",
+            load.capacity
+        );
         if is_safe {
             return rate;
         }
--- a/crates/damaskvane-steering/src/credit/message.rs
+++ b/crates/damaskvane-steering/src/credit/message.rs
@@ -1,4 +1,4 @@
-//! What source and receiver tell each other.
+//! Messages between source and receiver.
 //!
 //! ```
 //! use damaskvane_steering::{credit, rate};
@@ -11,22 +11,22 @@
 
 use crate::rate;
 
-/// A source asks a receiver for rate.
+/// Request of a source zone for rate at a receiving zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CreditRequest {
-    /// Names the ask; the grant repeats it.
+    /// Number of the request, repeated in its grant.
     pub number: u64,
-    /// The rate that the source would use.
+    /// Rate that the source would use.
     pub rate: rate::Rate,
 }
 
-/// A receiver grants rate to a source.
+/// Grant of rate by a receiving zone to a source zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Grant {
-    /// The ask that is answered.
+    /// Number of the request that this grant responds to.
     pub number: u64,
-    /// The rate that may be used.
+    /// Granted rate.
     pub rate: rate::Rate,
-    /// How long, counted by the source from its ask.
+    /// Lifetime of the grant, counted by the source from the time of its request.
     pub lifetime: time::SpanMs,
 }
