--- a/crates/damaskvane-steering/src/blocks.rs
+++ b/crates/damaskvane-steering/src/blocks.rs
@@ -1,8 +1,9 @@
-//! Which steering class a client block belongs to: a compact look-up table.
+//! Compact lookup table from client blocks to steering classes.
 //!
-//! Keys have 48 bits. The upper 16 choose a chunk; the lower 32 are searched in it. A block costs five
-//! bytes and its part of a chunk's header. Chunks are immutable and shared between tables, so that a
-//! change builds only the chunks it touches and the table in use is never locked.
+//! A key has 48 bits. The upper 16 select a chunk, and the lower 32 are searched for in that chunk.
+//! A block takes five bytes and its part of the chunk's header. Chunks are immutable and shared
+//! between tables, so a change rebuilds only the chunks that it touches, and the table in use is
+//! never locked.
 //!
 //! ```
 //! use damaskvane_steering::blocks;
--- a/crates/damaskvane-steering/src/blocks/chunk.rs
+++ b/crates/damaskvane-steering/src/blocks/chunk.rs
@@ -1,7 +1,7 @@
-//! One chunk of the table: sorted tails, then the classes, four to a word, in one allocation.
+//! Chunk of the table: sorted tails, then the classes, four per word, in one allocation.
 //!
-//! One allocation costs one cache miss less than two, and the number of blocks follows from the
-//! length, so that no header is read.
+//! A single allocation saves a cache miss over two allocations, and the number of blocks follows
+//! from the length, so that no header is read.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 const CLASSES_PER_WORD: usize = 4;
 
-/// How far the search looks from its guess at first.
+/// Width of the first search interval around the estimated position, in entries.
 const FIRST_WIDTH: usize = 8;
 
 #[derive(Debug, Clone)]
@@ -20,7 +20,7 @@
         Self(Arc::from([]))
     }
 
-    /// A chunk of blocks that are sorted by their tails.
+    /// Creates a chunk from blocks sorted by tail.
     pub(super) fn new(blocks: &[(u32, Class)]) -> Self {
         let tails = blocks.iter().map(|(tail, _)| *tail);
         let words = blocks.chunks(CLASSES_PER_WORD).map(pack);
@@ -47,7 +47,9 @@
         tails.iter().copied().zip(classes)
     }
 
-    /// The number of blocks: each takes a word for its tail and a quarter for its class.
+    /// Returns the number of blocks.
+    ///
+    /// A block takes one word for its tail and a quarter of a word for its class.
     pub(super) fn len(&self) -> usize {
         self.0.len() * CLASSES_PER_WORD / (CLASSES_PER_WORD + 1)
     }
@@ -57,11 +59,11 @@
     }
 }
 
-/// The number of tails below this one.
+/// Returns the number of tails below `tail`.
 ///
-/// Tails are spread about evenly over a chunk, so the search starts where an even spread would put
-/// this one and widens from there: it touches one or two cache lines, where halving touches one for
-/// each of its first steps.
+/// Tails are spread almost evenly over a chunk, so the search starts at the position that an even
+/// spread would give and widens from there. It touches one or two cache lines, whereas binary
+/// search touches one in each of its first steps.
 fn position_of(tails: &[u32], tail: u32) -> usize {
     let guess = ((u64::from(tail) * tails.len() as u64) >> u32::BITS) as usize;
     let mut width = FIRST_WIDTH;
--- a/crates/damaskvane-steering/src/blocks/key.rs
+++ b/crates/damaskvane-steering/src/blocks/key.rs
@@ -1,4 +1,4 @@
-//! Keys and values of the table.
+//! Keys and values of the block table.
 //!
 //! ```
 //! use damaskvane_steering::blocks;
@@ -15,20 +15,23 @@
 const ADDRESS_SHIFT: u32 = 16;
 const TAIL_BITS: u32 = 32;
 
-/// A client block as the table knows it: 48 bits.
+/// Key of a client block in the table, 48 bits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BlockKey(u64);
 
 impl BlockKey {
-    /// The key of a block that is named by an address prefix; two prefixes never share a key.
+    /// Returns the key of a block named by an address prefix.
+    ///
+    /// Two prefixes never have the same key.
     #[must_use]
     pub const fn address(prefix: u32) -> Self {
         Self((prefix as u64) << ADDRESS_SHIFT)
     }
 
-    /// The key of a block that is named by text: 48 bits of its hash.
+    /// Returns the key of a block named by text: 48 bits of the hash of the name.
     ///
-    /// Two of 3.6 million names share a key in about one set out of forty; the build says so.
+    /// Among 3.6 million names, two have the same key in about one set out of forty.
+    /// [`BlockTable::build`](crate::blocks::BlockTable::build) reports this as an error.
     #[must_use]
     pub fn name(block: &ids::ClientBlock) -> Self {
         let hash = hash::ContentHash::of(block.as_str().as_bytes());
@@ -51,18 +54,19 @@
     }
 }
 
-/// The index of a steering class: client blocks that are steered alike. At most 256 classes.
+/// Index of a steering class, a group of client blocks that are steered alike. There are at most
+/// 256 classes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Class(u8);
 
 impl Class {
-    /// The class with this index.
+    /// Creates the class with this index.
     #[must_use]
     pub const fn new(index: u8) -> Self {
         Self(index)
     }
 
-    /// The index.
+    /// Returns the index of the class.
     #[must_use]
     pub const fn get(self) -> u8 {
         self.0
--- a/crates/damaskvane-steering/src/blocks/table.rs
+++ b/crates/damaskvane-steering/src/blocks/table.rs
@@ -1,4 +1,4 @@
-//! The table.
+//! Lookup table from client blocks to steering classes.
 //!
 //! ```
 //! use damaskvane_steering::blocks;
@@ -16,16 +16,16 @@
 
 const CHUNKS: usize = 1 << 16;
 
-/// Maps client blocks to steering classes.
+/// Immutable map from client blocks to steering classes.
 #[derive(Debug, Clone)]
 pub struct BlockTable {
     chunks: Box<[Chunk]>,
 }
 
-/// the client blocks hold the key {key} twice; rename one of the two blocks
+/// two client blocks have the same key {key}; rename one of them
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct DuplicateKeyError {
-    /// The key that stands twice.
+    /// Key that occurs twice.
     pub key: BlockKey,
 }
 
@@ -38,11 +38,11 @@
 }
 
 impl BlockTable {
-    /// A table of these blocks, in any order.
+    /// Builds a table from blocks in any order.
     ///
     /// # Errors
     ///
-    /// [`DuplicateKeyError`] where two blocks have the same key.
+    /// Returns [`DuplicateKeyError`] if two blocks have the same key.
     pub fn build(
         blocks: impl IntoIterator<Item = (BlockKey, Class)>,
     ) -> Result<Self, DuplicateKeyError> {
@@ -65,13 +65,15 @@
         Ok(table)
     }
 
-    /// The class of a block, if it is known.
+    /// Returns the class of a block, or `None` if the table does not contain the block.
     #[must_use]
     pub fn class(&self, key: BlockKey) -> Option<Class> {
         self.chunks.get(key.chunk())?.class(key.tail())
     }
 
-    /// A table with some blocks set or, with no class, removed; only their chunks are built anew.
+    /// Returns a table in which the given blocks are set or, without a class, removed.
+    ///
+    /// Only the chunks of these blocks are rebuilt; the others are shared with this table.
     #[must_use]
     pub fn with_changes(
         &self,
@@ -93,19 +95,19 @@
         next
     }
 
-    /// The number of blocks.
+    /// Returns the number of blocks.
     #[must_use]
     pub fn len(&self) -> usize {
         self.chunks.iter().map(Chunk::len).sum()
     }
 
-    /// Whether no block is known.
+    /// Returns whether the table has no blocks.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many chunks are not the same allocation in both tables.
+    /// Returns the number of chunks that the two tables do not share.
     #[must_use]
     pub fn chunks_not_shared(&self, other: &Self) -> usize {
         let pairs = self.chunks.iter().zip(&other.chunks);
--- a/crates/damaskvane-steering/src/digest.rs
+++ b/crates/damaskvane-steering/src/digest.rs
@@ -1,4 +1,4 @@
-//! What the zones report about themselves.
+//! Digests: reports of the zones about their own load and capacity.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -8,7 +8,7 @@
 //! let zone: damaskvane_core::ids::AvailabilityZoneId = "sask-a".parse()?;
 //! let report = digest::ZoneDigest::new(zone, 1, time::TimeMs::new(500));
 //! assert!(view.apply_digest(report.clone()));
-//! assert!(!view.apply_digest(report), "a repeated sequence is no fresh report");
+//! assert!(!view.apply_digest(report), "a repeated sequence number is not a new report");
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
 
--- a/crates/damaskvane-steering/src/digest/view.rs
+++ b/crates/damaskvane-steering/src/digest/view.rs
@@ -1,4 +1,4 @@
-//! The latest report of every zone, and which zones are out of reach.
+//! The latest report of every zone, and the unreachable zones.
 //!
 //! ```
 //! use damaskvane_steering::digest;
@@ -13,64 +13,67 @@
 use crate::digest::zone::ZoneDigest;
 use crate::staleness;
 
-/// The latest report of every zone, and which zones are out of reach.
+/// The latest report of every zone, and the unreachable zones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct View {
     digests: BTreeMap<ids::AvailabilityZoneId, ZoneDigest>,
-    cut_off: BTreeSet<ids::AvailabilityZoneId>,
+    unreachable: BTreeSet<ids::AvailabilityZoneId>,
 }
 
 impl View {
-    /// Takes a report in, unless the view holds the same or a later one.
+    /// Stores a report unless the view holds the same or a later one of its zone, and returns
+    /// whether the report was stored.
     ///
-    /// A frozen reporter sends the same numbers again and again; if each arrival made them young, the
-    /// planner would steer by them for ever. Only a higher sequence counts as news, and a report
-    /// that claims to be taken later than a clock can explain is the caller's to reject.
+    /// A frozen zone sends the same numbers repeatedly. If each arrival renewed their age, the
+    /// planner would steer by them indefinitely, so only a higher sequence number counts as a new
+    /// report. The caller has to reject a report whose time lies further in the future than a clock
+    /// error can explain.
     pub fn apply_digest(&mut self, report: ZoneDigest) -> bool {
-        let held = self.digests.get(&report.zone);
-        if held.is_some_and(|held| held.sequence >= report.sequence) {
+        let stored = self.digests.get(&report.zone);
+        if stored.is_some_and(|stored| stored.sequence >= report.sequence) {
             return false;
         }
         self.digests.insert(report.zone.clone(), report);
         true
     }
 
-    /// Forgets a zone's report, so that a restarted sequence is taken in again.
+    /// Removes a zone's report, so that reports are accepted again after the zone's sequence
+    /// numbers restart.
     pub fn remove(&mut self, zone: &ids::AvailabilityZoneId) {
         self.digests.remove(zone);
     }
 
-    /// Says whether a zone answers heartbeats.
-    pub fn set_unreachable(&mut self, zone: &ids::AvailabilityZoneId, cut_off: bool) {
-        if cut_off {
-            self.cut_off.insert(zone.clone());
+    /// Sets whether a zone is unreachable, that is, does not respond to heartbeats.
+    pub fn set_unreachable(&mut self, zone: &ids::AvailabilityZoneId, unreachable: bool) {
+        if unreachable {
+            self.unreachable.insert(zone.clone());
         } else {
-            self.cut_off.remove(zone);
+            self.unreachable.remove(zone);
         }
     }
 
-    /// Whether a zone answers heartbeats.
+    /// Returns whether a zone responds to heartbeats.
     #[must_use]
     pub fn reachability(&self, zone: &ids::AvailabilityZoneId) -> staleness::Reachability {
-        if self.cut_off.contains(zone) {
+        if self.unreachable.contains(zone) {
             staleness::Reachability::Unreachable
         } else {
             staleness::Reachability::Connected
         }
     }
 
-    /// The latest report of a zone.
+    /// Returns the latest report of a zone.
     #[must_use]
     pub fn digest(&self, zone: &ids::AvailabilityZoneId) -> Option<&ZoneDigest> {
         self.digests.get(zone)
     }
 
-    /// The latest reports, in order of zone.
+    /// Returns the latest reports in order of zone id.
     pub fn digests(&self) -> impl Iterator<Item = &ZoneDigest> {
         self.digests.values()
     }
 
-    /// How old the latest report of a zone is.
+    /// Returns the age class of a zone's latest report.
     #[must_use]
     pub fn age(
         &self,
@@ -78,7 +81,7 @@
         limits: staleness::Limits,
         now: time::TimeMs,
     ) -> staleness::Age {
-        let taken_at = self.digest(zone).map(|held| held.taken_at);
+        let taken_at = self.digest(zone).map(|stored| stored.taken_at);
         limits.age(taken_at, now)
     }
 }
--- a/crates/damaskvane-steering/src/lib.rs
+++ b/crates/damaskvane-steering/src/lib.rs
@@ -1,22 +1,23 @@
-//! Which availability zones a client is told to use, and how much traffic may move.
+//! Planning of how clients' traffic is split between availability zones, and of how fast the split
+//! may change.
 //!
-//! All code here is pure: digests, declarations and a time go in, decisions come out. It reads no
-//! clock and no global random source and does no I/O, so the entry instance, the experiments and
-//! the tests drive the same code.
+//! The crate computes decisions from digests, declarations and a given time. The crate reads no
+//! clock and no global random source and does no I/O, so that entry instances, experiments and
+//! tests run the same code.
 //!
 //! # Crate guide
 //!
-//! - [`input`]: what the operators declared, as this crate needs it.
-//! - [`rate`]: rates in thousandths of a request a second, the unit of every flow here.
-//! - [`digest`]: what the zones report about themselves.
-//! - [`staleness`]: which decision holds at which age of a report.
-//! - [`policy`]: latency first or headroom first.
-//! - [`planner`]: makes a [`plan`] of weights, from every source zone to every destination zone.
-//! - [`picker`]: turns a plan into an ordered list of zones for one client.
-//! - [`credit`]: rate that a receiving zone grants to the other zones.
-//! - [`shift`]: moves of traffic by ticket, under a cap.
-//! - [`health`]: which backend servers of a pool take work.
-//! - [`blocks`]: which steering class a client block belongs to.
+//! - [`input`]: topology and services, as declared by operators.
+//! - [`rate`]: rates in thousandths of a request per second, the unit of every flow in this crate.
+//! - [`digest`]: reports of the zones about their own load and capacity.
+//! - [`staleness`]: steering decision by the age of a zone's report.
+//! - [`policy`]: trade-off between latency and free capacity.
+//! - [`planner`]: computes a [`plan`], the weights from every source zone to every destination zone.
+//! - [`picker`]: selects an ordered list of zones for one client from a plan.
+//! - [`credit`]: request rate that a receiving zone grants to the other zones.
+//! - [`shift`]: planned shifts of traffic, ordered by ticket and limited by a cap.
+//! - [`health`]: share of new requests that each backend server of a pool receives.
+//! - [`blocks`]: lookup table from client blocks to steering classes.
 //!
 //! ```
 //! use damaskvane_steering::policy;
--- a/crates/damaskvane-steering/src/picker.rs
+++ b/crates/damaskvane-steering/src/picker.rs
@@ -1,8 +1,8 @@
-//! Turns a plan into an ordered list of zones for one client.
+//! Selection of an ordered list of zones for one client from a plan.
 //!
-//! Every destination draws a number out of the client's hash and its own name, scaled by its weight;
-//! the highest draw wins (weighted rendezvous hashing). A client keeps its zone unless weights change,
-//! and a change of weights moves only the clients that it must.
+//! Selection uses weighted rendezvous hashing: every destination has a score computed from the
+//! client's hash, the zone's id and the zone's weight, and the best score wins. A client keeps its
+//! zone until the weights change, and a change of weights moves only the clients that it has to.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -24,28 +24,29 @@
 const DEFAULT_RETRY_AFTER: time::SpanMs = time::SpanMs::new(2_000);
 const WHOLE: u64 = plan::WHOLE_PPM as u64;
 
-/// Who asks.
+/// Client that requests a lookup.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Client {
-    /// The zone nearest to the client.
+    /// Zone nearest to the client.
     pub zone: ids::AvailabilityZoneId,
-    /// A hash of the client block, equal on every look-up.
+    /// Hash of the client block, equal on every lookup.
     pub hash: u64,
 }
 
-/// no zone has capacity left for this client; come back after {retry_after}
+/// no zone has capacity left for this client; retry after {retry_after}
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct Refused {
-    /// When to come back.
+    /// Wait before the next lookup.
     pub retry_after: time::SpanMs,
 }
 
-/// The zones that a client shall use, most preferred first.
+/// Returns the zones that a client uses, most preferred first.
 ///
 /// # Errors
 ///
-/// [`Refused`] for the part of the clients that no capacity is left for. Which clients these are
-/// changes with each retry period, so that the same ones are not refused again and again.
+/// Returns [`Refused`] for the part of the clients that no capacity is left for, or if the plan
+/// does not cover the service and the zone. Which clients are refused changes with each retry
+/// period, so that the same clients are not refused repeatedly.
 pub fn pick(
     plan: &plan::Plan,
     service: &ids::ServiceId,
@@ -61,13 +62,13 @@
     if is_refused(source, client.hash, now) {
         return Err(refused);
     }
-    let mut drawn: Vec<_> = source
+    let mut ranked: Vec<_> = source
         .shares
         .iter()
-        .map(|share| (draw(share, client.hash), share))
+        .map(|share| (score(share, client.hash), share))
         .collect();
-    drawn.sort_by(|left, right| left.0.total_cmp(&right.0));
-    let zones: Vec<_> = drawn
+    ranked.sort_by(|left, right| left.0.total_cmp(&right.0));
+    let zones: Vec<_> = ranked
         .into_iter()
         .map(|(_, share)| share.zone.clone())
         .collect();
@@ -80,14 +81,15 @@
 
 fn is_refused(source: &plan::SourcePlan, client_hash: u64, now: time::TimeMs) -> bool {
     let period = now.get() / source.retry_after.get().max(1);
-    let ticket = mix(client_hash ^ mix(period)) % WHOLE;
-    ticket < u64::from(source.refused_ppm())
+    let random = mix(client_hash ^ mix(period)) % WHOLE;
+    random < u64::from(source.refused_ppm())
 }
 
-/// The waiting time of an exponential clock that ticks at the weight's rate; the shortest wins.
-fn draw(share: &plan::Share, client_hash: u64) -> f64 {
+/// Returns the waiting time of an exponential clock whose rate is the weight; the shortest time
+/// wins.
+fn score(share: &plan::Share, client_hash: u64) -> f64 {
     let hash = mix(client_hash ^ hash_name(share.zone.as_str()));
-    // 53 bits, moved off zero: the logarithm of zero is not finite.
+    // 53 bits with an offset of one half, since the logarithm of zero is not finite.
     let uniform = ((hash >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
     -uniform.ln() / f64::from(share.share_ppm.max(1))
 }
@@ -97,7 +99,7 @@
     name.bytes().fold(FNV_OFFSET, step)
 }
 
-/// The finalizer of splitmix64: every bit of the input changes half of the output.
+/// Finalizer of splitmix64: a change of any input bit changes about half of the output bits.
 const fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/damaskvane-steering/src/policy.rs
+++ b/crates/damaskvane-steering/src/policy.rs
@@ -1,4 +1,4 @@
-//! What a deployment weighs most.
+//! Steering policy of a deployment.
 //!
 //! ```
 //! use damaskvane_steering::policy;
@@ -11,25 +11,28 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How the planner trades latency against free capacity.
+/// Trade-off between latency and free capacity in the planner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Policy {
-    /// Clients stay near until their zone's use passes a knee, and only the rest goes farther.
+    /// Clients use near zones until these zones' utilization passes a knee, and only the excess
+    /// goes farther.
     #[default]
     Latency,
-    /// The use of all zones is levelled, so that the fullest region keeps the most free capacity.
+    /// Utilization is balanced over all zones, so that the fullest region keeps as much free
+    /// capacity as possible.
     Headroom,
 }
 
-/// {text:?} is no steering policy; write "latency" or "headroom"
+/// invalid steering policy {text:?}; use "latency" or "headroom"
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParsePolicyError {
     text: String,
 }
 
 impl Policy {
-    /// Up to which use of a zone, in thousandths, its clients stay before others are considered.
+    /// Returns the utilization of a zone up to which its clients stay before other zones are
+    /// considered, in thousandths.
     #[must_use]
     pub const fn knee_permille(self) -> u32 {
         match self {
--- a/crates/damaskvane-steering/src/rate.rs
+++ b/crates/damaskvane-steering/src/rate.rs
@@ -1,7 +1,7 @@
-//! Rates in thousandths of a request a second.
+//! Request rates in thousandths of a request per second.
 //!
-//! A zone of three backend servers may carry no more than a few requests a second, of which a source
-//! gets a tenth: whole requests a second would round such a grant to nothing.
+//! A zone of three backend servers may carry only a few requests per second, of which a source zone
+//! receives a tenth. Whole requests per second would round such a grant to zero.
 //!
 //! ```
 //! use damaskvane_steering::rate;
@@ -20,48 +20,49 @@
 
 const MILLI: u64 = 1_000;
 
-/// A rate of requests, in thousandths of a request a second.
+/// Request rate in thousandths of a request per second.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Rate(u64);
 
-/// {text:?} is no rate; write requests a second with at most three decimals, for instance 12.5
+/// invalid rate {text:?}; use requests per second with at most three decimals, such as 12.5
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseRateError {
     text: String,
 }
 
 impl Rate {
-    /// No requests at all.
+    /// Rate of no requests.
     pub const ZERO: Self = Self(0);
 
-    /// A rate of whole requests a second.
+    /// Creates a rate from whole requests per second; saturates on overflow.
     #[must_use]
     pub const fn per_second(requests: u64) -> Self {
         Self(requests.saturating_mul(MILLI))
     }
 
-    /// A rate of thousandths of a request a second.
+    /// Creates a rate from thousandths of a request per second.
     #[must_use]
     pub const fn from_milli(milli: u64) -> Self {
         Self(milli)
     }
 
-    /// Thousandths of a request a second.
+    /// Returns the rate in thousandths of a request per second.
     #[must_use]
     pub const fn milli(self) -> u64 {
         self.0
     }
 
-    /// The difference, or zero where it would be negative.
+    /// Returns the difference, or zero where it would be negative.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// This rate times `numerator / denominator`, rounded down; nothing where the denominator is zero.
+    /// Returns this rate times `numerator / denominator`, rounded down; zero if `denominator` is
+    /// zero.
     #[must_use]
     pub fn scaled(self, numerator: u64, denominator: u64) -> Self {
         if denominator == 0 {
@@ -71,19 +72,20 @@
         Self(u64::try_from(product).unwrap_or(u64::MAX))
     }
 
-    /// So many thousandths of this rate.
+    /// Returns `permille` thousandths of this rate, rounded down.
     #[must_use]
     pub fn permille(self, permille: u32) -> Self {
         self.scaled(u64::from(permille), MILLI)
     }
 
-    /// So many millionths of this rate.
+    /// Returns `ppm` millionths of this rate, rounded down.
     #[must_use]
     pub fn ppm(self, ppm: u32) -> Self {
         self.scaled(u64::from(ppm), 1_000_000)
     }
 
-    /// The share of `whole` that this rate is, in millionths, rounded down and at most the whole.
+    /// Returns this rate as a share of `whole` in millionths, rounded down and limited to
+    /// 1,000,000.
     #[must_use]
     pub fn share_of(self, whole: Self) -> u32 {
         let share = Self(1_000_000).scaled(self.0, whole.0).0;
--- a/crates/damaskvane-steering/src/staleness.rs
+++ b/crates/damaskvane-steering/src/staleness.rs
@@ -1,6 +1,7 @@
-//! Which decision holds at which age of a report.
+//! Steering decision by the age of a zone's report and the zone's reachability.
 //!
-//! The table is complete: each age meets each reach, and `docs/operations/steering.md` prints it.
+//! The decision table covers every combination of age and reachability;
+//! `docs/operations/steering.md` lists it.
 //!
 //! ```
 //! use damaskvane_steering::staleness;
@@ -11,45 +12,45 @@
 
 use damaskvane_core::time;
 
-/// How old the latest report of a zone is.
+/// Age class of a zone's latest report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Age {
-    /// Young enough to steer by.
+    /// Recent enough to steer by.
     Fresh,
-    /// Too old to act on, young enough to keep to.
+    /// Too old to raise flows by, but recent enough to keep them.
     Old,
-    /// Too old to mean anything, or never received.
+    /// Too old to use, or no report was received.
     Expired,
 }
 
-/// Whether a zone answers heartbeats.
+/// Whether a zone responds to heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// It answers.
+    /// The zone responds.
     Connected,
-    /// It does not.
+    /// The zone does not respond.
     Unreachable,
 }
 
-/// What the planner does with a destination zone.
+/// How the planner uses a destination zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     /// Steer by the report.
     Measured,
-    /// Keep at most what was planned; raise nothing.
+    /// Keep at most the planned flow and raise nothing.
     Hold,
     /// Use the static share of the declared capacity.
     StaticShare,
-    /// Send nothing new.
+    /// Send no new traffic.
     Exclude,
 }
 
-/// The ages at which a report changes class.
+/// Age limits of reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// A report up to this age is fresh.
+    /// Age up to which a report is fresh.
     pub fresh: time::SpanMs,
-    /// A report up to this age is old; beyond it is gone.
+    /// Age up to which a report is old; an older report has expired.
     pub old: time::SpanMs,
 }
 
@@ -63,7 +64,8 @@
 }
 
 impl Limits {
-    /// The class of a report taken at a point in time; none received is gone.
+    /// Returns the age class of a report taken at `taken_at`; `None` means that no report was
+    /// received.
     #[must_use]
     pub fn age(self, taken_at: Option<time::TimeMs>, now: time::TimeMs) -> Age {
         match taken_at.map(|taken_at| now.since(taken_at)) {
@@ -74,11 +76,11 @@
     }
 }
 
-/// The decision for a destination zone.
+/// Returns the steering decision for a destination zone.
 ///
-/// A zone that does not answer gets nothing new however young its numbers are: they were true before
-/// the cut, and clients sent there would wait for a time-out. One would notice requests that hang
-/// while the digests look healthy.
+/// An unreachable zone receives no new traffic, however recent its report is. The report describes
+/// the zone before the connection was lost, and clients sent there would wait for a timeout while
+/// the digests look healthy.
 #[must_use]
 pub const fn decide(age: Age, reachability: Reachability) -> Decision {
     match (age, reachability) {
