--- a/crates/damaskvane-dispatch/src/model/exchanges.rs
+++ b/crates/damaskvane-dispatch/src/model/exchanges.rs
@@ -28,7 +28,7 @@
             self.finish(at, trial, refused);
             return;
         }
-        self.retries.note_first_try();
+        self.retries.record_first_try();
         self.send_to_backend(at, trial, received.admit());
     }
 
--- a/crates/damaskvane-dispatch/src/retry/policy.rs
+++ b/crates/damaskvane-dispatch/src/retry/policy.rs
@@ -7,7 +7,7 @@
 //!
 //! let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(1);
 //! let mut policy = retry::RetryPolicy::new(retry::RetrySettings::default());
-//! policy.note_first_try();
+//! policy.record_first_try();
 //! let now = time::TimeMs::ZERO;
 //! let deadline = deadline::Deadline::after(now, time::SpanMs::new(2_000));
 //! let admitted = exchange::Received::repeatable("try-1".parse()?, deadline).admit();
@@ -44,7 +44,7 @@
     }
 
     /// Notes the first try of a request, which pays into the budget.
-    pub fn note_first_try(&mut self) {
+    pub fn record_first_try(&mut self) {
         self.budget.pay_in();
     }
 
--- a/crates/damaskvane-dispatch/tests/exchange.rs
+++ b/crates/damaskvane-dispatch/tests/exchange.rs
@@ -125,7 +125,7 @@
     let admitted = repeatable().admit();
     let mut retries = 0;
     for _ in 0..10_000 {
-        policy.note_first_try();
+        policy.record_first_try();
         let decision = policy.decide(at(0), &admitted, 2, &mut rng);
         retries += u32::from(matches!(decision, retry::RetryDecision::Retry { .. }));
     }
--- a/crates/damaskvane-engine/src/engine/submit.rs
+++ b/crates/damaskvane-engine/src/engine/submit.rs
@@ -71,7 +71,7 @@
             return;
         }
         if let Some(policy) = self.retries.get_mut(&request.service) {
-            policy.note_first_try();
+            policy.record_first_try();
         }
         let deadline = received.deadline();
         let service = request.service.clone();
