--- a/crates/damaskvane-dispatch/src/quarantine.rs
+++ b/crates/damaskvane-dispatch/src/quarantine.rs
@@ -15,7 +15,7 @@
 //! let mut list = quarantine::Quarantine::new(quarantine::QuarantineSettings::default());
 //! let request = fingerprint::Fingerprint::of(&"desk".parse()?, "GET", "/bad", b"");
 //! for (serial, server) in ["desk-1", "desk-2"].into_iter().enumerate() {
-//!     list.note_incident(now, &quarantine::Incident {
+//!     list.record_incident(now, &quarantine::Incident {
 //!         id: quarantine::IncidentId { reporter: "a/1".parse()?, serial: serial as u64 },
 //!         server: server.parse()?,
 //!         suspects: vec![request],
--- a/crates/damaskvane-dispatch/src/quarantine/list.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/list.rs
@@ -38,7 +38,7 @@
 
     /// Merges an incident seen here or told by a peer; in any order, any number of times. Returns the
     /// requests that are refused from now on.
-    pub fn note_incident(
+    pub fn record_incident(
         &mut self,
         now: time::TimeMs,
         incident: &incident::Incident,
--- a/crates/damaskvane-dispatch/tests/quarantine.rs
+++ b/crates/damaskvane-dispatch/tests/quarantine.rs
@@ -34,9 +34,9 @@
 #[test]
 fn a_request_is_refused_after_two_incidents_in_the_region() {
     let mut list = list();
-    list.note_incident(at(0), &incident(1, "a/1", "desk-1", &["bad"]));
+    list.record_incident(at(0), &incident(1, "a/1", "desk-1", &["bad"]));
     assert!(!is_refused(&mut list, 1, "bad"));
-    list.note_incident(at(2), &incident(1, "b/1", "desk-2", &["bad"]));
+    list.record_incident(at(2), &incident(1, "b/1", "desk-2", &["bad"]));
     assert!(is_refused(&mut list, 3, "bad"));
     assert!(!is_refused(&mut list, 600_002, "bad"));
 }
@@ -47,15 +47,15 @@
 fn one_crash_counts_once() {
     let mut list = list();
     for serial in [1, 1, 2] {
-        list.note_incident(at(0), &incident(serial, "a/1", "desk-1", &["bad"]));
+        list.record_incident(at(0), &incident(serial, "a/1", "desk-1", &["bad"]));
     }
-    list.note_incident(at(1), &incident(1, "b/1", "desk-1", &["bad"]));
+    list.record_incident(at(1), &incident(1, "b/1", "desk-1", &["bad"]));
     assert!(!is_refused(&mut list, 2, "bad"));
     let long_after = quarantine::Incident {
         age: time::SpanMs::new(9_000),
         ..incident(1, "a/1", "desk-1", &["bad"])
     };
-    list.note_incident(at(20_000), &long_after);
+    list.record_incident(at(20_000), &long_after);
     assert!(!is_refused(&mut list, 20_001, "bad"));
 }
 
@@ -63,8 +63,8 @@
 #[test]
 fn the_same_server_crashed_twice_counts_twice() {
     let mut list = list();
-    list.note_incident(at(0), &incident(1, "a/1", "desk-1", &["bad"]));
-    list.note_incident(at(5_000), &incident(2, "a/1", "desk-1", &["bad"]));
+    list.record_incident(at(0), &incident(1, "a/1", "desk-1", &["bad"]));
+    list.record_incident(at(5_000), &incident(2, "a/1", "desk-1", &["bad"]));
     assert!(is_refused(&mut list, 5_001, "bad"));
 }
 
@@ -74,7 +74,7 @@
 fn neighbours_are_not_blamed() {
     let mut list = list();
     let shared = incident(1, "a/1", "desk-1", &["bad", "good"]);
-    list.note_incident(at(0), &shared);
+    list.record_incident(at(0), &shared);
     let good = fingerprint_of("good");
     let bad = fingerprint_of("bad");
     assert_eq!(list.judge(at(1), good), quarantine::Verdict::RunAlone);
@@ -82,14 +82,14 @@
     assert!(list.note_completed(at(2), good));
     assert_eq!(list.judge(at(3), bad), quarantine::Verdict::RunAlone);
     assert_eq!(list.judge(at(3), good), quarantine::Verdict::Run);
-    list.note_incident(at(4), &incident(2, "a/1", "desk-2", &["bad"]));
+    list.record_incident(at(4), &incident(2, "a/1", "desk-2", &["bad"]));
     assert!(is_refused(&mut list, 5, "bad"));
     // The first notice comes again by way of a peer, older than the completed run.
     let late = quarantine::Incident {
         age: time::SpanMs::new(6),
         ..shared
     };
-    list.note_incident(at(6), &late);
+    list.record_incident(at(6), &late);
     assert_eq!(list.judge(at(7), good), quarantine::Verdict::Run);
 }
 
@@ -98,7 +98,7 @@
 fn operators_list_and_clear() {
     let mut list = list();
     for (serial, server) in [(1, "desk-1"), (2, "desk-2")] {
-        list.note_incident(at(0), &incident(serial, "a/1", server, &["bad"]));
+        list.record_incident(at(0), &incident(serial, "a/1", server, &["bad"]));
     }
     let listed = list.list(at(0));
     assert_eq!(listed.len(), 1);
@@ -149,9 +149,12 @@
 fn a_request_is_told_as_refused_once() {
     let mut list = list();
     let first = incident(1, "a/1", "desk-1", &["bad", "beside it"]);
-    assert!(list.note_incident(at(0), &first).is_empty());
+    assert!(list.record_incident(at(0), &first).is_empty());
     let second = incident(2, "a/1", "desk-2", &["bad"]);
-    assert_eq!(list.note_incident(at(9), &second), [fingerprint_of("bad")]);
+    assert_eq!(
+        list.record_incident(at(9), &second),
+        [fingerprint_of("bad")]
+    );
     let third = incident(3, "a/1", "desk-3", &["bad"]);
-    assert!(list.note_incident(at(18), &third).is_empty());
+    assert!(list.record_incident(at(18), &third).is_empty());
 }
--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -87,7 +87,7 @@
         };
         self.crashes.next_serial += 1;
         self.crashes.reported.insert(server, now);
-        self.crashes.list.note_incident(now, &incident);
+        self.crashes.list.record_incident(now, &incident);
         self.actions.push(Action::Count {
             family: "crashes",
             word: "incident",
@@ -96,7 +96,7 @@
     }
 
     pub(super) fn incident_told(&mut self, now: time::TimeMs, incident: &quarantine::Incident) {
-        self.crashes.list.note_incident(now, incident);
+        self.crashes.list.record_incident(now, incident);
     }
 
     pub(super) fn cleared_told(
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -173,7 +173,7 @@
 
 fn apply_incident(node: &Node, incident: &Incident, is_own: bool) {
     let mut list = node.crashes.list.borrow_mut();
-    let refused = list.note_incident(node.now(), incident);
+    let refused = list.record_incident(node.now(), incident);
     drop(list);
     for fingerprint in refused {
         slog::warn!(node.log.log, "request is quarantined";
