--- a/crates/damaskvane-dispatch/src/admission/rejected.rs
+++ b/crates/damaskvane-dispatch/src/admission/rejected.rs
@@ -17,7 +17,7 @@
 use crate::refusal;
 
 /// A request that left the queue unserved and is to be refused at once, for instance by
-/// [`crate::exchange::Received::refuse_until`].
+/// [`crate::exchange::Received::refuse_with_retry_after`].
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "the client waits for the response"]
 pub struct Rejected<R> {
--- a/crates/damaskvane-dispatch/src/exchange/admitted.rs
+++ b/crates/damaskvane-dispatch/src/exchange/admitted.rs
@@ -44,7 +44,7 @@
     }
 
     /// The same, naming when to come back.
-    pub fn refuse_until<A>(
+    pub fn refuse_with_retry_after<A>(
         self,
         reason: refusal::RefusalReason,
         retry_after: time::SpanMs,
--- a/crates/damaskvane-dispatch/src/exchange/received.rs
+++ b/crates/damaskvane-dispatch/src/exchange/received.rs
@@ -72,7 +72,7 @@
     }
 
     /// Refuses and names when to come back, for instance by the queue's drain rate.
-    pub fn refuse_until<A>(
+    pub fn refuse_with_retry_after<A>(
         self,
         reason: refusal::RefusalReason,
         retry_after: time::SpanMs,
--- a/crates/damaskvane-engine/src/engine/answers.rs
+++ b/crates/damaskvane-engine/src/engine/answers.rs
@@ -119,11 +119,11 @@
         }
         match pending.stage {
             Stage::Queued(received) => {
-                let answered = received.refuse_until(reason, retry_after);
+                let answered = received.refuse_with_retry_after(reason, retry_after);
                 self.finish(now, pending.origin, answered);
             }
             Stage::Requeued(admitted) | Stage::Backoff { admitted, .. } => {
-                let answered = admitted.refuse_until(reason, retry_after);
+                let answered = admitted.refuse_with_retry_after(reason, retry_after);
                 self.finish(now, pending.origin, answered);
             }
             Stage::Forwarded { forwarded, .. } => {
--- a/crates/damaskvane-engine/src/engine/submit.rs
+++ b/crates/damaskvane-engine/src/engine/submit.rs
@@ -66,7 +66,7 @@
     ) {
         if let Some((reason, retry_after)) = self.refuses(&request.service, now) {
             self.count_refused(&request.service);
-            let answered = received.refuse_until(reason, retry_after);
+            let answered = received.refuse_with_retry_after(reason, retry_after);
             self.finish(now, Some(origin), answered);
             return;
         }
