--- a/crates/damaskvane-dispatch/src/quarantine/list.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/list.rs
@@ -63,7 +63,7 @@
 
     /// Takes in that another instance has found a request guilty and recorded so for all; returns whether
     /// that is news.
-    pub fn note_recorded(
+    pub fn apply_quarantine_record(
         &mut self,
         now: time::TimeMs,
         fingerprint: fingerprint::Fingerprint,
--- a/crates/damaskvane-dispatch/tests/quarantine.rs
+++ b/crates/damaskvane-dispatch/tests/quarantine.rs
@@ -136,8 +136,8 @@
 #[test]
 fn a_request_that_others_recorded_is_refused_without_an_incident() {
     let mut list = list();
-    assert!(list.note_recorded(at(0), fingerprint_of("bad")));
-    assert!(!list.note_recorded(at(1), fingerprint_of("bad")));
+    assert!(list.apply_quarantine_record(at(0), fingerprint_of("bad")));
+    assert!(!list.apply_quarantine_record(at(1), fingerprint_of("bad")));
     assert!(list.refusal(at(2), fingerprint_of("bad")).is_some());
     assert!(list.refusal(at(600_001), fingerprint_of("bad")).is_none());
     assert!(list.refusal(at(2), fingerprint_of("good")).is_none());
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -191,7 +191,7 @@
 pub fn apply_stored_quarantine(node: &Node, fingerprint: Fingerprint) {
     node.crashes.stored.borrow_mut().insert(fingerprint);
     let mut list = node.crashes.list.borrow_mut();
-    if list.note_recorded(node.now(), fingerprint) {
+    if list.apply_quarantine_record(node.now(), fingerprint) {
         slog::warn!(node.log.log, "request is quarantined";
             "fingerprint" => %fingerprint, "told_by" => "store");
     }
