--- a/crates/damaskvane-dispatch/src/quarantine/list.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/list.rs
@@ -109,7 +109,7 @@
 
     /// Notes a completed run, which clears a suspect; returns whether it was one, so that peers are
     /// told by [`Quarantine::clear`].
-    pub fn note_completed(
+    pub fn record_completed(
         &mut self,
         now: time::TimeMs,
         fingerprint: fingerprint::Fingerprint,
--- a/crates/damaskvane-dispatch/src/quarantine/verdict.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/verdict.rs
@@ -17,7 +17,7 @@
     /// Nothing speaks against it.
     Run,
     /// A suspect: run it while no other suspect runs here, on a server it has not been in an incident
-    /// on, and say when it ends, by `note_completed` or an incident.
+    /// on, and say when it ends, by `record_completed` or an incident.
     RunAlone,
     /// Another suspect runs; wait in the queue, or be refused as overloaded when that takes too long.
     Wait,
--- a/crates/damaskvane-dispatch/tests/quarantine.rs
+++ b/crates/damaskvane-dispatch/tests/quarantine.rs
@@ -79,7 +79,7 @@
     let bad = fingerprint_of("bad");
     assert_eq!(list.judge(at(1), good), quarantine::Verdict::RunAlone);
     assert_eq!(list.judge(at(1), bad), quarantine::Verdict::Wait);
-    assert!(list.note_completed(at(2), good));
+    assert!(list.record_completed(at(2), good));
     assert_eq!(list.judge(at(3), bad), quarantine::Verdict::RunAlone);
     assert_eq!(list.judge(at(3), good), quarantine::Verdict::Run);
     list.record_incident(at(4), &incident(2, "a/1", "desk-2", &["bad"]));
--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -47,7 +47,7 @@
     pub(super) fn note_end(&mut self, now: time::TimeMs, flight: &Flight, end: &ExchangeEnd) {
         match end {
             ExchangeEnd::Answered(_) => {
-                if self.crashes.list.note_completed(now, flight.fingerprint) {
+                if self.crashes.list.record_completed(now, flight.fingerprint) {
                     self.tell_region(&peer::PeerMessage::Cleared(flight.fingerprint));
                 }
             }
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -130,7 +130,7 @@
 /// Records that a request was completed, which removes its suspicion.
 pub fn record_completed(node: &Node, fingerprint: Fingerprint) {
     let mut list = node.crashes.list.borrow_mut();
-    list.note_completed(node.now(), fingerprint);
+    list.record_completed(node.now(), fingerprint);
 }
 
 /// Records that a server was found dead; each request that broke there a moment ago becomes a suspect.
