--- a/crates/damaskvane-dispatch/src/quarantine/broken.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/broken.rs
@@ -77,7 +77,7 @@
     }
 
     /// Forgets what broke on a server that was found alive.
-    pub fn note_alive(&mut self, server: &ids::BackendServerId) {
+    pub fn record_alive(&mut self, server: &ids::BackendServerId) {
         self.by_server.remove(server);
     }
 
