--- a/crates/damaskvane-dispatch/src/quarantine/broken.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/broken.rs
@@ -10,7 +10,7 @@
 //!
 //! let request = fingerprint::Fingerprint::of(&"desk".parse()?, "GET", "/bad", b"");
 //! let mut broken = quarantine::BrokenExchanges::default();
-//! broken.note(time::TimeMs::new(10), &"desk-1".parse()?, request);
+//! broken.record(time::TimeMs::new(10), &"desk-1".parse()?, request);
 //! assert_eq!(broken.take_dead(time::TimeMs::new(90), &"desk-1".parse()?), [request]);
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
@@ -42,7 +42,7 @@
 
 impl BrokenExchanges {
     /// Notes that the connection of an exchange broke after its request was written.
-    pub fn note(
+    pub fn record(
         &mut self,
         now: time::TimeMs,
         server: &ids::BackendServerId,
--- a/crates/damaskvane-dispatch/tests/quarantine.rs
+++ b/crates/damaskvane-dispatch/tests/quarantine.rs
@@ -114,9 +114,9 @@
 fn a_broken_exchange_makes_a_suspect_only_if_its_server_is_found_dead_soon() {
     let mut broken = quarantine::BrokenExchanges::default();
     let server = "desk-1".parse().expect("a server");
-    broken.note(at(0), &server, fingerprint_of("long ago"));
-    broken.note(at(5_000), &server, fingerprint_of("bad"));
-    broken.note(at(5_001), &server, fingerprint_of("bad"));
+    broken.record(at(0), &server, fingerprint_of("long ago"));
+    broken.record(at(5_000), &server, fingerprint_of("bad"));
+    broken.record(at(5_001), &server, fingerprint_of("bad"));
     let other = "desk-2".parse().expect("a server");
     assert!(broken.take_dead(at(5_100), &other).is_empty());
     assert_eq!(
@@ -124,7 +124,7 @@
         [fingerprint_of("bad")]
     );
     assert!(broken.take_dead(at(5_200), &server).is_empty());
-    broken.note(at(6_000), &server, fingerprint_of("bad"));
+    broken.record(at(6_000), &server, fingerprint_of("bad"));
     broken.expire(at(7_000));
     assert!(!broken.is_empty());
     broken.expire(at(9_000));
