--- a/crates/damaskvane-dispatch/src/quarantine/broken.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/broken.rs
@@ -60,7 +60,11 @@
 
     /// How many broken exchanges of a request wait for proof.
     #[must_use]
-    pub fn in_doubt(&self, now: time::TimeMs, fingerprint: fingerprint::Fingerprint) -> usize {
+    pub fn unconfirmed_count(
+        &self,
+        now: time::TimeMs,
+        fingerprint: fingerprint::Fingerprint,
+    ) -> usize {
         let all = self.by_server.values().flatten();
         let of_request = all.filter(|broken| broken.fingerprint == fingerprint);
         of_request
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -98,7 +98,7 @@
 
 fn awaits_probe(node: &Node, fingerprint: Fingerprint) -> bool {
     let broken = node.crashes.broken.borrow();
-    let unprobed = broken.in_doubt(node.now(), fingerprint);
+    let unprobed = broken.unconfirmed_count(node.now(), fingerprint);
     let list = node.crashes.list.borrow();
     list.may_be_refused(fingerprint, unprobed)
 }
