--- a/crates/damaskvane-dispatch/src/quarantine/broken.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/broken.rs
@@ -11,7 +11,7 @@
 //! let request = fingerprint::Fingerprint::of(&"desk".parse()?, "GET", "/bad", b"");
 //! let mut broken = quarantine::BrokenExchanges::default();
 //! broken.record(time::TimeMs::new(10), &"desk-1".parse()?, request);
-//! assert_eq!(broken.take_dead(time::TimeMs::new(90), &"desk-1".parse()?), [request]);
+//! assert_eq!(broken.take_suspects(time::TimeMs::new(90), &"desk-1".parse()?), [request]);
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
 
@@ -92,7 +92,7 @@
     }
 
     /// The requests that were on a server which was found dead now, each once.
-    pub fn take_dead(
+    pub fn take_suspects(
         &mut self,
         now: time::TimeMs,
         server: &ids::BackendServerId,
--- a/crates/damaskvane-dispatch/tests/quarantine.rs
+++ b/crates/damaskvane-dispatch/tests/quarantine.rs
@@ -118,12 +118,12 @@
     broken.record(at(5_000), &server, fingerprint_of("bad"));
     broken.record(at(5_001), &server, fingerprint_of("bad"));
     let other = "desk-2".parse().expect("a server");
-    assert!(broken.take_dead(at(5_100), &other).is_empty());
+    assert!(broken.take_suspects(at(5_100), &other).is_empty());
     assert_eq!(
-        broken.take_dead(at(5_100), &server),
+        broken.take_suspects(at(5_100), &server),
         [fingerprint_of("bad")]
     );
-    assert!(broken.take_dead(at(5_200), &server).is_empty());
+    assert!(broken.take_suspects(at(5_200), &server).is_empty());
     broken.record(at(6_000), &server, fingerprint_of("bad"));
     broken.expire(at(7_000));
     assert!(!broken.is_empty());
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -138,7 +138,7 @@
 /// `proof` says in the log how the death was detected.
 pub fn record_server_death(node: &Node, server: &ids::BackendServerId, proof: &str) {
     let now = node.now();
-    let suspects = node.crashes.broken.borrow_mut().take_dead(now, server);
+    let suspects = node.crashes.broken.borrow_mut().take_suspects(now, server);
     for suspects in suspects.chunks(MAX_SUSPECTS_PER_INCIDENT) {
         let serial = node.crashes.last_serial.get() + 1;
         node.crashes.last_serial.set(serial);
