--- a/crates/damaskvane-dispatch/src/quarantine.rs
+++ b/crates/damaskvane-dispatch/src/quarantine.rs
@@ -22,7 +22,7 @@
 //!         age: time::SpanMs::ZERO,
 //!     });
 //! }
-//! assert!(matches!(list.judge(now, request), quarantine::Verdict::Refuse { .. }));
+//! assert!(matches!(list.decide(now, request), quarantine::Verdict::Refuse { .. }));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
--- a/crates/damaskvane-dispatch/src/quarantine/list.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/list.rs
@@ -126,7 +126,7 @@
     }
 
     /// Decides on a request before it is admitted.
-    pub fn judge(
+    pub fn decide(
         &mut self,
         now: time::TimeMs,
         fingerprint: fingerprint::Fingerprint,
--- a/crates/damaskvane-engine/src/engine/pump.rs
+++ b/crates/damaskvane-engine/src/engine/pump.rs
@@ -68,7 +68,7 @@
         };
         let service = pending.request.service.clone();
         let fingerprint = pending.fingerprint;
-        match self.crashes.list.judge(now, fingerprint) {
+        match self.crashes.list.decide(now, fingerprint) {
             quarantine::Verdict::Refuse { retry_after } => {
                 let reason = refusal::RefusalReason::Quarantined;
                 self.give_up_until(now, id, reason, retry_after);
