--- a/crates/damaskvane-dispatch/src/quarantine.rs
+++ b/crates/damaskvane-dispatch/src/quarantine.rs
@@ -3,7 +3,7 @@
 //! When a backend server's connection dies, every request in flight on it is a suspect, and just one of
 //! them may be guilty. An incident is one such death. A request is quarantined once it was in two
 //! incidents, on whichever backend servers, with no completed run after the first; suspects run one
-//! at a time ([`Verdict::RunAlone`]), so that the second incident blames no neighbour. A completed run
+//! at a time ([`QuarantineDecision::RunAlone`]), so that the second incident blames no neighbour. A completed run
 //! clears a suspect. Notices of incidents go to every instance of the region, and merging them is
 //! idempotent, since each incident has its own name.
 //!
@@ -22,7 +22,7 @@
 //!         age: time::SpanMs::ZERO,
 //!     });
 //! }
-//! assert!(matches!(list.decide(now, request), quarantine::Verdict::Refuse { .. }));
+//! assert!(matches!(list.decide(now, request), quarantine::QuarantineDecision::Refuse { .. }));
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
@@ -37,4 +37,4 @@
 pub use incident::{Incident, IncidentId};
 pub use list::Quarantine;
 pub use settings::QuarantineSettings;
-pub use verdict::{Listed, Verdict};
+pub use verdict::{Listed, QuarantineDecision};
--- a/crates/damaskvane-dispatch/src/quarantine/list.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/list.rs
@@ -130,21 +130,21 @@
         &mut self,
         now: time::TimeMs,
         fingerprint: fingerprint::Fingerprint,
-    ) -> verdict::Verdict {
+    ) -> verdict::QuarantineDecision {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
-            return verdict::Verdict::Run;
+            return verdict::QuarantineDecision::Run;
         };
         if suspect.until <= now {
-            return verdict::Verdict::Run;
+            return verdict::QuarantineDecision::Run;
         }
         if let Some(retry_after) = self.refusal(now, fingerprint) {
-            return verdict::Verdict::Refuse { retry_after };
+            return verdict::QuarantineDecision::Refuse { retry_after };
         }
         if self.alone.is_some() {
-            return verdict::Verdict::Wait;
+            return verdict::QuarantineDecision::Wait;
         }
         self.alone = Some(fingerprint);
-        verdict::Verdict::RunAlone
+        verdict::QuarantineDecision::RunAlone
     }
 
     /// The backend servers that a suspect must not be sent to again.
--- a/crates/damaskvane-dispatch/src/quarantine/verdict.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/verdict.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_dispatch::quarantine;
 //!
-//! assert_ne!(quarantine::Verdict::Run, quarantine::Verdict::Wait);
+//! assert_ne!(quarantine::QuarantineDecision::Run, quarantine::QuarantineDecision::Wait);
 //! ```
 
 use damaskvane_core::time;
@@ -13,7 +13,7 @@
 /// What to do with a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
-pub enum Verdict {
+pub enum QuarantineDecision {
     /// Nothing speaks against it.
     Run,
     /// A suspect: run it while no other suspect runs here, on a server it has not been in an incident
--- a/crates/damaskvane-dispatch/tests/quarantine.rs
+++ b/crates/damaskvane-dispatch/tests/quarantine.rs
@@ -26,7 +26,7 @@
 fn is_refused(list: &mut quarantine::Quarantine, now_ms: u64, body: &str) -> bool {
     let verdict = list.decide(at(now_ms), fingerprint_of(body));
     list.release(fingerprint_of(body));
-    matches!(verdict, quarantine::Verdict::Refuse { .. })
+    matches!(verdict, quarantine::QuarantineDecision::Refuse { .. })
 }
 
 /// One request crashes each backend server that runs it, and its caller sends it again to another zone
@@ -77,11 +77,23 @@
     list.record_incident(at(0), &shared);
     let good = fingerprint_of("good");
     let bad = fingerprint_of("bad");
-    assert_eq!(list.decide(at(1), good), quarantine::Verdict::RunAlone);
-    assert_eq!(list.decide(at(1), bad), quarantine::Verdict::Wait);
+    assert_eq!(
+        list.decide(at(1), good),
+        quarantine::QuarantineDecision::RunAlone
+    );
+    assert_eq!(
+        list.decide(at(1), bad),
+        quarantine::QuarantineDecision::Wait
+    );
     assert!(list.record_completed(at(2), good));
-    assert_eq!(list.decide(at(3), bad), quarantine::Verdict::RunAlone);
-    assert_eq!(list.decide(at(3), good), quarantine::Verdict::Run);
+    assert_eq!(
+        list.decide(at(3), bad),
+        quarantine::QuarantineDecision::RunAlone
+    );
+    assert_eq!(
+        list.decide(at(3), good),
+        quarantine::QuarantineDecision::Run
+    );
     list.record_incident(at(4), &incident(2, "a/1", "desk-2", &["bad"]));
     assert!(is_refused(&mut list, 5, "bad"));
     // The first notice comes again by way of a peer, older than the completed run.
@@ -90,7 +102,10 @@
         ..shared
     };
     list.record_incident(at(6), &late);
-    assert_eq!(list.decide(at(7), good), quarantine::Verdict::Run);
+    assert_eq!(
+        list.decide(at(7), good),
+        quarantine::QuarantineDecision::Run
+    );
 }
 
 /// Operators mend the backend server and clear the request.
--- a/crates/damaskvane-engine/src/engine/pump.rs
+++ b/crates/damaskvane-engine/src/engine/pump.rs
@@ -69,16 +69,16 @@
         let service = pending.request.service.clone();
         let fingerprint = pending.fingerprint;
         match self.crashes.list.decide(now, fingerprint) {
-            quarantine::Verdict::Refuse { retry_after } => {
+            quarantine::QuarantineDecision::Refuse { retry_after } => {
                 let reason = refusal::RefusalReason::Quarantined;
                 self.give_up_until(now, id, reason, retry_after);
                 return;
             }
-            quarantine::Verdict::Wait => {
+            quarantine::QuarantineDecision::Wait => {
                 self.held.push(id);
                 return;
             }
-            quarantine::Verdict::Run | quarantine::Verdict::RunAlone => {}
+            quarantine::QuarantineDecision::Run | quarantine::QuarantineDecision::RunAlone => {}
         }
         let excluded = self.excluded(now, id);
         let wanted = self.time_left(now, id);
