--- a/crates/damaskvane-dispatch/src/quarantine.rs
+++ b/crates/damaskvane-dispatch/src/quarantine.rs
@@ -37,4 +37,4 @@
 pub use incident::{Incident, IncidentId};
 pub use list::Quarantine;
 pub use settings::QuarantineSettings;
-pub use verdict::{Listed, QuarantineDecision};
+pub use verdict::{QuarantineDecision, QuarantineEntry};
--- a/crates/damaskvane-dispatch/src/quarantine/list.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/list.rs
@@ -165,9 +165,9 @@
 
     /// What operators see.
     #[must_use]
-    pub fn list(&self, now: time::TimeMs) -> Vec<verdict::Listed> {
+    pub fn list(&self, now: time::TimeMs) -> Vec<verdict::QuarantineEntry> {
         let listed = |(fingerprint, suspect): (&fingerprint::Fingerprint, &suspect::Suspect)| {
-            verdict::Listed {
+            verdict::QuarantineEntry {
                 fingerprint: *fingerprint,
                 incidents: suspect.len(),
                 is_refused: suspect.is_refused(self.settings.incidents),
--- a/crates/damaskvane-dispatch/src/quarantine/verdict.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/verdict.rs
@@ -30,7 +30,7 @@
 
 /// One line of the operators' list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listed {
+pub struct QuarantineEntry {
     /// The request.
     pub fingerprint: fingerprint::Fingerprint,
     /// How many incidents it was in.
--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -119,7 +119,7 @@
 
     /// The suspects and refused requests, for operators.
     #[must_use]
-    pub fn quarantined(&self, now: time::TimeMs) -> Vec<quarantine::Listed> {
+    pub fn quarantined(&self, now: time::TimeMs) -> Vec<quarantine::QuarantineEntry> {
         self.crashes.list.list(now)
     }
 
--- a/crates/damaskvane-scenario/src/world/entry.rs
+++ b/crates/damaskvane-scenario/src/world/entry.rs
@@ -65,7 +65,7 @@
         matches!(self.life, Life::Running) && !self.record.leaving
     }
 
-    pub(crate) fn quarantined(&self, now: time::TimeMs) -> Vec<quarantine::Listed> {
+    pub(crate) fn quarantined(&self, now: time::TimeMs) -> Vec<quarantine::QuarantineEntry> {
         self.engine.quarantined(now)
     }
 }
