--- a/crates/damaskvane-dispatch/src/shutdown.rs
+++ b/crates/damaskvane-dispatch/src/shutdown.rs
@@ -9,7 +9,7 @@
 //!
 //! let settings = shutdown::ShutdownSettings::default();
 //! let leaving = shutdown::Serving.leave(time::TimeMs::ZERO, settings);
-//! let handing_over = leaving.lapse(time::TimeMs::new(4_000), 0).expect("look-ups have lapsed");
+//! let handing_over = leaving.begin_handover(time::TimeMs::new(4_000), 0).expect("look-ups have lapsed");
 //! assert!(handing_over.stop(time::TimeMs::new(4_100), 0, true).is_ok());
 //! ```
 
--- a/crates/damaskvane-dispatch/src/shutdown/phase.rs
+++ b/crates/damaskvane-dispatch/src/shutdown/phase.rs
@@ -6,7 +6,7 @@
 //!
 //! let settings = shutdown::ShutdownSettings::default();
 //! let leaving = shutdown::Serving.leave(time::TimeMs::ZERO, settings);
-//! assert!(leaving.lapse(time::TimeMs::new(100), 0).is_err());
+//! assert!(leaving.begin_handover(time::TimeMs::new(100), 0).is_err());
 //! ```
 
 use damaskvane_core::time;
@@ -55,7 +55,7 @@
     /// # Errors
     ///
     /// The unchanged phase, while there is reason to wait.
-    pub fn lapse(self, now: time::TimeMs, running: usize) -> Result<HandingOver, Self> {
+    pub fn begin_handover(self, now: time::TimeMs, running: usize) -> Result<HandingOver, Self> {
         let elapsed_ms = now.since(self.since).get();
         let lapsed_ms = self.settings.notice_ms + self.settings.lookup_ttl_ms;
         let is_quiet = elapsed_ms >= lapsed_ms && running == 0;
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -103,13 +103,15 @@
 fn an_instance_leaves_after_look_ups_have_lapsed_and_work_has_ended() {
     let settings = shutdown::ShutdownSettings::default();
     let leaving = shutdown::Serving.leave(at(0), settings);
-    let leaving = leaving.lapse(at(3_999), 0).expect_err("look-ups hold");
-    let leaving = leaving.lapse(at(5_000), 1).expect_err("work runs");
+    let leaving = leaving
+        .begin_handover(at(3_999), 0)
+        .expect_err("look-ups hold");
+    let leaving = leaving.begin_handover(at(5_000), 1).expect_err("work runs");
     assert_eq!(
         leaving.progress(at(5_000), 1).time_left,
         time::SpanMs::new(25_000)
     );
-    let handing_over = leaving.lapse(at(6_000), 0).expect("quiet");
+    let handing_over = leaving.begin_handover(at(6_000), 0).expect("quiet");
     let handing_over = handing_over
         .stop(at(6_100), 0, false)
         .expect_err("no successor yet");
@@ -121,7 +123,9 @@
 #[test]
 fn a_stop_has_a_longest_time() {
     let leaving = shutdown::Serving.leave(at(0), shutdown::ShutdownSettings::default());
-    let handing_over = leaving.lapse(at(30_000), 1).expect("the time is over");
+    let handing_over = leaving
+        .begin_handover(at(30_000), 1)
+        .expect("the time is over");
     let stopped = handing_over
         .stop(at(40_000), 1, true)
         .expect("the time is over");
--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -88,7 +88,7 @@
         let running = self.flights.len();
         let departure = core::mem::take(&mut self.departure);
         self.departure = match departure {
-            Departure::Leaving(phase) => match phase.lapse(now, running) {
+            Departure::Leaving(phase) => match phase.begin_handover(now, running) {
                 Ok(phase) => self.begin_handover(now, phase),
                 Err(phase) => Departure::Leaving(phase),
             },
