--- a/crates/damaskvane-dispatch/src/exchange.rs
+++ b/crates/damaskvane-dispatch/src/exchange.rs
@@ -18,7 +18,7 @@
 //!     panic!("a repeatable request may be retried");
 //! };
 //! let answered = admitted.refuse::<Vec<u8>>(refusal::RefusalReason::Overloaded);
-//! assert_eq!(answered.outcome().word(), "unknown");
+//! assert_eq!(answered.outcome().as_str(), "unknown");
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
 
--- a/crates/damaskvane-dispatch/src/exchange/forwarded.rs
+++ b/crates/damaskvane-dispatch/src/exchange/forwarded.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_dispatch::exchange;
 //!
 //! let answered = exchange::Forwarded::new("try-1".parse()?).unreachable::<()>();
-//! assert_eq!(answered.outcome().word(), "unknown");
+//! assert_eq!(answered.outcome().as_str(), "unknown");
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
 
--- a/crates/damaskvane-dispatch/src/exchange/received.rs
+++ b/crates/damaskvane-dispatch/src/exchange/received.rs
@@ -7,7 +7,7 @@
 //! let deadline = deadline::Deadline::after(time::TimeMs::ZERO, time::SpanMs::new(50));
 //! let received = exchange::Received::repeatable("try-1".parse()?, deadline);
 //! let answered = received.refuse::<()>(refusal::RefusalReason::QueueFull);
-//! assert_eq!(answered.outcome().word(), "not-run");
+//! assert_eq!(answered.outcome().as_str(), "not-run");
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
 
--- a/crates/damaskvane-dispatch/src/model/run.rs
+++ b/crates/damaskvane-dispatch/src/model/run.rs
@@ -310,7 +310,7 @@
     pub(super) fn answer(&mut self, trial: event::Try, outcome: outcome::Outcome<u64>) {
         self.checker.note_answer(trial, &outcome);
         let reason = outcome.reason().map_or("", refusal::RefusalReason::as_str);
-        let word = format!("{} {reason}", outcome.word());
+        let word = format!("{} {reason}", outcome.as_str());
         *self.report.answers.entry(word).or_default() += 1;
         self.transmit(event::Event::Hear {
             client: trial.client,
--- a/crates/damaskvane-dispatch/src/outcome.rs
+++ b/crates/damaskvane-dispatch/src/outcome.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_dispatch::{outcome, refusal};
 //!
 //! let answer: outcome::Outcome<&str> = outcome::Outcome::unknown(refusal::RefusalReason::HomeRestarted);
-//! assert_eq!(answer.word(), "unknown");
+//! assert_eq!(answer.as_str(), "unknown");
 //! ```
 
 mod answer;
--- a/crates/damaskvane-dispatch/src/outcome/answer.rs
+++ b/crates/damaskvane-dispatch/src/outcome/answer.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_dispatch::outcome;
 //!
-//! assert_eq!(outcome::Outcome::Completed("booked").word(), "completed");
+//! assert_eq!(outcome::Outcome::Completed("booked").as_str(), "completed");
 //! ```
 
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
 
     /// The word of the `damaskvane-outcome` header.
     #[must_use]
-    pub const fn word(&self) -> &'static str {
+    pub const fn as_str(&self) -> &'static str {
         match self {
             Self::Completed(_) => "completed",
             Self::NotRun(_) => "not-run",
--- a/crates/damaskvane-dispatch/tests/exchange.rs
+++ b/crates/damaskvane-dispatch/tests/exchange.rs
@@ -49,11 +49,11 @@
             exchange::Progress::Retry { admitted, .. } => {
                 assert!(reason.proves_not_run(), "{reason}");
                 let answered = admitted.refuse::<u64>(refusal::RefusalReason::BackendRefused);
-                assert_eq!(answered.outcome().word(), "not-run", "{reason}");
+                assert_eq!(answered.outcome().as_str(), "not-run", "{reason}");
             }
             exchange::Progress::Answered(answered) => {
                 assert!(!reason.proves_not_run(), "{reason}");
-                assert_eq!(answered.outcome().word(), "unknown", "{reason}");
+                assert_eq!(answered.outcome().as_str(), "unknown", "{reason}");
             }
         }
         let exchange::Progress::Retry { admitted, .. } = send(repeatable()).failed::<u64>(reason)
@@ -66,7 +66,7 @@
             "unknown"
         };
         let answered = admitted.refuse::<u64>(refusal::RefusalReason::Overloaded);
-        assert_eq!(answered.outcome().word(), word, "{reason}");
+        assert_eq!(answered.outcome().as_str(), word, "{reason}");
     }
 }
 
@@ -87,7 +87,7 @@
     };
     assert_eq!(admitted.tried().len(), 2);
     let answered = admitted.refuse::<u64>(refusal::RefusalReason::BackendRefused);
-    assert_eq!(answered.outcome().word(), "unknown");
+    assert_eq!(answered.outcome().as_str(), "unknown");
 }
 
 /// An answer that belongs to an abandoned exchange is read as the next one's, or the connection is cut
@@ -113,7 +113,7 @@
     }
     let crossed = exchange::Forwarded::new(request("mine"));
     let answered = crossed.answered(&request("theirs"), outcome::Outcome::Completed(7));
-    assert_eq!(answered.outcome().word(), "unknown");
+    assert_eq!(answered.outcome().as_str(), "unknown");
 }
 
 /// A backend server sheds everything, and each entry instance tries again. Without a budget the load
--- a/crates/damaskvane-entry/src/client_api/listener.rs
+++ b/crates/damaskvane-entry/src/client_api/listener.rs
@@ -143,7 +143,7 @@
         api.logger, "request finished";
         logging::field::REQUEST_ID => request_id.as_str(),
         logging::field::SERVICE => service.as_str(),
-        logging::field::OUTCOME => outcome.word(),
+        logging::field::OUTCOME => outcome.as_str(),
         logging::field::REASON => outcome.reason().map(refusal::RefusalReason::as_str),
     );
     reply::from_outcome(
--- a/crates/damaskvane-entry/src/client_api/reply.rs
+++ b/crates/damaskvane-entry/src/client_api/reply.rs
@@ -37,7 +37,7 @@
     request_id: &str,
     config_version: u64,
 ) -> HttpAnswer {
-    let word = outcome.word();
+    let word = outcome.as_str();
     let mut answer = match outcome {
         outcome::Outcome::Completed(answer) => completed(&answer),
         outcome::Outcome::NotRun(refused) => {
--- a/crates/damaskvane-scenario/src/play/check.rs
+++ b/crates/damaskvane-scenario/src/play/check.rs
@@ -116,7 +116,7 @@
         ClientState::Gone => "none (client gone)".to_owned(),
         ClientState::Answered { outcome, .. } => {
             let reason = outcome.reason().map(|reason| format!(" {reason}"));
-            format!("{}{}", outcome.word(), reason.unwrap_or_default())
+            format!("{}{}", outcome.as_str(), reason.unwrap_or_default())
         }
     }
 }
