--- a/crates/damaskvane-dispatch/src/exchange.rs
+++ b/crates/damaskvane-dispatch/src/exchange.rs
@@ -24,7 +24,7 @@
 
 mod admitted;
 mod answered;
-mod backend_answer;
+mod backend_response;
 mod basis;
 mod forwarded;
 mod progress;
@@ -34,7 +34,7 @@
 
 pub use admitted::Admitted;
 pub use answered::Answered;
-pub use backend_answer::BackendAnswer;
+pub use backend_response::BackendResponse;
 pub use forwarded::Forwarded;
 pub use progress::Progress;
 pub use received::Received;
--- a/crates/damaskvane-dispatch/src/exchange/backend_answer.rs
+++ b/crates/damaskvane-dispatch/src/exchange/backend_response.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_dispatch::exchange;
 //!
-//! let answer = exchange::BackendAnswer {
+//! let answer = exchange::BackendResponse {
 //!     request: "try-1".parse()?,
 //!     declared_bytes: 10,
 //!     received_bytes: 4,
@@ -17,7 +17,7 @@
 
 /// An answer with what is needed to know whether it is whole and whose it is.
 #[derive(Debug)]
-pub struct BackendAnswer<A> {
+pub struct BackendResponse<A> {
     /// The request that the answer names.
     pub request: ids::RequestId,
     /// The length that the answer declares.
@@ -28,7 +28,7 @@
     pub answer: A,
 }
 
-impl<A> BackendAnswer<A> {
+impl<A> BackendResponse<A> {
     /// Whether the answer has the length that it declares.
     #[must_use]
     pub const fn is_whole(&self) -> bool {
--- a/crates/damaskvane-dispatch/src/exchange/sent.rs
+++ b/crates/damaskvane-dispatch/src/exchange/sent.rs
@@ -9,7 +9,7 @@
 //! let sent = exchange::Received::repeatable("try-1".parse()?, deadline)
 //!     .admit()
 //!     .send(now, "desk-1".parse()?);
-//! let answer = exchange::BackendAnswer {
+//! let answer = exchange::BackendResponse {
 //!     request: "try-1".parse()?,
 //!     declared_bytes: 4,
 //!     received_bytes: 4,
@@ -21,7 +21,7 @@
 
 use damaskvane_core::{ids, time};
 
-use crate::exchange::{admitted, answered, backend_answer, basis, progress};
+use crate::exchange::{admitted, answered, backend_response, basis, progress};
 use crate::outcome;
 use crate::refusal;
 use crate::retry;
@@ -55,7 +55,10 @@
     /// On a connection that was reused after an abandoned exchange, the answer read first belongs to
     /// another client, who would see a stranger's booking; a cut one would look like a short list of
     /// allergies. Both count as failed tries.
-    pub fn answered<A>(self, answer: backend_answer::BackendAnswer<A>) -> progress::Progress<A> {
+    pub fn answered<A>(
+        self,
+        answer: backend_response::BackendResponse<A>,
+    ) -> progress::Progress<A> {
         if answer.request != self.basis.request {
             self.failed(retry::RetryReason::AnswerCrossed)
         } else if !answer.is_whole() {
--- a/crates/damaskvane-dispatch/src/model/exchanges.rs
+++ b/crates/damaskvane-dispatch/src/model/exchanges.rs
@@ -103,26 +103,26 @@
         else {
             return;
         };
-        let whole = exchange::BackendAnswer {
+        let whole = exchange::BackendResponse {
             request: request_of(trial),
             declared_bytes: 8,
             received_bytes: 8,
             answer: trial.client,
         };
         // Crossed and cut answers carry somebody else's content; only the life cycle can tell.
-        let crossed = exchange::BackendAnswer {
+        let crossed = exchange::BackendResponse {
             request: name("somebody-else".into()),
             answer: u64::MAX,
             ..whole
         };
         let progress = match failure {
-            None => sent.answered(exchange::BackendAnswer {
+            None => sent.answered(exchange::BackendResponse {
                 request: request_of(trial),
                 answer: trial.client,
                 ..crossed
             }),
             Some(retry::RetryReason::AnswerCrossed) => sent.answered(crossed),
-            Some(retry::RetryReason::AnswerCut) => sent.answered(exchange::BackendAnswer {
+            Some(retry::RetryReason::AnswerCut) => sent.answered(exchange::BackendResponse {
                 request: request_of(trial),
                 received_bytes: 3,
                 ..crossed
--- a/crates/damaskvane-dispatch/tests/exchange.rs
+++ b/crates/damaskvane-dispatch/tests/exchange.rs
@@ -31,8 +31,8 @@
         .send(at(1), "desk-1".parse().expect("a server"))
 }
 
-fn answer(name: &str, received_bytes: u64) -> exchange::BackendAnswer<u64> {
-    exchange::BackendAnswer {
+fn answer(name: &str, received_bytes: u64) -> exchange::BackendResponse<u64> {
+    exchange::BackendResponse {
         request: request(name),
         declared_bytes: 8,
         received_bytes,
--- a/crates/damaskvane-engine/src/engine/ended.rs
+++ b/crates/damaskvane-engine/src/engine/ended.rs
@@ -35,7 +35,7 @@
             // here as Crossed, a wrong length as Cut.
             ExchangeEnd::Answered(answer) => {
                 let length = answer.body.len() as u64;
-                flight.sent.answered(exchange::BackendAnswer {
+                flight.sent.answered(exchange::BackendResponse {
                     request: flight.request_id,
                     declared_bytes: length,
                     received_bytes: length,
