--- a/crates/damaskvane-dispatch/src/exchange/backend_response.rs
+++ b/crates/damaskvane-dispatch/src/exchange/backend_response.rs
@@ -7,7 +7,7 @@
 //!     request: "try-1".parse()?,
 //!     declared_bytes: 10,
 //!     received_bytes: 4,
-//!     answer: b"book".to_vec(),
+//!     response: b"book".to_vec(),
 //! };
 //! assert!(!answer.is_whole());
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
@@ -25,7 +25,7 @@
     /// The length that was read.
     pub received_bytes: u64,
     /// The answer itself.
-    pub answer: A,
+    pub response: A,
 }
 
 impl<A> BackendResponse<A> {
--- a/crates/damaskvane-dispatch/src/exchange/sent.rs
+++ b/crates/damaskvane-dispatch/src/exchange/sent.rs
@@ -13,7 +13,7 @@
 //!     request: "try-1".parse()?,
 //!     declared_bytes: 4,
 //!     received_bytes: 4,
-//!     answer: "done",
+//!     response: "done",
 //! };
 //! assert!(matches!(sent.answered(answer), exchange::Progress::Answered(_)));
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
@@ -64,7 +64,7 @@
         } else if !answer.is_whole() {
             self.failed(retry::RetryReason::AnswerCut)
         } else {
-            let outcome = outcome::Outcome::Completed(answer.answer);
+            let outcome = outcome::Outcome::Completed(answer.response);
             progress::Progress::Answered(self.basis.answer(outcome))
         }
     }
--- a/crates/damaskvane-dispatch/src/model/exchanges.rs
+++ b/crates/damaskvane-dispatch/src/model/exchanges.rs
@@ -107,18 +107,18 @@
             request: request_of(trial),
             declared_bytes: 8,
             received_bytes: 8,
-            answer: trial.client,
+            response: trial.client,
         };
         // Crossed and cut answers carry somebody else's content; only the life cycle can tell.
         let crossed = exchange::BackendResponse {
             request: name("somebody-else".into()),
-            answer: u64::MAX,
+            response: u64::MAX,
             ..whole
         };
         let progress = match failure {
             None => sent.answered(exchange::BackendResponse {
                 request: request_of(trial),
-                answer: trial.client,
+                response: trial.client,
                 ..crossed
             }),
             Some(retry::RetryReason::AnswerCrossed) => sent.answered(crossed),
--- a/crates/damaskvane-dispatch/tests/exchange.rs
+++ b/crates/damaskvane-dispatch/tests/exchange.rs
@@ -36,7 +36,7 @@
         request: request(name),
         declared_bytes: 8,
         received_bytes,
-        answer: 7,
+        response: 7,
     }
 }
 
--- a/crates/damaskvane-engine/src/engine/ended.rs
+++ b/crates/damaskvane-engine/src/engine/ended.rs
@@ -39,7 +39,7 @@
                     request: flight.request_id,
                     declared_bytes: length,
                     received_bytes: length,
-                    answer: Arc::new(answer),
+                    response: Arc::new(answer),
                 })
             }
             ExchangeEnd::Refused => flight.sent.failed(retry::RetryReason::BackendRefused),
