--- a/crates/damaskvane-dispatch/src/exchange.rs
+++ b/crates/damaskvane-dispatch/src/exchange.rs
@@ -1,8 +1,9 @@
 //! The life cycle of one request: received, admitted, sent, answered.
 //!
-//! Each state is a type, and only the steps that are safe exist on it. *Not run* comes from a request
-//! that was never sent or was refused by the backend server before running; once a byte may have
-//! reached a backend server without such a refusal, the only refusal left is *outcome unknown*.
+//! Each state is a type that has only the transitions that are safe in this state. A request that was
+//! never sent, or that the backend server refused before running it, may be answered with *not run*. Once
+//! a byte may have reached a backend server without such a refusal, the only possible refusal is *outcome
+//! unknown*.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -25,7 +26,7 @@
 mod admitted;
 mod answered;
 mod backend_response;
-mod basis;
+mod context;
 mod forwarded;
 mod progress;
 mod received;
--- a/crates/damaskvane-dispatch/src/exchange/admitted.rs
+++ b/crates/damaskvane-dispatch/src/exchange/admitted.rs
@@ -14,59 +14,60 @@
 use damaskvane_core::{ids, time};
 
 use crate::deadline;
-use crate::exchange::{answered, basis, sent};
+use crate::exchange::{answered, context, sent};
 use crate::refusal;
 
-/// A request that has a slot, or waits for its next try.
+/// A request that has a slot on a backend server, or that waits for a retry.
 #[derive(Debug)]
 pub struct Admitted {
-    basis: basis::Basis,
+    context: context::RequestContext,
 }
 
 impl Admitted {
-    pub(super) const fn new(basis: basis::Basis) -> Self {
-        Self { basis }
+    pub(super) const fn new(context: context::RequestContext) -> Self {
+        Self { context }
     }
 
-    /// Says that the first byte is about to go to a backend server.
+    /// Marks the request as sent to a backend server.
     ///
-    /// Call it before writing, with the time read just then: a request whose deadline passed in a
-    /// pause of the process is better refused, with [`Admitted::refuse`].
+    /// Call this method immediately before the first byte is written, with the current time. A request
+    /// whose deadline passed while the process was paused should be refused with [`Admitted::refuse`]
+    /// instead.
     #[must_use]
     pub fn send(mut self, now: time::TimeMs, server: ids::BackendServerId) -> sent::Sent {
-        self.basis.tried.push(server);
-        sent::Sent::new(self.basis, now)
+        self.context.tried.push(server);
+        sent::Sent::new(self.context, now)
     }
 
-    /// Gives the request up: *not run* if that is certain, *unknown* otherwise.
+    /// Refuses the request with *not run* if no backend server can have run it, with *unknown* otherwise.
     pub fn refuse<A>(self, reason: refusal::RefusalReason) -> answered::Answered<A> {
-        self.basis.refuse(reason, reason.default_retry_after())
+        self.context.refuse(reason, reason.default_retry_after())
     }
 
-    /// The same, naming when to come back.
+    /// Refuses the request as [`Admitted::refuse`] does, with a given delay before the client retries.
     pub fn refuse_with_retry_after<A>(
         self,
         reason: refusal::RefusalReason,
         retry_after: time::SpanMs,
     ) -> answered::Answered<A> {
-        self.basis.refuse(reason, retry_after)
+        self.context.refuse(reason, retry_after)
     }
 
-    /// The deadline.
+    /// Returns the deadline of the request.
     #[must_use]
     pub const fn deadline(&self) -> deadline::Deadline {
-        self.basis.deadline
+        self.context.deadline
     }
 
-    /// The request as its answer has to name it.
+    /// Returns the request id, which the backend server's response has to carry.
     #[must_use]
     pub const fn request(&self) -> &ids::RequestId {
-        &self.basis.request
+        &self.context.request
     }
 
-    /// The backend servers that were tried, in order.
+    /// Returns the backend servers that were tried, in the order of the tries.
     #[must_use]
     pub fn tried(&self) -> &[ids::BackendServerId] {
-        &self.basis.tried
+        &self.context.tried
     }
 }
--- a/crates/damaskvane-dispatch/src/exchange/answered.rs
+++ b/crates/damaskvane-dispatch/src/exchange/answered.rs
@@ -15,7 +15,7 @@
 use crate::home;
 use crate::outcome;
 
-/// The final answer, with the client's request that it belongs to.
+/// The final answer and the id of the client's request that it answers.
 #[derive(Debug)]
 #[must_use]
 pub struct Answered<A> {
@@ -37,26 +37,30 @@
         }
     }
 
-    /// A request that no instance would ever run; this needs no look at its key.
+    /// Answers a request that no instance would ever run with *not run*.
+    ///
+    /// The idempotency key need not be looked up, since no earlier try can have run either.
     pub const fn rejected(request: ids::RequestId, rejection: rejection::Rejection) -> Self {
         let reason = rejection.reason();
         let refused = outcome::NotRun::new(reason, reason.default_retry_after());
         Self::new(request, None, outcome::Outcome::NotRun(refused))
     }
 
-    /// The request to answer.
+    /// Returns the id of the request that this answer belongs to.
     #[must_use]
     pub const fn request(&self) -> &ids::RequestId {
         &self.request
     }
 
-    /// The answer.
+    /// Returns the final answer.
     #[must_use]
     pub const fn outcome(&self) -> &outcome::Outcome<A> {
         &self.outcome
     }
 
-    /// The permit for [`home::HomeTable::finish`], where the request was keyed, and the answer.
+    /// Returns the permit to pass to [`home::HomeTable::finish`] and the answer.
+    ///
+    /// The permit is absent for a repeatable request, and for one that this instance did not dispatch.
     #[must_use]
     pub fn into_parts(self) -> (Option<home::DispatchPermit>, outcome::Outcome<A>) {
         (self.permit, self.outcome)
--- a/crates/damaskvane-dispatch/src/exchange/backend_response.rs
+++ b/crates/damaskvane-dispatch/src/exchange/backend_response.rs
@@ -1,37 +1,37 @@
-//! A backend server's answer as it was read.
+//! A backend server's response as it was read from the connection.
 //!
 //! ```
 //! use damaskvane_dispatch::exchange;
 //!
-//! let answer = exchange::BackendResponse {
+//! let response = exchange::BackendResponse {
 //!     request: "try-1".parse()?,
 //!     declared_bytes: 10,
 //!     received_bytes: 4,
 //!     response: b"book".to_vec(),
 //! };
-//! assert!(!answer.is_whole());
+//! assert!(!response.is_complete());
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
 
 use damaskvane_core::ids;
 
-/// An answer with what is needed to know whether it is whole and whose it is.
+/// A response with the data that shows whether it is complete and which request it belongs to.
 #[derive(Debug)]
 pub struct BackendResponse<A> {
-    /// The request that the answer names.
+    /// The request id that the response carries.
     pub request: ids::RequestId,
-    /// The length that the answer declares.
+    /// The length that the response declares, in bytes.
     pub declared_bytes: u64,
-    /// The length that was read.
+    /// The length that was read, in bytes.
     pub received_bytes: u64,
-    /// The answer itself.
+    /// The content of the response.
     pub response: A,
 }
 
 impl<A> BackendResponse<A> {
-    /// Whether the answer has the length that it declares.
+    /// Returns whether the length that was read is the declared one.
     #[must_use]
-    pub const fn is_whole(&self) -> bool {
+    pub const fn is_complete(&self) -> bool {
         self.declared_bytes == self.received_bytes
     }
 }
--- a/crates/damaskvane-dispatch/src/exchange/basis.rs
+++ b/crates/damaskvane-dispatch/src/exchange/context.rs
@@ -1,4 +1,4 @@
-//! What every state of a request carries.
+//! Data that every state of a request carries.
 
 use damaskvane_core::{ids, time};
 
@@ -8,18 +8,18 @@
 use crate::outcome;
 use crate::refusal;
 
-/// The request, the right to run it, and whether it may have run already.
+/// The request id, the permit to run the request, and whether it may have run already.
 #[derive(Debug)]
-pub(super) struct Basis {
+pub(super) struct RequestContext {
     pub(super) request: ids::RequestId,
     pub(super) deadline: deadline::Deadline,
-    /// The right to run a non-repeatable request; a repeatable one needs none.
+    /// The permit to run a non-repeatable request; absent for a repeatable request, which needs none.
     pub(super) permit: Option<home::DispatchPermit>,
     pub(super) may_have_run: bool,
     pub(super) tried: Vec<ids::BackendServerId>,
 }
 
-impl Basis {
+impl RequestContext {
     pub(super) const fn is_repeatable(&self) -> bool {
         self.permit.is_none()
     }
--- a/crates/damaskvane-dispatch/src/exchange/forwarded.rs
+++ b/crates/damaskvane-dispatch/src/exchange/forwarded.rs
@@ -1,4 +1,4 @@
-//! A request whose home is another instance.
+//! A request that is forwarded because its home is another instance.
 //!
 //! ```
 //! use damaskvane_dispatch::exchange;
@@ -14,23 +14,23 @@
 use crate::outcome;
 use crate::refusal;
 
-/// A request that was passed to another instance, which alone knows whether it ran.
+/// A request that was forwarded to its home, the only instance that knows whether the request ran.
 ///
-/// There is no step back to a backend server, no retry, and no *not run* of this instance's own: an
-/// earlier try may have run through another instance.
+/// This instance neither sends the request to a backend server nor retries it, and makes no *not run* for
+/// it, because an earlier try may have run through another instance.
 #[derive(Debug)]
 pub struct Forwarded {
     request: ids::RequestId,
 }
 
 impl Forwarded {
-    /// A request that is about to be passed on.
+    /// Creates the state of a request that is about to be forwarded.
     #[must_use]
     pub const fn new(request: ids::RequestId) -> Self {
         Self { request }
     }
 
-    /// Passes the other instance's answer on, if it names this request.
+    /// Returns the home's answer, or *outcome unknown* if the answer carries the id of another request.
     pub fn answered<A>(
         self,
         request: &ids::RequestId,
@@ -43,17 +43,18 @@
         }
     }
 
-    /// No connection to the other instance, or it is not the incarnation that the home names.
+    /// Answers with *outcome unknown*, because the home can't be reached or runs as another incarnation
+    /// than the request names.
     pub fn unreachable<A>(self) -> answered::Answered<A> {
         self.unknown(refusal::RefusalReason::HomeUnreachable)
     }
 
-    /// The home is known to be gone without a successor.
+    /// Answers with *outcome unknown*, because the home has ended without a successor for its keys.
     pub fn restarted<A>(self) -> answered::Answered<A> {
         self.unknown(refusal::RefusalReason::HomeRestarted)
     }
 
-    /// The request went out and no whole answer came back.
+    /// Answers with *outcome unknown*, because the request was sent and no complete answer was received.
     pub fn lost<A>(self) -> answered::Answered<A> {
         self.unknown(refusal::RefusalReason::OutcomeLost)
     }
--- a/crates/damaskvane-dispatch/src/exchange/progress.rs
+++ b/crates/damaskvane-dispatch/src/exchange/progress.rs
@@ -1,4 +1,4 @@
-//! What a try on a backend server led to.
+//! The result of a try on a backend server.
 //!
 //! ```
 //! use damaskvane_dispatch::exchange;
@@ -11,13 +11,13 @@
 use crate::exchange::{admitted, answered};
 use crate::retry;
 
-/// What a try on a backend server led to.
+/// The result of a try on a backend server.
 #[derive(Debug)]
 #[must_use]
 pub enum Progress<A> {
     /// The final answer.
     Answered(answered::Answered<A>),
-    /// A further try is safe; whether there is one, [`crate::retry::RetryPolicy`] decides.
+    /// The try failed and a retry is safe; [`crate::retry::RetryPolicy`] decides whether to make one.
     Retry {
         /// Why the try failed.
         reason: retry::RetryReason,
--- a/crates/damaskvane-dispatch/src/exchange/received.rs
+++ b/crates/damaskvane-dispatch/src/exchange/received.rs
@@ -1,4 +1,4 @@
-//! A request that was read and not yet admitted.
+//! A request that was read and is not yet admitted.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -14,27 +14,28 @@
 use damaskvane_core::{ids, time};
 
 use crate::deadline;
-use crate::exchange::{admitted, answered, basis};
+use crate::exchange::{admitted, answered, context};
 use crate::home;
 use crate::refusal;
 
 /// A request that waits for admission.
 ///
-/// A non-repeatable request gets here only with the permit of its home. A queue that refused one
-/// before the key was looked up would answer *not run* to the repeat of a booking that stands.
+/// A non-repeatable request reaches this state only with the permit of its home. If a queue refused a
+/// request before its key was looked up, the retry of a request that already ran would be answered with
+/// *not run*.
 #[derive(Debug)]
 pub struct Received {
-    basis: basis::Basis,
+    context: context::RequestContext,
 }
 
 impl Received {
-    /// A request that may run any number of times.
+    /// Creates the state of a request that may run any number of times.
     #[must_use]
     pub const fn repeatable(request: ids::RequestId, deadline: deadline::Deadline) -> Self {
         Self::new(request, deadline, None)
     }
 
-    /// A non-repeatable request, at its home.
+    /// Creates the state of a non-repeatable request at its home, which issued the permit.
     #[must_use]
     pub const fn keyed(
         request: ids::RequestId,
@@ -50,7 +51,7 @@
         permit: Option<home::DispatchPermit>,
     ) -> Self {
         Self {
-            basis: basis::Basis {
+            context: context::RequestContext {
                 request,
                 deadline,
                 permit,
@@ -60,29 +61,29 @@
         }
     }
 
-    /// The request's place in the queue has come.
+    /// Admits the request, when its turn in the queue has come.
     #[must_use]
     pub fn admit(self) -> admitted::Admitted {
-        admitted::Admitted::new(self.basis)
+        admitted::Admitted::new(self.context)
     }
 
-    /// Refuses with the reason's own retry-after.
+    /// Refuses the request with the reason's default retry-after.
     pub fn refuse<A>(self, reason: refusal::RefusalReason) -> answered::Answered<A> {
-        self.basis.refuse(reason, reason.default_retry_after())
+        self.context.refuse(reason, reason.default_retry_after())
     }
 
-    /// Refuses and names when to come back, for instance by the queue's drain rate.
+    /// Refuses the request with a given retry-after, for instance one computed from the queue's drain rate.
     pub fn refuse_with_retry_after<A>(
         self,
         reason: refusal::RefusalReason,
         retry_after: time::SpanMs,
     ) -> answered::Answered<A> {
-        self.basis.refuse(reason, retry_after)
+        self.context.refuse(reason, retry_after)
     }
 
-    /// The deadline.
+    /// Returns the deadline of the request.
     #[must_use]
     pub const fn deadline(&self) -> deadline::Deadline {
-        self.basis.deadline
+        self.context.deadline
     }
 }
--- a/crates/damaskvane-dispatch/src/exchange/rejection.rs
+++ b/crates/damaskvane-dispatch/src/exchange/rejection.rs
@@ -8,19 +8,19 @@
 
 use crate::refusal;
 
-/// Why no instance would ever run the request, whatever it did with earlier tries.
+/// Why no instance would ever run the request, whatever happened to earlier tries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
     /// The request can't be read.
     MalformedRequest,
-    /// The body is longer than any instance takes.
+    /// The body is longer than any instance accepts.
     BodyTooLarge,
     /// A non-repeatable request lacks its idempotency key or its home.
     KeyMissing,
 }
 
 impl Rejection {
-    /// The reason for the answer.
+    /// Returns the refusal reason that the answer carries.
     #[must_use]
     pub const fn reason(self) -> refusal::RefusalReason {
         match self {
--- a/crates/damaskvane-dispatch/src/exchange/sent.rs
+++ b/crates/damaskvane-dispatch/src/exchange/sent.rs
@@ -1,4 +1,4 @@
-//! A request of which a backend server may have bytes.
+//! A request of which a backend server may have received bytes.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -9,86 +9,88 @@
 //! let sent = exchange::Received::repeatable("try-1".parse()?, deadline)
 //!     .admit()
 //!     .send(now, "desk-1".parse()?);
-//! let answer = exchange::BackendResponse {
+//! let response = exchange::BackendResponse {
 //!     request: "try-1".parse()?,
 //!     declared_bytes: 4,
 //!     received_bytes: 4,
 //!     response: "done",
 //! };
-//! assert!(matches!(sent.answered(answer), exchange::Progress::Answered(_)));
+//! assert!(matches!(sent.answered(response), exchange::Progress::Answered(_)));
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
 
 use damaskvane_core::{ids, time};
 
-use crate::exchange::{admitted, answered, backend_response, basis, progress};
+use crate::exchange::{admitted, answered, backend_response, context, progress};
 use crate::outcome;
 use crate::refusal;
 use crate::retry;
 
-/// A request that is at a backend server.
+/// A request that was sent to a backend server and has no response yet.
 #[derive(Debug)]
 pub struct Sent {
-    basis: basis::Basis,
+    context: context::RequestContext,
     sent_at: time::TimeMs,
 }
 
 impl Sent {
-    pub(super) const fn new(basis: basis::Basis, sent_at: time::TimeMs) -> Self {
-        Self { basis, sent_at }
+    pub(super) const fn new(context: context::RequestContext, sent_at: time::TimeMs) -> Self {
+        Self { context, sent_at }
     }
 
-    /// When the first byte was sent.
+    /// Returns when the first byte was sent.
     #[must_use]
     pub const fn sent_at(&self) -> time::TimeMs {
         self.sent_at
     }
 
-    /// The request as its answer has to name it.
+    /// Returns the request id, which the response has to carry.
     #[must_use]
     pub const fn request(&self) -> &ids::RequestId {
-        &self.basis.request
+        &self.context.request
     }
 
-    /// Takes the backend server's answer, if it is whole and the request's own.
+    /// Accepts the backend server's response if it is complete and carries this request's id.
     ///
-    /// On a connection that was reused after an abandoned exchange, the answer read first belongs to
-    /// another client, who would see a stranger's booking; a cut one would look like a short list of
-    /// allergies. Both count as failed tries.
+    /// On a connection that was reused after an abandoned exchange, the first response belongs to another
+    /// client's request, whose data must not be disclosed. A truncated response could pass for a complete
+    /// one with less data, such as a shorter list of allergies. Both count as failed tries.
     pub fn answered<A>(
         self,
-        answer: backend_response::BackendResponse<A>,
+        response: backend_response::BackendResponse<A>,
     ) -> progress::Progress<A> {
-        if answer.request != self.basis.request {
+        if response.request != self.context.request {
             self.failed(retry::RetryReason::AnswerCrossed)
-        } else if !answer.is_whole() {
+        } else if !response.is_complete() {
             self.failed(retry::RetryReason::AnswerCut)
         } else {
-            let outcome = outcome::Outcome::Completed(answer.response);
-            progress::Progress::Answered(self.basis.answer(outcome))
+            let outcome = outcome::Outcome::Completed(response.response);
+            progress::Progress::Answered(self.context.answer(outcome))
         }
     }
 
-    /// The try failed. A non-repeatable request that may have run is answered with *unknown*, with no
-    /// way back to a further try.
+    /// Ends the try as failed.
+    ///
+    /// A non-repeatable request that may have run is answered with *unknown* and can't be retried.
     pub fn failed<A>(mut self, reason: retry::RetryReason) -> progress::Progress<A> {
-        self.basis.may_have_run |= !reason.proves_not_run();
-        if self.basis.may_have_run && !self.basis.is_repeatable() {
-            let lost = outcome::Outcome::unknown(refusal::RefusalReason::OutcomeLost);
-            return progress::Progress::Answered(self.basis.answer(lost));
+        self.context.may_have_run |= !reason.proves_not_run();
+        if self.context.may_have_run && !self.context.is_repeatable() {
+            let unknown = outcome::Outcome::unknown(refusal::RefusalReason::OutcomeLost);
+            return progress::Progress::Answered(self.context.answer(unknown));
         }
         progress::Progress::Retry {
             reason,
-            admitted: admitted::Admitted::new(self.basis),
+            admitted: admitted::Admitted::new(self.context),
         }
     }
 
-    /// The deadline passed, or the client went away, while the backend server had the request.
+    /// Answers with *unknown*, because the deadline passed or the client disconnected while the backend
+    /// server had the request.
     ///
-    /// For a keyed request it is better to answer the client with *unknown* and to wait on here, so
-    /// that the next try of the key hears the outcome.
+    /// For a keyed request, prefer to answer the client with *unknown* and to keep waiting for the
+    /// response, so that the next try of the key receives the outcome.
     pub fn abandon<A>(self) -> answered::Answered<A> {
         let unknown = outcome::Outcome::unknown(refusal::RefusalReason::DeadlinePassed);
-        self.basis.answer(unknown)
+        self.context.answer(unknown)
     }
 }
