--- a/crates/damaskvane-dispatch/src/fingerprint.rs
+++ b/crates/damaskvane-dispatch/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same request.
+//! A hash by which equal requests are recognized on all instances.
 //!
 //! ```
 //! use damaskvane_dispatch::fingerprint;
@@ -16,22 +16,22 @@
 use damaskvane_core::{hash, ids};
 use serde::{Deserialize, Serialize};
 
-/// The hash of service, method, path and body.
+/// The hash of a request's service, method, path and body.
 ///
-/// A key is bound to the fingerprint of its first try, and a request that crashes backend servers is
-/// recognised by it on whichever instance it arrives.
+/// An idempotency key is bound to the fingerprint of its first try. A request that crashes backend servers
+/// is recognized by its fingerprint on every instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(hash::ContentHash);
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     #[must_use]
     pub fn of(service: &ids::ServiceId, method: &str, path: &str, body: &[u8]) -> Self {
         Self::of_fields([service.as_str(), method, path], body)
     }
 
-    /// The fingerprint of a request by the fields that make it the same one, in this order.
+    /// Computes the fingerprint of a request from its identifying fields, in the given order.
     ///
     /// ```
     /// use damaskvane_dispatch::fingerprint;
@@ -44,7 +44,7 @@
     pub fn of_fields<'a>(fields: impl IntoIterator<Item = &'a str>, body: &[u8]) -> Self {
         let mut content = Vec::with_capacity(body.len() + 192);
         for field in fields.into_iter().map(str::as_bytes) {
-            // The length keeps "/a" + "b" apart from "/ab".
+            // The length prefix makes the fields "/a" and "b" differ from the single field "/ab".
             content.extend_from_slice(&(field.len() as u64).to_le_bytes());
             content.extend_from_slice(field);
         }
--- a/crates/damaskvane-dispatch/src/outcome.rs
+++ b/crates/damaskvane-dispatch/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The three final answers: the backend server's own, *not run*, and *outcome unknown*.
+//! The three final answers to a request: a backend server's response, *not run*, and *outcome unknown*.
 //!
 //! ```
 //! use damaskvane_dispatch::{outcome, refusal};
--- a/crates/damaskvane-dispatch/src/outcome/answer.rs
+++ b/crates/damaskvane-dispatch/src/outcome/answer.rs
@@ -11,25 +11,25 @@
 use crate::outcome::refused;
 use crate::refusal;
 
-/// The final answer to one request; `A` is the backend server's whole answer.
+/// The final answer to one request; `A` is the type of the backend server's complete response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome<A> {
-    /// A backend server ran the request, and this is its whole answer.
+    /// A backend server ran the request and sent this complete response.
     Completed(A),
-    /// No backend server ran the request.
+    /// No backend server ran the request, so the client may send it again under another key.
     NotRun(refused::NotRun),
-    /// The request may have run.
+    /// A backend server may have run the request.
     Unknown(refused::Unknown),
 }
 
 impl<A> Outcome<A> {
-    /// The answer *outcome unknown*; it is always safe to give.
+    /// Creates the answer *outcome unknown*, which is true in every state of a request.
     #[must_use]
     pub const fn unknown(reason: refusal::RefusalReason) -> Self {
         Self::Unknown(refused::Unknown::new(reason))
     }
 
-    /// The word of the `damaskvane-outcome` header.
+    /// Returns the value of the `damaskvane-outcome` header.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The reason for which there is no backend server's answer.
+    /// Returns why there is no response of a backend server; `None` for a completed request.
     #[must_use]
     pub const fn reason(&self) -> Option<refusal::RefusalReason> {
         match self {
--- a/crates/damaskvane-dispatch/src/outcome/refused.rs
+++ b/crates/damaskvane-dispatch/src/outcome/refused.rs
@@ -1,4 +1,4 @@
-//! The two answers without a backend server's answer.
+//! The two final answers that carry no response of a backend server.
 //!
 //! ```
 //! use damaskvane_dispatch::{outcome, refusal};
@@ -12,19 +12,20 @@
 
 use crate::refusal;
 
-/// Proof that no backend server ran the request, with when to come back.
+/// Proof that no backend server ran the request, with the delay before the client retries.
 ///
-/// A client that reads *not run* makes the booking anew under another key. Were the answer given
-/// after bytes had reached a backend server, the booking would stand twice. The constructor is
-/// private to the crate, so that only a life cycle that holds the proof (of an exchange
-/// or of a key at its home) makes one; an instance that passes on the answer of the key's home decodes it.
+/// A client that receives *not run* sends its request again under another key. If the first request had
+/// reached a backend server all the same, it would run twice, for instance as a double booking. The
+/// constructor is private to the crate, so that only code that holds the proof creates this answer: the
+/// life cycle of an exchange, or the table of keys at the key's home. An instance that forwards a request
+/// decodes the answer of the home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NotRun {
     reason: refusal::RefusalReason,
     retry_after: time::SpanMs,
 }
 
-/// The answer *outcome unknown*: the request may have run.
+/// The answer *outcome unknown*: a backend server may have run the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unknown {
     reason: refusal::RefusalReason,
@@ -38,13 +39,13 @@
         }
     }
 
-    /// Why the request was not run.
+    /// Returns why the request was not run.
     #[must_use]
     pub const fn reason(self) -> refusal::RefusalReason {
         self.reason
     }
 
-    /// When to come back.
+    /// Returns how long the client should wait before it retries, in milliseconds.
     #[must_use]
     pub const fn retry_after(self) -> time::SpanMs {
         self.retry_after
@@ -52,13 +53,13 @@
 }
 
 impl Unknown {
-    /// The outcome is unknown for a reason.
+    /// Creates the answer with the reason why the outcome is unknown.
     #[must_use]
     pub const fn new(reason: refusal::RefusalReason) -> Self {
         Self { reason }
     }
 
-    /// Why the outcome is unknown.
+    /// Returns why the outcome is unknown.
     #[must_use]
     pub const fn reason(self) -> refusal::RefusalReason {
         self.reason
--- a/crates/damaskvane-dispatch/src/quarantine.rs
+++ b/crates/damaskvane-dispatch/src/quarantine.rs
@@ -1,11 +1,11 @@
-//! Requests that crash what runs them.
+//! The quarantine of requests that crash backend servers.
 //!
-//! When a backend server's connection dies, every request in flight on it is a suspect, and just one of
-//! them may be guilty. An incident is one such death. A request is quarantined once it was in two
-//! incidents, on whichever backend servers, with no completed run after the first; suspects run one
-//! at a time ([`QuarantineDecision::RunAlone`]), so that the second incident blames no neighbour. A completed run
-//! clears a suspect. Notices of incidents go to every instance of the region, and merging them is
-//! idempotent, since each incident has its own name.
+//! An incident is one crash of a backend server. Every request in flight on the server's connections
+//! becomes a suspect, although only one of them may have caused the crash. A request is quarantined after
+//! two incidents, on any backend servers, with no completed run after the first. Suspects run one at a
+//! time ([`QuarantineDecision::RunAlone`]), so that a second incident has no other suspects. A completed
+//! run clears a suspect. Reports of incidents go to every instance of the region. Merging them is
+//! idempotent, since each incident has an id of its own.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -27,14 +27,14 @@
 //! ```
 
 mod broken;
+mod decision;
 mod incident;
 mod list;
 mod settings;
 mod suspect;
-mod verdict;
 
 pub use broken::BrokenExchanges;
+pub use decision::{QuarantineDecision, QuarantineEntry};
 pub use incident::{Incident, IncidentId};
 pub use list::Quarantine;
 pub use settings::QuarantineSettings;
-pub use verdict::{QuarantineDecision, QuarantineEntry};
--- a/crates/damaskvane-dispatch/src/quarantine/broken.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/broken.rs
@@ -1,8 +1,9 @@
-//! Which broken exchanges were the death of a backend server.
+//! Finds the broken exchanges that were caused by the crash of a backend server.
 //!
-//! A connection breaks for many reasons: the server closed an idle one, lost an answer, or a device between
-//! lost track of it. Only one that breaks shortly before its server is found dead makes its request a
-//! suspect; otherwise a day of broken connections would quarantine requests that harm nobody.
+//! A connection breaks for many reasons: the server closed an idle connection, the server lost a response,
+//! or a network device dropped the connection's state. A request becomes a suspect only if its connection
+//! broke shortly before its server was found dead. Otherwise a day of broken connections would quarantine
+//! harmless requests.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -21,12 +22,12 @@
 
 use crate::fingerprint;
 
-/// How long a broken exchange waits for proof that its server has died: a probe finds out within 0.1 s on
-/// a quiet machine, and within 2 s where the first probes are lost.
-const PROOF_WITHIN: time::SpanMs = time::SpanMs::new(2_500);
-/// Broken exchanges that are remembered for each server: well above the requests that one instance has on
-/// a server at a time.
-const MOST_FOR_A_SERVER: usize = 64;
+/// How long a broken exchange waits for confirmation that its server has died: a probe detects the death
+/// within 0.1 s on an idle machine, and within 2 s if the first probes are lost.
+const CONFIRMATION_WINDOW: time::SpanMs = time::SpanMs::new(2_500);
+/// The maximum number of broken exchanges retained for each server: well above the number of requests that
+/// one instance has in flight on a server.
+const MAX_PER_SERVER: usize = 64;
 
 #[derive(Debug, Clone, Copy)]
 struct Broken {
@@ -34,14 +35,14 @@
     fingerprint: fingerprint::Fingerprint,
 }
 
-/// Exchanges that broke a moment ago, by backend server.
+/// Exchanges that broke recently, by backend server.
 #[derive(Debug, Default)]
 pub struct BrokenExchanges {
     by_server: collections::BTreeMap<ids::BackendServerId, Vec<Broken>>,
 }
 
 impl BrokenExchanges {
-    /// Notes that the connection of an exchange broke after its request was written.
+    /// Records that the connection of an exchange broke after its request was written.
     pub fn record(
         &mut self,
         now: time::TimeMs,
@@ -50,7 +51,7 @@
     ) {
         self.expire(now);
         let of_server = self.by_server.entry(server.clone()).or_default();
-        if of_server.len() < MOST_FOR_A_SERVER {
+        if of_server.len() < MAX_PER_SERVER {
             of_server.push(Broken {
                 at: now,
                 fingerprint,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// How many broken exchanges of a request wait for proof.
+    /// Returns how many broken exchanges of a request wait for confirmation that their server died.
     #[must_use]
     pub fn unconfirmed_count(
         &self,
@@ -68,30 +69,30 @@
         let all = self.by_server.values().flatten();
         let of_request = all.filter(|broken| broken.fingerprint == fingerprint);
         of_request
-            .filter(|broken| now.since(broken.at) < PROOF_WITHIN)
+            .filter(|broken| now.since(broken.at) < CONFIRMATION_WINDOW)
             .count()
     }
 
-    /// Forgets what has waited for too long.
+    /// Removes the exchanges that have waited longer than the confirmation window.
     pub fn expire(&mut self, now: time::TimeMs) {
         self.by_server.retain(|_, of_server| {
-            of_server.retain(|broken| now.since(broken.at) < PROOF_WITHIN);
+            of_server.retain(|broken| now.since(broken.at) < CONFIRMATION_WINDOW);
             !of_server.is_empty()
         });
     }
 
-    /// Forgets what broke on a server that was found alive.
+    /// Removes the broken exchanges of a server that a probe found alive.
     pub fn record_alive(&mut self, server: &ids::BackendServerId) {
         self.by_server.remove(server);
     }
 
-    /// Whether no exchange waits for proof.
+    /// Returns whether no broken exchange waits for confirmation.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_server.is_empty()
     }
 
-    /// The requests that were on a server which was found dead now, each once.
+    /// Removes the broken exchanges of a server that was found dead, and returns their requests, each once.
     pub fn take_suspects(
         &mut self,
         now: time::TimeMs,
@@ -100,7 +101,7 @@
         let of_server = self.by_server.remove(server).unwrap_or_default();
         let mut suspects: Vec<_> = of_server
             .into_iter()
-            .filter(|broken| now.since(broken.at) < PROOF_WITHIN)
+            .filter(|broken| now.since(broken.at) < CONFIRMATION_WINDOW)
             .map(|broken| broken.fingerprint)
             .collect();
         suspects.sort_unstable();
--- a/crates/damaskvane-dispatch/src/quarantine/incident.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/incident.rs
@@ -1,4 +1,4 @@
-//! One death of a backend server's connections.
+//! One crash of a backend server, as an instance reports it.
 //!
 //! ```
 //! use damaskvane_dispatch::quarantine;
@@ -14,27 +14,27 @@
 use crate::fingerprint;
 use crate::home;
 
-/// Names an incident, equal on every notice of it.
+/// Identifies an incident; every report of the incident carries the same id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IncidentId {
-    /// The incarnation that saw it.
+    /// The incarnation of the instance that observed the incident.
     pub reporter: home::Home,
-    /// Which one of that incarnation's it is.
+    /// The serial number of the incident within this incarnation.
     pub serial: u64,
 }
 
-/// What an instance saw, and tells the others of its region at once.
+/// The report of an incident, which an instance sends to the others of its region at once.
 ///
-/// The reporter gathers the connections to one backend server that die within
+/// The reporter combines all connections to one backend server that break within
 /// [`crate::quarantine::QuarantineSettings::gather_ms`] into one incident.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Incident {
-    /// Its name.
+    /// The id, by which repeated reports are recognized.
     pub id: IncidentId,
-    /// The backend server whose connections died.
+    /// The backend server whose connections broke.
     pub server: ids::BackendServerId,
-    /// The requests that were in flight on it.
+    /// The requests that were in flight on the backend server.
     pub suspects: Vec<fingerprint::Fingerprint>,
-    /// How long ago it was, when the notice was sent.
+    /// The time from the incident until this report was sent, in milliseconds.
     pub age: time::SpanMs,
 }
--- a/crates/damaskvane-dispatch/src/quarantine/list.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/list.rs
@@ -1,4 +1,4 @@
-//! The suspects and quarantined requests of a region, as one instance knows them.
+//! The suspects and quarantined requests of a region, as known to one instance.
 //!
 //! ```
 //! use damaskvane_dispatch::quarantine;
@@ -12,32 +12,35 @@
 use damaskvane_core::{ids, time};
 
 use crate::fingerprint;
-use crate::quarantine::{incident, settings, suspect, verdict};
+use crate::quarantine::{decision, incident, settings, suspect};
 
-/// Suspects by fingerprint.
+/// The suspects and quarantined requests, by fingerprint.
 #[derive(Debug)]
 pub struct Quarantine {
     settings: settings::QuarantineSettings,
     suspects: collections::BTreeMap<fingerprint::Fingerprint, suspect::Suspect>,
-    /// When each request last completed or was cleared; older incidents say nothing against it.
+    /// When each request last completed or was cleared; incidents before this time are ignored.
     cleared: collections::BTreeMap<fingerprint::Fingerprint, time::TimeMs>,
-    alone: Option<fingerprint::Fingerprint>,
+    /// The suspect that runs on this instance; no other suspect may run until it ends.
+    running_alone: Option<fingerprint::Fingerprint>,
 }
 
 impl Quarantine {
-    /// An empty list.
+    /// Creates an empty list.
     #[must_use]
     pub const fn new(settings: settings::QuarantineSettings) -> Self {
         Self {
             settings,
             suspects: collections::BTreeMap::new(),
             cleared: collections::BTreeMap::new(),
-            alone: None,
+            running_alone: None,
         }
     }
 
-    /// Merges an incident seen here or told by a peer; in any order, any number of times. Returns the
-    /// requests that are refused from now on.
+    /// Merges an incident that this instance observed or that a peer reported.
+    ///
+    /// Incidents may arrive in any order and any number of times. Returns the requests that are refused
+    /// from now on.
     pub fn record_incident(
         &mut self,
         now: time::TimeMs,
@@ -46,14 +49,14 @@
         self.expire(now);
         let mut refused = Vec::new();
         for fingerprint in &incident.suspects {
-            if self.alone == Some(*fingerprint) {
-                self.alone = None;
+            if self.running_alone == Some(*fingerprint) {
+                self.running_alone = None;
             }
             if self.was_cleared_since(now, *fingerprint, incident.age) {
                 continue;
             }
             let was_refused = self.refusal(now, *fingerprint).is_some();
-            self.suspect(now, *fingerprint, incident);
+            self.add_incident(now, *fingerprint, incident);
             if !was_refused && self.refusal(now, *fingerprint).is_some() {
                 refused.push(*fingerprint);
             }
@@ -61,15 +64,16 @@
         refused
     }
 
-    /// Takes in that another instance has found a request guilty and recorded so for all; returns whether
-    /// that is news.
+    /// Applies another instance's record that a request is quarantined on all instances.
+    ///
+    /// Returns whether the request was not refused before.
     pub fn apply_quarantine_record(
         &mut self,
         now: time::TimeMs,
         fingerprint: fingerprint::Fingerprint,
     ) -> bool {
         let was_refused = self.refusal(now, fingerprint).is_some();
-        self.make_room_for(fingerprint);
+        self.evict_for(fingerprint);
         let suspect = self.suspects.entry(fingerprint).or_default();
         suspect.is_recorded = true;
         if !was_refused {
@@ -78,7 +82,7 @@
         !was_refused
     }
 
-    /// How much longer a request is refused; none if it may run.
+    /// Returns for how much longer a request is refused, or `None` if it may run.
     #[must_use]
     pub fn refusal(
         &self,
@@ -90,25 +94,31 @@
         is_refused.then(|| suspect.until.since(now))
     }
 
-    /// Whether a request would be refused if so many broken exchanges of it, for which the proof is missing,
-    /// turn out as incidents.
+    /// Returns whether a request would be refused if its unconfirmed broken exchanges turn out to be
+    /// incidents; `unconfirmed` is their number.
     #[must_use]
-    pub fn may_be_refused(&self, fingerprint: fingerprint::Fingerprint, unproven: usize) -> bool {
-        let proven = self
+    pub fn may_be_refused(
+        &self,
+        fingerprint: fingerprint::Fingerprint,
+        unconfirmed: usize,
+    ) -> bool {
+        let confirmed = self
             .suspects
             .get(&fingerprint)
             .map_or(0, suspect::Suspect::len);
-        unproven > 0 && proven + unproven >= self.settings.incidents
+        unconfirmed > 0 && confirmed + unconfirmed >= self.settings.incidents
     }
 
-    /// Whether nothing is suspected, so that no request needs to be judged.
+    /// Returns whether there are no suspects, so that every request may run.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Notes a completed run, which clears a suspect; returns whether it was one, so that peers are
-    /// told by [`Quarantine::clear`].
+    /// Records a completed run, which clears a suspect.
+    ///
+    /// Returns whether the request was a suspect; then its peers have to clear it too, with
+    /// [`Quarantine::clear`].
     pub fn record_completed(
         &mut self,
         now: time::TimeMs,
@@ -118,36 +128,36 @@
         self.suspects.contains_key(&fingerprint) && self.clear(now, fingerprint)
     }
 
-    /// Ends the turn of a suspect that neither completed nor crashed its server.
+    /// Ends the exclusive run of a suspect that neither completed nor crashed its server.
     pub fn release(&mut self, fingerprint: fingerprint::Fingerprint) {
-        if self.alone == Some(fingerprint) {
-            self.alone = None;
+        if self.running_alone == Some(fingerprint) {
+            self.running_alone = None;
         }
     }
 
-    /// Decides on a request before it is admitted.
+    /// Decides whether a request may run, before the request is admitted.
     pub fn decide(
         &mut self,
         now: time::TimeMs,
         fingerprint: fingerprint::Fingerprint,
-    ) -> verdict::QuarantineDecision {
+    ) -> decision::QuarantineDecision {
         let Some(suspect) = self.suspects.get(&fingerprint) else {
-            return verdict::QuarantineDecision::Run;
+            return decision::QuarantineDecision::Run;
         };
         if suspect.until <= now {
-            return verdict::QuarantineDecision::Run;
+            return decision::QuarantineDecision::Run;
         }
         if let Some(retry_after) = self.refusal(now, fingerprint) {
-            return verdict::QuarantineDecision::Refuse { retry_after };
+            return decision::QuarantineDecision::Refuse { retry_after };
         }
-        if self.alone.is_some() {
-            return verdict::QuarantineDecision::Wait;
+        if self.running_alone.is_some() {
+            return decision::QuarantineDecision::Wait;
         }
-        self.alone = Some(fingerprint);
-        verdict::QuarantineDecision::RunAlone
+        self.running_alone = Some(fingerprint);
+        decision::QuarantineDecision::RunAlone
     }
 
-    /// The backend servers that a suspect must not be sent to again.
+    /// Returns the backend servers that a suspect must not be sent to again.
     pub fn avoided(
         &self,
         fingerprint: fingerprint::Fingerprint,
@@ -156,37 +166,39 @@
         suspect.into_iter().flat_map(suspect::Suspect::servers)
     }
 
-    /// Lets a request go, by an operator or a peer's completed run; `false` if it was not listed.
+    /// Removes a request from the list, on an operator's command or after a completed run here or on a peer.
+    ///
+    /// Returns `false` if the request was not listed.
     pub fn clear(&mut self, now: time::TimeMs, fingerprint: fingerprint::Fingerprint) -> bool {
         let was_listed = self.suspects.remove(&fingerprint).is_some();
         self.cleared.insert(fingerprint, now);
         was_listed
     }
 
-    /// What operators see.
+    /// Returns the entries of the list that operators see.
     #[must_use]
-    pub fn list(&self, now: time::TimeMs) -> Vec<verdict::QuarantineEntry> {
-        let listed = |(fingerprint, suspect): (&fingerprint::Fingerprint, &suspect::Suspect)| {
-            verdict::QuarantineEntry {
+    pub fn list(&self, now: time::TimeMs) -> Vec<decision::QuarantineEntry> {
+        let to_entry = |(fingerprint, suspect): (&fingerprint::Fingerprint, &suspect::Suspect)| {
+            decision::QuarantineEntry {
                 fingerprint: *fingerprint,
                 incidents: suspect.len(),
                 is_refused: suspect.is_refused(self.settings.incidents),
                 time_left: suspect.until.since(now),
             }
         };
-        self.suspects.iter().map(listed).collect()
+        self.suspects.iter().map(to_entry).collect()
     }
 
-    /// Lets go what has expired.
+    /// Removes the suspects and cleared requests that have expired.
     pub fn expire(&mut self, now: time::TimeMs) {
         self.suspects.retain(|_, suspect| now < suspect.until);
-        let memory = time::SpanMs::new(self.settings.suspicion_ms);
-        self.cleared.retain(|_, at| now < *at + memory);
+        let retention = time::SpanMs::new(self.settings.suspicion_ms);
+        self.cleared.retain(|_, at| now < *at + retention);
         if self
-            .alone
-            .is_some_and(|alone| !self.suspects.contains_key(&alone))
+            .running_alone
+            .is_some_and(|suspect| !self.suspects.contains_key(&suspect))
         {
-            self.alone = None;
+            self.running_alone = None;
         }
     }
 
@@ -201,28 +213,28 @@
             .is_some_and(|cleared| now.since(*cleared) < age)
     }
 
-    fn suspect(
+    fn add_incident(
         &mut self,
         now: time::TimeMs,
         fingerprint: fingerprint::Fingerprint,
         incident: &incident::Incident,
     ) {
-        self.make_room_for(fingerprint);
+        self.evict_for(fingerprint);
         let suspect = self.suspects.entry(fingerprint).or_default();
         if !suspect.add(now, incident) {
             return;
         }
         let is_refused = suspect.is_refused(self.settings.incidents);
-        let lasts_ms = if is_refused {
+        let duration_ms = if is_refused {
             self.settings.expiry_ms
         } else {
             self.settings.suspicion_ms
         };
-        suspect.until = now + time::SpanMs::new(lasts_ms).saturating_sub(incident.age);
+        suspect.until = now + time::SpanMs::new(duration_ms).saturating_sub(incident.age);
     }
 
-    /// Forgets the suspect that expires first, if there is no room for another one.
-    fn make_room_for(&mut self, fingerprint: fingerprint::Fingerprint) {
+    /// Removes the suspect that expires first, if the list is full and doesn't hold the given request.
+    fn evict_for(&mut self, fingerprint: fingerprint::Fingerprint) {
         let is_full = self.suspects.len() >= self.settings.max_suspects;
         if !is_full || self.suspects.contains_key(&fingerprint) {
             return;
--- a/crates/damaskvane-dispatch/src/quarantine/settings.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/settings.rs
@@ -8,19 +8,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// When a request is refused, for how long, and how many are remembered.
+/// After how many incidents and for how long a request is refused, and the bounds of the list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct QuarantineSettings {
-    /// Incidents after which a request is refused.
+    /// The number of incidents after which a request is refused.
     pub incidents: usize,
-    /// How long a suspicion lasts.
+    /// How long a request stays a suspect after an incident, in milliseconds.
     pub suspicion_ms: u64,
-    /// How long a request is refused.
+    /// How long a quarantined request is refused, in milliseconds.
     pub expiry_ms: u64,
-    /// Deaths of connections to one backend server within this span are one incident.
+    /// The time in milliseconds within which broken connections to one backend server count as one incident.
     pub gather_ms: u64,
-    /// How many suspects are remembered; beyond it, the one that expires first is forgotten.
+    /// The maximum number of suspects; when it is reached, the suspect that expires first is removed.
     pub max_suspects: usize,
 }
 
--- a/crates/damaskvane-dispatch/src/quarantine/suspect.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/suspect.rs
@@ -1,4 +1,4 @@
-//! One request under suspicion.
+//! The incidents of one suspect request.
 
 use std::collections;
 
@@ -6,45 +6,47 @@
 
 use crate::quarantine::incident;
 
-/// Reports of one backend server's death differ by less, whoever saw it and however late it was told.
-const SAME_DEATH: time::SpanMs = time::SpanMs::new(3_000);
+/// Reports of one crash of a backend server differ in time by less than this span, whichever instance
+/// observed the crash and however late its report arrived.
+const SAME_CRASH_WITHIN: time::SpanMs = time::SpanMs::new(3_000);
 
-/// The incidents that a request was in since its last completed run.
+/// The incidents that a request was part of since its last completed run.
 #[derive(Debug, Default)]
 pub(super) struct Suspect {
-    incidents: collections::BTreeMap<incident::IncidentId, Death>,
-    /// Whether another instance has found it guilty and recorded so.
+    incidents: collections::BTreeMap<incident::IncidentId, Crash>,
+    /// Whether another instance has recorded the request as quarantined.
     pub(super) is_recorded: bool,
     pub(super) until: time::TimeMs,
 }
 
 #[derive(Debug)]
-struct Death {
+struct Crash {
     server: ids::BackendServerId,
     at: time::TimeMs,
 }
 
 impl Suspect {
-    /// Adds an incident; `false` if it is known, or another instance's view of the same death.
+    /// Adds an incident.
     ///
-    /// A server that dies is reported by each instance that had a connection to it. Counted apart,
-    /// one death would quarantine every request that was on the server.
+    /// Returns `false` if the incident is known, or is another instance's report of the same crash. Each
+    /// instance that had a connection to a crashed server reports the crash. If these reports were counted
+    /// separately, one crash would quarantine every request that was on the server.
     pub(super) fn add(&mut self, now: time::TimeMs, incident: &incident::Incident) -> bool {
         let at = time::TimeMs::new(now.get().saturating_sub(incident.age.get()));
-        let is_same = |death: &Death| {
-            let apart = at.since(death.at).max(death.at.since(at));
-            death.server == incident.server && apart < SAME_DEATH
+        let is_same = |crash: &Crash| {
+            let difference = at.since(crash.at).max(crash.at.since(at));
+            crash.server == incident.server && difference < SAME_CRASH_WITHIN
         };
         if self.incidents.contains_key(&incident.id) || self.incidents.values().any(is_same) {
             return false;
         }
         let server = incident.server.clone();
-        let death = Death { server, at };
-        self.incidents.insert(incident.id.clone(), death);
+        let crash = Crash { server, at };
+        self.incidents.insert(incident.id.clone(), crash);
         true
     }
 
-    /// Whether the request is refused, where so many incidents are needed.
+    /// Returns whether the request is refused, given the number of incidents that a refusal needs.
     pub(super) fn is_refused(&self, incidents: usize) -> bool {
         self.is_recorded || self.len() >= incidents
     }
@@ -54,6 +56,6 @@
     }
 
     pub(super) fn servers(&self) -> impl Iterator<Item = &ids::BackendServerId> {
-        self.incidents.values().map(|death| &death.server)
+        self.incidents.values().map(|crash| &crash.server)
     }
 }
