--- a/crates/damaskvane-dispatch/src/refusal.rs
+++ b/crates/damaskvane-dispatch/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request is answered without a backend server's answer.
+//! The reasons why a request is answered without a response of a backend server.
 //!
 //! ```
 //! use damaskvane_dispatch::refusal;
--- a/crates/damaskvane-dispatch/src/refusal/reason.rs
+++ b/crates/damaskvane-dispatch/src/refusal/reason.rs
@@ -1,4 +1,4 @@
-//! The refusal reasons, each with its counter word, certainty, status, remedy and retry-after.
+//! The refusal reasons, each with its label, HTTP status, certainty, remedy and retry-after.
 //!
 //! ```
 //! use damaskvane_dispatch::refusal;
@@ -18,93 +18,93 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The request can't be read.
+    /// The request can't be parsed.
     MalformedRequest,
-    /// The body is longer than the service takes.
+    /// The body is longer than the service accepts.
     BodyTooLarge,
     /// A non-repeatable request lacks its idempotency key or its home.
     KeyMissing,
     /// The key is bound to another body.
     KeyReusedWithOtherBody,
-    /// A later try of the key was already answered with *not run*.
+    /// A later try of the same key was already answered with *not run*.
     TrySuperseded,
     /// The table of idempotency keys is full.
     KeyTableFull,
-    /// The configuration names no such service.
+    /// The configuration has no service of the requested name.
     ServiceUnknown,
-    /// The instance has no configuration yet.
+    /// The instance has not received a configuration yet.
     NoConfiguration,
     /// The admission queue is full.
     QueueFull,
     /// The request waited in the queue for longer than the queue allows.
     QueueTimeout,
-    /// The time left is too short for the request to finish.
+    /// The time until the deadline is too short for the request to finish.
     DeadlineTooShort,
-    /// The client went away before the request was sent to a backend server.
+    /// The client disconnected before the request was sent to a backend server.
     ClientGone,
-    /// No backend server takes work.
+    /// No backend server of the service accepts requests.
     NoBackendServer,
-    /// Arrivals exceed what the backend servers finish.
+    /// Requests arrive faster than the backend servers complete them.
     Overloaded,
-    /// Requests alike have crashed backend servers.
+    /// Requests with the same fingerprint have crashed backend servers.
     Quarantined,
-    /// The instance is leaving and takes no new keys.
+    /// The instance is shutting down and accepts no new keys.
     InstanceLeaving,
-    /// Each backend server that was tried refused before running.
+    /// Each backend server that was tried refused the request before running it.
     BackendRefused,
     /// The budget of the link to the other availability zone is used up.
     LinkBudget,
     /// The credit that the other availability zone granted is used up.
     CreditExhausted,
-    /// The key is older than the window in which outcomes are kept.
+    /// The key is older than the window for which outcomes are retained.
     KeyExpired,
     /// The home of the key can't be reached.
     HomeUnreachable,
-    /// The home of the key was restarted without handing its keys over.
+    /// The home of the key was restarted without a handover of its keys.
     HomeRestarted,
-    /// The request was sent, and its answer was lost, cut or not the request's own.
+    /// The request was sent, and its response was lost, truncated or belonged to another request.
     OutcomeLost,
-    /// Too many tries of the key wait for its answer.
+    /// Too many tries of the same key wait for the answer.
     TriesPending,
-    /// The request ran and its answer was too long to be kept for a repeat.
+    /// The request ran, and its response was too long to be retained for repeated tries.
     AnswerNotKept,
-    /// The time ran out after the request was sent.
+    /// The deadline passed after the request was sent.
     DeadlinePassed,
-    /// An invariant of the decision code was broken; the unsafe action was refused.
+    /// An invariant of the decision code was violated; the unsafe action was refused.
     InternalInvariant,
 }
 
-/// a refusal reason is one of the words of docs/COUNTERS.md; compare the versions of both instances
+/// unknown refusal reason; docs/COUNTERS.md lists the known ones; compare the versions of both instances
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseReasonError;
 
-/// No retry helps unless the request or the configuration changes.
+/// A retry fails unless the request or the configuration changes.
 const NO_RETRY_MS: u64 = 60_000;
-/// The state that caused the refusal passes within about a request's run time.
+/// The cause of the refusal ends within about the run time of a request.
 const SHORT_RETRY_MS: u64 = 250;
-/// The state that caused the refusal takes a few heartbeats to pass.
+/// The cause of the refusal ends after a few heartbeats.
 const MEDIUM_RETRY_MS: u64 = 1_000;
-/// The state that caused the refusal takes an operator, a restart or an expiry to pass.
+/// The cause of the refusal ends by an operator's action, a restart or an expiry.
 const LONG_RETRY_MS: u64 = 10_000;
 
-/// The status of an answer whose outcome is unknown.
+/// The HTTP status of an answer whose outcome is unknown.
 const STATUS_UNKNOWN: u16 = 502;
 
 struct Properties {
-    word: &'static str,
+    label: &'static str,
     status: u16,
     retry_after_ms: u64,
     remedy: &'static str,
 }
 
 const fn properties(
-    word: &'static str,
+    label: &'static str,
     status: u16,
     retry_after_ms: u64,
     remedy: &'static str,
 ) -> Properties {
     Properties {
-        word,
+        label,
         status,
         retry_after_ms,
         remedy,
@@ -112,7 +112,7 @@
 }
 
 impl RefusalReason {
-    /// Every reason, in the order of the counters' page.
+    /// Every reason, in the order of the page of counters.
     pub const ALL: [Self; 27] = [
         Self::MalformedRequest,
         Self::BodyTooLarge,
@@ -176,31 +176,31 @@
         }
     }
 
-    /// The word of counters, logs and the `damaskvane-reason` header.
+    /// Returns the label used in counters, logs and the `damaskvane-reason` header.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
-        self.properties().word
+        self.properties().label
     }
 
-    /// What the client or the operator can do about it.
+    /// Returns what the client or the operator can do about the refusal.
     #[must_use]
     pub const fn remedy(self) -> &'static str {
         self.properties().remedy
     }
 
-    /// The HTTP status of the answer.
+    /// Returns the HTTP status of the answer.
     #[must_use]
     pub const fn status(self) -> u16 {
         self.properties().status
     }
 
-    /// Whether the request is known not to have run; otherwise its outcome is unknown.
+    /// Returns whether the request is known not to have run; otherwise its outcome is unknown.
     #[must_use]
     pub const fn means_not_run(self) -> bool {
         self.status() != STATUS_UNKNOWN
     }
 
-    /// When to come back where nothing better is known, such as a queue's drain rate.
+    /// Returns the delay before a retry where no better estimate is known, such as a queue's drain rate.
     #[must_use]
     pub const fn default_retry_after(self) -> time::SpanMs {
         time::SpanMs::new(self.properties().retry_after_ms)
--- a/crates/damaskvane-dispatch/src/retry.rs
+++ b/crates/damaskvane-dispatch/src/retry.rs
@@ -1,7 +1,7 @@
-//! Retries on another backend server: why, whether and when.
+//! Retries on another backend server: their reasons, their budget and their backoff.
 //!
-//! Retries happen at one layer only, at the instance that sends to the backend server: a forwarding
-//! instance makes none ([`crate::exchange::Forwarded`]).
+//! Only the instance that sends a request to a backend server retries it. An instance that forwards a
+//! request makes no retries ([`crate::exchange::Forwarded`]).
 //!
 //! ```
 //! use damaskvane_dispatch::retry;
--- a/crates/damaskvane-dispatch/src/retry/decision.rs
+++ b/crates/damaskvane-dispatch/src/retry/decision.rs
@@ -1,4 +1,4 @@
-//! What the retry policy decides.
+//! The decisions of the retry policy.
 //!
 //! ```
 //! use damaskvane_dispatch::{refusal, retry};
@@ -11,33 +11,33 @@
 
 use crate::refusal;
 
-/// Whether to try again.
+/// Whether to retry a request after a failed try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try another backend server after a wait.
+    /// Try another backend server after a delay.
     Retry {
-        /// How long to wait.
+        /// The delay before the next try, in milliseconds.
         after: time::SpanMs,
     },
-    /// Give the request up at once.
+    /// Refuse the request without a further try.
     Stop(RetryStop),
 }
 
 /// Why there is no further try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryStop {
-    /// Each backend server that takes work was tried.
+    /// Each backend server that accepts requests was tried.
     NoOtherServer,
-    /// The request has had its tries.
+    /// The request has used up its tries.
     TriesUsed,
-    /// The wait and a try would not fit into the time left.
+    /// The delay and a further try don't fit into the time until the deadline.
     DeadlineTooShort,
-    /// The service has used up its retries.
+    /// The retry budget of the service is used up.
     BudgetUsed,
 }
 
 impl RetryStop {
-    /// The reason to give the request up with.
+    /// Returns the reason to refuse the request with.
     #[must_use]
     pub const fn refusal(self) -> refusal::RefusalReason {
         match self {
--- a/crates/damaskvane-dispatch/src/retry/policy.rs
+++ b/crates/damaskvane-dispatch/src/retry/policy.rs
@@ -1,4 +1,4 @@
-//! Whether and when to try again on another backend server.
+//! The policy that decides whether and when to retry on another backend server.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -22,13 +22,13 @@
 use crate::exchange;
 use crate::retry::{budget, decision, settings};
 
-/// Doublings after which the backoff has reached any sensible maximum.
+/// The number of doublings after which the backoff has reached any sensible maximum.
 const MAX_DOUBLINGS: usize = 16;
 
-/// The retries of one service on one instance.
+/// The retry policy of one service on one instance.
 ///
-/// It decides on an [`exchange::Admitted`] only, which a non-repeatable request never gets back to
-/// once it may have run.
+/// The policy decides only on an [`exchange::Admitted`]. A non-repeatable request never returns to this
+/// state once it may have run.
 #[derive(Debug)]
 pub struct RetryPolicy {
     settings: settings::RetrySettings,
@@ -36,19 +36,21 @@
 }
 
 impl RetryPolicy {
-    /// A policy with a full budget.
+    /// Creates a policy with a full budget.
     #[must_use]
     pub const fn new(settings: settings::RetrySettings) -> Self {
         let budget = budget::RetryBudget::new(settings.share_permille, settings.max_saved);
         Self { settings, budget }
     }
 
-    /// Notes the first try of a request, which pays into the budget.
+    /// Records the first try of a request, which adds to the budget.
     pub fn record_first_try(&mut self) {
-        self.budget.pay_in();
+        self.budget.deposit();
     }
 
-    /// Decides after a failed try; `untried_servers` are the backend servers that could take the next.
+    /// Decides whether to retry after a failed try.
+    ///
+    /// `untried_servers` is the number of backend servers that could receive the next try.
     pub fn decide(
         &mut self,
         now: time::TimeMs,
@@ -68,17 +70,17 @@
         if admitted.deadline().time_left(now) < time::SpanMs::new(needed_ms) {
             return decision::RetryDecision::Stop(decision::RetryStop::DeadlineTooShort);
         }
-        if !self.budget.take() {
+        if !self.budget.withdraw() {
             return decision::RetryDecision::Stop(decision::RetryStop::BudgetUsed);
         }
         decision::RetryDecision::Retry { after }
     }
 
-    /// Full jitter: retries of requests that failed together must not arrive together.
+    /// Returns a random delay with full jitter, so that requests that failed together aren't retried together.
     fn backoff(&self, tries: usize, rng: &mut impl RngExt) -> time::SpanMs {
         let doublings = tries.saturating_sub(1).min(MAX_DOUBLINGS);
-        let longest_ms = self.settings.base_backoff_ms << doublings;
-        let longest_ms = longest_ms.min(self.settings.max_backoff_ms);
-        time::SpanMs::new(rng.random_range(0..=longest_ms))
+        let max_delay_ms = self.settings.base_backoff_ms << doublings;
+        let max_delay_ms = max_delay_ms.min(self.settings.max_backoff_ms);
+        time::SpanMs::new(rng.random_range(0..=max_delay_ms))
     }
 }
--- a/crates/damaskvane-dispatch/src/retry/reason.rs
+++ b/crates/damaskvane-dispatch/src/retry/reason.rs
@@ -1,4 +1,4 @@
-//! The reasons for a retry, each with its counter word.
+//! The reasons for a retry, each with its label.
 //!
 //! ```
 //! use damaskvane_dispatch::retry;
@@ -9,27 +9,27 @@
 
 use core::fmt;
 
-/// Why a try on one backend server is followed by another.
+/// Why a try on a backend server failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RetryReason {
-    /// The connection could not be opened; nothing was sent.
+    /// The connection could not be opened, so nothing was sent.
     ConnectFailed,
-    /// A kept connection turned out closed or silent before a byte was sent on it.
+    /// A reused connection was found closed or unresponsive before a byte was sent on the connection.
     ConnectionStale,
-    /// The backend server refused before running.
+    /// The backend server refused the request before running it.
     BackendRefused,
-    /// The connection died after the request was sent, before an answer.
+    /// The connection broke after the request was sent and before a response.
     ConnectionLost,
-    /// The connection stayed silent past the time for one try.
+    /// No byte was received on the connection within the time limit of one try.
     SilentConnection,
-    /// The answer ended before its length.
+    /// The response ended before its declared length.
     AnswerCut,
-    /// The answer names another request.
+    /// The response carries the id of another request.
     AnswerCrossed,
 }
 
 impl RetryReason {
-    /// Every reason, in the order of the counters' page.
+    /// Every reason, in the order of the page of counters.
     pub const ALL: [Self; 7] = [
         Self::ConnectFailed,
         Self::ConnectionStale,
@@ -40,7 +40,7 @@
         Self::AnswerCrossed,
     ];
 
-    /// The word of counters and logs.
+    /// Returns the label used in counters and logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether the failure proves that the backend server did not run the request.
+    /// Returns whether the failure proves that the backend server did not run the request.
     #[must_use]
     pub const fn proves_not_run(self) -> bool {
         matches!(
--- a/crates/damaskvane-dispatch/src/retry/settings.rs
+++ b/crates/damaskvane-dispatch/src/retry/settings.rs
@@ -9,21 +9,21 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How many retries a service gets, and how far apart.
+/// The number of retries that a service may make, and the delays before them.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Tries of one request, the first one included.
+    /// The maximum number of tries of one request, including the first.
     pub max_tries: usize,
-    /// Retries for each thousand first tries.
+    /// The number of retries that the budget allows for each thousand first tries.
     pub share_permille: u32,
-    /// How many retries may be saved up.
+    /// The maximum number of unused retries that the budget holds.
     pub max_saved: u32,
-    /// The longest wait before the first retry; it doubles with each further one.
+    /// The maximum delay before the first retry, in milliseconds; the maximum doubles with each further retry.
     pub base_backoff_ms: u64,
-    /// The longest wait before any retry.
+    /// The maximum delay before any retry, in milliseconds.
     pub max_backoff_ms: u64,
-    /// The time that has to be left for a try after the wait.
+    /// The minimum time in milliseconds that must remain until the deadline after the delay.
     pub min_time_left_ms: u64,
 }
 
--- a/crates/damaskvane-dispatch/src/shutdown.rs
+++ b/crates/damaskvane-dispatch/src/shutdown.rs
@@ -1,7 +1,8 @@
-//! The planned stop of an entry instance: out of look-ups, serve on, hand over, stop.
+//! The planned shutdown of an entry instance.
 //!
-//! Each phase is a type. A leaving instance stays until the look-up answers that name it have lapsed,
-//! and hands its key table over only after that: earlier, clients would still bring new work.
+//! The instance is removed from lookup responses, keeps serving requests, hands its key table over to a
+//! successor and stops. Each phase is a type. The handover begins only after all lookup responses that
+//! name the instance have expired, because clients send new requests until then.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -9,7 +10,7 @@
 //!
 //! let settings = shutdown::ShutdownSettings::default();
 //! let leaving = shutdown::Serving.leave(time::TimeMs::ZERO, settings);
-//! let handing_over = leaving.begin_handover(time::TimeMs::new(4_000), 0).expect("look-ups have lapsed");
+//! let handing_over = leaving.begin_handover(time::TimeMs::new(4_000), 0).expect("lookup responses have expired");
 //! assert!(handing_over.stop(time::TimeMs::new(4_100), 0, true).is_ok());
 //! ```
 
--- a/crates/damaskvane-dispatch/src/shutdown/phase.rs
+++ b/crates/damaskvane-dispatch/src/shutdown/phase.rs
@@ -1,4 +1,4 @@
-//! The phases of a planned stop.
+//! The phases of a planned shutdown.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -13,33 +13,35 @@
 
 use crate::shutdown::{progress, settings};
 
-/// In look-up answers, takes everything.
+/// The phase before a planned shutdown: the instance is in lookup responses and accepts all requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Serving;
 
-/// Out of look-up answers; still takes what older answers bring.
+/// The instance is removed from lookup responses and still accepts requests of clients that hold older
+/// responses.
 #[derive(Debug)]
 pub struct Leaving {
     since: time::TimeMs,
     settings: settings::ShutdownSettings,
 }
 
-/// Dispatches no more keys; the table goes to the successor, and what runs ends.
+/// The instance dispatches no new keys, sends its key table to the successor and waits for the running
+/// requests.
 #[derive(Debug)]
 pub struct HandingOver {
     since: time::TimeMs,
     settings: settings::ShutdownSettings,
 }
 
-/// Nothing is left to do; the process may end.
+/// The shutdown is finished and the process may exit.
 #[derive(Debug, Clone, Copy)]
 pub struct Stopped {
-    /// Whether the time ran out before all was done: then requests may be *unknown*.
+    /// Whether the handover timed out before it was complete; then the outcome of requests may be *unknown*.
     pub is_cut_short: bool,
 }
 
 impl Serving {
-    /// The stop begins: the instance tells its peers and the platform that it leaves.
+    /// Begins the planned shutdown; the instance announces its departure to its peers and the platform.
     #[must_use]
     pub const fn leave(self, now: time::TimeMs, settings: settings::ShutdownSettings) -> Leaving {
         Leaving {
@@ -50,16 +52,16 @@
 }
 
 impl Leaving {
-    /// Moves on once look-up answers have lapsed and nothing runs, or the longest time is over.
+    /// Begins the handover once lookup responses have expired and no request runs, or after the maximum time.
     ///
     /// # Errors
     ///
-    /// The unchanged phase, while there is reason to wait.
+    /// Returns the unchanged phase if the instance has to wait longer.
     pub fn begin_handover(self, now: time::TimeMs, running: usize) -> Result<HandingOver, Self> {
         let elapsed_ms = now.since(self.since).get();
-        let lapsed_ms = self.settings.notice_ms + self.settings.lookup_ttl_ms;
-        let is_quiet = elapsed_ms >= lapsed_ms && running == 0;
-        if is_quiet || elapsed_ms >= self.settings.max_leaving_ms.max(lapsed_ms) {
+        let expired_after_ms = self.settings.notice_ms + self.settings.lookup_ttl_ms;
+        let is_idle = elapsed_ms >= expired_after_ms && running == 0;
+        if is_idle || elapsed_ms >= self.settings.max_leaving_ms.max(expired_after_ms) {
             Ok(HandingOver {
                 since: now,
                 settings: self.settings,
@@ -69,24 +71,25 @@
         }
     }
 
-    /// What operators see.
+    /// Returns the progress that operators see.
     #[must_use]
     pub const fn progress(&self, now: time::TimeMs, running: usize) -> progress::Progress {
-        let longest = time::SpanMs::new(self.settings.max_leaving_ms);
+        let max_duration = time::SpanMs::new(self.settings.max_leaving_ms);
         progress::Progress {
             phase: "leaving",
             running,
-            time_left: longest.saturating_sub(now.since(self.since)),
+            time_left: max_duration.saturating_sub(now.since(self.since)),
         }
     }
 }
 
 impl HandingOver {
-    /// Stops once the successor holds the whole table and nothing runs, or the time is over.
+    /// Stops once the successor has acknowledged the whole key table and no request runs, or after the maximum
+    /// time.
     ///
     /// # Errors
     ///
-    /// The unchanged phase, while there is reason to wait.
+    /// Returns the unchanged phase if the instance has to wait longer.
     pub fn stop(
         self,
         now: time::TimeMs,
@@ -94,8 +97,8 @@
         is_acknowledged: bool,
     ) -> Result<Stopped, Self> {
         let is_done = is_acknowledged && running == 0;
-        let is_over = now.since(self.since).get() >= self.settings.max_handover_ms;
-        if is_done || is_over {
+        let is_timed_out = now.since(self.since).get() >= self.settings.max_handover_ms;
+        if is_done || is_timed_out {
             Ok(Stopped {
                 is_cut_short: !is_done,
             })
@@ -104,14 +107,14 @@
         }
     }
 
-    /// What operators see.
+    /// Returns the progress that operators see.
     #[must_use]
     pub const fn progress(&self, now: time::TimeMs, running: usize) -> progress::Progress {
-        let longest = time::SpanMs::new(self.settings.max_handover_ms);
+        let max_duration = time::SpanMs::new(self.settings.max_handover_ms);
         progress::Progress {
             phase: "handing_over",
             running,
-            time_left: longest.saturating_sub(now.since(self.since)),
+            time_left: max_duration.saturating_sub(now.since(self.since)),
         }
     }
 }
--- a/crates/damaskvane-dispatch/src/shutdown/progress.rs
+++ b/crates/damaskvane-dispatch/src/shutdown/progress.rs
@@ -1,4 +1,4 @@
-//! What operators see of a planned stop.
+//! The progress of a planned shutdown, as operators see it.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -11,13 +11,13 @@
 use damaskvane_core::time;
 use serde::Serialize;
 
-/// How far a planned stop is.
+/// The current phase of a planned shutdown and what remains of the phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Progress {
     /// The phase: `leaving` or `handing_over`.
     pub phase: &'static str,
-    /// How many requests still run.
+    /// The number of requests that still run on this instance.
     pub running: usize,
-    /// The longest time that is left of this phase.
+    /// The maximum time until this phase ends, in milliseconds.
     pub time_left: time::SpanMs,
 }
--- a/crates/damaskvane-dispatch/src/shutdown/settings.rs
+++ b/crates/damaskvane-dispatch/src/shutdown/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a planned stop.
+//! Settings of a planned shutdown.
 //!
 //! ```
 //! use damaskvane_dispatch::shutdown;
@@ -8,17 +8,18 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How long the phases of a planned stop last.
+/// The durations of the phases of a planned shutdown.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ShutdownSettings {
-    /// How long clients keep a look-up's answer.
+    /// How long clients use a lookup response, in milliseconds.
     pub lookup_ttl_ms: u64,
-    /// How long it takes until every instance leaves this one out of its answers.
+    /// The time in milliseconds until every instance has removed this one from its lookup responses.
     pub notice_ms: u64,
-    /// The longest time from the start until the table is handed over, finished or not.
+    /// The maximum time in milliseconds from the start of the shutdown until the handover begins, even if
+    /// requests still run.
     pub max_leaving_ms: u64,
-    /// The longest time for the handover.
+    /// The maximum duration of the handover, in milliseconds.
     pub max_handover_ms: u64,
 }
 
