--- a/crates/damaskvane-dispatch/src/model.rs
+++ b/crates/damaskvane-dispatch/src/model.rs
@@ -1,9 +1,10 @@
 //! A small model of clients, entry instances and backend servers, for randomised runs.
 //!
-//! The entry instances are the decision code of this crate; everything around them is made to fail:
-//! messages are late, crossed, repeated and lost, instances are killed, paused and restarted as planned,
-//! backend servers refuse, die before and after running, and answer crossed, cut or much too late.
-//! A checker compares the log of what ran with every answer. Equal seeds give equal runs.
+//! The entry instances run the decision code of this crate. Everything around them fails: messages are
+//! delayed, reordered, repeated and lost; instances are killed, paused and restarted as planned; backend
+//! servers refuse requests, crash before and after running them, and send responses that are truncated,
+//! delayed or belong to another request. A checker compares the log of executed requests with every answer.
+//! Equal seeds give equal runs.
 //!
 //! ```
 //! use damaskvane_dispatch::model;
--- a/crates/damaskvane-dispatch/src/model/checker.rs
+++ b/crates/damaskvane-dispatch/src/model/checker.rs
@@ -1,4 +1,4 @@
-//! Compares what ran with what was answered.
+//! Compares the requests that backend servers ran with the answers to clients.
 
 use std::collections;
 
@@ -6,48 +6,58 @@
 use crate::model::event;
 use crate::outcome;
 
-/// The execution log of all backend servers, and what clients were told.
+/// The execution log of all backend servers, and the answers *not run* that clients were sent.
 #[derive(Debug, Default)]
 pub(super) struct Checker {
-    /// By client, which of its bodies ran.
+    /// For each client whose request ran, whether the run had the other body.
     runs: collections::BTreeMap<u64, bool>,
-    /// By client and body, the highest try that was answered with *not run*.
-    not_run_through: collections::BTreeMap<(u64, bool), u32>,
+    /// By client and body, the highest number of a try that was answered with *not run*.
+    max_not_run_try: collections::BTreeMap<(u64, bool), u32>,
     pub(super) violations: Vec<String>,
 }
 
 impl Checker {
-    /// A backend server runs a client's request, dispatched for one of its tries.
-    pub(super) fn note_run(&mut self, trial: event::Try) {
-        let event::Try { client, number, .. } = trial;
-        if self.runs.insert(client, trial.has_other_body).is_some() {
+    /// Records that a backend server runs a client's request, dispatched for one of the client's tries.
+    pub(super) fn record_run(&mut self, client_try: event::ClientTry) {
+        let event::ClientTry { client, number, .. } = client_try;
+        if self
+            .runs
+            .insert(client, client_try.has_other_body)
+            .is_some()
+        {
             self.violations.push(format!("request {client} ran twice"));
         }
         let is_numbered = number != home::Attempt::UNNUMBERED;
-        let through = self.not_run_through.get(&(client, trial.has_other_body));
-        if is_numbered && through.is_some_and(|through| number <= *through) {
-            let text = format!("request {client} ran by try {number} after not run");
+        let max_try = self
+            .max_not_run_try
+            .get(&(client, client_try.has_other_body));
+        if is_numbered && max_try.is_some_and(|max_try| number <= *max_try) {
+            let text = format!("request {client} ran for try {number} after not run");
             self.violations.push(text);
         }
     }
 
-    /// The home answers a try.
-    pub(super) fn note_answer(&mut self, trial: event::Try, outcome: &outcome::Outcome<u64>) {
-        let ran = self.runs.get(&trial.client) == Some(&trial.has_other_body);
-        let is_true = match outcome {
-            // Each request's answer is its own client's number.
-            outcome::Outcome::Completed(answer) => ran && *answer == trial.client,
+    /// Records the home's answer to a try, and checks the answer against the execution log.
+    pub(super) fn record_answer(
+        &mut self,
+        client_try: event::ClientTry,
+        outcome: &outcome::Outcome<u64>,
+    ) {
+        let ran = self.runs.get(&client_try.client) == Some(&client_try.has_other_body);
+        let is_correct = match outcome {
+            // A backend server responds with the number of the request's client.
+            outcome::Outcome::Completed(answer) => ran && *answer == client_try.client,
             outcome::Outcome::NotRun(_) => !ran,
             outcome::Outcome::Unknown(_) => true,
         };
-        if !is_true {
-            let text = format!("untrue answer to {trial:?}: {outcome:?}");
+        if !is_correct {
+            let text = format!("false answer to {client_try:?}: {outcome:?}");
             self.violations.push(text);
         }
         if matches!(outcome, outcome::Outcome::NotRun(_)) {
-            let request = (trial.client, trial.has_other_body);
-            let through = self.not_run_through.entry(request).or_default();
-            *through = (*through).max(trial.number);
+            let request = (client_try.client, client_try.has_other_body);
+            let max_try = self.max_not_run_try.entry(request).or_default();
+            *max_try = (*max_try).max(client_try.number);
         }
     }
 
--- a/crates/damaskvane-dispatch/src/model/event.rs
+++ b/crates/damaskvane-dispatch/src/model/event.rs
@@ -1,12 +1,12 @@
-//! What happens in the model, each at its time.
+//! The events of the model, each scheduled for a time.
 
 use crate::home;
 use crate::outcome;
 use crate::retry;
 
-/// One try of a client on its way.
+/// One try of a client's request.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Try {
+pub(super) struct ClientTry {
     pub(super) client: u64,
     pub(super) number: u32,
     pub(super) has_other_body: bool,
@@ -14,33 +14,33 @@
 
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A client sends its next try, unless an answer came since try `after`.
+    /// A client sends its next try, unless it is done or has made another try since try `after`.
     Send {
         client: u64,
         after: u32,
     },
-    /// A try reaches an instance, from a client or forwarded.
+    /// A try arrives at the instance of index `at`, from a client or forwarded by another instance.
     Arrive {
         at: usize,
-        trial: Try,
+        client_try: ClientTry,
         hops: u32,
     },
-    /// What was sent reaches a backend server.
+    /// A request that an instance sent arrives at a backend server.
     Run {
-        flight: u64,
+        id: u64,
     },
-    /// The exchange with the backend server ends, well or with a failure.
-    Back {
-        flight: u64,
+    /// The exchange with the backend server ends, with a response or a failure.
+    ExchangeEnd {
+        id: u64,
         failure: Option<retry::RetryReason>,
     },
-    /// A client hears an answer.
-    Hear {
+    /// A client receives an answer.
+    ReceiveAnswer {
         client: u64,
         number: u32,
         outcome: outcome::Outcome<u64>,
     },
-    Part {
+    HandoverPart {
         to: home::Home,
         part: Box<home::HandoverPart<u64>>,
     },
@@ -48,13 +48,13 @@
         to: home::Home,
         record: Box<home::HandoverRecord<u64>>,
     },
-    /// An instance hears who answers for a departed home.
-    Learn {
+    /// An instance learns which home is the successor of a departed home.
+    LearnSuccessor {
         at: usize,
         departed: home::Home,
         successor: home::Home,
     },
-    /// A leaving instance ends and starts anew.
+    /// A leaving instance exits and starts again.
     Restart {
         at: usize,
     },
--- a/crates/damaskvane-dispatch/src/model/faults.rs
+++ b/crates/damaskvane-dispatch/src/model/faults.rs
@@ -1,4 +1,4 @@
-//! Kills, pauses, planned restarts and the passing of time.
+//! Faults of entry instances, planned restarts, and the periodic expiry of the key tables.
 
 use damaskvane_core::time;
 use rand::RngExt;
@@ -9,7 +9,7 @@
 impl run::Run {
     pub(super) fn fault(&mut self) {
         let at = self.any_instance();
-        let word = match self.rng.random_range(0..4) {
+        let label = match self.rng.random_range(0..4) {
             0 => {
                 self.kill(at);
                 "kill"
@@ -28,16 +28,20 @@
                 "planned restart"
             }
         };
-        *self.report.faults.entry(word).or_default() += 1;
+        *self.report.faults.entry(label).or_default() += 1;
         let every_ms = self.settings.fault_every_ms.max(2);
-        let in_ms = self.rng.random_range(1..every_ms.saturating_mul(2));
-        self.schedule(in_ms, event::Event::Fault);
+        let delay_ms = self.rng.random_range(1..every_ms.saturating_mul(2));
+        self.schedule(delay_ms, event::Event::Fault);
     }
 
     pub(super) fn kill(&mut self, at: usize) {
         self.instances[at].restart(self.settings.home.clone());
-        for flight in self.flights.values_mut().filter(|flight| flight.at == at) {
-            flight.sent = None;
+        for exchange in self
+            .backend_exchanges
+            .values_mut()
+            .filter(|exchange| exchange.at == at)
+        {
+            exchange.sent = None;
         }
     }
 
@@ -55,24 +59,24 @@
             for _ in 0..copies {
                 let to = successor.clone();
                 let part = Box::new(part.clone());
-                self.transmit(event::Event::Part { to, part });
+                self.transmit(event::Event::HandoverPart { to, part });
             }
         }
         for at in 0..self.instances.len() {
             let (departed, successor) = (departed.clone(), successor.clone());
-            self.transmit(event::Event::Learn {
+            self.transmit(event::Event::LearnSuccessor {
                 at,
                 departed,
                 successor,
             });
         }
-        let in_ms = self.rng.random_range(100..3_000);
-        self.schedule(in_ms, event::Event::Restart { at });
+        let delay_ms = self.rng.random_range(100..3_000);
+        self.schedule(delay_ms, event::Event::Restart { at });
     }
 
     pub(super) fn tick(&mut self) {
         for at in 0..self.instances.len() {
-            if self.pause_left(at).is_some() {
+            if self.remaining_pause_ms(at).is_some() {
                 continue;
             }
             for finish in self.instances[at].table.expire(self.now) {
--- a/crates/damaskvane-dispatch/src/model/instance.rs
+++ b/crates/damaskvane-dispatch/src/model/instance.rs
@@ -7,20 +7,20 @@
 use crate::home;
 use crate::model::event;
 
-/// A process that can be killed, paused and restarted.
+/// An entry instance that can be killed, paused and restarted.
 #[derive(Debug)]
 pub(super) struct Instance {
     pub(super) table: home::HomeTable<u64>,
-    pub(super) waiters: collections::BTreeMap<home::WaiterId, event::Try>,
+    pub(super) waiters: collections::BTreeMap<home::WaiterId, event::ClientTry>,
     pub(super) paused_until: time::TimeMs,
     pub(super) successor: Option<home::Home>,
-    latest: ids::Incarnation,
+    latest_incarnation: ids::Incarnation,
 }
 
 impl Instance {
     pub(super) fn new(home: home::Home, settings: home::HomeSettings) -> Self {
         Self {
-            latest: home.incarnation,
+            latest_incarnation: home.incarnation,
             table: home::HomeTable::new(home, settings),
             waiters: collections::BTreeMap::new(),
             paused_until: time::TimeMs::ZERO,
@@ -28,16 +28,19 @@
         }
     }
 
-    /// The process starts anew, with nothing kept but a higher incarnation.
+    /// Restarts the process with a higher incarnation and an empty key table; a pause in progress continues.
     pub(super) fn restart(&mut self, settings: home::HomeSettings) {
-        let home = home::Home::new(self.table.home().instance.clone(), self.latest.next());
+        let home = home::Home::new(
+            self.table.home().instance.clone(),
+            self.latest_incarnation.next(),
+        );
         let paused_until = self.paused_until;
         *self = Self::new(home, settings);
         self.paused_until = paused_until;
     }
 
     pub(super) fn renew(&mut self) {
-        self.latest = self.latest.next();
-        self.table.renew(self.latest);
+        self.latest_incarnation = self.latest_incarnation.next();
+        self.table.renew(self.latest_incarnation);
     }
 }
--- a/crates/damaskvane-dispatch/src/model/report.rs
+++ b/crates/damaskvane-dispatch/src/model/report.rs
@@ -1,4 +1,4 @@
-//! What a randomised run found.
+//! The result of a randomised run.
 //!
 //! ```
 //! use damaskvane_dispatch::model;
@@ -8,19 +8,19 @@
 
 use std::collections;
 
-/// Counts of a run, and each broken promise.
+/// The counters of a run, and the violated guarantees.
 #[derive(Debug, Clone, Default)]
 pub struct Report {
-    /// Events that were handled.
+    /// The number of events that were handled.
     pub steps: u64,
-    /// Requests that clients began.
+    /// The number of requests that clients began.
     pub requests: u64,
-    /// Requests that ran at a backend server.
+    /// The number of requests that a backend server ran.
     pub runs: u64,
-    /// Answers by outcome word and reason.
+    /// The number of answers, by the label of the outcome and the reason.
     pub answers: collections::BTreeMap<String, u64>,
-    /// Kills, pauses, planned restarts and renewals.
+    /// The number of faults, by kind: kills, pauses, planned restarts and renewals.
     pub faults: collections::BTreeMap<&'static str, u64>,
-    /// Broken promises; empty if all is well.
+    /// Descriptions of the violated guarantees; empty in a correct run.
     pub violations: Vec<String>,
 }
--- a/crates/damaskvane-dispatch/src/model/run.rs
+++ b/crates/damaskvane-dispatch/src/model/run.rs
@@ -16,9 +16,9 @@
 use crate::model::{checker, event, exchanges, instance, report, settings};
 use crate::{exchange, fingerprint, home, outcome, refusal, retry};
 
-pub(super) const TIME_LEFT_MS: u64 = 1_000;
+pub(super) const REQUEST_TIMEOUT_MS: u64 = 1_000;
 pub(super) const TICK_MS: u64 = 100;
-/// A forwarded try goes on to the successor at most, and to that one's successor.
+/// The maximum number of forwards of a try: to the home, to its successor and to the successor's successor.
 const MAX_HOPS: u32 = 3;
 const MAX_VIOLATIONS: usize = 20;
 
@@ -41,19 +41,19 @@
     pub(super) instances: Vec<instance::Instance>,
     clients: collections::BTreeMap<u64, Client>,
     next_client: u64,
-    pub(super) flights: collections::BTreeMap<u64, exchanges::Flight>,
-    pub(super) next_flight: u64,
+    pub(super) backend_exchanges: collections::BTreeMap<u64, exchanges::BackendExchange>,
+    pub(super) next_exchange_id: u64,
     pub(super) retries: retry::RetryPolicy,
     pub(super) checker: checker::Checker,
     pub(super) report: report::Report,
 }
 
 impl Run {
-    /// A run that is determined by its seed and settings.
+    /// Creates a run, which is determined by its seed and settings.
     ///
     /// # Panics
     ///
-    /// Never: the names it makes are valid identifiers.
+    /// Never panics, because the names of the model are valid identifiers.
     #[must_use]
     pub fn new(seed: u64, settings: settings::ModelSettings) -> Self {
         let instances = (0..settings.instances)
@@ -71,8 +71,8 @@
             instances,
             clients: collections::BTreeMap::new(),
             next_client: 0,
-            flights: collections::BTreeMap::new(),
-            next_flight: 0,
+            backend_exchanges: collections::BTreeMap::new(),
+            next_exchange_id: 0,
             retries: retry::RetryPolicy::new(retry::RetrySettings::default()),
             checker: checker::Checker::default(),
             report: report::Report::default(),
@@ -85,7 +85,7 @@
         run
     }
 
-    /// Handles so many events, or fewer if promises were broken.
+    /// Handles the given number of events, or fewer if too many guarantees are violated.
     pub fn steps(&mut self, steps: u64) {
         for _ in 0..steps {
             let Some(((at, _), event)) = self.events.pop_first() else {
@@ -100,10 +100,13 @@
         }
     }
 
-    /// What happened so far.
+    /// Returns the report of the run so far.
     #[must_use]
     pub fn report(&self) -> report::Report {
-        let broken = self.instances.iter().map(|at| at.table.broken_invariants());
+        let broken = self
+            .instances
+            .iter()
+            .map(|instance| instance.table.broken_invariants());
         let mut violations = self.checker.violations.clone();
         if broken.sum::<u64>() > 0 {
             violations.push("a table refused an unsafe action".to_owned());
@@ -115,13 +118,13 @@
         }
     }
 
-    pub(super) fn schedule(&mut self, in_ms: u64, event: event::Event) {
-        let at = self.now + time::SpanMs::new(in_ms);
+    pub(super) fn schedule(&mut self, delay_ms: u64, event: event::Event) {
+        let at = self.now + time::SpanMs::new(delay_ms);
         self.events.insert((at, self.next_event), event);
         self.next_event += 1;
     }
 
-    /// Schedules a message, which may be late, crossed by others, or lost.
+    /// Schedules a message, which may be delayed, reordered or lost.
     pub(super) fn transmit(&mut self, event: event::Event) {
         if self.is_chosen(self.settings.lost_permille) {
             return;
@@ -153,24 +156,28 @@
             is_done: false,
         };
         self.clients.insert(client, state);
-        let in_ms = self.rng.random_range(1..500);
-        self.schedule(in_ms, event::Event::Send { client, after: 0 });
+        let delay_ms = self.rng.random_range(1..500);
+        self.schedule(delay_ms, event::Event::Send { client, after: 0 });
     }
 
     fn handle(&mut self, event: event::Event) {
         match event {
             event::Event::Send { client, after } => self.send(client, after),
-            event::Event::Arrive { at, trial, hops } => self.arrive(at, trial, hops),
-            event::Event::Run { flight } => self.run_at_backend(flight),
-            event::Event::Back { flight, failure } => self.back(flight, failure),
-            event::Event::Hear {
+            event::Event::Arrive {
+                at,
+                client_try,
+                hops,
+            } => self.arrive(at, client_try, hops),
+            event::Event::Run { id } => self.run_at_backend(id),
+            event::Event::ExchangeEnd { id, failure } => self.handle_exchange_end(id, failure),
+            event::Event::ReceiveAnswer {
                 client,
                 number,
                 outcome,
-            } => self.hear(client, number, &outcome),
-            event::Event::Part { to, part } => self.receive_part(&to, *part),
+            } => self.receive_answer(client, number, &outcome),
+            event::Event::HandoverPart { to, part } => self.receive_handover_part(&to, *part),
             event::Event::Amendment { to, record } => self.receive_amendment(&to, *record),
-            event::Event::Learn {
+            event::Event::LearnSuccessor {
                 at,
                 departed,
                 successor,
@@ -201,7 +208,7 @@
         }
         state.tries += 1;
         let number = state.tries;
-        let trial = event::Try {
+        let client_try = event::ClientTry {
             client,
             number: if state.is_numbered {
                 number
@@ -210,17 +217,21 @@
             },
             has_other_body,
         };
-        self.transmit(event::Event::Arrive { at, trial, hops: 0 });
-        // An impatient client tries again while the last try is still under way.
-        let patience_ms = self.rng.random_range(20..1_500);
+        self.transmit(event::Event::Arrive {
+            at,
+            client_try,
+            hops: 0,
+        });
+        // The client times out and sends its next try while the last one may still be in progress.
+        let timeout_ms = self.rng.random_range(20..1_500);
         let next = event::Event::Send {
             client,
             after: number,
         };
-        self.schedule(patience_ms, next);
+        self.schedule(timeout_ms, next);
     }
 
-    fn hear(&mut self, client: u64, number: u32, outcome: &outcome::Outcome<u64>) {
+    fn receive_answer(&mut self, client: u64, number: u32, outcome: &outcome::Outcome<u64>) {
         let Some(state) = self.clients.get_mut(&client) else {
             return;
         };
@@ -230,55 +241,62 @@
             self.begin_request();
         } else if number == state.tries {
             let after = state.tries;
-            let in_ms = self.rng.random_range(1..300);
-            self.schedule(in_ms, event::Event::Send { client, after });
+            let delay_ms = self.rng.random_range(1..300);
+            self.schedule(delay_ms, event::Event::Send { client, after });
         }
     }
 
-    fn arrive(&mut self, at: usize, trial: event::Try, hops: u32) {
-        if let Some(in_ms) = self.pause_left(at) {
-            self.schedule(in_ms, event::Event::Arrive { at, trial, hops });
+    fn arrive(&mut self, at: usize, client_try: event::ClientTry, hops: u32) {
+        if let Some(delay_ms) = self.remaining_pause_ms(at) {
+            self.schedule(
+                delay_ms,
+                event::Event::Arrive {
+                    at,
+                    client_try,
+                    hops,
+                },
+            );
             return;
         }
-        let attempt = self.attempt(trial);
+        let attempt = self.attempt(client_try);
         let now = self.now;
         match self.instances[at].table.begin(now, &attempt) {
-            home::BeginDecision::Dispatch(permit) => self.dispatch(at, trial, permit),
+            home::BeginDecision::Dispatch(permit) => self.dispatch(at, client_try, permit),
             home::BeginDecision::Join(waiter) => {
-                self.instances[at].waiters.insert(waiter, trial);
+                self.instances[at].waiters.insert(waiter, client_try);
             }
-            home::BeginDecision::Answer(outcome) => self.answer(trial, outcome),
-            home::BeginDecision::Forward(home) => self.forward(at, trial, &home, hops),
+            home::BeginDecision::Answer(outcome) => self.answer(client_try, outcome),
+            home::BeginDecision::Forward(home) => self.forward(at, client_try, &home, hops),
         }
     }
 
-    fn attempt(&self, trial: event::Try) -> home::Attempt {
-        let body: &[u8] = if trial.has_other_body {
+    fn attempt(&self, client_try: event::ClientTry) -> home::Attempt {
+        let body: &[u8] = if client_try.has_other_body {
             b"other"
         } else {
             b"own"
         };
         home::Attempt {
-            key: name(format!("key-{}", trial.client)),
-            home: self.clients[&trial.client].home.clone(),
+            key: name(format!("key-{}", client_try.client)),
+            home: self.clients[&client_try.client].home.clone(),
             fingerprint: fingerprint::Fingerprint::of(&name("desk".into()), "POST", "/", body),
-            try_number: trial.number,
-            time_left: time::SpanMs::new(TIME_LEFT_MS),
+            try_number: client_try.number,
+            time_left: time::SpanMs::new(REQUEST_TIMEOUT_MS),
         }
     }
 
-    fn forward(&mut self, from: usize, trial: event::Try, home: &home::Home, hops: u32) {
+    fn forward(&mut self, from: usize, client_try: event::ClientTry, home: &home::Home, hops: u32) {
         let to = self.index_of(home);
-        let request = request_of(trial);
+        let request = request_of(client_try);
         let forwarded = exchange::Forwarded::new(request);
         if hops >= MAX_HOPS || to == from {
             let (_, outcome) = forwarded.unreachable().into_parts();
-            self.answer(trial, outcome);
+            self.answer(client_try, outcome);
             return;
         }
         self.transmit(event::Event::Arrive {
             at: to,
-            trial,
+            client_try,
             hops: hops + 1,
         });
     }
@@ -286,7 +304,7 @@
     pub(super) fn finish(
         &mut self,
         at: usize,
-        trial: event::Try,
+        client_try: event::ClientTry,
         answered: exchange::Answered<u64>,
     ) {
         let (permit, outcome) = answered.into_parts();
@@ -294,34 +312,34 @@
             return;
         };
         let finish = self.instances[at].table.finish(self.now, permit, outcome);
-        self.answer(trial, finish.outcome.clone());
+        self.answer(client_try, finish.outcome.clone());
         self.answer_waiters(at, finish);
         self.send_amendments(at);
     }
 
     pub(super) fn answer_waiters(&mut self, at: usize, finish: home::FinishedKey<u64>) {
         for waiter in finish.waiters {
-            if let Some(trial) = self.instances[at].waiters.remove(&waiter) {
-                self.answer(trial, finish.outcome.clone());
+            if let Some(client_try) = self.instances[at].waiters.remove(&waiter) {
+                self.answer(client_try, finish.outcome.clone());
             }
         }
     }
 
-    pub(super) fn answer(&mut self, trial: event::Try, outcome: outcome::Outcome<u64>) {
-        self.checker.note_answer(trial, &outcome);
+    pub(super) fn answer(&mut self, client_try: event::ClientTry, outcome: outcome::Outcome<u64>) {
+        self.checker.record_answer(client_try, &outcome);
         let reason = outcome.reason().map_or("", refusal::RefusalReason::as_str);
-        let word = format!("{} {reason}", outcome.as_str());
-        *self.report.answers.entry(word).or_default() += 1;
-        self.transmit(event::Event::Hear {
-            client: trial.client,
-            number: trial.number,
+        let label = format!("{} {reason}", outcome.as_str());
+        *self.report.answers.entry(label).or_default() += 1;
+        self.transmit(event::Event::ReceiveAnswer {
+            client: client_try.client,
+            number: client_try.number,
             outcome,
         });
     }
 
-    fn receive_part(&mut self, to: &home::Home, part: home::HandoverPart<u64>) {
+    fn receive_handover_part(&mut self, to: &home::Home, part: home::Handover<u64>) {
         let at = self.index_of(to);
-        // Refused parts are lost: the keys of the departed home are unknown then.
+        // A refused part is lost, so that the keys of the departed home are unknown from then on.
         let _ = self.instances[at].table.accept_handover(self.now, part);
     }
 
@@ -348,15 +366,19 @@
         }
     }
 
-    pub(super) fn pause_left(&mut self, at: usize) -> Option<u64> {
-        let left = self.instances[at].paused_until.since(self.now);
-        // What lay unread is read in any order.
-        (left > time::SpanMs::ZERO).then(|| left.get() + self.rng.random_range(0..50))
+    pub(super) fn remaining_pause_ms(&mut self, at: usize) -> Option<u64> {
+        let remaining = self.instances[at].paused_until.since(self.now);
+        // A random delay makes the instance read the messages of the pause in any order.
+        (remaining > time::SpanMs::ZERO).then(|| remaining.get() + self.rng.random_range(0..50))
     }
 
     fn index_of(&self, home: &home::Home) -> usize {
-        let is_it = |at: &instance::Instance| at.table.home().instance == home.instance;
-        self.instances.iter().position(is_it).unwrap_or(0)
+        let is_same_instance =
+            |instance: &instance::Instance| instance.table.home().instance == home.instance;
+        self.instances
+            .iter()
+            .position(is_same_instance)
+            .unwrap_or(0)
     }
 }
 
@@ -364,11 +386,11 @@
     name(format!("entry-{index}"))
 }
 
-pub(super) fn request_of(trial: event::Try) -> ids::RequestId {
-    name(format!("try-{}-{}", trial.client, trial.number))
+pub(super) fn request_of(client_try: event::ClientTry) -> ids::RequestId {
+    name(format!("try-{}-{}", client_try.client, client_try.number))
 }
 
-/// The model makes names out of letters, digits and dashes only.
+/// Converts a name of the model, which has only letters, digits and dashes, to an identifier.
 pub(super) fn name<T: TryFrom<String, Error = ids::ParseIdError>>(text: String) -> T {
     T::try_from(text).expect("a valid name")
 }
--- a/crates/damaskvane-dispatch/src/model/settings.rs
+++ b/crates/damaskvane-dispatch/src/model/settings.rs
@@ -1,30 +1,30 @@
-//! How often things fail in the model.
+//! The sizes and fault rates of the model.
 //!
 //! ```
 //! use damaskvane_dispatch::model;
 //!
-//! let calm = model::ModelSettings { fault_every_ms: u64::MAX, ..Default::default() };
-//! assert_eq!(calm.instances, 4);
+//! let without_faults = model::ModelSettings { fault_every_ms: u64::MAX, ..Default::default() };
+//! assert_eq!(without_faults.instances, 4);
 //! ```
 
 use crate::home;
 
-/// Sizes and rates of faults.
+/// The sizes of the model and the rates of its faults.
 #[derive(Debug, Clone)]
 pub struct ModelSettings {
-    /// How many entry instances there are.
+    /// The number of entry instances.
     pub instances: usize,
-    /// How many requests are under way.
+    /// The number of requests in progress at a time.
     pub clients: usize,
-    /// How many tries a client makes.
+    /// The maximum number of tries of a client.
     pub max_tries: u32,
-    /// The mean time between two kills, pauses or planned restarts.
+    /// The mean time in milliseconds between two faults of instances, such as kills and pauses.
     pub fault_every_ms: u64,
-    /// Messages in a thousand that are lost.
+    /// The number of messages in a thousand that are lost.
     pub lost_permille: u32,
-    /// Exchanges with a backend server, in a thousand, that go wrong in each of the ways there are.
+    /// The number of exchanges with a backend server, in a thousand, that fail with each kind of failure.
     pub backend_fault_permille: u32,
-    /// The key tables' settings; short windows and small bounds, so that runs reach them.
+    /// The settings of the key tables; the default has short windows and small bounds, so that runs reach them.
     pub home: home::HomeSettings,
 }
 
