--- a/crates/damaskvane-dispatch/src/shutdown/phase.rs
+++ b/crates/damaskvane-dispatch/src/shutdown/phase.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Stopped {
     /// Whether the handover timed out before it was complete; then the outcome of requests may be *unknown*.
-    pub is_cut_short: bool,
+    pub is_timed_out: bool,
 }
 
 impl Serving {
@@ -100,7 +100,7 @@
         let is_timed_out = now.since(self.since).get() >= self.settings.max_handover_ms;
         if is_done || is_timed_out {
             Ok(Stopped {
-                is_cut_short: !is_done,
+                is_timed_out: !is_done,
             })
         } else {
             Err(self)
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -116,7 +116,7 @@
         .stop(at(6_100), 0, false)
         .expect_err("no successor yet");
     let stopped = handing_over.stop(at(6_200), 0, true).expect("done");
-    assert!(!stopped.is_cut_short);
+    assert!(!stopped.is_timed_out);
 }
 
 /// A request never ends. The stop ends all the same, and says that it was cut short.
@@ -129,5 +129,5 @@
     let stopped = handing_over
         .stop(at(40_000), 1, true)
         .expect("the time is over");
-    assert!(stopped.is_cut_short);
+    assert!(stopped.is_timed_out);
 }
--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -52,7 +52,7 @@
     pub fn is_drained(&self, now: time::TimeMs) -> bool {
         match &self.departure {
             Departure::Stopped(stopped) => {
-                stopped.is_cut_short
+                stopped.is_timed_out
                     || (self.requests.is_empty()
                         && self.flights.is_empty()
                         && self.servers.is_drained(now))
