--- a/crates/damaskvane-dispatch/src/quarantine/list.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/list.rs
@@ -55,9 +55,9 @@
             if self.was_cleared_since(now, *fingerprint, incident.age) {
                 continue;
             }
-            let was_refused = self.refusal(now, *fingerprint).is_some();
+            let was_refused = self.refused_for(now, *fingerprint).is_some();
             self.add_incident(now, *fingerprint, incident);
-            if !was_refused && self.refusal(now, *fingerprint).is_some() {
+            if !was_refused && self.refused_for(now, *fingerprint).is_some() {
                 refused.push(*fingerprint);
             }
         }
@@ -72,7 +72,7 @@
         now: time::TimeMs,
         fingerprint: fingerprint::Fingerprint,
     ) -> bool {
-        let was_refused = self.refusal(now, fingerprint).is_some();
+        let was_refused = self.refused_for(now, fingerprint).is_some();
         self.evict_for(fingerprint);
         let suspect = self.suspects.entry(fingerprint).or_default();
         suspect.is_recorded = true;
@@ -84,7 +84,7 @@
 
     /// Returns for how much longer a request is refused, or `None` if it may run.
     #[must_use]
-    pub fn refusal(
+    pub fn refused_for(
         &self,
         now: time::TimeMs,
         fingerprint: fingerprint::Fingerprint,
@@ -147,7 +147,7 @@
         if suspect.until <= now {
             return decision::QuarantineDecision::Run;
         }
-        if let Some(retry_after) = self.refusal(now, fingerprint) {
+        if let Some(retry_after) = self.refused_for(now, fingerprint) {
             return decision::QuarantineDecision::Refuse { retry_after };
         }
         if self.running_alone.is_some() {
--- a/crates/damaskvane-dispatch/tests/quarantine.rs
+++ b/crates/damaskvane-dispatch/tests/quarantine.rs
@@ -153,9 +153,12 @@
     let mut list = list();
     assert!(list.apply_quarantine_record(at(0), fingerprint_of("bad")));
     assert!(!list.apply_quarantine_record(at(1), fingerprint_of("bad")));
-    assert!(list.refusal(at(2), fingerprint_of("bad")).is_some());
-    assert!(list.refusal(at(600_001), fingerprint_of("bad")).is_none());
-    assert!(list.refusal(at(2), fingerprint_of("good")).is_none());
+    assert!(list.refused_for(at(2), fingerprint_of("bad")).is_some());
+    assert!(
+        list.refused_for(at(600_001), fingerprint_of("bad"))
+            .is_none()
+    );
+    assert!(list.refused_for(at(2), fingerprint_of("good")).is_none());
 }
 
 /// Every instance that hears of the incidents records the request for all others, and only once: each record
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -107,7 +107,7 @@
 #[must_use]
 pub fn refusal(node: &Node, fingerprint: Fingerprint) -> Option<SpanMs> {
     let list = node.crashes.list.borrow();
-    list.refusal(node.now(), fingerprint)
+    list.refused_for(node.now(), fingerprint)
 }
 
 /// Records that a connection broke after the request was written, and requests a probe of the server.
