--- a/crates/damaskvane-dispatch/src/model/exchanges.rs
+++ b/crates/damaskvane-dispatch/src/model/exchanges.rs
@@ -154,7 +154,7 @@
         match decision {
             retry::RetryDecision::Retry { .. } => self.send_to_backend(at, client_try, admitted),
             retry::RetryDecision::Stop(stop) => {
-                let refused = admitted.refuse(stop.refusal());
+                let refused = admitted.refuse(stop.refusal_reason());
                 self.finish(at, client_try, refused);
             }
         }
--- a/crates/damaskvane-dispatch/src/retry/decision.rs
+++ b/crates/damaskvane-dispatch/src/retry/decision.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_dispatch::{refusal, retry};
 //!
-//! let reason = retry::RetryStop::BudgetUsed.refusal();
+//! let reason = retry::RetryStop::BudgetUsed.refusal_reason();
 //! assert_eq!(reason, refusal::RefusalReason::Overloaded);
 //! ```
 
@@ -39,7 +39,7 @@
 impl RetryStop {
     /// Returns the reason to refuse the request with.
     #[must_use]
-    pub const fn refusal(self) -> refusal::RefusalReason {
+    pub const fn refusal_reason(self) -> refusal::RefusalReason {
         match self {
             Self::NoOtherServer | Self::TriesUsed => refusal::RefusalReason::BackendRefused,
             Self::DeadlineTooShort => refusal::RefusalReason::DeadlineTooShort,
--- a/crates/damaskvane-engine/src/engine/ended.rs
+++ b/crates/damaskvane-engine/src/engine/ended.rs
@@ -90,7 +90,7 @@
             }
             retry::RetryDecision::Stop(stop) => {
                 let origin = self.requests.remove(&id).and_then(|pending| pending.origin);
-                self.finish(now, origin, admitted.refuse(stop.refusal()));
+                self.finish(now, origin, admitted.refuse(stop.refusal_reason()));
             }
         }
     }
