--- a/crates/damaskvane-dispatch/src/quarantine/list.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/list.rs
@@ -158,7 +158,7 @@
     }
 
     /// Returns the backend servers that a suspect must not be sent to again.
-    pub fn avoided(
+    pub fn servers_to_avoid(
         &self,
         fingerprint: fingerprint::Fingerprint,
     ) -> impl Iterator<Item = &ids::BackendServerId> {
--- a/crates/damaskvane-engine/src/engine/pump.rs
+++ b/crates/damaskvane-engine/src/engine/pump.rs
@@ -104,7 +104,11 @@
         if let Stage::Requeued(admitted) = &pending.stage {
             tried.extend_from_slice(admitted.tried());
         }
-        let avoided = self.crashes.list.avoided(pending.fingerprint).cloned();
+        let avoided = self
+            .crashes
+            .list
+            .servers_to_avoid(pending.fingerprint)
+            .cloned();
         let excluded: Vec<ids::BackendServerId> = tried.iter().cloned().chain(avoided).collect();
         let service = &pending.request.service;
         if self.servers.count(now, service, &excluded) == 0 {
