--- a/crates/damaskvane-dispatch/src/exchange.rs
+++ b/crates/damaskvane-dispatch/src/exchange.rs
@@ -1,6 +1,6 @@
 //! The life cycle of one request: received, admitted, sent, answered.
 //!
-//! Each state is a type that has only the transitions that are safe in this state. A request that was
+//! Each state is a type, which has only the transitions that are safe in this state. A request that was
 //! never sent, or that the backend server refused before running it, may be answered with *not run*. Once
 //! a byte may have reached a backend server without such a refusal, the only possible refusal is *outcome
 //! unknown*.
--- a/crates/damaskvane-dispatch/src/exchange/answered.rs
+++ b/crates/damaskvane-dispatch/src/exchange/answered.rs
@@ -39,7 +39,7 @@
 
     /// Answers a request that no instance would ever run with *not run*.
     ///
-    /// The idempotency key need not be looked up, since no earlier try can have run either.
+    /// The answer needs no lookup of the idempotency key.
     pub const fn rejected(request: ids::RequestId, rejection: rejection::Rejection) -> Self {
         let reason = rejection.reason();
         let refused = outcome::NotRun::new(reason, reason.default_retry_after());
--- a/crates/damaskvane-dispatch/src/exchange/forwarded.rs
+++ b/crates/damaskvane-dispatch/src/exchange/forwarded.rs
@@ -16,8 +16,8 @@
 
 /// A request that was forwarded to its home, the only instance that knows whether the request ran.
 ///
-/// This instance neither sends the request to a backend server nor retries it, and makes no *not run* for
-/// it, because an earlier try may have run through another instance.
+/// This instance neither sends the request to a backend server nor retries the request. This instance also
+/// never answers *not run* on its own, because an earlier try may have run through another instance.
 #[derive(Debug)]
 pub struct Forwarded {
     request: ids::RequestId,
--- a/crates/damaskvane-dispatch/src/model/event.rs
+++ b/crates/damaskvane-dispatch/src/model/event.rs
@@ -25,7 +25,7 @@
         client_try: ClientTry,
         hops: u32,
     },
-    /// A request that an instance sent arrives at a backend server.
+    /// The request of an exchange arrives at a backend server.
     Run {
         id: u64,
     },
--- a/crates/damaskvane-dispatch/src/outcome/answer.rs
+++ b/crates/damaskvane-dispatch/src/outcome/answer.rs
@@ -23,7 +23,7 @@
 }
 
 impl<A> Outcome<A> {
-    /// Creates the answer *outcome unknown*, which is true in every state of a request.
+    /// Creates the answer *outcome unknown*, which is safe to give at any time.
     #[must_use]
     pub const fn unknown(reason: refusal::RefusalReason) -> Self {
         Self::Unknown(refused::Unknown::new(reason))
