--- a/crates/damaskvane-dispatch/src/model/run.rs
+++ b/crates/damaskvane-dispatch/src/model/run.rs
@@ -337,7 +337,7 @@
         });
     }
 
-    fn receive_handover_part(&mut self, to: &home::Home, part: home::Handover<u64>) {
+    fn receive_handover_part(&mut self, to: &home::Home, part: home::HandoverPart<u64>) {
         let at = self.index_of(to);
         // A refused part is lost, so that the keys of the departed home are unknown from then on.
         let _ = self.instances[at].table.accept_handover(self.now, part);
--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -117,13 +117,13 @@
     fingerprint: Fingerprint,
 ) {
     let mut broken = node.crashes.broken.borrow_mut();
-    broken.note(node.now(), server, fingerprint);
+    broken.record(node.now(), server, fingerprint);
     node.probe_requested.notify_one();
 }
 
 /// Records that a server with broken exchanges is alive.
 pub fn record_server_alive(node: &Node, server: &ids::BackendServerId) {
-    node.crashes.broken.borrow_mut().note_alive(server);
+    node.crashes.broken.borrow_mut().record_alive(server);
     node.crashes.server_state_known.notify_waiters();
 }
 
