--- a/crates/damaskvane-routing/src/placement.rs
+++ b/crates/damaskvane-routing/src/placement.rs
@@ -1,11 +1,10 @@
 //! Selects the backend server for a request, or the reason for refusing the request.
 //!
-//! A server runs a request several times faster if it has handled the same object recently and still has the
-//! object cached. Instances therefore place requests by object: each ranks the servers of an object by the same hash
-//! and uses the first few. Among these few, a request goes to the server with the highest score, which is the
-//! expected value of the response minus the cost of the slot time. Growing queues don't spread load over more servers:
-//! those servers have not cached the objects, would take longer, and the queues would grow further. Requests beyond
-//! the load limit are refused at once.
+//! A server runs a request several times faster if it has handled the same object recently. Placement is therefore by
+//! object: every instance ranks the servers of an object by the same hash and uses the first few. Among these few, a
+//! request goes to the server with the highest score, which is the expected value of the answer minus the cost of the
+//! slot time. Growing queues don't spread load over more servers: those servers have not handled the objects recently,
+//! would take longer, and the queues would grow further. Requests beyond the load limit are refused at once.
 //!
 //! ```
 //! use damaskvane_routing::placement;
--- a/crates/damaskvane-routing/src/placement/choice.rs
+++ b/crates/damaskvane-routing/src/placement/choice.rs
@@ -50,15 +50,15 @@
     pub zone: ids::AvailabilityZoneId,
     /// Expected time of the request at this server, including the network round trip and the wait for a slot.
     pub expected_ms: f64,
-    /// Expected time if the server has not cached the request's object.
+    /// Expected time if the server has not handled the request's object recently.
     pub first_ms: f64,
     /// Lower bound of the expected time.
     pub min_ms: f64,
-    /// Whether the server is assumed to have cached the object.
+    /// Whether the server is assumed to have handled the object recently.
     pub is_warm: bool,
     /// Whether this instance has recently sent a request for the object to the server.
     pub was_sent: bool,
-    /// Usual time of a request if the server has cached the object, including the network round trip.
+    /// Usual time of a request if the server has handled the object recently, including the network round trip.
     pub remembered_ms: f64,
     /// Reason for passing over the object's first server, or `None` if the first server was selected.
     pub passed_over: Option<PassedOver>,
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -118,8 +118,8 @@
         let usable = usable_servers(now, pool, candidates.found(), search);
         let mut best = self.best_of(now, pool, request, usable, 0, cold_share);
         if best == Err(RefusalReason::Cold) {
-            // If only the rate limit of cold servers excludes the usual servers, a server that has not cached the
-            // object is better than no answer: few servers are cold, and only for a short time.
+            // If only the rate limit of cold servers excludes the usual servers, a server that has not handled the
+            // object recently is better than no answer: few servers are cold, and only for a short time.
             let considered = usable.len();
             let wide_search = Search {
                 scope: Scope::Everywhere,
@@ -173,7 +173,7 @@
         let work_ms = (took_ms - round_trip_ms.unwrap_or(0.0)).max(1.0);
         // Time in a queue or on a cold server reflects load or a recent start, not the speed of the server.
         let is_unrepresentative = answered.has_waited || server.is_cold(now);
-        let is_cached = answered
+        let was_handled_recently = answered
             .object
             .is_some_and(|object| server.handled_recently(now, object));
         if let Some(object) = answered.object {
@@ -184,7 +184,7 @@
         }
         let route = answered.route;
         let baseline = self.baselines.of(&route.name, route.objective_ms);
-        if is_cached {
+        if was_handled_recently {
             server.record_work_time(now, work_ms, baseline.warm_ms);
             self.baselines
                 .record(&route.name, route.objective_ms, true, work_ms);
@@ -192,7 +192,7 @@
             self.baselines
                 .record(&route.name, route.objective_ms, false, work_ms);
         }
-        if !is_cached && work_ms > baseline.first_ms {
+        if !was_handled_recently && work_ms > baseline.first_ms {
             server.record_work_time(now, work_ms, baseline.first_ms);
         }
     }
@@ -250,7 +250,7 @@
         };
         let step = self.settings.shift_most * SHIFT_STEP_SHARE;
         // The limit also applies to requests that the home region would refuse: sent to another region, they too
-        // would reach servers that have not cached their objects.
+        // would reach servers that have not handled their objects recently.
         let scope = if self.region_shifts.may_shift(now, step) {
             Scope::Everywhere
         } else {
@@ -356,7 +356,8 @@
 /// Returns the found servers that the object may use.
 ///
 /// An object that is restricted to its home region and has one server there uses only that server while it is
-/// healthy, even if it has a queue: a queue does not justify another cached copy, an unhealthy server does.
+/// healthy, even if it has a queue: a queue does not justify a slow first run on another server, an unhealthy server
+/// does.
 fn usable_servers<'a>(
     now: TimeMs,
     pool: &ServerPool,
--- a/crates/damaskvane-routing/src/placement/popularity.rs
+++ b/crates/damaskvane-routing/src/placement/popularity.rs
@@ -1,10 +1,10 @@
 //! Decides which objects of a route are popular, from the requests of a whole zone.
 //!
-//! A cached copy of an object in each zone saves traffic between zones, and costs one slow run and space in a
-//! server's cache. The saving exceeds the cost only for objects that are requested often. One of many instances sees
-//! too few of a zone's requests to decide, and instances that decide differently use different servers for an object.
-//! All instances therefore send a sample of the requested objects to the aggregators of the zone, which decide and
-//! send their decisions to the other instances.
+//! A server for an object in each zone saves traffic between zones, and costs one slow first run and a place among the
+//! few recent objects for which a server is faster. The saving exceeds the cost only for objects that are requested
+//! often. One of many instances sees too few of a zone's requests to decide, and instances that decide differently use
+//! different servers for an object. All instances therefore send a sample of the requested objects to the aggregators
+//! of the zone, which decide and send their decisions to the other instances.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/damaskvane-routing/src/placement/rank.rs
+++ b/crates/damaskvane-routing/src/placement/rank.rs
@@ -5,9 +5,9 @@
 
 /// Returns the hash of an object's name within a route and service.
 ///
-/// A server caches an object for one route: a request of another route for the same object takes its full time.
-/// Without the route in the hash, the measured times of both routes would mix, and both would load the same server
-/// without any gain.
+/// A server is faster for an object only on the route for which it has handled the object recently: a request of
+/// another route for the same object takes its full time. Without the route in the hash, the measured times of both
+/// routes would mix, and both would load the same server without any gain.
 #[must_use]
 pub fn object_hash(service: &ids::ServiceId, route: &str, object: &str) -> u64 {
     let service = xxh3::xxh3_64(service.as_str().as_bytes());
--- a/crates/damaskvane-routing/src/placement/region_shifts.rs
+++ b/crates/damaskvane-routing/src/placement/region_shifts.rs
@@ -1,7 +1,7 @@
 //! Limits the share of requests that are sent to another region because the object's region is busy.
 //!
-//! A burst fills the servers of a region within a second. If all requests beyond their capacity went to other
-//! regions at once, the servers there would run many objects that they have not cached, and callers everywhere would
+//! A burst fills the servers of a region within a second. If all requests beyond their capacity went to other regions
+//! at once, the servers there would run many objects that they have not handled recently, and callers everywhere would
 //! notice. The share of shifted requests may therefore rise by only one step from each window to the next.
 
 use damaskvane_core::time::TimeMs;
--- a/crates/damaskvane-routing/src/placement/shares.rs
+++ b/crates/damaskvane-routing/src/placement/shares.rs
@@ -9,8 +9,8 @@
 
 /// Share of a region's slots that its own objects may use; the rest absorbs uneven load.
 const OWN_SLOTS_SHARE: f64 = 0.9;
-/// Minimum share of a region with servers. A server without requests is paid for and unused, and would have nothing
-/// cached when it is needed.
+/// Minimum share of a region with servers. A server without requests is paid for and unused, and would have handled no
+/// object recently when it is needed.
 const MIN_SHARE: f64 = 0.01;
 
 /// Slots of all regions. All zones are assumed to send the same number of requests.
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -15,7 +15,7 @@
 
 /// Time for which a server is assumed to run requests for an object faster after a request for the object.
 const RECENT_OBJECT_MS: u64 = 30_000;
-/// Most recent objects stored for each server; well above the number of objects that servers cache.
+/// Most recent objects stored for each server; well above the number of objects for which a server is faster.
 const MAX_OBJECTS: usize = 1_024;
 /// Multiple of the usual time after which an exchange in progress indicates a stalled server.
 const STALLED_FACTOR: f64 = 3.0;
