--- a/crates/damaskvane-routing/tests/admission.rs
+++ b/crates/damaskvane-routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! When requests are refused, and what stands in for servers that can't be used.
+//! Tests of the requests that placement refuses, and of the servers that replace unusable ones.
 
 mod support;
 
@@ -8,11 +8,11 @@
     at, choose, configuration, fill, pick, placer, pool_of, request, route, server_id, service_id,
 };
 
-/// Queues grow because load exceeds the slots. Spreading objects over more servers then makes each request
-/// take longer and the queues grow further, and the load stays lost after it has fallen again. The objects
-/// stay with their two servers, and what these can't take is refused at once.
+/// Guards against an overload that outlasts its cause. Load exceeds the slots and queues grow. If objects then spread
+/// over more servers, each request takes longer, the queues grow further, and the overload stays after the load has
+/// fallen. An object stays with its two servers, and requests beyond their capacity are refused at once.
 #[test]
-fn a_full_pair_of_servers_refuses_and_does_not_spread() {
+fn a_request_is_refused_when_both_servers_of_its_object_are_full() {
     let mut pool = pool_of(&[("east-a", 4)]);
     let first = pick(&mut pool, "east-a", 7).server;
     fill(&mut pool, first.as_str(), 15);
@@ -28,10 +28,11 @@
     }
 }
 
-/// A burst fills a server with the requests of other instances, and its last report says so. Taken to be full, it
-/// gets no request and sends no other report: the refusals must end by themselves once the report is old.
+/// Guards against a server that counts as full permanently. A burst of other instances' requests fills the server, and
+/// its last report states so. Without a request the server sends no further report, so the refusals must end once the
+/// report is old.
 #[test]
-fn a_server_that_was_full_once_is_asked_again() {
+fn a_full_server_receives_requests_again_once_its_report_is_old() {
     let mut pool = pool_of(&[("east-a", 1)]);
     let full = ServerReport {
         load: Some(LoadReport {
@@ -53,9 +54,10 @@
     assert!(matches!(later, Choice::Send(_)));
 }
 
-/// Under load the less urgent requests of a service must be refused first.
+/// Guards against load limits that don't fall with the priority: under load, the less urgent requests of a service must
+/// be refused first.
 #[test]
-fn the_less_urgent_are_refused_at_a_lower_load() {
+fn less_urgent_requests_are_refused_at_a_lower_load() {
     let settings = placement::PlacementSettings::default();
     let limits: Vec<f64> = (0..4).map(|rank| settings.load_limit(rank)).collect();
     assert!(
@@ -64,23 +66,22 @@
     );
 }
 
-/// A route may be served only in its regions; a server elsewhere must not see the request even if no other
-/// is left.
+/// Guards against a request that leaves the allowed regions of its route because no server is left there.
 #[test]
-fn a_route_that_is_bound_to_regions_is_refused_rather_than_sent_elsewhere() {
+fn a_request_is_refused_rather_than_sent_outside_its_allowed_regions() {
     let pool = pool_of(&[("west-a", 3)]);
-    let mut bound = route();
-    bound.allowed_regions = vec!["east".parse().expect("a name")];
+    let mut restricted = route();
+    restricted.allowed_regions = vec!["east".parse().expect("a name")];
     let service = service_id();
-    let request = request(&bound, &service, 3);
+    let request = request(&restricted, &service, 3);
     let choice = placer("east-a").choose(at(1_000), &pool, &configuration(), &request, 1);
     assert!(matches!(choice, Choice::Refuse(refusal) if refusal.reason == RefusalReason::NoServer));
 }
 
-/// Guards against a server that is taken to remember an object which it never had, since the object's own servers are
-/// cold: usual times would be learned wrong from its slow first run.
+/// Guards against a wrong usual time. The servers of an object are cold, and another server takes the request. If that
+/// server counted as one that has handled the object recently, its slow first run would distort the usual time.
 #[test]
-fn who_stands_in_for_cold_servers_is_not_taken_to_remember_the_object() {
+fn a_replacement_for_cold_servers_is_not_assumed_to_have_handled_the_object() {
     let mut pool = pool_of(&[("east-a", 4), ("west-a", 4)]);
     for server in 0..4 {
         for zone in ["east-a", "west-a"] {
@@ -91,7 +92,7 @@
         }
     }
     let object = 3 << 32;
-    let own: Vec<_> = (0..2)
+    let object_servers: Vec<_> = (0..2)
         .map(|_| {
             let first = pick(&mut pool, "east-a", object).server;
             let mut server = pool.server_mut(&first).expect("a server");
@@ -107,7 +108,10 @@
             first
         })
         .collect();
-    let stand_in = pick(&mut pool, "east-a", object);
-    assert!(!own.contains(&stand_in.server));
-    assert!(stand_in.rank >= 2 && !stand_in.is_warm, "{stand_in:?}");
+    let replacement = pick(&mut pool, "east-a", object);
+    assert!(!object_servers.contains(&replacement.server));
+    assert!(
+        replacement.rank >= 2 && !replacement.is_warm,
+        "{replacement:?}"
+    );
 }
--- a/crates/damaskvane-routing/tests/configuration.rs
+++ b/crates/damaskvane-routing/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Routes and splits.
+//! Tests of the selection of routes by path prefix and of traffic splits by weight.
 
 mod support;
 
@@ -7,10 +7,10 @@
 use damaskvane_routing::split::Splits;
 use support::{route, service_id};
 
-/// Two routes of a host begin the same path; the more special one must get the request, in whatever order
-/// they were declared.
+/// Guards against a route that depends on the order of declaration: two routes of a host match a path, and the route
+/// with the longer prefix must be selected in either order.
 #[test]
-fn the_longest_prefix_takes_a_request() {
+fn the_route_with_the_longest_prefix_is_selected() {
     let mut deep = route();
     deep.name = "deep".to_owned();
     deep.path_prefix = "/look/deep/".to_owned();
@@ -27,10 +27,10 @@
     assert!(configuration.route("other.example", "/look/1").is_none());
 }
 
-/// A weight is a promise on shares: over a few hundred requests each service must get its part within a
-/// request or two, also right after the weights changed.
+/// Guards against shares that differ from the declared weights: over a few hundred requests each service must receive
+/// its share within one or two requests, also right after a change of the weights.
 #[test]
-fn a_split_keeps_to_its_weights() {
+fn a_split_follows_its_weights() {
     let parts = |weights: [u32; 3]| {
         weights.map(|weight| Destination {
             service: service_id(),
@@ -51,9 +51,9 @@
     }
 }
 
-/// A route whose weights are all zero goes nowhere; it must not panic or pick a service by chance.
+/// Guards against a panic or an arbitrary service for a route whose weights are all zero.
 #[test]
-fn a_split_without_weights_has_no_destination() {
+fn a_split_with_zero_weights_has_no_destination() {
     let parts = [0, 0].map(|weight| Destination {
         service: service_id(),
         weight,
--- a/crates/damaskvane-routing/tests/digests.rs
+++ b/crates/damaskvane-routing/tests/digests.rs
@@ -1,4 +1,4 @@
-//! What instances of other zones hear of a zone through its digests.
+//! Tests of the digests, membership updates and heartbeats from which instances learn of other zones' instances.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use damaskvane_routing::peers::{Heartbeat, ListedInstance, Members, PeerSettings, Phase};
 use support::{at, regions, zone};
 
-/// The pause between two heartbeats of an instance.
+/// Interval between two heartbeats of an instance.
 const HEARTBEAT_MS: u64 = 800;
 
 fn heartbeat(name: &str, zone_name: &str, serial: u64) -> Heartbeat {
@@ -37,10 +37,10 @@
     usable.any(|heartbeat| heartbeat.instance == name)
 }
 
-/// Every instance tells every other one that it is alive, and most of a large fleet's bytes between zones are
-/// heartbeats. Once all know each other, an instance sends them within its zone only.
+/// Guards against heartbeats between all instances, which would be most of the traffic between zones in a large fleet.
+/// Once all instances are known, an instance sends heartbeats within its zone only.
 #[test]
-fn heartbeats_stay_in_the_zone_once_all_know_each_other() {
+fn heartbeats_stay_in_the_zone_once_all_instances_are_known() {
     let mut own = members("east-1", "east-a");
     own.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
     own.apply_heartbeat(at(0), heartbeat("west-1", "west-a", 1));
@@ -48,9 +48,10 @@
     assert_eq!(within, [heartbeat("east-2", "east-a", 1).peer_address]);
 }
 
-/// Guards against the last instance of a zone that stops and whom nobody is left to speak for: it tells all itself.
+/// Guards against a stop that other zones miss: the last instance of a zone stops, and the zone has no aggregator left,
+/// so the instance must send its phase to all instances itself.
 #[test]
-fn a_change_of_phase_is_told_to_all() {
+fn a_change_of_phase_is_sent_to_all_instances() {
     let mut own = members("east-1", "east-a");
     own.apply_heartbeat(at(0), heartbeat("west-1", "west-a", 1));
     assert_eq!(own.recipients(at(100), 10).len(), 0);
@@ -66,23 +67,23 @@
     }
 }
 
-/// A listed instance was never heard: it may be one that has just started and knows nobody. One of the own
-/// zone is told at once, since the zone's changes of the store come through its first instances; one of
-/// another zone now and then.
+/// Guards against an instance that stays unknown after its start: it is listed, but no heartbeat of it was received. An
+/// instance of the same zone receives every heartbeat, since the zone's store changes come through its first instances.
+/// An instance of another zone receives only some heartbeats.
 #[test]
-fn an_instance_that_was_never_heard_gets_heartbeats() {
+fn a_listed_instance_without_a_heartbeat_receives_heartbeats() {
     let mut own = members("east-1", "east-a");
     let (near, far) = (listed("near", "east-a"), listed("far", "west-a"));
     own.set_listed([near.clone(), far.clone()]);
     assert_eq!(own.recipients(at(100), 10), [near.peer_address]);
-    let greeted = own.recipients(at(100), 16);
-    assert_eq!(greeted, [far.peer_address, near.peer_address]);
+    let recipients = own.recipients(at(100), 16);
+    assert_eq!(recipients, [far.peer_address, near.peer_address]);
 }
 
-/// Guards against a start of hundreds of instances in which each tells all others, most of a large fleet's bytes
-/// between zones: an instance tells its own zone, and one that speaks for that zone tells the others.
+/// Guards against a start of hundreds of instances that each send heartbeats to all others, most of the traffic between
+/// zones in a large fleet. An instance sends heartbeats to its zone, and an aggregator sends updates to other zones.
 #[test]
-fn a_start_is_told_to_other_zones_by_who_speaks_for_the_own_one() {
+fn an_aggregator_sends_the_starts_of_its_zone_to_other_zones() {
     let own_id = "east-1".parse().expect("a name");
     let mut own = Members::new(PeerSettings::default(), own_id, regions());
     let starting = Heartbeat {
@@ -115,14 +116,14 @@
     assert!(!is_usable(&west, 950, "east-2"));
 }
 
-/// Every instance of a small fleet, with the ways of news between them.
+/// All instances of a small fleet, which exchange heartbeats and membership updates.
 struct Fleet(Vec<(Members, net::SocketAddr)>);
 
 const FLEET_ZONES: [&str; 3] = ["east-a", "east-b", "west-a"];
 const FLEET_PER_ZONE: u16 = 4;
 
-/// An instance of the fleet, at an address of its own.
-fn of_fleet(number: u16, serial: u64) -> Heartbeat {
+/// Returns the heartbeat of an instance of the fleet, with a peer address that no other instance has.
+fn fleet_heartbeat(number: u16, serial: u64) -> Heartbeat {
     let zone_name = FLEET_ZONES[usize::from(number / FLEET_PER_ZONE)];
     Heartbeat {
         peer_address: ([10, 0, 0, 2], 1_000 + number).into(),
@@ -131,10 +132,12 @@
 }
 
 impl Fleet {
-    /// Four instances in each of three zones, all ready and known to each other.
+    /// Returns a fleet of four instances in each of three zones, all ready and known to each other.
     fn ready() -> Self {
-        let count = u16::try_from(FLEET_ZONES.len()).expect("few") * FLEET_PER_ZONE;
-        let all: Vec<Heartbeat> = (0..count).map(|number| of_fleet(number, 1)).collect();
+        let count = u16::try_from(FLEET_ZONES.len()).expect("a small number") * FLEET_PER_ZONE;
+        let all: Vec<Heartbeat> = (0..count)
+            .map(|number| fleet_heartbeat(number, 1))
+            .collect();
         let instances = all.iter().map(|own| {
             let settings = PeerSettings::default();
             let mut members = Members::new(settings, own.instance.clone(), regions());
@@ -153,8 +156,9 @@
         found.map(|(members, _)| members)
     }
 
-    /// One instance sends its next heartbeat; then each tells its news, which is handed on in the zones it reaches.
-    fn beat(&mut self, now_ms: u64, own: &Heartbeat) {
+    /// Sends the next heartbeat of one instance, then the membership updates of every instance, which the recipients
+    /// forward in their zones.
+    fn send_heartbeat(&mut self, now_ms: u64, own: &Heartbeat) {
         let sender = self.at(own.peer_address).expect("an instance");
         for address in sender.recipients(at(now_ms), own.serial) {
             if let Some(members) = self.at(address) {
@@ -163,20 +167,20 @@
         }
         for index in 0..self.0.len() {
             let members = &mut self.0[index].0;
-            let news = members.take_membership_updates(at(now_ms), 12);
+            let updates = members.take_membership_updates(at(now_ms), 12);
             for receiver in members.digest_recipients(at(now_ms)) {
-                self.hand_on(now_ms, receiver, &news);
+                self.forward(now_ms, receiver, &updates);
             }
         }
     }
 
-    fn hand_on(&mut self, now_ms: u64, receiver: net::SocketAddr, news: &[Heartbeat]) {
+    fn forward(&mut self, now_ms: u64, receiver: net::SocketAddr, updates: &[Heartbeat]) {
         let Some(members) = self.at(receiver) else {
             return;
         };
-        let listeners = members.digest_forward_recipients(at(now_ms));
-        for address in listeners.into_iter().chain([receiver]) {
-            for heartbeat in news {
+        let recipients = members.digest_forward_recipients(at(now_ms));
+        for address in recipients.into_iter().chain([receiver]) {
+            for heartbeat in updates {
                 if let Some(members) = self.at(address) {
                     members.apply_heartbeat(at(now_ms), heartbeat.clone());
                 }
@@ -185,21 +189,21 @@
     }
 }
 
-/// Guards against callers who are sent to an instance that stops, or not to one that is ready, in any zone.
+/// Guards against callers of any zone that are sent to a stopping instance, or not sent to a ready one.
 #[test]
-fn every_instance_hears_of_a_change_of_phase_with_the_next_heartbeat() {
+fn every_instance_receives_a_change_of_phase_with_the_next_heartbeat() {
     for changing in [0, 3, 5, 10] {
         let mut fleet = Fleet::ready();
         for (now_ms, serial, phase) in [(200, 3, Phase::Leaving), (1_000, 4, Phase::Ready)] {
-            // It is ready again in a later start.
+            // The instance is ready again in a later incarnation.
             let own = Heartbeat {
                 phase,
                 incarnation: ids::Incarnation::new(serial),
-                ..of_fleet(changing, serial)
+                ..fleet_heartbeat(changing, serial)
             };
             let members = fleet.at(own.peer_address).expect("an instance");
             members.apply_heartbeat(at(now_ms), own.clone());
-            fleet.beat(now_ms, &own);
+            fleet.send_heartbeat(now_ms, &own);
             for (members, address) in &fleet.0 {
                 let is_usable = is_usable(members, now_ms + 100, own.instance.as_str());
                 assert_eq!(is_usable, phase == Phase::Ready, "{changing} at {address}");
@@ -208,9 +212,9 @@
     }
 }
 
-/// Guards against a fleet that starts together and whose zones hear nothing of each other until one of them is ready.
+/// Guards against a fleet that starts at once and whose zones exchange no message until an instance is ready.
 #[test]
-fn a_greeting_goes_to_the_first_listed_instances_of_each_other_zone() {
+fn an_announcement_goes_to_the_first_listed_instances_of_each_other_zone() {
     let mut own = members("east-1", "east-a");
     let far = (0..8).map(|number| listed(&format!("far-{number}"), "west-a"));
     own.set_listed(far.chain([listed("near", "east-a")]));
@@ -221,10 +225,11 @@
     assert_eq!(own.recipients(at(300), 12).len(), 1);
 }
 
-/// The heartbeat with which an instance told that it is ready was lost on its way to another zone. The digest
-/// says so too, or callers there would go without the instance until the next heartbeat to all.
+/// Guards against a ready instance that another zone doesn't use: the heartbeat that reported the phase was lost
+/// between the zones. Without the phase in the digest, callers there would not be sent to the instance until its next
+/// heartbeat to all instances.
 #[test]
-fn a_digest_tells_that_an_instance_is_ready() {
+fn a_digest_reports_that_an_instance_is_ready() {
     let mut west = members("west-1", "west-a");
     let starting = Heartbeat {
         phase: Phase::Starting,
@@ -234,51 +239,51 @@
     assert!(!is_usable(&west, 100, "east-2"));
     let mut east = members("east-1", "east-a");
     east.apply_heartbeat(at(500), heartbeat("east-2", "east-a", 2));
-    let digest = east.digest(at(600)).expect("it speaks for its zone");
+    let digest = east.digest(at(600)).expect("an aggregator");
     west.apply_digest(at(650), &digest);
     assert!(is_usable(&west, 700, "east-2"));
 }
 
-/// An instance is alive and heard by its own zone only. The digest of its zone keeps it known in the others:
-/// without that they would send no client there.
+/// Guards against live instances to which other zones send no clients: only instances of the same zone receive their
+/// heartbeats, so the zone's digest must keep them usable in other zones.
 #[test]
-fn a_digest_keeps_the_instances_of_a_zone_known() {
+fn a_digest_keeps_the_instances_of_a_zone_usable() {
     let mut west = members("west-1", "west-a");
     west.apply_heartbeat(at(0), heartbeat("east-1", "east-a", 1));
     west.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
     let mut east = members("east-1", "east-a");
-    for beat in 1..10 {
-        let now_ms = beat * HEARTBEAT_MS;
-        east.apply_heartbeat(at(now_ms), heartbeat("east-1", "east-a", beat + 1));
-        east.apply_heartbeat(at(now_ms - 300), heartbeat("east-2", "east-a", beat + 1));
-        let digest = east.digest(at(now_ms)).expect("it speaks for its zone");
+    for round in 1..10 {
+        let now_ms = round * HEARTBEAT_MS;
+        east.apply_heartbeat(at(now_ms), heartbeat("east-1", "east-a", round + 1));
+        east.apply_heartbeat(at(now_ms - 300), heartbeat("east-2", "east-a", round + 1));
+        let digest = east.digest(at(now_ms)).expect("an aggregator");
         west.apply_digest(at(now_ms + 50), &digest);
     }
     assert!(is_usable(&west, 8_000, "east-2"));
     assert!(is_usable(&west, 8_000, "east-1"));
 }
 
-/// An instance loses power. Digests of its zone still come, and must not make it look alive: clients that are
-/// sent there wait a second for each new connection.
+/// Guards against digests that keep an instance usable after it has lost power: clients that are sent there wait a
+/// second for each new connection.
 #[test]
 fn a_digest_does_not_keep_a_silent_instance_alive() {
     let mut west = members("west-1", "west-a");
     west.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
     let mut east = members("east-1", "east-a");
     east.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
-    for beat in 1..6 {
-        let now_ms = beat * HEARTBEAT_MS;
-        east.apply_heartbeat(at(now_ms), heartbeat("east-1", "east-a", beat + 1));
-        let digest = east.digest(at(now_ms)).expect("it speaks for its zone");
+    for round in 1..6 {
+        let now_ms = round * HEARTBEAT_MS;
+        east.apply_heartbeat(at(now_ms), heartbeat("east-1", "east-a", round + 1));
+        let digest = east.digest(at(now_ms)).expect("an aggregator");
         west.apply_digest(at(now_ms + 50), &digest);
     }
     assert!(!is_usable(&west, 4_000, "east-2"));
 }
 
-/// The two instances that speak for a zone lose power at once. A third one takes over before the other
-/// zones take all of that zone for dead.
+/// Guards against a zone without digests: its two aggregators lose power at once. A third instance must take over
+/// before other zones count all instances of the zone as dead.
 #[test]
-fn another_instance_speaks_for_a_zone_when_its_speakers_are_silent() {
+fn another_instance_becomes_aggregator_when_the_aggregators_are_silent() {
     let mut third = members("east-3", "east-a");
     third.apply_heartbeat(at(0), heartbeat("east-1", "east-a", 1));
     third.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 1));
@@ -287,12 +292,13 @@
     assert!(third.digest(at(1_600)).is_some());
 }
 
-/// A digest of before arrives after the word that an instance stops. It must not be named again.
+/// Guards against clients that are sent to a stopping instance: an older digest arrives after the heartbeat that
+/// reported the stop.
 #[test]
-fn a_late_digest_does_not_revive_a_leaving_instance() {
+fn a_late_digest_does_not_make_a_leaving_instance_usable() {
     let mut east = members("east-1", "east-a");
     east.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 5));
-    let digest = east.digest(at(100)).expect("it speaks for its zone");
+    let digest = east.digest(at(100)).expect("an aggregator");
     let mut west = members("west-1", "west-a");
     west.apply_heartbeat(at(0), heartbeat("east-2", "east-a", 4));
     let leaving = Heartbeat {
@@ -304,10 +310,10 @@
     assert!(!is_usable(&west, 300, "east-2"));
 }
 
-/// Digests to every instance of every zone would grow with the square of the fleet. They go to the first few of
-/// each zone, and whoever speaks for a zone hands on what arrives.
+/// Guards against traffic that grows with the square of the fleet: digests go to the first few instances of each zone
+/// only, and the aggregators of that zone forward them.
 #[test]
-fn a_digest_goes_to_a_few_of_each_zone_and_is_handed_on_there() {
+fn a_digest_goes_to_a_few_instances_of_each_zone_and_is_forwarded_there() {
     let mut east = members("east-1", "east-a");
     let mut west = members("west-1", "west-a");
     for number in 1..8 {
@@ -323,8 +329,8 @@
     assert!(last.digest_forward_recipients(at(100)).is_empty());
 }
 
-/// The instances of a zone that get digests lose power. The next ones must get them, or that zone would take all
-/// others for dead.
+/// Guards against a zone that counts all other zones as dead: the instances of the zone that receive digests lose
+/// power, so the next instances must receive them.
 #[test]
 fn digests_go_to_the_next_instances_of_a_zone_when_the_first_are_silent() {
     let mut east = members("east-1", "east-a");
@@ -337,10 +343,10 @@
     assert_eq!(east.digest_recipients(at(4_000)), [last]);
 }
 
-/// A fleet of 60 instances in three zones. Heartbeats to all would grow with the square of the fleet; a round
-/// takes less than half as many messages.
+/// Guards against traffic that grows with the square of the fleet: among 60 instances in three zones, a round of
+/// heartbeats and digests takes less than half as many messages as heartbeats to all instances would.
 #[test]
-fn messages_of_a_large_fleet_stay_few() {
+fn a_large_fleet_sends_few_messages() {
     let zones = ["east-a", "east-b", "west-a"];
     let mut total = 0;
     let per_zone = 20;
@@ -365,27 +371,27 @@
     assert!(total < to_all / 2, "{total} of {to_all}");
 }
 
-/// Guards against an instance that starts in a running fleet and knows but a few instances of other zones: callers of a
-/// lost zone that ask it would all be sent to those.
+/// Guards against a new instance in a running fleet that knows only a few instances of other zones: it would send all
+/// callers of a lost zone to those few.
 #[test]
-fn who_speaks_for_a_zone_introduces_a_new_instance_of_it_to_the_other_zones() {
-    let mut speaker = members("east-1", "east-a");
+fn an_aggregator_sends_the_instances_of_other_zones_to_a_new_instance() {
+    let mut aggregator = members("east-1", "east-a");
     for number in 0..20 {
-        speaker.apply_heartbeat(at(0), heartbeat(&format!("west-{number}"), "west-a", 1));
+        aggregator.apply_heartbeat(at(0), heartbeat(&format!("west-{number}"), "west-a", 1));
     }
-    let mut new = members("east-2", "east-a");
+    let mut new_instance = members("east-2", "east-a");
     let starting = Heartbeat {
         phase: Phase::Starting,
         ..heartbeat("east-2", "east-a", 1)
     };
-    speaker.apply_heartbeat(at(100), starting.clone());
-    for heartbeat in speaker.heartbeats_for_new_instance(at(100), &starting) {
-        new.apply_heartbeat(at(110), heartbeat);
+    aggregator.apply_heartbeat(at(100), starting.clone());
+    for heartbeat in aggregator.heartbeats_for_new_instance(at(100), &starting) {
+        new_instance.apply_heartbeat(at(110), heartbeat);
     }
-    assert!((0..20).all(|number| is_usable(&new, 200, &format!("west-{number}"))));
+    assert!((0..20).all(|number| is_usable(&new_instance, 200, &format!("west-{number}"))));
     let far = heartbeat("west-21", "west-a", 1);
     assert!(
-        speaker
+        aggregator
             .heartbeats_for_new_instance(at(100), &far)
             .is_empty()
     );
--- a/crates/damaskvane-routing/tests/index.rs
+++ b/crates/damaskvane-routing/tests/index.rs
@@ -1,4 +1,4 @@
-//! The servers of an object are found by an index that follows servers as they come, go and change.
+//! Tests of the index that finds the servers of an object while servers join, leave and change.
 
 mod support;
 
@@ -10,12 +10,12 @@
 
 const ZONES: [&str; 3] = ["east-a", "east-b", "west-a"];
 
-/// The first servers of an object, each found with those before it tried.
-fn servers_of(pool: &ServerPool, own_zone: &str, object: u64, most: usize) -> Vec<String> {
+/// Returns the first servers of an object, in order. Each is selected with the servers before it as already tried.
+fn servers_of(pool: &ServerPool, own_zone: &str, object: u64, max_servers: usize) -> Vec<String> {
     let (route, service) = (route(), service_id());
     let mut placer = placer(own_zone);
     let mut tried: Vec<ids::BackendServerId> = Vec::new();
-    while tried.len() < most {
+    while tried.len() < max_servers {
         let request = PlacementRequest {
             tried: &tried,
             ..support::request(&route, &service, object)
@@ -28,7 +28,7 @@
     tried.iter().map(ToString::to_string).collect()
 }
 
-/// One change of a pool: a server joins, leaves, drains, is lost or found again, or has more slots.
+/// Applies a random change to a pool: a server joins, leaves, drains, goes down, comes up or changes its slots.
 fn change(pool: &mut ServerPool, random: &mut rand_pcg::Pcg32, sequence: u64) {
     let zone = ZONES[random.random_range(0..ZONES.len())];
     let name = format!("{zone}-{}", random.random_range(0..12));
@@ -62,15 +62,18 @@
     }
 }
 
-/// A pool that holds what another one holds, learned at once.
-fn learned_at_once(known: &ServerPool) -> ServerPool {
+/// Returns a new pool with the current servers of another pool, added in the reverse order of their names.
+fn rebuilt(original: &ServerPool) -> ServerPool {
     let mut fresh = pool();
-    let mut entries: Vec<_> = known.servers().map(|server| server.entry.clone()).collect();
+    let mut entries: Vec<_> = original
+        .servers()
+        .map(|server| server.entry.clone())
+        .collect();
     entries.sort_by(|one, other| other.id.cmp(&one.id));
     for entry in entries {
         let id = entry.id.clone();
         fresh.apply(at(0), entry);
-        let liveness = known.server(&id).map(|server| server.liveness);
+        let liveness = original.server(&id).map(|server| server.liveness);
         if let (Some(mut server), Some(liveness)) = (fresh.server_mut(&id), liveness) {
             server.liveness = liveness;
         }
@@ -78,29 +81,29 @@
     fresh
 }
 
-/// Guards against an index that drifts from the servers it stands for: an instance that has run for long would use
-/// other servers for an object than one that has just started.
+/// Guards against an index that differs from its servers after many changes: an instance that has run for long would
+/// use other servers for an object than an instance that has just started.
 #[test]
-fn an_index_that_followed_many_changes_is_that_of_a_new_start() {
+fn an_index_after_many_changes_equals_a_rebuilt_index() {
     for seed in 0..20 {
         let mut random = rand_pcg::Pcg32::seed_from_u64(seed);
         let mut pool = pool();
         for sequence in 1..200 {
             change(&mut pool, &mut random, sequence);
         }
-        let fresh = learned_at_once(&pool);
+        let fresh = rebuilt(&pool);
         for object in 0..40 {
             let hash: u64 = random.random();
             let zone = ZONES[object % ZONES.len()];
-            let kept = servers_of(&pool, zone, hash, 4);
-            assert_eq!(kept, servers_of(&fresh, zone, hash, 4), "seed {seed}");
+            let found = servers_of(&pool, zone, hash, 4);
+            assert_eq!(found, servers_of(&fresh, zone, hash, 4), "seed {seed}");
         }
     }
 }
 
-/// Guards against objects that change their server when another one joins: each such object is a slow run.
+/// Guards against objects that move between other servers when a server joins: each such object costs a slow first run.
 #[test]
-fn a_server_that_joins_takes_objects_and_moves_no_others() {
+fn a_new_server_takes_objects_and_moves_no_others() {
     let mut random = rand_pcg::Pcg32::seed_from_u64(7);
     let objects: Vec<u64> = (0..2_000).map(|_| random.random()).collect();
     let mut pool = pool_of(&[("east-a", 20)]);
@@ -122,36 +125,36 @@
     );
 }
 
-/// Guards against a second server that depends on how it is looked for: with the first one lost, instances that know
-/// so must find the server that others use as the object's second one.
+/// Guards against a second server that depends on the path of the search: instances that have removed a lost first
+/// server must select the server that other instances use as the object's second one.
 #[test]
-fn the_next_server_is_the_one_that_is_first_without_those_before_it() {
+fn the_order_of_servers_stays_when_the_first_is_removed() {
     let mut random = rand_pcg::Pcg32::seed_from_u64(11);
     for _ in 0..200 {
         let object = random.random();
         let mut pool = pool_of(&[("east-a", 6)]);
         let order = servers_of(&pool, "east-a", object, 6);
-        for (place, server) in order.iter().enumerate() {
-            let left = servers_of(&pool, "east-a", object, 6 - place);
-            assert_eq!(left, order[place..]);
+        for (position, server) in order.iter().enumerate() {
+            let remaining = servers_of(&pool, "east-a", object, 6 - position);
+            assert_eq!(remaining, order[position..]);
             pool.remove(at(1), &server_id(server));
         }
     }
 }
 
-/// Guards against servers that get far more or less than their slots bear.
+/// Guards against servers that receive far more or far fewer objects than their slots can serve.
 #[test]
 fn servers_get_objects_in_proportion_to_their_slots() {
     let mut random = rand_pcg::Pcg32::seed_from_u64(5);
     let mut pool = pool_of(&[("east-a", 10)]);
-    let wide = ServerEntry {
+    let large_server = ServerEntry {
         slots: 60,
         ..entry("east-a-wide", "east-a")
     };
-    pool.apply(at(1), wide);
+    pool.apply(at(1), large_server);
     let objects = (0..4_000).map(|_| random.random::<u64>());
-    let of_wide =
+    let of_large_server =
         objects.filter(|object| servers_of(&pool, "east-a", *object, 1) == ["east-a-wide"]);
-    let share = of_wide.count() as f64 / 4_000.0;
+    let share = of_large_server.count() as f64 / 4_000.0;
     assert!((0.4..0.6).contains(&share), "{share}, half of all slots");
 }
--- a/crates/damaskvane-routing/tests/limits.rs
+++ b/crates/damaskvane-routing/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that all instances keep together without a message.
+//! Tests of limits that instances share without exchanging messages.
 
 mod support;
 
@@ -8,12 +8,13 @@
 
 const INSTANCES: usize = 8;
 
-/// Servers of a whole zone come up at once and every instance sends them their objects. Without shares that
-/// add up, the sum of all instances would crash each of them.
+/// Guards against cold servers that crash under the sum of all instances' requests: the servers of a whole zone start
+/// at once and every instance sends requests for their objects. The shares of all instances must stay within the limit
+/// of a server.
 #[test]
-fn shares_of_a_cold_server_stay_within_its_bound_in_any_second() {
+fn shares_of_a_cold_server_stay_within_its_limit_in_any_second() {
     let settings = ColdRateSettings::default();
-    let bound = 13.0 * settings.factor + settings.slack;
+    let limit = 13.0 * settings.factor + settings.slack;
     let share = settings.share(13.0, INSTANCES);
     let mut sent = Vec::new();
     for _ in 0..INSTANCES {
@@ -30,12 +31,12 @@
             .iter()
             .filter(|ms| (start_ms..start_ms + 1_000).contains(*ms))
             .count();
-        assert!(in_second as f64 <= bound, "{in_second} from {start_ms} ms");
+        assert!(in_second as f64 <= limit, "{in_second} from {start_ms} ms");
     }
 }
 
-/// Every server fails and every request wants a second try, at every instance. The tries over all
-/// instances must stay within the declared part of the requests, or retries keep the servers down.
+/// Guards against retries that keep failed servers down: every server fails and every request needs a second attempt at
+/// every instance. The retries of all instances must stay within the declared share of the requests.
 #[test]
 fn retries_of_all_instances_stay_within_the_budget_in_any_window() {
     let settings = RetryBudgetSettings::default();
@@ -52,18 +53,18 @@
         }
     }
     let per_window = f64::from(requests) * settings.window_ms as f64 / 30_000.0;
-    let bound = settings.ratio * per_window + settings.slack;
+    let limit = settings.ratio * per_window + settings.slack;
     for start_ms in (0..20_000).step_by(500) {
         let window = start_ms..start_ms + settings.window_ms;
         let in_window = retries.iter().filter(|ms| window.contains(*ms)).count();
-        assert!(in_window as f64 <= bound, "{in_window} from {start_ms} ms");
+        assert!(in_window as f64 <= limit, "{in_window} from {start_ms} ms");
     }
 }
 
-/// An instance has just restarted and knows nobody. Were it to take whole limits for itself, it would break
-/// them together with those it hasn't heard of yet.
+/// Guards against shared limits that a restarted instance exceeds: it knows no other instance yet, and with the whole
+/// limits for itself the instances together would exceed them.
 #[test]
-fn an_instance_that_knows_nobody_reckons_with_many() {
+fn an_instance_without_peers_assumes_many_instances() {
     let settings = PeerSettings::default();
     let mut members = Members::new(settings, "a-1".parse().expect("a name"), regions());
     assert_eq!(members.max_running_instances(), settings.assumed_instances);
--- a/crates/damaskvane-routing/tests/told.rs
+++ b/crates/damaskvane-routing/tests/peer_reports.rs
@@ -1,4 +1,4 @@
-//! What instances of a zone tell each other of servers, and a region's load.
+//! Tests of the reports on servers that instances of a zone send each other, and of a region's load.
 
 mod support;
 
@@ -17,8 +17,8 @@
     }
 }
 
-/// A server whose exchanges with one instance all take several times as long as usual.
-fn slow(pool: &mut ServerPool) {
+/// Records four exchanges with the first server that take nine times as long as usual.
+fn make_slow(pool: &mut ServerPool) {
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
     for number in 0..4 {
         let now = at(1_000 + number * 100);
@@ -33,56 +33,58 @@
     }
 }
 
-/// Guards against a slow server that each instance of a large zone has to find out by itself, with late answers.
+/// Guards against a slow server that each instance of a large zone detects only by its own late responses.
 #[test]
-fn a_slow_server_is_told_and_so_is_that_it_is_well_again() {
-    let mut seeing = pool_of(&[("east-a", 1)]);
-    let mut hearing = pool_of(&[("east-a", 1)]);
-    slow(&mut seeing);
+fn a_slow_server_is_reported_and_so_is_its_recovery() {
+    let mut observer = pool_of(&[("east-a", 1)]);
+    let mut receiver = pool_of(&[("east-a", 1)]);
+    make_slow(&mut observer);
     let slowness = |pool: &ServerPool, now_ms| {
         let server = pool.server(&server_id("east-a-0")).expect("a server");
         server.slowness(at(now_ms))
     };
-    let told = seeing.take_server_reports(at(1_400), 8);
-    hearing.apply_server_reports(at(1_400), &told);
-    assert!(slowness(&hearing, 1_500) > 3.0);
+    let reports = observer.take_server_reports(at(1_400), 8);
+    receiver.apply_server_reports(at(1_400), &reports);
+    assert!(slowness(&receiver, 1_500) > 3.0);
     assert!(
-        seeing.take_server_reports(at(1_600), 8).is_empty(),
-        "told once"
+        observer.take_server_reports(at(1_600), 8).is_empty(),
+        "the server is reported once"
     );
     assert!(
-        hearing.take_server_reports(at(1_600), 8).is_empty(),
-        "not its own finding"
+        receiver.take_server_reports(at(1_600), 8).is_empty(),
+        "a report of a peer is not reported again"
     );
-    let mut server = seeing.server_mut(&server_id("east-a-0")).expect("a server");
+    let mut server = observer
+        .server_mut(&server_id("east-a-0"))
+        .expect("a server");
     for number in 0..20 {
         server.record_work_time(at(2_000 + number), 100.0, 100.0);
     }
     drop(server);
-    let told = seeing.take_server_reports(at(2_100), 8);
-    hearing.apply_server_reports(at(2_100), &told);
-    assert!(slowness(&hearing, 2_200) < 1.5);
+    let reports = observer.take_server_reports(at(2_100), 8);
+    receiver.apply_server_reports(at(2_100), &reports);
+    assert!(slowness(&receiver, 2_200) < 1.5);
 }
 
-/// Guards against a word on a server that goes before what the instance itself has seen since.
+/// Guards against a peer's report of slowness that overrides newer measurements of this instance.
 #[test]
-fn own_evidence_that_is_newer_goes_before_what_is_told() {
-    let mut seeing = pool_of(&[("east-a", 1)]);
-    let mut hearing = pool_of(&[("east-a", 1)]);
-    slow(&mut seeing);
-    let told = seeing.take_server_reports(at(1_400), 8);
-    hearing.apply_server_reports(at(1_400), &told);
-    let mut server = hearing
+fn newer_local_measurements_override_a_report_of_slowness() {
+    let mut observer = pool_of(&[("east-a", 1)]);
+    let mut receiver = pool_of(&[("east-a", 1)]);
+    make_slow(&mut observer);
+    let reports = observer.take_server_reports(at(1_400), 8);
+    receiver.apply_server_reports(at(1_400), &reports);
+    let mut server = receiver
         .server_mut(&server_id("east-a-0"))
         .expect("a server");
     server.record_work_time(at(1_500), 100.0, 100.0);
     assert!(server.slowness(at(1_600)) < 1.2);
 }
 
-/// Guards against a word on failures that goes before answers that the instance itself has got since.
+/// Guards against a peer's report of failures that overrides newer responses to this instance.
 #[test]
-fn own_answers_that_are_newer_go_before_failures_that_are_told() {
-    let mut hearing = pool_of(&[("east-a", 1)]);
+fn newer_local_responses_override_a_report_of_failures() {
+    let mut receiver = pool_of(&[("east-a", 1)]);
     let failing = PeerServerReport {
         server: ServerKey::of(&server_id("east-a-0")),
         load: None,
@@ -92,8 +94,8 @@
         }),
         age_ms: 0,
     };
-    hearing.apply_server_reports(at(1_000), &[failing]);
-    let mut server = hearing
+    receiver.apply_server_reports(at(1_000), &[failing]);
+    let mut server = receiver
         .server_mut(&server_id("east-a-0"))
         .expect("a server");
     assert!(server.failure_share(at(1_050)) > 0.7);
@@ -107,11 +109,11 @@
     assert!(server.failure_share(at(1_250)) < 0.1);
 }
 
-/// Guards against a word that was held up on its way and replaces a newer one.
+/// Guards against a delayed health report that replaces a newer one.
 #[test]
-fn an_older_word_on_a_servers_health_changes_nothing() {
-    let mut hearing = pool_of(&[("east-a", 1)]);
-    let said = |slowness, age_ms| PeerServerReport {
+fn an_outdated_health_report_is_ignored() {
+    let mut receiver = pool_of(&[("east-a", 1)]);
+    let health_report = |slowness, age_ms| PeerServerReport {
         server: ServerKey::of(&server_id("east-a-0")),
         load: None,
         health: Some(PeerHealthReport {
@@ -120,50 +122,50 @@
         }),
         age_ms,
     };
-    hearing.apply_server_reports(at(1_000), &[said(6.0, 0)]);
-    hearing.apply_server_reports(at(1_100), &[said(1.0, 900)]);
-    let server = hearing.server(&server_id("east-a-0")).expect("a server");
+    receiver.apply_server_reports(at(1_000), &[health_report(6.0, 0)]);
+    receiver.apply_server_reports(at(1_100), &[health_report(1.0, 900)]);
+    let server = receiver.server(&server_id("east-a-0")).expect("a server");
     assert!(server.slowness(at(1_200)) > 4.0);
 }
 
-/// Guards against a server whose exchanges hang, of which nobody hears before one of them ends.
+/// Guards against a server whose exchanges hang and that is not reported before one of them ends.
 #[test]
-fn a_server_whose_exchanges_hang_is_told() {
+fn a_server_whose_exchanges_hang_is_reported() {
     let mut pool = pool_of(&[("east-a", 1)]);
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
     server.record_sent(at(1_000), ExchangeId(1), 100.0);
     drop(server);
     assert!(pool.take_server_reports(at(1_200), 8).is_empty());
-    let told = pool.take_server_reports(at(1_600), 8);
-    let health = told.first().and_then(|told| told.health);
+    let reports = pool.take_server_reports(at(1_600), 8);
+    let health = reports.first().and_then(|report| report.health);
     assert!(
         health.is_some_and(|health| health.slowness > 5.0),
-        "{told:?}"
+        "{reports:?}"
     );
 }
 
-/// Guards against a region that seems full since busy servers are met more often, and are the only ones told of: its
-/// popular objects would lose their servers in each zone, and cross zones.
+/// Guards against a region that seems full because busy servers receive more of the requests and are the only ones that
+/// peers report: popular objects would lose their servers in each zone, and their requests would cross zones.
 #[test]
-fn a_region_is_as_busy_as_its_servers_are_in_the_mean() {
+fn the_load_of_a_region_is_the_mean_load_of_its_servers() {
     const SERVERS: usize = 100;
     let mut random = rand_pcg::Pcg32::seed_from_u64(9);
     let mut pool = pool_of(&[("east-a", SERVERS)]);
-    // Requests on each server, half of its slots in the mean; they come independently of each other.
+    // Requests on each server: half of its slots on average, distributed independently of each other.
     let mut loads = [0_u32; SERVERS];
     for _ in 0..SERVERS * 3 {
         loads[random.random_range(0..SERVERS)] += 1;
     }
-    let all: Vec<usize> = (0..SERVERS)
+    let server_of_request: Vec<usize> = (0..SERVERS)
         .flat_map(|server| core::iter::repeat_n(server, loads[server] as usize))
         .collect();
     for number in 0..2_000 {
-        let met = all[random.random_range(0..all.len())];
+        let index = server_of_request[random.random_range(0..server_of_request.len())];
         let now = at(1_000 + number * 10);
-        let id = server_id(&format!("east-a-{met}"));
+        let id = server_id(&format!("east-a-{index}"));
         let report = LoadReport {
-            running: loads[met].min(6),
-            waiting: loads[met].saturating_sub(6),
+            running: loads[index].min(6),
+            waiting: loads[index].saturating_sub(6),
             slots: 6,
         };
         let mut server = pool.server_mut(&id).expect("a server");
--- a/crates/damaskvane-routing/tests/peers.rs
+++ b/crates/damaskvane-routing/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Which instances are alive, and which a look-up names.
+//! Tests of which instances count as alive, which ones a lookup returns, and which ones watch or relay changes.
 
 mod support;
 
@@ -26,7 +26,7 @@
     members
 }
 
-fn named(members: &Members, now_ms: u64, zone_name: &str) -> Vec<u16> {
+fn looked_up_ports(members: &Members, now_ms: u64, zone_name: &str) -> Vec<u16> {
     let region = regions()[&zone(zone_name)].clone();
     let zone = zone(zone_name);
     let addresses = members.look_up(at(now_ms), Some(&zone), Some(&region), &[]);
@@ -37,41 +37,42 @@
     name.bytes().map(u16::from).sum()
 }
 
-/// The store turns an instance away just after its start, before its record is written. Nobody knows it, so it
-/// hears of no change; were it ready, its clients would get routes and servers of before for good.
+/// Guards against outdated routes and servers. The store rejects an instance just after its start, before its record is
+/// written. No other instance knows it, so it receives no changes; if it were ready, its clients would use the outdated
+/// state permanently.
 #[test]
-fn an_instance_that_knows_nobody_is_acquainted_only_after_a_while() {
-    let alone = members();
-    assert!(!alone.has_joined(at(100)));
-    assert!(alone.has_joined(at(PeerSettings::default().join_timeout_ms)));
+fn an_instance_without_peers_has_joined_only_after_the_timeout() {
+    let members = members();
+    assert!(!members.has_joined(at(100)));
+    assert!(members.has_joined(at(PeerSettings::default().join_timeout_ms)));
 }
 
 #[test]
-fn an_instance_is_acquainted_once_it_is_listed_or_has_heard_from_another() {
+fn an_instance_has_joined_once_it_is_listed_or_has_received_a_heartbeat() {
     let mut listed = members();
     listed.set_listed([]);
     assert!(!listed.has_joined(at(1)));
     listed.set_registered();
     assert!(listed.has_joined(at(1)));
-    let mut hearing = members();
-    hearing.apply_heartbeat(at(1), heartbeat("peer", "west-a", 1, 1));
-    assert!(hearing.has_joined(at(1)));
+    let mut with_peer = members();
+    with_peer.apply_heartbeat(at(1), heartbeat("peer", "west-a", 1, 1));
+    assert!(with_peer.has_joined(at(1)));
 }
 
-/// An instance loses power. Clients that are still sent there wait a second for each new connection, so it
-/// isn't named once its heartbeats are missing.
+/// Guards against clients that wait a second for each new connection because a lookup returns an instance that has lost
+/// power and sends no heartbeats.
 #[test]
-fn a_silent_instance_is_no_longer_named() {
+fn a_lookup_omits_a_silent_instance() {
     let mut members = members();
     members.apply_heartbeat(at(0), heartbeat("peer", "west-a", 1, 1));
-    assert_eq!(named(&members, 1_000, "west-a"), [port("peer")]);
-    assert_eq!(named(&members, 5_000, "west-a"), [port("own")]);
+    assert_eq!(looked_up_ports(&members, 1_000, "west-a"), [port("peer")]);
+    assert_eq!(looked_up_ports(&members, 5_000, "west-a"), [port("own")]);
 }
 
-/// A stopping instance says so and isn't named from then on, although its last heartbeat of before may
-/// arrive after that word.
+/// Guards against clients that are sent to a stopping instance: an older heartbeat arrives after the heartbeat that
+/// reported the stop.
 #[test]
-fn a_leaving_instance_is_no_longer_named_even_if_an_older_heartbeat_comes_late() {
+fn a_lookup_omits_a_leaving_instance_after_a_late_heartbeat() {
     let mut members = members();
     let leaving = Heartbeat {
         phase: Phase::Leaving,
@@ -80,39 +81,40 @@
     members.apply_heartbeat(at(0), heartbeat("peer", "west-a", 1, 6));
     members.apply_heartbeat(at(100), leaving);
     members.apply_heartbeat(at(120), heartbeat("peer", "west-a", 1, 7));
-    assert_eq!(named(&members, 200, "west-a"), [port("own")]);
+    assert_eq!(looked_up_ports(&members, 200, "west-a"), [port("own")]);
 }
 
-/// An instance restarts and counts its heartbeats anew. Compared with the count of its last start they would
-/// look old, and the instance would stay unnamed.
+/// Guards against a restarted instance that no lookup returns: it numbers its heartbeats from the start again, and
+/// compared with the numbers of its last incarnation they would count as outdated.
 #[test]
-fn a_restarted_instance_is_named_again() {
+fn a_lookup_returns_a_restarted_instance() {
     let mut members = members();
     members.apply_heartbeat(at(0), heartbeat("peer", "west-a", 1, 500));
     members.apply_heartbeat(at(2_000), heartbeat("peer", "west-a", 2, 1));
-    assert_eq!(named(&members, 2_100, "west-a"), [port("peer")]);
+    assert_eq!(looked_up_ports(&members, 2_100, "west-a"), [port("peer")]);
 }
 
-/// All instances of a caller's zone are gone. The caller gets those of its region first, since they are
-/// nearest.
+/// Guards against callers that are sent far away when all instances of their zone are lost: the instances of their
+/// region are nearest.
 #[test]
 fn a_zone_without_instances_is_served_from_its_region() {
     let mut members = members();
     members.apply_heartbeat(at(0), heartbeat("west", "west-a", 1, 1));
-    assert_eq!(named(&members, 100, "east-b"), [port("own")]);
+    assert_eq!(looked_up_ports(&members, 100, "east-b"), [port("own")]);
 }
 
-/// The own process is alive whatever its own timers say: a woken instance must not leave itself out.
+/// Guards against an instance that omits itself after its process was suspended: this instance is alive even if its
+/// last heartbeat is old.
 #[test]
-fn an_instance_always_names_itself_while_it_is_ready() {
+fn a_lookup_returns_this_instance_while_it_is_ready() {
     let members = members();
-    assert_eq!(named(&members, 60_000, "east-a"), [port("own")]);
+    assert_eq!(looked_up_ports(&members, 60_000, "east-a"), [port("own")]);
 }
 
-/// A route may be served by some regions only, and its callers' own region has no instance left. Named at
-/// random, an instance of a third region would get bodies that must not go there.
+/// Guards against request bodies in a region that must not receive them: a route is restricted to some regions, and the
+/// callers' region has no instance left. An instance selected at random could be in a third region.
 #[test]
-fn callers_without_instances_near_get_those_of_allowed_regions() {
+fn callers_without_nearby_instances_receive_those_of_allowed_regions() {
     let mut members = members();
     members.apply_heartbeat(at(0), heartbeat("west", "west-a", 1, 1));
     let allowed = ["west".parse().expect("a name")];
@@ -131,9 +133,9 @@
         .collect()
 }
 
-/// Guards against a region that loses all that watch the store for it with one zone.
+/// Guards against a region that loses all its watchers of the store with one zone.
 #[test]
-fn a_region_has_its_watchers_in_zones_apart() {
+fn a_region_has_watchers_in_different_zones() {
     let mut members = members();
     members.apply_heartbeat(at(0), heartbeat("another", "east-a", 1, 1));
     members.apply_heartbeat(at(0), heartbeat("b-1", "east-b", 1, 1));
@@ -144,10 +146,10 @@
     assert_eq!(watchers(&members, 3_000), ["own", "b-1"]);
 }
 
-/// Guards against shared limits that add up to more than the bound: whoever is listed or was heard counts, also once
-/// it is silent, and each one once.
+/// Guards against shares that add up to more than a limit: every instance that is listed or from which a heartbeat was
+/// received counts once, also after it has become silent.
 #[test]
-fn all_that_are_listed_or_heard_share_the_limits() {
+fn all_listed_instances_and_senders_of_heartbeats_share_the_limits() {
     let listed = |name: &str| ListedInstance {
         instance: name.parse().expect("a name"),
         peer_address: heartbeat(name, "east-a", 1, 1).peer_address,
@@ -176,10 +178,11 @@
         .collect()
 }
 
-/// A deployment starts, and its first configuration is written a second later. Nobody is ready before; were
-/// only ready instances relays, each instance would watch the store for itself meanwhile.
+/// Guards against a new deployment in which every instance watches the store: its first configuration is written a
+/// second after the start, and until then no instance is ready. If only ready instances were relays, each instance
+/// would watch the store itself.
 #[test]
-fn instances_that_are_starting_are_relays_as_long_as_nobody_is_ready() {
+fn starting_instances_are_relays_until_an_instance_is_ready() {
     let mut members = members();
     let starting = |name: &str| Heartbeat {
         phase: Phase::Starting,
@@ -193,10 +196,10 @@
     assert_eq!(relays(&members, 4), ["third"]);
 }
 
-/// An instance that starts while the store is away knows nobody. It asks its seeds until one answers or the list
-/// is read, and no longer: each question is a datagram to another region.
+/// Guards against needless datagrams to another region. An instance that starts during a store outage knows no other
+/// instance. It sends heartbeats to its seeds until a ready instance replies or the list is read, and no longer.
 #[test]
-fn seeds_are_asked_until_somebody_is_known() {
+fn seeds_receive_heartbeats_until_a_peer_is_known() {
     let seed: std::net::SocketAddr = ([10, 0, 9, 9], 7_660).into();
     let mut starting = members();
     starting.set_own_phase(at(0), Phase::Starting);
@@ -211,7 +214,7 @@
 }
 
 #[test]
-fn only_a_ready_instance_answers_and_only_one_that_starts() {
+fn only_a_ready_instance_replies_and_only_to_a_starting_instance() {
     let mut members = members();
     let starting = Heartbeat {
         phase: Phase::Starting,
--- a/crates/damaskvane-routing/tests/placement.rs
+++ b/crates/damaskvane-routing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go, and when they are refused.
+//! Tests of the server that placement selects for a request.
 
 mod support;
 
@@ -12,37 +12,38 @@
     at, configuration, entry, fill, pick, placer, pool_of, request, route, server_id, service_id,
 };
 
-/// A placer of a zone whose callers ask for each of many objects every second.
-fn popular(own_zone: &str) -> Placer {
+/// Returns a placer of a zone whose clients request each of 50 objects every second.
+fn placer_with_popular_objects(own_zone: &str) -> Placer {
     let mut placer = placer(own_zone);
     let own = "own".parse().expect("a name");
     for second in 0..8 {
         for object in 0..50 {
-            placer.record_object_request(&route(), scattered(object));
+            placer.record_object_request(&route(), hash_of(object));
         }
         let report = placer.take_popularity_report();
         placer.apply_popularity_report(at(second * 1_000), &report);
-        let verdicts = placer.decide_popularity(at(second * 1_000 + 900));
-        placer.apply_popularity_decisions(at(second * 1_000 + 900), &own, &verdicts);
+        let decisions = placer.decide_popularity(at(second * 1_000 + 900));
+        placer.apply_popularity_decisions(at(second * 1_000 + 900), &own, &decisions);
     }
     placer
 }
 
-/// The hash of an object, by its number.
-fn scattered(number: u64) -> u64 {
+/// Returns the hash of an object by its number.
+fn hash_of(number: u64) -> u64 {
     placement::object_hash(&service_id(), "look", &number.to_string())
 }
 
-/// Where a request goes that comes after all that [`popular`] has noted.
-fn send(placer: &mut Placer, pool: &mut ServerPool, object: u64) -> Pick {
+/// Returns the server for a request after the requests that [`placer_with_popular_objects`] has recorded.
+fn pick_with(placer: &mut Placer, pool: &mut ServerPool, object: u64) -> Pick {
     let (route, service) = (route(), service_id());
-    let request = request(&route, &service, scattered(object));
+    let request = request(&route, &service, hash_of(object));
     match placer.choose(at(8_000), pool, &configuration(), &request, 1) {
         Choice::Send(pick) => pick,
         Choice::Refuse(refusal) => panic!("refused: {:?}", refusal.reason),
     }
 }
 
+/// Ends the exchanges with a server that [`fill`] has recorded.
 fn release(pool: &mut ServerPool, name: &str, count: u64) {
     let mut server = pool.server_mut(&server_id(name)).expect("a known server");
     for number in 0..count {
@@ -56,8 +57,8 @@
     }
 }
 
-/// Two instances of a zone that disagree on an object's server would make two servers load it, and each
-/// request would take several times as long.
+/// Guards against instances of a zone that select different servers for an object: each further server costs a first
+/// run, which takes several times as long.
 #[test]
 fn all_instances_of_a_zone_choose_the_same_server_for_an_object() {
     let mut one = pool_of(&[("east-a", 4), ("west-a", 4)]);
@@ -68,27 +69,28 @@
     }
 }
 
-/// Bytes between zones cost, so what is asked for often belongs to its zone's own servers where these suffice.
+/// Guards against paid traffic between zones: popular objects belong to the servers of their own zone if the slots
+/// there suffice.
 #[test]
-fn a_zone_with_its_part_of_the_slots_keeps_its_popular_objects() {
+fn a_zone_with_its_share_of_the_slots_keeps_its_popular_objects() {
     let mut pool = pool_of(&[("east-a", 4), ("east-b", 4), ("west-a", 4)]);
-    let mut placer = popular("east-a");
+    let mut placer = placer_with_popular_objects("east-a");
     let local = (0..300)
-        .filter(|object| send(&mut placer, &mut pool, *object).zone.as_str() == "east-a")
+        .filter(|object| pick_with(&mut placer, &mut pool, *object).zone.as_str() == "east-a")
         .count();
     assert!(local >= 255, "{local} of 300 objects stay in their zone");
 }
 
-/// A zone with a third of the callers and a twelfth of the slots would drown its few servers, while others
-/// idle. It keeps what they bear; its region keeps what it bears, and the rest goes to the region that has
-/// more than its part.
+/// Guards against a zone with a third of the callers and a twelfth of the slots that overloads its few servers while
+/// other servers are idle. The zone keeps the objects that its slots can serve, its region keeps the objects that the
+/// region's slots can serve, and the rest goes to the region with more than its share of the slots.
 #[test]
-fn a_zone_with_few_slots_keeps_what_they_bear() {
+fn a_zone_with_few_slots_keeps_objects_up_to_their_capacity() {
     let mut pool = pool_of(&[("east-a", 1), ("east-b", 4), ("west-a", 7)]);
-    let mut placer = popular("east-a");
+    let mut placer = placer_with_popular_objects("east-a");
     let mut zones = BTreeMap::<String, u32>::new();
     for object in 0..1_000 {
-        let picked = send(&mut placer, &mut pool, object).zone;
+        let picked = pick_with(&mut placer, &mut pool, object).zone;
         *zones.entry(picked.to_string()).or_default() += 1;
     }
     let of = |name: &str| zones.get(name).copied().unwrap_or_default();
@@ -97,9 +99,10 @@
     assert!((360..520).contains(&of("west-a")), "{zones:?}");
 }
 
-/// The same for objects that are asked for rarely: the region keeps what its slots bear, over all its zones.
+/// Guards against the same overload by rarely requested objects: a region keeps the objects that the slots of all its
+/// zones can serve.
 #[test]
-fn a_region_with_few_slots_keeps_what_they_bear() {
+fn a_region_with_few_slots_keeps_objects_up_to_their_capacity() {
     let mut pool = pool_of(&[("east-a", 1), ("east-b", 4), ("west-a", 7)]);
     let in_region = (0..1_000)
         .filter(|object| pick(&mut pool, "east-a", *object).zone.as_str() != "west-a")
@@ -107,10 +110,11 @@
     assert!((480..640).contains(&in_region), "{in_region} of 1000");
 }
 
-/// Servers remember few objects, and the first run of each takes several times as long. Were each zone of a region
-/// to use a server of its own for an object that is asked for now and then, half of its requests would be late.
+/// Guards against late responses for rarely requested objects. A server is faster for few recent objects, and the first
+/// run of each object takes several times as long. If each zone of a region used its own server for such an object,
+/// half of its requests would be late.
 #[test]
-fn an_object_that_is_asked_for_rarely_has_one_server_in_its_region() {
+fn a_rarely_requested_object_has_one_server_in_its_region() {
     let mut pool = pool_of(&[("east-a", 4), ("east-b", 4)]);
     for object in 0..100 {
         let one = pick(&mut pool, "east-a", object).server;
@@ -118,27 +122,29 @@
     }
 }
 
-/// An object that is asked for often pays for a server in each zone, but for no more than that: were each zone to
-/// spread it over several, the region's servers would forget objects faster than they use them.
+/// Guards against popular objects on several servers of a zone. One server in each zone is worth its first run. With
+/// several, the region's servers would handle so many objects that they are no longer faster for an object at its next
+/// request.
 #[test]
-fn an_object_that_is_asked_for_often_has_one_server_in_each_zone_of_its_region() {
+fn a_popular_object_has_one_server_in_each_zone_of_its_region() {
     let mut pool = pool_of(&[("east-a", 4), ("east-b", 4), ("west-a", 4)]);
-    let mut here = popular("east-a");
-    let mut there = popular("east-b");
+    let mut here = placer_with_popular_objects("east-a");
+    let mut there = placer_with_popular_objects("east-b");
     for object in 0..100 {
-        let near = send(&mut here, &mut pool, object);
+        let near = pick_with(&mut here, &mut pool, object);
         if near.zone.as_str() != "east-a" {
             continue;
         }
-        let other = send(&mut there, &mut pool, object).server;
+        let other = pick_with(&mut there, &mut pool, object).server;
         fill(&mut pool, near.server.as_str(), 15);
-        assert_eq!(send(&mut here, &mut pool, object).server, other);
+        assert_eq!(pick_with(&mut here, &mut pool, object).server, other);
         release(&mut pool, near.server.as_str(), 15);
     }
 }
 
-/// Copies for each zone are made while the region's slots are short. Each copy is a slow run that takes a slot from
-/// what waits, so queues grow and still more copies are made.
+/// Guards against further servers for popular objects while the slots of the region are short. Each further server
+/// costs a slow first run that takes a slot from waiting requests, so queues would grow and still more servers would be
+/// used.
 #[test]
 fn popular_objects_get_no_further_servers_while_slots_are_short() {
     let mut pool = pool_of(&[("east-a", 4), ("east-b", 4)]);
@@ -146,19 +152,19 @@
         fill(&mut pool, &format!("east-a-{server}"), 5);
         fill(&mut pool, &format!("east-b-{server}"), 5);
     }
-    let mut here = popular("east-a");
-    let mut there = popular("east-b");
+    let mut here = placer_with_popular_objects("east-a");
+    let mut there = placer_with_popular_objects("east-b");
     for object in 0..50 {
-        let one = send(&mut here, &mut pool, object).server;
-        assert_eq!(send(&mut there, &mut pool, object).server, one);
+        let one = pick_with(&mut here, &mut pool, object).server;
+        assert_eq!(pick_with(&mut there, &mut pool, object).server, one);
     }
 }
 
-/// Requests of two routes for one object need two runs, for servers remember what they did for a route. Taken for
-/// one object, the second route's first run would count as a slow one of a server that remembers it: its callers'
-/// usual time would be wrong, and a sound server would be left.
+/// Guards against two routes that share the state of an object. A server is faster only for the route for which it has
+/// handled the object. With shared state, the second route's first run would count as a slow run on a server that has
+/// handled the object recently: the usual time would be wrong, and a healthy server would be passed over.
 #[test]
-fn an_object_is_another_one_for_each_route() {
+fn the_same_object_name_is_a_different_object_for_each_route() {
     let service = service_id();
     let look = placement::object_hash(&service, "look", "7");
     let book = placement::object_hash(&service, "book", "7");
@@ -169,10 +175,10 @@
     assert!(!server.handled_recently(at(1_100), book));
 }
 
-/// The callers of a region rise together, and so do the queues of its servers, while other regions are at ease. The
-/// second server of an object stands in one of these.
+/// Guards against requests that wait in a busy region while other regions have free slots. The load of all zones of a
+/// region rises at the same time, so the second server of an object is in another region.
 #[test]
-fn what_a_region_cannot_take_goes_to_another_region() {
+fn requests_beyond_the_capacity_of_a_region_go_to_another_region() {
     let mut pool = pool_of(&[("east-a", 4), ("east-b", 4), ("west-a", 4)]);
     let object = (0..)
         .find(|object| pick(&mut pool, "east-a", *object).zone.as_str() != "west-a")
@@ -182,17 +188,18 @@
     assert_eq!(pick(&mut pool, "east-a", object).zone.as_str(), "west-a");
 }
 
-/// A burst makes all answers of a region late. Sent to another region at once, its requests would meet servers that
-/// remember none of their objects, and the callers there would be late too. They leave by a part of the bound.
+/// Guards against a burst that makes responses late in two regions. If all its requests were sent to another region at
+/// once, the servers there would have handled none of the objects recently, and responses to the callers there would be
+/// late too. The share of shifted requests rises in steps, each a part of its maximum.
 #[test]
-fn a_burst_leaves_its_region_step_by_step() {
+fn a_burst_shifts_to_another_region_in_steps() {
     let mut pool = pool_of(&[("east-a", 4), ("west-a", 4)]);
     for server in 0..4 {
         fill(&mut pool, &format!("east-a-{server}"), 12);
     }
     let mut placer = placer("east-a");
     let (route, service) = (route(), service_id());
-    let mut moved = [0_u32; 3];
+    let mut shifted = [0_u32; 3];
     for number in 0..600 {
         let request = request(&route, &service, number);
         let now = at(2_000 + number * 10);
@@ -201,20 +208,20 @@
             continue;
         };
         if pick.rank > 0 && pick.zone.as_str() == "west-a" {
-            moved[usize::try_from(number / 200).expect("a small number")] += 1;
+            shifted[usize::try_from(number / 200).expect("a small number")] += 1;
         }
     }
-    let most = |before: u32| before + 200 * 15 / 100;
-    assert!(moved[0] > 0, "{moved:?}");
-    assert!(moved[0] <= most(0), "{moved:?}");
-    assert!(moved[1] <= most(moved[0]), "{moved:?}");
-    assert!(moved[2] <= most(moved[1]), "{moved:?}");
+    let max_shifted = |before: u32| before + 200 * 15 / 100;
+    assert!(shifted[0] > 0, "{shifted:?}");
+    assert!(shifted[0] <= max_shifted(0), "{shifted:?}");
+    assert!(shifted[1] <= max_shifted(shifted[0]), "{shifted:?}");
+    assert!(shifted[2] <= max_shifted(shifted[1]), "{shifted:?}");
 }
 
-/// The server that remembers an object has a queue, and an answer from there will be late. Elsewhere the object's
-/// slow first run would be late too, and take three times the slot: the request stays.
+/// Guards against wasted slots. The server that has handled the object recently has a queue, so its response will be
+/// late. On another server the slow first run would be late too, and take three times the slot time.
 #[test]
-fn a_request_that_is_late_everywhere_stays_where_it_takes_least() {
+fn a_request_that_is_late_everywhere_uses_the_server_that_handled_its_object() {
     let mut pool = pool_of(&[("east-a", 4)]);
     let first = pick(&mut pool, "east-a", 7).server;
     let mut server = pool.server_mut(&first).expect("a known server");
@@ -224,26 +231,27 @@
     assert_eq!(pick(&mut pool, "east-a", 7).server, first);
 }
 
-/// A server that leaves must move only its own objects: if all moved, every server would load objects anew
-/// at once, and the whole zone would be slow.
+/// Guards against objects that move between the remaining servers when a server leaves: every server would have slow
+/// first runs at once, and the whole zone would be slow.
 #[test]
-fn a_server_that_leaves_moves_only_its_own_objects() {
+fn removing_a_server_moves_only_its_objects() {
     let mut pool = pool_of(&[("east-a", 5)]);
     let before: Vec<_> = (0..300)
         .map(|object| pick(&mut pool, "east-a", object).server)
         .collect();
-    let gone = server_id("east-a-2");
-    pool.remove(at(1_000), &gone);
+    let removed = server_id("east-a-2");
+    pool.remove(at(1_000), &removed);
     for (object, server) in (0..).zip(before) {
-        if server != gone {
+        if server != removed {
             assert_eq!(pick(&mut pool, "east-a", object).server, server);
         }
     }
 }
 
-/// A server that drains gets nothing new, or its last requests are cut when it ends.
+/// Guards against new requests to a draining server, which are cut off when the server ends, and to servers of an
+/// evacuated zone.
 #[test]
-fn a_draining_server_and_an_evacuated_zone_get_nothing() {
+fn a_draining_server_and_an_evacuated_zone_receive_no_requests() {
     let mut pool = pool_of(&[("east-a", 2), ("west-a", 2)]);
     let mut leaving = entry("east-a-0", "east-a");
     leaving.state = ServerState::Draining;
@@ -258,10 +266,10 @@
     }
 }
 
-/// A server hangs. Nothing tells so until its exchanges end, and until then every request for its objects
-/// would be lost. Exchanges that last several times as long as usual show it.
+/// Guards against lost requests to a hanging server. No exchange with the server ends, so only exchanges that last
+/// several times as long as usual reveal the fault.
 #[test]
-fn a_server_whose_exchanges_hang_is_left() {
+fn a_server_whose_exchanges_hang_is_passed_over() {
     let mut pool = pool_of(&[("east-a", 3)]);
     let first = pick(&mut pool, "east-a", 3).server;
     let mut server = pool.server_mut(&first).expect("a known server");
@@ -270,10 +278,10 @@
     assert_ne!(pick(&mut pool, "east-a", 3).server, first);
 }
 
-/// A server fails part of its requests while its health check passes. It gets fewer requests as long as it
-/// fails, and gets them back a while after.
+/// Guards against a server that fails some of its requests while its health check passes: the server must receive fewer
+/// requests while it fails, and its requests again some time later.
 #[test]
-fn a_server_that_fails_is_left_and_tried_again() {
+fn a_failing_server_is_passed_over_and_used_again_later() {
     let mut pool = pool_of(&[("east-a", 3)]);
     let first = pick(&mut pool, "east-a", 3).server;
     let mut server = pool.server_mut(&first).expect("a known server");
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -1,4 +1,4 @@
-//! What the pool makes of news from the store, of broken connections and of probes.
+//! Tests of how the pool applies store changes, broken connections, probe results and peers' reports of load.
 
 mod support;
 
@@ -10,8 +10,9 @@
 };
 use support::{at, entry, pool, pool_of, server_id, zone};
 
-/// While the store is away, servers can't renew their entries and lapse. A pool that believed the first
-/// list after the outage would be empty, and every client would be refused although all servers live.
+/// Guards against an empty pool after a store outage: servers can't renew their entries during the outage, so the
+/// entries expire. If the first list after the outage were applied at once, every client would be refused although all
+/// servers are alive.
 #[test]
 fn entries_missing_right_after_an_outage_stay_until_their_grace_ends() {
     let mut pool = pool_of(&[("east-a", 2)]);
@@ -26,10 +27,10 @@
     );
 }
 
-/// A server that lapsed during an outage writes its entry again. Its grace must not remove it afterwards,
-/// or it would get no requests until its next change.
+/// Guards against a live server without requests: its entry expired during an outage and is written again, so the end
+/// of the grace time must not remove the server. It would receive no requests until its next change.
 #[test]
-fn a_lapsed_entry_that_comes_back_is_kept() {
+fn an_expired_entry_that_is_written_again_is_kept() {
     let mut pool = pool_of(&[("east-a", 1)]);
     pool.store_returned(at(10_000));
     pool.replace(at(10_000), []);
@@ -38,10 +39,10 @@
     assert_eq!(pool.servers().count(), 1);
 }
 
-/// A server that said it is draining before the outage has left by the time the store is back. Grace would
-/// send it requests after its drain time.
+/// Guards against requests to a server after its drain time: a server that was draining before a store outage has ended
+/// when the store returns, so it must have no grace time.
 #[test]
-fn a_draining_server_gets_no_grace() {
+fn a_draining_server_has_no_grace_time() {
     let mut pool = pool_of(&[("east-a", 1)]);
     let leaving = ServerEntry {
         state: ServerState::Draining,
@@ -56,17 +57,17 @@
     );
 }
 
-/// Without an outage a removed entry is a server that left without a word: it serves for the drain time
-/// only, so requests must stop at once.
+/// Guards against requests to a server that has left without notice: while the store is available, a removed entry
+/// means that the server serves for its drain time only, so requests to it must stop at once.
 #[test]
-fn an_entry_removed_while_the_store_is_there_is_gone_at_once() {
+fn a_server_is_removed_with_its_entry_while_the_store_is_available() {
     let mut pool = pool_of(&[("east-a", 1)]);
     let change = pool.remove(at(10_000), &server_id("east-a-0"));
     assert_eq!(change, Some(Change::Gone(server_id("east-a-0"))));
 }
 
-/// A write that was held up on its way lands after later ones. Taken as news, it would make a draining
-/// server look ready, and requests would be cut when it ends.
+/// Guards against requests that are cut off when their server ends: a delayed write arrives after later ones, and would
+/// make a draining server ready again.
 #[test]
 fn an_older_entry_does_not_undo_a_drain() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -85,10 +86,10 @@
     assert_eq!(server.entry.state, ServerState::Draining);
 }
 
-/// A server starts again under its old name and counts its entries anew. Compared by count alone, the new
-/// start would be ignored and its cold time unknown; the first full load would crash it.
+/// Guards against full load that crashes a restarted server: it restarts under its old name and numbers its entries
+/// from the start again. Compared by number alone, the new entry would be ignored and the warm-up would stay unknown.
 #[test]
-fn a_restart_under_the_same_name_is_news_and_cold() {
+fn a_server_that_restarts_under_its_name_is_cold() {
     let mut pool = pool_of(&[("east-a", 1)]);
     let restarted = ServerEntry {
         started_unix_ms: 2_000,
@@ -103,8 +104,8 @@
     assert!(!server.is_cold(at(8_000)));
 }
 
-/// Everything is read anew, and an entry that was written at a server's start is read a second time. The server
-/// has long been warm, and must not get a cold server's few requests again.
+/// Guards against a warm server that is limited to the few requests of a cold one: the whole list is read again, with
+/// an entry that was written at the server's start.
 #[test]
 fn an_entry_that_is_read_again_does_not_make_its_server_cold_again() {
     let mut pool = pool();
@@ -118,17 +119,17 @@
     assert!(!server.is_cold(at(10_001)));
 }
 
-/// A zone that was evacuated is taken back, and its servers may have been restarted meanwhile. Their full
-/// load at once would crash them, so they count as cold first.
+/// Guards against full load that crashes the servers of a zone after its evacuation: they may have restarted during the
+/// evacuation, so they count as cold at first.
 #[test]
-fn servers_of_a_zone_that_is_taken_back_count_as_cold() {
+fn servers_of_a_restored_zone_count_as_cold() {
     let mut pool = pool_of(&[("east-a", 1), ("west-a", 1)]);
     pool.set_warmups([(support::service_id(), 3_000)]);
     pool.set_evacuated(at(1_000), BTreeSet::from([zone("east-a")]));
     let evacuated = pool.topology().zone(&zone("east-a"));
     assert!(evacuated.is_some_and(|zone| pool.is_evacuated(zone)));
-    let taken_back = pool.set_evacuated(at(9_000), BTreeSet::new());
-    assert_eq!(taken_back, [zone("east-a")]);
+    let restored = pool.set_evacuated(at(9_000), BTreeSet::new());
+    assert_eq!(restored, [zone("east-a")]);
     let is_cold = |name| {
         pool.server(&server_id(name))
             .expect("a known server")
@@ -138,7 +139,8 @@
     assert!(!is_cold("west-a-0"));
 }
 
-fn end(pool: &mut ServerPool, now_ms: u64, end: ExchangeEnd) {
+/// Records an exchange with the first server that starts and ends at `now_ms`.
+fn record_exchange(pool: &mut ServerPool, now_ms: u64, end: ExchangeEnd) {
     let mut server = pool
         .server_mut(&server_id("east-a-0"))
         .expect("a known server");
@@ -146,28 +148,28 @@
     server.record_end(at(now_ms), ExchangeId(now_ms), end, ServerReport::default());
 }
 
-/// A connection breaks because its server crashed and is back within a moment, cold, under the name it had.
-/// Until a probe has asked it, it gets only what a cold server bears.
+/// Guards against full load on a server that has just crashed: its connection breaks, and it is back a moment later,
+/// cold and under the same name. It receives no more than a cold server until a probe has reported that it is warm.
 #[test]
-fn a_server_whose_connection_broke_counts_as_cold_until_a_probe_asked_it() {
+fn a_server_whose_connection_broke_counts_as_cold_until_a_probe_succeeds() {
     let mut pool = pool_of(&[("east-a", 1)]);
-    end(&mut pool, 1_000, ExchangeEnd::Broken);
+    record_exchange(&mut pool, 1_000, ExchangeEnd::Broken);
     let server = pool.server(&server_id("east-a-0")).expect("a known server");
     assert!(server.is_cold(at(1_001)));
-    let due = pool.due_probes(at(1_001), |_| Some("/health".to_owned()));
-    assert_eq!(due.len(), 1);
+    let probes_due = pool.due_probes(at(1_001), |_| Some("/health".to_owned()));
+    assert_eq!(probes_due.len(), 1);
     let healthy = ProbeResult::Healthy { warmup_left_ms: 0 };
     pool.record_probe(at(1_050), &server_id("east-a-0"), healthy);
     let server = pool.server(&server_id("east-a-0")).expect("a known server");
     assert!(!server.is_cold(at(1_051)));
 }
 
-/// The address of a server that ended is given to a server of another service. Requests sent on would be
-/// turned away one by one, so the first such answer ends it, without blame and without probes.
+/// Guards against requests that are rejected one by one: the address of a server that ended is assigned to a server of
+/// another service. The first such response ends the use of the address, without a recorded failure and without probes.
 #[test]
-fn an_address_that_another_server_has_is_not_used_again() {
+fn an_address_taken_over_by_another_server_is_not_used_again() {
     let mut pool = pool_of(&[("east-a", 1)]);
-    end(&mut pool, 1_000, ExchangeEnd::Misdirected);
+    record_exchange(&mut pool, 1_000, ExchangeEnd::Misdirected);
     let server = pool.server(&server_id("east-a-0")).expect("a known server");
     assert_eq!(server.liveness, Liveness::Replaced);
     assert!(
@@ -176,16 +178,16 @@
     );
 }
 
-/// A server is down for some seconds. Probes in quick succession would cost more than they bring, rare ones
-/// leave a server that is back unused: the pause grows to two seconds and no further.
+/// Guards against frequent probes of a server that is down for some seconds, which cost more than they gain, and
+/// against rare ones, which leave a recovered server unused. The interval grows to two seconds and no further.
 #[test]
-fn probes_of_a_server_that_is_down_grow_rarer_up_to_a_bound() {
+fn the_interval_between_probes_of_a_down_server_grows_up_to_a_limit() {
     let mut pool = pool_of(&[("east-a", 1)]);
-    end(&mut pool, 1_000, ExchangeEnd::Unreachable);
+    record_exchange(&mut pool, 1_000, ExchangeEnd::Unreachable);
     let mut probes = Vec::new();
     for now_ms in (1_000..20_000).step_by(100) {
-        let due = pool.due_probes(at(now_ms), |_| Some("/health".to_owned()));
-        if !due.is_empty() {
+        let probes_due = pool.due_probes(at(now_ms), |_| Some("/health".to_owned()));
+        if !probes_due.is_empty() {
             probes.push(now_ms);
             pool.record_probe(at(now_ms), &server_id("east-a-0"), ProbeResult::NoAnswer);
         }
@@ -196,9 +198,9 @@
     assert_eq!(pauses.last(), Some(&2_000));
 }
 
-/// A new server must be known with its zone's region, or requests bound to regions would never reach it.
+/// Guards against a new server without a region: requests that are restricted to regions would never be sent to it.
 #[test]
-fn a_joined_server_knows_its_region() {
+fn a_new_server_has_the_region_of_its_zone() {
     let mut pool = pool();
     let change = pool.apply(at(0), entry("s", "west-a"));
     assert_eq!(change, Some(Change::Joined(server_id("s"))));
@@ -206,11 +208,11 @@
     assert_eq!(region.map(ToString::to_string).as_deref(), Some("west"));
 }
 
-/// Many instances share a server that always has a queue, and each hears of it every second or two. Were its
-/// queue forgotten between two answers, every instance would take it for idle and make the queue grow, while the
-/// object's other server has free slots.
+/// Guards against growing queues. Many instances use a server that always has a queue, and each receives a response
+/// every second or two. If the queue did not count between two responses, every instance would take the server for idle
+/// and extend its queue, while the object's other server has free slots.
 #[test]
-fn a_queue_is_remembered_between_rare_answers() {
+fn a_reported_queue_counts_until_the_next_response() {
     let mut pool = pool_of(&[("east-a", 1)]);
     let busy = ServerReport {
         load: Some(LoadReport {
@@ -237,25 +239,28 @@
     }
 }
 
-/// A queue builds up at a server, and one instance of the zone sees it. The others, which ask the server about
-/// once a second, would go on sending there, while the object's other server has free slots.
+/// Guards against requests that join a queue while the object's other server has free slots: one instance of the zone
+/// observes the queue. The other instances, which send the server only about one request a second, would use the server
+/// further.
 #[test]
-fn a_queue_that_one_instance_sees_is_known_to_the_zone() {
-    let mut seeing = pool_of(&[("east-a", 2)]);
-    let mut hearing = pool_of(&[("east-a", 2)]);
-    let mut server = seeing.server_mut(&server_id("east-a-0")).expect("a server");
+fn a_queue_that_one_instance_observes_is_reported_to_its_zone() {
+    let mut observer = pool_of(&[("east-a", 2)]);
+    let mut receiver = pool_of(&[("east-a", 2)]);
+    let mut server = observer
+        .server_mut(&server_id("east-a-0"))
+        .expect("a server");
     let report = ServerReport {
         load: Some(load(6, 9)),
     };
     server.record_sent(at(800), ExchangeId(1), 100.0);
     server.record_end(at(1_000), ExchangeId(1), ExchangeEnd::Answered, report);
     drop(server);
-    let told = seeing.take_server_reports(at(1_100), 8);
-    assert_eq!(told.len(), 1);
-    assert!(seeing.take_server_reports(at(1_200), 8).is_empty());
-    hearing.apply_server_reports(at(1_100), &told);
+    let reports = observer.take_server_reports(at(1_100), 8);
+    assert_eq!(reports.len(), 1);
+    assert!(observer.take_server_reports(at(1_200), 8).is_empty());
+    receiver.apply_server_reports(at(1_100), &reports);
     let load_of = |name| {
-        hearing
+        receiver
             .server(&server_id(name))
             .map(|one| one.load(at(1_100)))
     };
@@ -263,10 +268,10 @@
     assert_eq!(load_of("east-a-1"), Some(0.0));
 }
 
-/// A word on a server's load arrives late. What the instance has heard from the server itself since is newer; an
-/// old queue must not keep it from a server that is free again.
+/// Guards against a free server that receives no requests because of an old queue: a peer's report of its load arrives
+/// late, after the server itself has reported a newer load to this instance.
 #[test]
-fn an_older_word_on_a_load_changes_nothing() {
+fn an_outdated_load_report_of_a_peer_is_ignored() {
     let mut pool = pool_of(&[("east-a", 1)]);
     let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
     let free = ServerReport {
@@ -275,20 +280,21 @@
     server.record_sent(at(800), ExchangeId(1), 100.0);
     server.record_end(at(1_000), ExchangeId(1), ExchangeEnd::Answered, free);
     drop(server);
-    let told = PeerServerReport {
+    let report = PeerServerReport {
         server: ServerKey::of(&server_id("east-a-0")),
         load: Some(load(6, 9)),
         health: None,
         age_ms: 300,
     };
-    pool.apply_server_reports(at(1_200), &[told]);
+    pool.apply_server_reports(at(1_200), &[report]);
     let server = pool.server(&server_id("east-a-0")).expect("a server");
     assert!(server.load(at(1_200)) < 2.0);
 }
 
-/// A queue has gone. Were only queues told, the zone would believe in it until its word has faded.
+/// Guards against a queue that counts in the zone after its end: if only queues were reported, other instances would
+/// assume the queue until the last report has decayed.
 #[test]
-fn the_zone_hears_once_that_a_queue_has_gone() {
+fn the_end_of_a_queue_is_reported_once() {
     let mut pool = pool_of(&[("east-a", 1)]);
     for (number, report) in [(1, load(6, 3)), (2, load(4, 0)), (3, load(4, 0))] {
         let mut server = pool.server_mut(&server_id("east-a-0")).expect("a server");
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -1,4 +1,4 @@
-//! Which objects have a server in each zone, as the instances of a zone judge together.
+//! Tests of how the instances of a zone decide together which objects are popular.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 const INSTANCES: usize = 30;
 
-fn speaker() -> ids::InstanceId {
+fn aggregator() -> ids::InstanceId {
     "east-a-1".parse().expect("a name")
 }
 
@@ -20,7 +20,7 @@
     placement::object_hash(&service_id(), "look", &number.to_string())
 }
 
-/// The instances of a zone, of which the first one judges.
+/// The instances of a zone, of which the first one is the aggregator.
 struct Zone {
     placers: Vec<Placer>,
     random: rand_pcg::Pcg32,
@@ -36,8 +36,9 @@
         }
     }
 
-    /// A second in which clients of the zone ask so often for one of so many objects; what is judged then.
-    fn second(&mut self, requests: usize, objects: u64) -> Vec<PopularityDecision> {
+    /// Runs a second in which clients of the zone send `requests` requests for `objects` objects; returns the
+    /// popularity decisions at its end.
+    fn run_second(&mut self, requests: usize, objects: u64) -> Vec<PopularityDecision> {
         for _ in 0..requests {
             let instance = self.random.random_range(0..INSTANCES);
             let number = self.random.random_range(0..objects);
@@ -53,14 +54,15 @@
         for report in &reports {
             self.placers[0].apply_popularity_report(now, report);
         }
-        let verdicts = self.placers[0].decide_popularity(now);
+        let decisions = self.placers[0].decide_popularity(now);
         for placer in &mut self.placers {
-            placer.apply_popularity_decisions(now, &speaker(), &verdicts);
+            placer.apply_popularity_decisions(now, &aggregator(), &decisions);
         }
-        verdicts
+        decisions
     }
 
-    /// The zone where each instance sends an object of its own zone's servers, which only popular ones have.
+    /// Returns for each instance the zone to which it sends a request for an object. For popular objects, this is
+    /// always the zone of the instances.
     fn zones_of(&mut self, pool: &ServerPool, number: u64) -> Vec<String> {
         let (route, service) = (route(), service_id());
         let request = support::request(&route, &service, object(number));
@@ -78,19 +80,19 @@
     }
 }
 
-fn steps(verdicts: &[PopularityDecision]) -> u8 {
-    verdicts.first().map_or(0, |verdict| verdict.steps)
+fn steps(decisions: &[PopularityDecision]) -> u8 {
+    decisions.first().map_or(0, |decision| decision.steps)
 }
 
-/// Guards against instances of a large zone that each see a few requests a second, and judge differently what is
-/// popular: each disagreement is a first run on one more server.
+/// Guards against instances of a large zone that each receive a few requests a second and decide differently which
+/// objects are popular: each disagreement costs a first run on one more server.
 #[test]
-fn instances_that_see_little_each_find_together_what_is_popular() {
+fn instances_with_few_requests_each_agree_on_popular_objects() {
     let pool = pool_of(&[("east-a", 6), ("east-b", 6), ("west-a", 6)]);
     for seed in 0..10 {
         let mut zone = Zone::new(seed);
         for _ in 0..12 {
-            zone.second(180, 600);
+            zone.run_second(180, 600);
         }
         let local = (0..100).filter(|number| {
             let zones = zone.zones_of(&pool, *number);
@@ -101,55 +103,56 @@
     }
 }
 
-/// Guards against further servers for objects that are asked for once in half a minute: each copy is a slow run.
+/// Guards against further servers for objects that are requested about once in a minute: each further server costs a
+/// slow first run.
 #[test]
-fn objects_that_are_asked_for_rarely_get_no_further_servers() {
+fn rarely_requested_objects_get_no_further_servers() {
     for seed in 0..10 {
         let mut zone = Zone::new(seed);
         for _ in 0..20 {
-            assert_eq!(steps(&zone.second(9, 600)), 0, "seed {seed}");
+            assert_eq!(steps(&zone.run_second(9, 600)), 0, "seed {seed}");
         }
     }
 }
 
-/// Guards against a verdict that lags behind callers by more than seconds, and against one that comes at once for all
-/// objects: their first runs would fill the servers together.
+/// Guards against decisions that follow a change of the request rate too late, by more than ten seconds, and against
+/// decisions that make all objects popular at once: their first runs would fill the servers.
 #[test]
-fn a_rate_that_changes_tenfold_is_followed_in_steps_within_ten_seconds() {
+fn decisions_follow_a_tenfold_rate_in_steps_within_ten_seconds() {
     for seed in 0..10 {
         let mut zone = Zone::new(seed);
         for _ in 0..8 {
-            zone.second(36, 600);
+            zone.run_second(36, 600);
         }
         let mut before = 0;
         for _ in 0..10 {
-            let now = steps(&zone.second(360, 600));
+            let now = steps(&zone.run_second(360, 600));
             assert!(now <= before + 1, "seed {seed}");
             before = now;
         }
         assert_eq!(before, POPULARITY_STEPS, "seed {seed}");
         for _ in 0..20 {
-            before = steps(&zone.second(12, 600));
+            before = steps(&zone.run_second(12, 600));
         }
         assert_eq!(before, 0, "seed {seed}");
     }
 }
 
-/// Guards against instances that follow different speakers of their zone.
+/// Guards against instances that follow the decisions of different aggregators of their zone.
 #[test]
-fn of_two_that_speak_the_first_one_counts_and_the_second_after_its_silence() {
+fn the_second_aggregator_counts_only_after_the_first_is_silent() {
     let mut zone = Zone::new(1);
-    let mut verdicts = Vec::new();
+    let mut decisions = Vec::new();
     for _ in 0..8 {
-        verdicts = zone.second(360, 600);
+        decisions = zone.run_second(360, 600);
     }
     let pool = pool_of(&[("east-a", 6), ("east-b", 6)]);
     let other = "east-a-2".parse().expect("a name");
-    let rare: Vec<PopularityDecision> = verdicts
+    let unpopular: Vec<PopularityDecision> = decisions
         .iter()
-        .map(|verdict| PopularityDecision {
+        .map(|decision| PopularityDecision {
             steps: 0,
-            ..*verdict
+            ..*decision
         })
         .collect();
     let in_zone = |zone: &mut Zone| {
@@ -160,15 +163,15 @@
     };
     let popular = in_zone(&mut zone);
     let now_ms = zone.now_ms;
-    zone.placers[0].apply_popularity_decisions(at(now_ms + 500), &other, &rare);
+    zone.placers[0].apply_popularity_decisions(at(now_ms + 500), &other, &unpopular);
     assert_eq!(in_zone(&mut zone), popular);
-    zone.placers[0].apply_popularity_decisions(at(now_ms + 6_000), &other, &rare);
+    zone.placers[0].apply_popularity_decisions(at(now_ms + 6_000), &other, &unpopular);
     assert!(in_zone(&mut zone) < popular);
 }
 
-/// Guards against samples that don't add up since each instance left out other objects.
+/// Guards against samples that don't add up because each instance omits different objects.
 #[test]
-fn samples_of_instances_add_up_to_the_sample_of_all_they_saw() {
+fn samples_of_instances_add_up_to_the_sample_of_all_requests() {
     let mut random = rand_pcg::Pcg32::seed_from_u64(3);
     let requests: Vec<(usize, u64)> = (0..2_000)
         .map(|_| {
@@ -178,10 +181,10 @@
             )
         })
         .collect();
-    let sample_of = |wanted: Option<usize>| {
+    let sample_of = |selected: Option<usize>| {
         let mut placer = placer("east-a");
         for (instance, object) in &requests {
-            if wanted.is_none_or(|wanted| wanted == *instance) {
+            if selected.is_none_or(|selected| selected == *instance) {
                 placer.record_object_request(&route(), *object);
             }
         }
--- a/crates/damaskvane-routing/tests/relay.rs
+++ b/crates/damaskvane-routing/tests/relay.rs
@@ -1,7 +1,8 @@
-//! Changes that are handed on between instances.
+//! Tests of the log of store changes that instances relay to each other.
 
 use damaskvane_routing::relay::{RelayLog, Since};
 
+/// Returns the batch that follows a revision, if the log has one.
 fn next<'a>(log: &RelayLog<&'a str>, revision: u64) -> Option<&'a str> {
     match log.since(revision) {
         Since::Next(batch) => Some(batch.body),
@@ -9,10 +10,11 @@
     }
 }
 
-/// An instance has listed the store at one revision and its relay at another. It must get every batch that
-/// holds a change it may lack, or a server that left would keep its requests.
+/// Guards against missed changes: an instance has listed the store at one revision and its relay at another. The
+/// instance must receive every batch with a change that it may lack, or it would still send requests to a server that
+/// has left.
 #[test]
-fn whoever_is_between_two_batches_gets_the_later_one_whole() {
+fn an_instance_between_two_batches_receives_the_whole_later_batch() {
     let mut log = RelayLog::new(10);
     log.append(20, "first", 5);
     log.append(30, "second", 6);
@@ -23,10 +25,11 @@
     assert_eq!(log.since(44), Since::UpToDate);
 }
 
-/// The revision of the store moves on with changes of other collections. A batch after such a pause must
-/// still connect to the one before, or everybody would read everything anew.
+/// Guards against needless reads of the whole collection: changes of other collections advance the store's revision
+/// between two batches, and the later batch must still follow the earlier one. Otherwise all instances would read the
+/// collection again.
 #[test]
-fn batches_connect_over_pauses() {
+fn batches_connect_across_revisions_of_other_collections() {
     let mut log = RelayLog::new(10);
     log.append(12, "first", 5);
     log.append(90, "second", 6);
@@ -34,10 +37,11 @@
     assert_eq!(next(&log, 50), Some("second"));
 }
 
-/// An instance was cut off for long, and the changes that it lacks are no longer kept. It must be told so:
-/// given only the later ones, it would never hear of the rest.
+/// Guards against missed changes: an instance was disconnected for long, and the changes that it lacks are no longer
+/// retained. The log must report the gap, because with only the later changes the instance would never receive the
+/// others.
 #[test]
-fn whoever_is_behind_the_log_reads_everything_anew() {
+fn an_instance_behind_the_log_reads_the_collection_again() {
     let mut log = RelayLog::new(10);
     for revision in 11..60 {
         log.append(revision, "large", 100_000);
@@ -46,9 +50,9 @@
     assert_eq!(next(&log, 58), Some("large"));
 }
 
-/// A relay that changes its own source may hear a batch twice.
+/// Guards against a duplicate batch: a relay that switches to another source may receive a batch twice.
 #[test]
-fn a_batch_that_leads_nowhere_is_left_out() {
+fn a_batch_that_does_not_advance_the_log_is_ignored() {
     let mut log = RelayLog::new(10);
     log.append(20, "first", 5);
     log.append(20, "again", 5);
--- a/crates/damaskvane-routing/tests/retries.rs
+++ b/crates/damaskvane-routing/tests/retries.rs
@@ -1,4 +1,4 @@
-//! What may follow an exchange.
+//! Tests of whether another server is tried after an exchange, and how long an attempt may take.
 
 mod support;
 
@@ -16,10 +16,11 @@
     ExchangeEnd::Abandoned,
 ];
 
-/// A booking is sent and its connection breaks: the server may have run it. Sent again, the caller would
-/// pay twice; answered with *not run*, the caller would send it again itself.
+/// Guards against a booking that runs twice: its connection breaks after the request was sent, and the server may have
+/// run it. A second attempt would charge the caller twice; a response that reports *not run* would make the caller
+/// repeat the request.
 #[test]
-fn a_request_that_may_have_run_is_not_repeated_and_not_called_not_run() {
+fn a_request_that_may_have_run_is_not_repeated_and_not_reported_as_not_run() {
     for end in MAY_HAVE_RUN {
         let mut progress = Progress::new(RouteKind::NonIdempotent, 3);
         progress.record(end);
@@ -28,9 +29,10 @@
     }
 }
 
-/// A full server turns a booking away and says that it didn't run it. Another server may have it.
+/// Guards against a refusal without need: a full server rejects a booking and reports that the booking was not run, so
+/// another server may run it.
 #[test]
-fn a_request_that_was_turned_away_goes_to_another_server() {
+fn a_rejected_request_goes_to_another_server() {
     for end in [
         ExchangeEnd::Shed,
         ExchangeEnd::Misdirected,
@@ -43,19 +45,20 @@
     }
 }
 
-/// One proof doesn't cover another exchange: a request that one server turned away and the next one may
-/// have run must not be called *not run*.
+/// Guards against a request that is reported as *not run* although it may have run: one server rejected the request,
+/// but another exchange of the request has no such proof.
 #[test]
-fn a_proof_is_lost_with_the_first_exchange_that_lacks_it() {
+fn the_proof_of_not_run_is_lost_with_the_first_exchange_without_it() {
     let mut progress = Progress::new(RouteKind::Idempotent, 4);
     progress.record(ExchangeEnd::Broken);
     progress.record(ExchangeEnd::Shed);
     assert!(!progress.is_proven_not_run());
 }
 
-/// The route's attempts bound the servers that a request reaches, whatever their answers.
+/// Guards against a request that is sent to more servers than the attempts of its route, whatever the ends of its
+/// exchanges.
 #[test]
-fn attempts_bound_the_servers_that_get_a_request() {
+fn attempts_limit_the_servers_that_receive_a_request() {
     let mut progress = Progress::new(RouteKind::Idempotent, 2);
     progress.record(ExchangeEnd::Failed);
     assert!(progress.may_try_again());
@@ -63,7 +66,8 @@
     assert!(!progress.may_try_again());
 }
 
-/// A route whose work takes longer than its objective wherever it isn't remembered, as a server is asked for it.
+/// Returns a route whose requests exceed their objective on servers that haven't handled the object recently, and the
+/// server selected for one of them.
 fn slow_work() -> (Route, Pick) {
     let route = Route {
         objective_ms: 1_000,
@@ -80,25 +84,26 @@
     let request = request(&route, &service, 7);
     let choice = placer.choose(at(1_000), &pool, &configuration(), &request, 1);
     let Choice::Send(pick) = choice else {
-        panic!("refused");
+        panic!("the request is refused");
     };
     (route, pick)
 }
 
-/// After a start no server remembers anything, and first runs take 1.6 s where the objective is one second. Given up
-/// after two objectives, a fifth of them would run once more on another server, which is as busy, and all would wait.
+/// Guards against first runs that are repeated under load. After a start no server has handled any object recently, and
+/// first runs take 1.6 s where the objective is one second. With a timeout of two objectives, a fifth of them would run
+/// again on another server that is as busy, and all requests would wait.
 #[test]
-fn a_server_at_work_on_a_first_run_is_not_given_up() {
+fn a_first_run_on_a_healthy_server_is_not_abandoned() {
     let (route, pick) = slow_work();
     let progress = Progress::new(RouteKind::Idempotent, 2);
     let attempt_timeout_ms = retry::attempt_timeout_ms(&route, &pick, &progress, 4_000);
     assert!(attempt_timeout_ms.is_some_and(|attempt_timeout_ms| attempt_timeout_ms >= 2_200));
 }
 
-/// A server has gone silent, and its caller's time is nearly over. Asking another one that can't answer in time
-/// would cost a slot and bring nothing.
+/// Guards against wasted slots: a server doesn't respond, and the remaining time of its caller is too short for a
+/// response of another server.
 #[test]
-fn no_other_server_is_asked_that_could_not_answer_in_time() {
+fn no_server_is_tried_that_could_not_respond_in_time() {
     let (route, pick) = slow_work();
     let progress = Progress::new(RouteKind::Idempotent, 2);
     assert_eq!(
--- a/crates/damaskvane-routing/tests/support/mod.rs
+++ b/crates/damaskvane-routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small builders for the tests of decisions.
+//! Builders of configurations, servers, pools and requests for the tests of this crate.
 #![allow(dead_code, unreachable_pub, reason = "each test file uses its part")]
 
 use std::collections::HashMap;
@@ -93,7 +93,7 @@
     })
 }
 
-/// A pool with so many servers in each zone, named by zone and number.
+/// Returns a pool with the given number of ready servers in each zone, named by zone and number.
 pub fn pool_of(servers: &[(&str, usize)]) -> ServerPool {
     let mut pool = pool();
     for (zone_name, count) in servers {
@@ -138,6 +138,7 @@
     }
 }
 
+/// Records `count` requests of this instance that are in flight to a server.
 pub fn fill(pool: &mut ServerPool, name: &str, count: u64) {
     let mut server = pool.server_mut(&server_id(name)).expect("a known server");
     for number in 0..count {
