--- a/crates/damaskvane-slots/tests/common/digest.rs
+++ b/crates/damaskvane-slots/tests/common/digest.rs
@@ -1,27 +1,37 @@
-//! The state of the modelled zone as one number, for a search through its states.
+//! Hash of the state of the simulated zone, for a search through its states.
 
 use std::fmt::{self, Write};
 use std::hash::{DefaultHasher, Hasher};
 
-use super::World;
+use super::SimulatedZone;
 
-/// Hashes what is written.
-struct Hashed(DefaultHasher);
+/// Hashes the text that is written to it.
+struct TextHasher(DefaultHasher);
 
-impl Write for Hashed {
+impl Write for TextHasher {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         self.0.write(text.as_bytes());
         Ok(())
     }
 }
 
-impl World {
-    /// All that decides what happens next, as one number: two worlds that are alike in it go on alike.
-    pub(crate) fn digest(&self) -> u64 {
-        let mut hasher = Hashed(DefaultHasher::new());
-        let state = (&self.instances, &self.list, &self.shown, &self.flying);
-        let faults = (&self.cuts, &self.without_platform, &self.jobs, &self.random);
-        write!(hasher, "{:?} {state:?} {faults:?}", self.now).expect("a hasher takes all");
+impl SimulatedZone {
+    /// Returns a hash of all state that decides what happens next: two zones with the same hash continue alike.
+    pub(crate) fn state_hash(&self) -> u64 {
+        let mut hasher = TextHasher(DefaultHasher::new());
+        let state = (
+            &self.instances,
+            &self.list,
+            &self.visible_list,
+            &self.in_flight,
+        );
+        let faults = (
+            &self.cuts,
+            &self.without_platform,
+            &self.requests,
+            &self.random,
+        );
+        write!(hasher, "{:?} {state:?} {faults:?}", self.now).expect("a hasher accepts all text");
         hasher.0.finish()
     }
 }
--- a/crates/damaskvane-slots/tests/common/disturbance.rs
+++ b/crates/damaskvane-slots/tests/common/disturbance.rs
@@ -1,20 +1,20 @@
-//! What disturbs the modelled zone.
+//! Faults and changes that are applied to the simulated zone.
 
 use damaskvane_core::{ids, time};
 use rand::RngExt;
 
-use super::{World, id, ms};
+use super::{SimulatedZone, id, ms};
 
 pub(crate) const NAMES: [&str; 4] = ["a-1", "a-2", "a-3", "a-4"];
 
-/// One disturbance, or the end of one.
+/// A fault or a change of the zone, or the end of a fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Disturbance {
     Kill(ids::InstanceId),
     Leave(ids::InstanceId),
-    /// An instance starts while all others can learn of it.
+    /// All faults end and an instance starts, so that all others can discover it.
     Join(ids::InstanceId),
-    /// An instance starts amid whatever disturbs the zone.
+    /// An instance starts while faults continue.
     Start(ids::InstanceId),
     Pause(ids::InstanceId, time::SpanMs),
     CutOneWay(ids::InstanceId, ids::InstanceId),
@@ -35,7 +35,7 @@
 }
 
 impl Disturbance {
-    /// Draws one; instances start only where all others can learn of them.
+    /// Draws a disturbance at random; an instance starts only where all others can discover it.
     pub(crate) fn draw(
         random: &mut rand_pcg::Pcg32,
         is_running: impl Fn(&ids::InstanceId) -> bool,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Draws one; instances start amid faults, and reach the platform again one by one.
+    /// Draws a disturbance at random; instances start amid faults and regain the platform one by one.
     pub(crate) fn draw_amid_faults(random: &mut rand_pcg::Pcg32) -> Self {
         let (a, b) = (name(random), name(random));
         match random.random_range(0..20) {
@@ -80,7 +80,7 @@
     }
 }
 
-impl World {
+impl SimulatedZone {
     pub(crate) fn disturb(&mut self, disturbance: Disturbance) {
         match disturbance {
             Disturbance::Kill(name) => self.kill(&name),
@@ -105,14 +105,14 @@
         }
     }
 
-    /// Nothing passes between two instances, in either direction.
+    /// Drops all messages between two instances, in both directions.
     pub(crate) fn cut(&mut self, a: &ids::InstanceId, b: &ids::InstanceId) {
-        let there = (a.clone(), b.clone());
-        let back = (b.clone(), a.clone());
-        self.cuts.extend([there, back]);
+        let forward = (a.clone(), b.clone());
+        let reverse = (b.clone(), a.clone());
+        self.cuts.extend([forward, reverse]);
     }
 
-    /// The process does nothing for a while; what arrives waits.
+    /// Pauses the process; messages that arrive meanwhile wait.
     pub(crate) fn pause(&mut self, name: &ids::InstanceId, pause: time::SpanMs) {
         let now = self.now;
         if let Some(instance) = self.instances.get_mut(name) {
--- a/crates/damaskvane-slots/tests/common/messages.rs
+++ b/crates/damaskvane-slots/tests/common/messages.rs
@@ -1,28 +1,29 @@
-//! Messages of the modelled zone, and what instances ask for: heartbeats, probes, fences, slots.
+//! Messages and actions of the instances in the simulated zone: heartbeats, probes, fences and slot messages.
 
 use damaskvane_core::ids;
 use damaskvane_membership::view;
 use damaskvane_slots::exchange;
 use rand::RngExt;
 
-use super::{Flying, Wire, World, ms, trace};
+use super::{InFlightMessage, Payload, SimulatedZone, ms, trace};
 
-impl World {
+impl SimulatedZone {
     pub(super) fn deliver(&mut self) {
         let now = self.now;
         let instances = &self.instances;
-        let (due, later): (Vec<Flying>, Vec<Flying>) = self.flying.drain(..).partition(|message| {
-            let to = instances.get(&message.to);
-            message.due <= now && to.is_none_or(|to| to.paused_until <= now)
-        });
-        self.flying = later;
+        let (due, later): (Vec<InFlightMessage>, Vec<InFlightMessage>) =
+            self.in_flight.drain(..).partition(|message| {
+                let to = instances.get(&message.to);
+                message.due <= now && to.is_none_or(|to| to.paused_until <= now)
+            });
+        self.in_flight = later;
         for message in due {
             if self.is_cut(&message.from, &message.to) {
                 continue;
             }
             let (from, incarnation) = (message.from, message.incarnation);
-            match message.wire {
-                Wire::Heartbeat(heartbeat) => {
+            match message.payload {
+                Payload::Heartbeat(heartbeat) => {
                     let event = view::Event::Heartbeat {
                         from,
                         incarnation,
@@ -30,11 +31,11 @@
                     };
                     self.membership(&message.to, event);
                 }
-                Wire::Slots(wire) => {
+                Payload::Slots(payload) => {
                     let event = exchange::Event::Message {
                         from,
                         incarnation,
-                        message: wire,
+                        message: payload,
                     };
                     self.slots(&message.to, event);
                 }
@@ -42,19 +43,24 @@
         }
     }
 
-    pub(super) fn fly(&mut self, from: &ids::InstanceId, to: ids::InstanceId, wire: Wire) {
+    pub(super) fn send_message(
+        &mut self,
+        from: &ids::InstanceId,
+        to: ids::InstanceId,
+        payload: Payload,
+    ) {
         if self.random.random_range(0..1_000) < self.loss_permille {
             return;
         }
         let Some(instance) = self.instances.get(from) else {
             return;
         };
-        self.flying.push(Flying {
+        self.in_flight.push(InFlightMessage {
             due: self.now + ms(self.random.random_range(0..=self.max_delay_ms)),
             from: from.clone(),
             incarnation: ids::Incarnation::new(instance.incarnation),
             to,
-            wire,
+            payload,
         });
     }
 
@@ -73,7 +79,7 @@
     fn perform_membership(&mut self, name: &ids::InstanceId, action: view::Action) {
         match action {
             view::Action::Send { to, heartbeat, .. } => {
-                self.fly(name, to, Wire::Heartbeat(heartbeat));
+                self.send_message(name, to, Payload::Heartbeat(heartbeat));
             }
             view::Action::Probe {
                 instance,
@@ -106,18 +112,18 @@
                 if entry.is_some_and(|entry| entry.fenced && entry.incarnation == incarnation) {
                     self.list.remove(&instance);
                     let by = name.clone();
-                    let unmarked = trace::Happening::Unmarked {
+                    let removed = trace::TraceEvent::FenceRecordRemoved {
                         by,
                         instance,
                         incarnation,
                     };
-                    self.trace.note(self.now, unmarked);
+                    self.trace.record_event(self.now, removed);
                 }
             }
-            // A fenced process ends; its supervisor starts it again.
+            // A fenced process exits; its supervisor restarts it.
             view::Action::OwnFenced => {
-                let learned = trace::Happening::LearnedOfFence(name.clone());
-                self.trace.note(self.now, learned);
+                let detected = trace::TraceEvent::FenceDetected(name.clone());
+                self.trace.record_event(self.now, detected);
                 self.kill(&name.clone());
                 self.start(&name.clone());
             }
@@ -127,12 +133,12 @@
 
     fn is_cut(&self, from: &ids::InstanceId, to: &ids::InstanceId) -> bool {
         self.cuts.contains(&(from.clone(), to.clone()))
-            && (self.admits_known_gap
-                || !(self.is_in_the_dark(from, to) || self.is_in_the_dark(to, from)))
+            && (self.allows_cuts_before_discovery
+                || !(self.cannot_discover(from, to) || self.cannot_discover(to, from)))
     }
 
-    /// Whether an instance can't learn that another runs: it has neither heard of it nor the platform.
-    fn is_in_the_dark(&self, name: &ids::InstanceId, other: &ids::InstanceId) -> bool {
+    /// Returns whether an instance can't discover another: it does not know the other and has no platform.
+    fn cannot_discover(&self, name: &ids::InstanceId, other: &ids::InstanceId) -> bool {
         let (Some(instance), Some(other)) = (self.instances.get(name), self.instances.get(other))
         else {
             return false;
@@ -158,18 +164,18 @@
             .get(&instance)
             .is_some_and(|entry| entry.incarnation == incarnation);
         let event = if is_reached && is_same {
-            if self.erases_marks {
+            if self.deletes_fenced_entries {
                 self.list.remove(&instance);
             } else if let Some(entry) = self.list.get_mut(&instance) {
                 entry.fenced = true;
                 entry.goes_on_alone |= goes_on_alone;
             }
-            let fenced = trace::Happening::Fenced {
+            let fenced = trace::TraceEvent::Fenced {
                 by: name.clone(),
                 instance: instance.clone(),
                 incarnation,
             };
-            self.trace.note(self.now, fenced);
+            self.trace.record_event(self.now, fenced);
             view::Event::Fenced {
                 instance,
                 incarnation,
@@ -192,7 +198,7 @@
         for action in actions {
             match action {
                 exchange::Action::Send { to, message } => {
-                    self.fly(name, to, Wire::Slots(message));
+                    self.send_message(name, to, Payload::Slots(message));
                 }
                 exchange::Action::Available { .. } => {}
                 exchange::Action::Broken { invariant } => {
--- a/crates/damaskvane-slots/tests/common/mod.rs
+++ b/crates/damaskvane-slots/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A zone in virtual time: instances with membership and slots, the platform's list, and backend servers
-//! that count what really runs on them.
+//! Simulation of one zone in virtual time: instances with membership and slots, the platform's list of
+//! instances, and backend servers that count the requests that really run on them.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -20,30 +20,30 @@
 
 pub(crate) const STEP_MS: u64 = 10;
 
-/// Clients come to an instance that leaves for as long as they may use an old answer to a look-up.
+/// Time for which clients still send requests to a leaving instance, since they may use an old lookup response.
 const LOOKUP_TTL_MS: u64 = 2_000;
 
 #[derive(Debug, Clone)]
-enum Wire {
+enum Payload {
     Heartbeat(heartbeat::Heartbeat),
     Slots(message::AddressedMessage),
 }
 
 #[derive(Debug)]
-struct Flying {
+struct InFlightMessage {
     due: time::TimeMs,
     from: ids::InstanceId,
     incarnation: ids::Incarnation,
     to: ids::InstanceId,
-    wire: Wire,
+    payload: Payload,
 }
 
-/// A request on its way to a backend server, or on its way back.
+/// A request from its sending under a permit until its response arrives at the instance.
 #[derive(Debug)]
-struct Job {
+struct BackendRequest {
     starts_at: time::TimeMs,
     ends_at: time::TimeMs,
-    answered_at: time::TimeMs,
+    response_at: time::TimeMs,
     server: ids::BackendServerId,
     instance: ids::InstanceId,
     incarnation: u64,
@@ -57,48 +57,54 @@
     pub(crate) slots: exchange::SlotExchange,
     pub(crate) paused_until: time::TimeMs,
     pub(crate) left_at: Option<time::TimeMs>,
-    /// Whether its record was written at the platform.
+    /// Whether the instance's record was written to the platform's list.
     is_announced: bool,
 }
 
-pub(crate) struct World {
+pub(crate) struct SimulatedZone {
     pub(crate) now: time::TimeMs,
     pub(crate) random: rand_pcg::Pcg32,
     pub(crate) instances: BTreeMap<ids::InstanceId, Instance>,
     pub(crate) servers: BTreeMap<ids::BackendServerId, u32>,
+    /// The platform's list as it was last written.
     pub(crate) list: BTreeMap<ids::InstanceId, record::InstanceRecord>,
-    /// What the platform answers: its list as it was up to its lag ago.
-    shown: Vec<record::InstanceRecord>,
+    /// The list that the platform returns to readers, at most `list_every_ms` old.
+    visible_list: Vec<record::InstanceRecord>,
     incarnations: BTreeMap<ids::InstanceId, u64>,
+    /// Pairs (from, to) between which no message arrives.
     pub(crate) cuts: BTreeSet<(ids::InstanceId, ids::InstanceId)>,
+    /// Instances that can't reach the platform.
     pub(crate) without_platform: BTreeSet<ids::InstanceId>,
     pub(crate) loss_permille: u32,
     pub(crate) max_delay_ms: u64,
-    /// Share of time steps in which each instance gets a request for each backend server.
+    /// Percentage of time steps in which each instance gets a request for each backend server.
     pub(crate) demand_percent: u32,
-    /// Whether requests run for as long as they may.
-    pub(crate) is_greedy: bool,
-    flying: Vec<Flying>,
-    jobs: Vec<Job>,
+    /// Whether each request runs until its deadline.
+    pub(crate) uses_full_deadline: bool,
+    in_flight: Vec<InFlightMessage>,
+    requests: Vec<BackendRequest>,
+    /// Number of requests that were sent to backend servers.
     pub(crate) started: u64,
+    /// Number of broken invariants that the slot exchanges reported.
     pub(crate) broken: u64,
     pub(crate) trace: trace::Trace,
-    /// Time between two states of the platform's list that it shows.
+    /// Time between two updates of the list that the platform returns to readers.
     pub(crate) list_every_ms: u64,
-    /// Whether a fence deletes the entry of whom it fences and leaves no mark.
-    pub(crate) erases_marks: bool,
-    /// What the first server saw that had more to run than slots, where that does not end the run.
+    /// Whether a fence deletes the entry of the fenced instance and leaves no fence record.
+    pub(crate) deletes_fenced_entries: bool,
+    /// Description of the first server that ran more requests than its slots, if `tolerates_excess` is set.
     pub(crate) excess: Option<String>,
+    /// Whether the run continues after a server ran more requests than its slots, instead of a panic.
     pub(crate) tolerates_excess: bool,
-    /// Lowered slots hold from then on.
+    /// Time from which the running requests are compared with the slots, after the slots were lowered.
     checked_from: time::TimeMs,
-    /// Whether an instance without the platform may be cut from one of which it never heard.
-    pub(crate) admits_known_gap: bool,
+    /// Whether a cut also holds between two instances of which one has no platform and does not know the other.
+    pub(crate) allows_cuts_before_discovery: bool,
 }
 
-impl World {
+impl SimulatedZone {
     pub(crate) fn new(seed: u64, instances: &[&str], slots: &[u32]) -> Self {
-        let mut world = Self {
+        let mut zone = Self {
             now: at(1_000),
             random: rand_pcg::Pcg32::seed_from_u64(seed),
             instances: BTreeMap::new(),
@@ -108,48 +114,45 @@
                 .map(|(number, slots)| (server(number), *slots))
                 .collect(),
             list: BTreeMap::new(),
-            shown: Vec::new(),
+            visible_list: Vec::new(),
             incarnations: BTreeMap::new(),
             cuts: BTreeSet::new(),
             without_platform: BTreeSet::new(),
             loss_permille: 0,
             max_delay_ms: 5,
             demand_percent: 20,
-            is_greedy: false,
-            flying: Vec::new(),
-            jobs: Vec::new(),
+            uses_full_deadline: false,
+            in_flight: Vec::new(),
+            requests: Vec::new(),
             started: 0,
             broken: 0,
             trace: trace::Trace::default(),
             list_every_ms: 300,
-            erases_marks: false,
+            deletes_fenced_entries: false,
             excess: None,
             tolerates_excess: false,
             checked_from: time::TimeMs::ZERO,
-            admits_known_gap: true,
+            allows_cuts_before_discovery: true,
         };
         for name in instances {
-            world.start(&id(name));
+            zone.start(&id(name));
         }
-        world
+        zone
     }
 
-    /// A zone under full load, with requests as long as they may be, in which every backend server has an owner.
-    pub(crate) fn busy(instances: &[&str], slots: &[u32]) -> Self {
-        let mut world = Self::new(1, instances, slots);
-        world.is_greedy = true;
-        world.demand_percent = 100;
-        world.run(8_000);
+    /// Returns a zone under full load, with requests that run until their deadlines and an owner for each server.
+    pub(crate) fn under_full_load(instances: &[&str], slots: &[u32]) -> Self {
+        let mut zone = Self::new(1, instances, slots);
+        zone.uses_full_deadline = true;
+        zone.demand_percent = 100;
+        zone.run(8_000);
         for number in 0..slots.len() {
-            assert!(
-                world.owner(number).is_some(),
-                "server {number} has no owner"
-            );
+            assert!(zone.owner(number).is_some(), "server {number} has no owner");
         }
-        world
+        zone
     }
 
-    /// Starts an instance, or starts it again; it announces itself if it reaches the platform.
+    /// Starts an instance under its next incarnation and writes its record if it reaches the platform.
     pub(crate) fn start(&mut self, name: &ids::InstanceId) {
         let incarnation = self.incarnations.entry(name.clone()).or_default();
         *incarnation += 1;
@@ -170,12 +173,12 @@
             is_announced: false,
         };
         self.instances.insert(name.clone(), instance);
-        let started = trace::Happening::Started(name.clone(), incarnation);
-        self.trace.note(self.now, started);
+        let started = trace::TraceEvent::Started(name.clone(), incarnation);
+        self.trace.record_event(self.now, started);
         self.announce(name);
     }
 
-    /// Writes an instance's record once it reaches the platform.
+    /// Writes the instance's record to the list, once, as soon as the instance reaches the platform.
     fn announce(&mut self, name: &ids::InstanceId) {
         let Some(instance) = self.instances.get_mut(name) else {
             return;
@@ -188,10 +191,10 @@
         self.list.insert(name.clone(), record);
     }
 
-    /// Starts an instance while all others can learn of it.
+    /// Ends all faults, then starts an instance, so that all others can discover it.
     ///
-    /// What is not covered: one that is cut off from the platform and from a newcomer that it has never
-    /// heard of goes on beside it, as it must in a zone that is cut off as a whole.
+    /// Not covered: an instance that is cut off from the platform and from a new instance that it does not
+    /// know. It continues beside the new one, as it must in a zone that is cut off as a whole.
     pub(crate) fn join(&mut self, name: &ids::InstanceId) {
         self.without_platform.clear();
         self.cuts.clear();
@@ -203,7 +206,7 @@
         self.run(1_500);
     }
 
-    /// Operators change the slots of all backend servers; what runs has one lease to end.
+    /// Changes the slots of all backend servers; running requests have the time of one lease to end.
     pub(crate) fn set_slots(&mut self, slots: u32) {
         for limit in self.servers.values_mut() {
             *limit = slots;
@@ -225,11 +228,11 @@
         limits.collect()
     }
 
-    /// The process dies; what it has running goes on at the backend servers.
+    /// Ends the process at once; its running requests continue on the backend servers.
     pub(crate) fn kill(&mut self, name: &ids::InstanceId) {
         if self.instances.remove(name).is_some() {
             self.trace
-                .note(self.now, trace::Happening::Died(name.clone()));
+                .record_event(self.now, trace::TraceEvent::Died(name.clone()));
         }
     }
 
@@ -237,7 +240,7 @@
         if let Some(instance) = self.instances.get_mut(name) {
             instance.left_at = Some(self.now);
             self.trace
-                .note(self.now, trace::Happening::Left(name.clone()));
+                .record_event(self.now, trace::TraceEvent::StopPlanned(name.clone()));
         }
         self.membership(name, view::Event::Leave);
     }
@@ -251,10 +254,10 @@
     pub(crate) fn step(&mut self) {
         self.now = self.now + ms(STEP_MS);
         if self.now.get().is_multiple_of(self.list_every_ms) {
-            self.shown = self.list.values().cloned().collect();
+            self.visible_list = self.list.values().cloned().collect();
         }
         self.deliver();
-        self.answer();
+        self.deliver_responses();
         let names: Vec<ids::InstanceId> = self.instances.keys().cloned().collect();
         for name in names {
             if self.is_running(&name) {
@@ -276,7 +279,7 @@
         self.announce(name);
         if self.now.get().is_multiple_of(500) && has_platform {
             let event = view::Event::List {
-                records: self.shown.clone(),
+                records: self.visible_list.clone(),
                 age: ms(0),
                 source: view::ListSource::Platform,
             };
@@ -308,13 +311,13 @@
     }
 
     pub(crate) fn running(&self, server: &ids::BackendServerId) -> u32 {
-        let running = self.jobs.iter().filter(|job| {
-            job.server == *server && job.starts_at <= self.now && self.now < job.ends_at
+        let running = self.requests.iter().filter(|request| {
+            request.server == *server && request.starts_at <= self.now && self.now < request.ends_at
         });
         u32::try_from(running.count()).expect("few")
     }
 
-    /// What a backend server sees: never more work than slots.
+    /// Checks that no backend server runs more requests than it has slots.
     fn check(&mut self) {
         if self.now < self.checked_from || self.excess.is_some() {
             return;
@@ -328,7 +331,7 @@
             return;
         };
         let seen = format!(
-            "{}\n{running} run on {server} with {slots} slots at {:?}",
+            "{}\n{running} requests run on {server} with {slots} slots at {:?}",
             self.describe(server),
             self.now
         );
@@ -346,7 +349,7 @@
             .expect("a known server")
     }
 
-    /// Which instance lends the slots of a backend server now.
+    /// Returns the only instance that grants the slots of a backend server now, or `None` if none or several do.
     pub(crate) fn owner(&self, number: usize) -> Option<ids::InstanceId> {
         let mut owners = self
             .instances
--- a/crates/damaskvane-slots/tests/common/requests.rs
+++ b/crates/damaskvane-slots/tests/common/requests.rs
@@ -1,17 +1,21 @@
-//! Requests of the modelled zone: sent under a permit, run by a backend server, answered or abandoned.
+//! Requests of the simulated zone: sent under a permit, run by a backend server, answered or abandoned.
 
 use damaskvane_core::ids;
 use damaskvane_core::units;
 use damaskvane_slots::{exchange, permit};
 use rand::RngExt;
 
-use super::{Job, LOOKUP_TTL_MS, World, ms};
+use super::{BackendRequest, LOOKUP_TTL_MS, SimulatedZone, ms};
 
-impl World {
+impl SimulatedZone {
     pub(super) fn request(&mut self, name: &ids::InstanceId, server: &ids::BackendServerId) {
         let now = self.now;
-        let wanted_ms = self.random.random_range(50..1_200);
-        let wanted = ms(if self.is_greedy { 5_000 } else { wanted_ms });
+        let requested_ms = self.random.random_range(50..1_200);
+        let requested = ms(if self.uses_full_deadline {
+            5_000
+        } else {
+            requested_ms
+        });
         let Some(instance) = self.instances.get_mut(name) else {
             return;
         };
@@ -19,7 +23,7 @@
         if left_at.is_some_and(|left_at| now.since(left_at).get() >= LOOKUP_TTL_MS) {
             return;
         }
-        let Ok(ready) = instance.slots.begin(now, server, wanted, ms(20)) else {
+        let Ok(ready) = instance.slots.begin(now, server, requested, ms(20)) else {
             let demand = exchange::Event::Demand {
                 server: server.clone(),
                 waiting: units::Slots::new(1),
@@ -31,54 +35,56 @@
         let sending = ready.send(now).expect("checked at the same time");
         let deadline = sending.deadline_ms();
         let running = sending.sent(now).expect("sent at the same time");
-        // The way to the backend server is shorter than the margin; it counts the deadline from arrival.
+        // The delay to the backend server is shorter than the margin; the server counts the deadline from the arrival.
         let starts_at = now + ms(self.random.random_range(0..100));
-        let work_ms = self.random.random_range(10..900);
-        let work = if self.is_greedy {
+        let run_ms = self.random.random_range(10..900);
+        let run_time = if self.uses_full_deadline {
             deadline
         } else {
-            ms(work_ms).min(deadline)
+            ms(run_ms).min(deadline)
         };
-        let ends_at = starts_at + work;
+        let ends_at = starts_at + run_time;
         self.started += 1;
-        self.jobs.push(Job {
+        self.requests.push(BackendRequest {
             starts_at,
             ends_at,
-            answered_at: ends_at + ms(self.random.random_range(0..50)),
+            response_at: ends_at + ms(self.random.random_range(0..50)),
             server: server.clone(),
             instance: name.clone(),
             incarnation,
             permit: Some(running.into_released()),
         });
-        self.abandon_sometimes();
+        self.abandon_at_random();
     }
 
-    /// A client gives up: the instance no longer waits, the backend server works on.
-    pub(super) fn abandon_sometimes(&mut self) {
+    /// Abandons the last request with a probability of one in ten.
+    ///
+    /// The instance no longer waits for the response, while the backend server still runs the request.
+    pub(super) fn abandon_at_random(&mut self) {
         if !self.random.random_ratio(1, 10) {
             return;
         }
-        let Some(job) = self.jobs.last_mut() else {
+        let Some(request) = self.requests.last_mut() else {
             return;
         };
-        let (name, permit) = (job.instance.clone(), job.permit.take());
+        let (name, permit) = (request.instance.clone(), request.permit.take());
         self.finish(&name, permit, exchange::Finish::MayStillRun);
     }
 
-    pub(super) fn answer(&mut self) {
+    pub(super) fn deliver_responses(&mut self) {
         let now = self.now;
         let mut ended = Vec::new();
-        for job in &mut self.jobs {
-            let instance = self.instances.get(&job.instance);
+        for request in &mut self.requests {
+            let instance = self.instances.get(&request.instance);
             let is_running = instance.is_some_and(|instance| {
-                instance.paused_until <= now && instance.incarnation == job.incarnation
+                instance.paused_until <= now && instance.incarnation == request.incarnation
             });
-            if job.answered_at <= now && is_running {
-                ended.push((job.instance.clone(), job.permit.take()));
+            if request.response_at <= now && is_running {
+                ended.push((request.instance.clone(), request.permit.take()));
             }
         }
-        self.jobs
-            .retain(|job| job.ends_at > now || job.permit.is_some());
+        self.requests
+            .retain(|request| request.ends_at > now || request.permit.is_some());
         for (name, permit) in ended {
             self.finish(&name, permit, exchange::Finish::Ended);
         }
--- a/crates/damaskvane-slots/tests/common/setup.rs
+++ b/crates/damaskvane-slots/tests/common/setup.rs
@@ -1,4 +1,4 @@
-//! Names, records and times of the modelled zone.
+//! Names, records and settings of the simulated zone.
 
 use damaskvane_core::{ids, time};
 use damaskvane_membership::{record, settings as membership_settings};
@@ -38,7 +38,7 @@
     }
 }
 
-/// Times short enough for many changes of owner in a run.
+/// Returns settings with timeouts short enough for many changes of owner in a run.
 pub(super) fn membership_settings() -> membership_settings::MembershipSettings {
     membership_settings::MembershipSettings {
         min_suspect_ms: ms(500),
--- a/crates/damaskvane-slots/tests/common/trace.rs
+++ b/crates/damaskvane-slots/tests/common/trace.rs
@@ -1,75 +1,75 @@
-//! What happened in the modelled zone, printed when a check fails.
+//! Trace of the events in the simulated zone, printed when a check fails.
 
 use std::collections::BTreeMap;
 
 use damaskvane_core::{ids, time};
 use damaskvane_slots::exchange;
 
-use super::World;
+use super::SimulatedZone;
 
-/// One thing that happened.
+/// One event of the simulated zone.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display)]
-pub(crate) enum Happening {
+pub(crate) enum TraceEvent {
     /// {0} starts, incarnation {1}
     Started(ids::InstanceId, u64),
     /// {0} dies
     Died(ids::InstanceId),
     /// {0} begins a planned stop
-    Left(ids::InstanceId),
-    /// {by} marks {instance}, incarnation {incarnation}, as fenced
+    StopPlanned(ids::InstanceId),
+    /// {by} writes a fence record for {instance}, incarnation {incarnation}
     Fenced {
         by: ids::InstanceId,
         instance: ids::InstanceId,
         incarnation: ids::Incarnation,
     },
-    /// {by} deletes the mark of {instance}, incarnation {incarnation}
-    Unmarked {
+    /// {by} removes the fence record of {instance}, incarnation {incarnation}
+    FenceRecordRemoved {
         by: ids::InstanceId,
         instance: ids::InstanceId,
         incarnation: ids::Incarnation,
     },
-    /// {0} learns that it was fenced
-    LearnedOfFence(ids::InstanceId),
-    /// {instance} on {server}: {phase:?}, lends {lent}, authority until {authority_until:?}
+    /// {0} detects that it was fenced
+    FenceDetected(ids::InstanceId),
+    /// {instance} on {server}: {phase:?}, grants {granted}, authority until {authority_until:?}
     Phase {
         instance: ids::InstanceId,
         server: ids::BackendServerId,
         phase: exchange::OwnerPhase,
-        lent: u32,
+        granted: u32,
         authority_until: Option<time::TimeMs>,
     },
 }
 
-/// Everything that happened, in order.
+/// All events with their times, in order.
 #[derive(Debug, Default)]
 pub(crate) struct Trace {
-    happened: Vec<(time::TimeMs, Happening)>,
+    events: Vec<(time::TimeMs, TraceEvent)>,
     phases: BTreeMap<(ids::InstanceId, u64, ids::BackendServerId), exchange::OwnerPhase>,
 }
 
 impl Trace {
-    pub(crate) fn note(&mut self, now: time::TimeMs, happening: Happening) {
-        self.happened.push((now, happening));
+    pub(crate) fn record_event(&mut self, now: time::TimeMs, event: TraceEvent) {
+        self.events.push((now, event));
     }
 
-    /// How often something of a kind happened.
-    pub(crate) fn count(&self, is_it: impl Fn(&Happening) -> bool) -> usize {
-        let happened = self.happened.iter();
-        happened.filter(|(_, happening)| is_it(happening)).count()
+    /// Returns the number of events that match.
+    pub(crate) fn count(&self, matches_kind: impl Fn(&TraceEvent) -> bool) -> usize {
+        let events = self.events.iter();
+        events.filter(|(_, event)| matches_kind(event)).count()
     }
 
-    /// Whether two instances marked each other as fenced, neither knowing of it yet.
+    /// Returns whether two instances fenced each other before either of them detected its own fence.
     pub(crate) fn has_mutual_fence(&self) -> bool {
         let mut open: Vec<(&ids::InstanceId, &ids::InstanceId)> = Vec::new();
-        for (_, happening) in &self.happened {
-            match happening {
-                Happening::Fenced { by, instance, .. } => {
+        for (_, event) in &self.events {
+            match event {
+                TraceEvent::Fenced { by, instance, .. } => {
                     if open.contains(&(instance, by)) {
                         return true;
                     }
                     open.push((by, instance));
                 }
-                Happening::LearnedOfFence(instance) | Happening::Died(instance) => {
+                TraceEvent::FenceDetected(instance) | TraceEvent::Died(instance) => {
                     open.retain(|(_, fenced)| *fenced != instance);
                 }
                 _ => {}
@@ -79,8 +79,8 @@
     }
 }
 
-impl World {
-    /// Notes which instance began or ceased to lend what, and under which authority.
+impl SimulatedZone {
+    /// Records each change of an owner phase, with the granted slots and the end of the authority.
     pub(super) fn trace_phases(&mut self) {
         for (name, instance) in &self.instances {
             let authority_until = instance.membership.roster().authority_until;
@@ -90,32 +90,35 @@
                 if before.unwrap_or(exchange::OwnerPhase::None) == status.phase {
                     continue;
                 }
-                let phase = Happening::Phase {
+                let phase = TraceEvent::Phase {
                     instance: name.clone(),
                     server: status.server.clone(),
                     phase: status.phase,
-                    lent: status.granted.get(),
+                    granted: status.granted.get(),
                     authority_until,
                 };
-                self.trace.happened.push((self.now, phase));
+                self.trace.events.push((self.now, phase));
             }
         }
     }
 
-    /// What happened so far, what runs on a backend server, and how the instances see each other.
+    /// Describes all events so far, the requests on a backend server, the roster of each instance and the list.
     pub(super) fn describe(&self, server: &ids::BackendServerId) -> String {
-        let happened = self.trace.happened.iter();
-        let mut lines: Vec<String> = happened
-            .map(|(at, happening)| format!("{:>6} {happening}", at.get()))
+        let events = self.trace.events.iter();
+        let mut lines: Vec<String> = events
+            .map(|(at, event)| format!("{:>6} {event}", at.get()))
             .collect();
-        let jobs = self.jobs.iter().filter(|job| job.server == *server);
-        lines.extend(jobs.map(|job| {
+        let requests = self
+            .requests
+            .iter()
+            .filter(|request| request.server == *server);
+        lines.extend(requests.map(|request| {
             format!(
                 "a request of {} {} runs from {} to {}",
-                job.instance,
-                job.incarnation,
-                job.starts_at.get(),
-                job.ends_at.get()
+                request.instance,
+                request.incarnation,
+                request.starts_at.get(),
+                request.ends_at.get()
             )
         }));
         lines.extend(self.instances.iter().map(|(name, instance)| {
--- a/crates/damaskvane-slots/tests/fences_exhaustive.rs
+++ b/crates/damaskvane-slots/tests/fences_exhaustive.rs
@@ -1,6 +1,7 @@
-//! A search through every order of a few disturbances in a zone of two, where a third instance may start: cuts,
-//! a platform that is lost and comes back, deaths, planned stops, starts and pauses, at any of some moments. One server, requests as long as
-//! their leases, no loss and no delay.
+//! Exhaustive search through all orders of a few disturbances in a zone of two instances, where a third may start.
+//!
+//! Disturbances are cuts, loss and return of the platform, deaths, planned stops, starts and pauses, each at one of
+//! `MOMENTS` times. The zone has one server, requests as long as their leases, no loss and no delay.
 //!
 //! `DAMASKVANE_DISTURBANCES=3 cargo test --release -p damaskvane-slots --test fences_exhaustive` searches deeper.
 
@@ -9,27 +10,27 @@
 use std::collections::BTreeSet;
 
 use common::disturbance::Disturbance;
-use common::{World, id, ms};
+use common::{SimulatedZone, id, ms};
 
-/// Moments at which something may happen.
+/// Number of times at which a disturbance may happen.
 const MOMENTS: usize = 8;
 const BETWEEN_MOMENTS_MS: u64 = 300;
-/// When the zone has an owner and works.
+/// Time after which the zone has an owner and serves.
 const SETTLED_MS: u64 = 4_000;
-/// All that was lent, feared or marked has run out by then.
-const RUN_OUT_MS: u64 = 10_000;
+/// Time after which all leases, waits for other instances and fence records have expired.
+const EXPIRY_MS: u64 = 10_000;
 const SLOTS: u32 = 2;
-/// Longer than a lease, shorter than authority; and longer than both.
+/// Pauses: one longer than a lease and shorter than the authority, one longer than both.
 const PAUSES_MS: [u64; 2] = [2_500, 7_000];
 
 #[derive(Debug, Clone, Copy)]
 struct Bounds {
     disturbances: usize,
-    erases_marks: bool,
+    deletes_fenced_entries: bool,
 }
 
-/// What happened at which moment.
-type Path = Vec<(usize, Disturbance)>;
+/// Disturbances in order, each with the number of its moment.
+type Schedule = Vec<(usize, Disturbance)>;
 
 fn actions() -> Vec<Disturbance> {
     let (a, b) = (id("a-1"), id("a-2"));
@@ -53,137 +54,137 @@
     actions
 }
 
-/// Whether a disturbance would change anything.
-fn is_possible(world: &World, action: &Disturbance) -> bool {
+/// Returns whether a disturbance may change the state of the zone.
+fn is_possible(zone: &SimulatedZone, action: &Disturbance) -> bool {
     match action {
-        Disturbance::Kill(name) | Disturbance::Pause(name, _) => world.instances.contains_key(name),
-        Disturbance::Start(name) => !world.instances.contains_key(name),
-        Disturbance::LosePlatform(name) => !world.without_platform.contains(name),
-        Disturbance::HealCuts => !world.cuts.is_empty(),
-        Disturbance::RegainPlatform(name) => world.without_platform.contains(name),
+        Disturbance::Kill(name) | Disturbance::Pause(name, _) => zone.instances.contains_key(name),
+        Disturbance::Start(name) => !zone.instances.contains_key(name),
+        Disturbance::LosePlatform(name) => !zone.without_platform.contains(name),
+        Disturbance::HealCuts => !zone.cuts.is_empty(),
+        Disturbance::RegainPlatform(name) => zone.without_platform.contains(name),
         Disturbance::Leave(name) => {
-            let instance = world.instances.get(name);
+            let instance = zone.instances.get(name);
             instance.is_some_and(|instance| instance.left_at.is_none())
         }
         _ => true,
     }
 }
 
-fn settled(bounds: Bounds) -> World {
-    let mut world = World::new(1, &["a-1", "a-2"], &[SLOTS]);
-    world.is_greedy = true;
-    world.demand_percent = 100;
-    world.max_delay_ms = 0;
-    world.admits_known_gap = false;
-    world.erases_marks = bounds.erases_marks;
-    world.tolerates_excess = true;
-    world.run(SETTLED_MS);
-    assert!(world.owner(0).is_some());
-    world
+fn settled(bounds: Bounds) -> SimulatedZone {
+    let mut zone = SimulatedZone::new(1, &["a-1", "a-2"], &[SLOTS]);
+    zone.uses_full_deadline = true;
+    zone.demand_percent = 100;
+    zone.max_delay_ms = 0;
+    zone.allows_cuts_before_discovery = false;
+    zone.deletes_fenced_entries = bounds.deletes_fenced_entries;
+    zone.tolerates_excess = true;
+    zone.run(SETTLED_MS);
+    assert!(zone.owner(0).is_some());
+    zone
 }
 
-/// The world at the moment after the path, before anything else happens.
-fn replay(path: &Path, bounds: Bounds, moments: usize) -> World {
-    let mut world = settled(bounds);
-    let mut path = path.iter().peekable();
+/// Returns the zone at the given moment, after all disturbances of the schedule that are due before it.
+fn replay(schedule: &Schedule, bounds: Bounds, moments: usize) -> SimulatedZone {
+    let mut zone = settled(bounds);
+    let mut schedule = schedule.iter().peekable();
     for moment in 0..moments {
-        while let Some((_, action)) = path.next_if(|(at, _)| *at == moment) {
-            world.disturb(action.clone());
+        while let Some((_, action)) = schedule.next_if(|(at, _)| *at == moment) {
+            zone.disturb(action.clone());
         }
-        world.run(BETWEEN_MOMENTS_MS);
+        zone.run(BETWEEN_MOMENTS_MS);
     }
-    world
+    zone
 }
 
-/// What a search came by.
+/// Result of a search.
 #[derive(Debug, Default)]
-struct Found {
+struct SearchResult {
     states: usize,
     runs: usize,
     mutual_fences: usize,
-    overfilled: Vec<(Path, String)>,
+    overloaded: Vec<(Schedule, String)>,
 }
 
-fn search(bounds: Bounds) -> Found {
-    let mut found = Found::default();
+fn search(bounds: Bounds) -> SearchResult {
+    let mut result = SearchResult::default();
     let mut seen = BTreeSet::new();
-    let mut paths: Vec<Path> = vec![Vec::new()];
-    while let Some(path) = paths.pop() {
-        let next_moment = path.last().map_or(0, |(at, _)| at + 1);
+    let mut schedules: Vec<Schedule> = vec![Vec::new()];
+    while let Some(schedule) = schedules.pop() {
+        let next_moment = schedule.last().map_or(0, |(at, _)| at + 1);
         for moment in next_moment..MOMENTS {
-            let world = replay(&path, bounds, moment);
-            if !seen.insert((bounds.disturbances - path.len(), world.digest())) {
-                // Another path came to this state with as much left to happen.
+            let zone = replay(&schedule, bounds, moment);
+            if !seen.insert((bounds.disturbances - schedule.len(), zone.state_hash())) {
+                // Another schedule reached this state with as many disturbances remaining.
                 break;
             }
-            found.states += 1;
-            if path.len() == bounds.disturbances {
-                finish(world, &path, &mut found);
+            result.states += 1;
+            if schedule.len() == bounds.disturbances {
+                finish(zone, &schedule, &mut result);
                 break;
             }
             let possible = actions()
                 .into_iter()
-                .filter(|action| is_possible(&world, action));
-            paths.extend(possible.map(|action| {
-                let mut path = path.clone();
-                path.push((moment, action));
-                path
+                .filter(|action| is_possible(&zone, action));
+            schedules.extend(possible.map(|action| {
+                let mut schedule = schedule.clone();
+                schedule.push((moment, action));
+                schedule
             }));
         }
     }
-    found
+    result
 }
 
-fn finish(mut world: World, path: &Path, found: &mut Found) {
-    world.run(MOMENTS as u64 * BETWEEN_MOMENTS_MS);
-    world.run(RUN_OUT_MS);
-    found.runs += 1;
-    found.mutual_fences += usize::from(world.trace.has_mutual_fence());
-    if let Some(excess) = world.excess {
-        found.overfilled.push((path.clone(), excess));
+fn finish(mut zone: SimulatedZone, schedule: &Schedule, result: &mut SearchResult) {
+    zone.run(MOMENTS as u64 * BETWEEN_MOMENTS_MS);
+    zone.run(EXPIRY_MS);
+    result.runs += 1;
+    result.mutual_fences += usize::from(zone.trace.has_mutual_fence());
+    if let Some(excess) = zone.excess {
+        result.overloaded.push((schedule.clone(), excess));
     }
 }
 
-/// How many disturbances a history holds.
+/// Returns the number of disturbances in each schedule, 2 by default.
 fn disturbances() -> usize {
     let text = std::env::var("DAMASKVANE_DISTURBANCES").ok();
     text.and_then(|text| text.parse().ok()).unwrap_or(2)
 }
 
-/// Guards against two instances that know different things of each other and lend the same slots.
+/// Guards against two instances that have different views of each other and grant the same slots.
 #[test]
-fn no_order_of_cuts_fences_and_starts_overfills_a_server() {
+fn no_order_of_cuts_fences_and_starts_overloads_a_server() {
     let bounds = Bounds {
         disturbances: disturbances(),
-        erases_marks: false,
+        deletes_fenced_entries: false,
     };
-    let found = search(bounds);
+    let result = search(bounds);
     println!(
         "{bounds:?}: {} states, {} runs, {} with a mutual fence",
-        found.states, found.runs, found.mutual_fences
+        result.states, result.runs, result.mutual_fences
     );
-    if let Some((path, excess)) = found.overfilled.first() {
+    if let Some((schedule, excess)) = result.overloaded.first() {
         panic!(
-            "{} of {} runs: {path:?}\n{excess}",
-            found.overfilled.len(),
-            found.runs
+            "{} of {} runs: {schedule:?}\n{excess}",
+            result.overloaded.len(),
+            result.runs
         );
     }
-    assert!(found.mutual_fences > 10, "{found:?}");
+    assert!(result.mutual_fences > 10, "{result:?}");
 }
 
-/// Guards against a search that would not find the fault: where a fence leaves no mark, it must.
+/// Guards against a search that cannot find the fault: it must find it if a fence leaves no fence record.
 #[test]
-fn the_search_finds_the_fault_where_a_fence_leaves_no_mark() {
-    let found = search(Bounds {
+fn the_search_finds_the_fault_without_fence_records() {
+    let result = search(Bounds {
         disturbances: 2,
-        erases_marks: true,
+        deletes_fenced_entries: true,
     });
-    let overfilled = found.overfilled.len();
+    let overloaded = result.overloaded.len();
     println!(
-        "without marks {overfilled} of {} runs, the first by {:?}",
-        found.runs,
-        found.overfilled.first().map(|(path, _)| path)
+        "without fence records {overloaded} of {} runs overload the server, the first by {:?}",
+        result.runs,
+        result.overloaded.first().map(|(schedule, _)| schedule)
     );
-    assert!(overfilled > 0);
+    assert!(overloaded > 0);
 }
--- a/crates/damaskvane-slots/tests/messages.rs
+++ b/crates/damaskvane-slots/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that come late, twice, or to the wrong start of an instance; and the clock checks of permits.
+//! Messages that arrive late, twice or for another incarnation of an instance; and the clock checks of permits.
 
 mod common;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// A holder and the owner of `server(0)`, among a-1 and a-2.
+/// Returns which of a-1 and a-2 is the holder and which the owner of `server(0)`, in this order.
 fn holder_and_owner() -> (ids::InstanceId, ids::InstanceId) {
     let names = [id("a-1"), id("a-2")];
     let owner = ownership::owner(server(0).as_str(), &names).expect("an owner");
@@ -72,10 +72,10 @@
     }
 }
 
-/// A grant lingers on its way. The lease counts from when it was asked for, so the way shortens it; if it
-/// counted from the arrival, the holder would use a slot that the owner has lent to another.
+/// Guards against a holder that uses a slot which the owner has granted to another instance. A delayed grant is
+/// the cause: the lease has to count from the time of the acquire request, not from the arrival of the grant.
 #[test]
-fn a_lease_counts_from_its_ask() {
+fn a_lease_counts_from_the_acquire_request() {
     let (mut slots, owner) = holder();
     demand(&mut slots, at(100));
     slots.handle(at(900), granted(&owner, 1, 1));
@@ -90,7 +90,7 @@
     );
 }
 
-/// A grant arrives twice. The second must neither count twice nor give back the first, which is in use.
+/// Guards against a repeated grant that is counted twice, or that returns the first grant, which is in use.
 #[test]
 fn a_repeated_grant_changes_nothing() {
     let (mut slots, owner) = holder();
@@ -101,10 +101,10 @@
     assert_eq!(slots.free(at(120), &server(0)), units::Slots::new(1));
 }
 
-/// The holder was replaced while a grant was on its way. Its new start has asked under the same number,
-/// later: it would use the old grant for longer than the owner counts.
+/// Guards against a grant that is used for longer than the owner counts. The holder was restarted while the
+/// grant was in flight, and its new incarnation sent a later acquire request under the same number.
 #[test]
-fn a_grant_for_an_earlier_start_is_dropped() {
+fn a_grant_to_an_earlier_incarnation_is_dropped() {
     let (mut slots, owner) = holder();
     demand(&mut slots, at(100));
     slots.handle(at(110), granted(&owner, 0, 1));
@@ -112,10 +112,10 @@
     assert_eq!(slots.counters().old_messages, 1);
 }
 
-/// The owner was replaced, and a grant of its earlier start arrives after that. The new start counts only
-/// from its own ledger.
+/// Guards against the use of a grant that the owner's ledger does not hold. The owner was restarted, a grant of
+/// its earlier incarnation arrives late, and the new incarnation counts only its own ledger.
 #[test]
-fn a_grant_from_an_earlier_start_is_dropped() {
+fn a_grant_from_an_earlier_incarnation_is_dropped() {
     let (mut slots, owner) = holder();
     demand(&mut slots, at(100));
     let members = roster(&[("a-1", 2), ("a-2", 2)]);
@@ -125,25 +125,26 @@
     assert_eq!(slots.free(at(110), &server(0)), units::Slots::ZERO);
 }
 
-/// A holder has consented to a new owner when a grant of the old one arrives. The new owner's count does
-/// not have it.
+/// Guards against the use of a grant that the new owner does not count: it is from the former owner and arrives
+/// after the holder has consented to the new one.
 #[test]
 fn a_grant_of_a_former_owner_is_not_used() {
     let (mut slots, owner) = holder();
     demand(&mut slots, at(100));
     let (own, _) = holder_and_owner();
-    let mut alone = roster(&[(own.as_str(), 1), (owner.as_str(), 1)]);
-    for member in &mut alone.members {
+    let mut owner_leaving = roster(&[(own.as_str(), 1), (owner.as_str(), 1)]);
+    for member in &mut owner_leaving.members {
         member.leaving = member.instance == owner;
     }
-    slots.handle(at(105), exchange::Event::Roster(alone));
+    slots.handle(at(105), exchange::Event::Roster(owner_leaving));
     slots.handle(at(110), granted(&owner, 1, 1));
     assert_eq!(slots.counters().dropped_owner_messages, 1);
     assert_eq!(slots.free(at(110), &server(0)), units::Slots::ZERO);
 }
 
-/// The process is paused between taking a permit and writing the request, or while writing it. The clock
-/// is compared before and after; a request that was written too late is to be cancelled at once.
+/// Guards against a request that is sent after its lease expired, since the process was paused between taking the
+/// permit and writing the request, or while writing it. The clock is compared before and after; a request that
+/// was written too late is to be cancelled at once.
 #[test]
 fn a_permit_is_checked_before_and_after_the_request_is_sent() {
     let (mut slots, owner) = holder();
@@ -160,9 +161,10 @@
     assert!(sending.sent(at(1_400)).is_err());
 }
 
-/// An instance that is proven alone in its view still can't lend once others may have replaced it.
+/// Guards against an instance, the only one in its view, that grants slots after its authority has expired and
+/// others may have replaced it.
 #[test]
-fn an_owner_without_authority_lends_nothing() {
+fn an_owner_without_authority_grants_nothing() {
     let mut members = roster(&[("a-1", 1)]);
     members.authority_until = Some(at(5_000));
     let own = ids::Incarnation::new(1);
@@ -181,7 +183,7 @@
     assert_eq!(slots.free(at(6_000), &server(0)), units::Slots::ZERO);
 }
 
-/// The limit on connections holds whoever lives: each instance keeps to the same fixed share.
+/// Guards against more connections than the limit, whichever instances are alive: each has the same fixed share.
 #[test]
 fn shares_of_connections_never_exceed_the_limit() {
     for (limit, instances) in [(330, 32), (390, 18), (7, 8), (5, 0)] {
@@ -194,12 +196,12 @@
     }
 }
 
-/// A newcomer is to own a backend server by the hash, but the platform is down, so that it can't see
-/// itself on the list and claims nothing. The owner of before must go on lending meanwhile: otherwise
-/// requests are refused beside a backend server whose slots are all free.
+/// Guards against requests that are refused although all slots of the backend server are free. By the hash a new
+/// instance is to own the server, but the platform is down, so the new instance can't read itself on the list and
+/// claims nothing. The previous owner must grant slots meanwhile.
 #[test]
-fn the_owner_of_before_lends_until_the_newcomer_claims() {
-    let (present, newcomer) = holder_and_owner();
+fn the_previous_owner_grants_until_the_new_instance_claims() {
+    let (present, new_instance) = holder_and_owner();
     let mut slots =
         exchange::SlotExchange::new(present.clone(), ids::Incarnation::new(1), slot_settings());
     let limit = exchange::ServerSlots {
@@ -207,20 +209,20 @@
         slots: units::Slots::new(3),
     };
     slots.handle(at(0), exchange::Event::Servers(vec![limit]));
-    let alone = roster(&[(present.as_str(), 1)]);
-    slots.handle(at(0), exchange::Event::Roster(alone));
+    let single_member = roster(&[(present.as_str(), 1)]);
+    slots.handle(at(0), exchange::Event::Roster(single_member));
     let settled = at(60_000);
     slots.handle(settled, exchange::Event::Tick);
-    let both = roster(&[(present.as_str(), 1), (newcomer.as_str(), 1)]);
+    let both = roster(&[(present.as_str(), 1), (new_instance.as_str(), 1)]);
     slots.handle(settled, exchange::Event::Roster(both));
     demand(&mut slots, settled);
     assert_eq!(slots.free(settled, &server(0)), units::Slots::new(1));
 }
 
-/// An instance is stopped as planned, and clients come to it until their look-up answers have run out. It owns
-/// nothing any more, but must still borrow: otherwise their requests wait there for nothing.
+/// Guards against requests that wait in vain at a leaving instance. Clients send requests to it until their lookup
+/// responses expire; it no longer owns servers, but must still acquire slots.
 #[test]
-fn a_leaving_instance_still_borrows() {
+fn a_leaving_instance_still_acquires_slots() {
     let (mut slots, owner) = holder();
     let (holder, _) = holder_and_owner();
     let mut leaving = roster(&[("a-1", 1), ("a-2", 1)]);
--- a/crates/damaskvane-slots/tests/mutual_fence.rs
+++ b/crates/damaskvane-slots/tests/mutual_fence.rs
@@ -1,210 +1,210 @@
-//! Two owners are cut from each other while both reach the platform: each marks the other as fenced.
+//! Two owners are cut from each other while both reach the platform, and each fences the other.
 //!
-//! One reads its mark and starts anew, alone on the list. The other can't read it yet and goes on lending. The
-//! histories here move the moments of this against each other; no draw decides whether it happens.
+//! The first reads its fence record and restarts as the only instance on the list. The second can't read its
+//! record yet and still grants slots. The scenarios vary the order and times of these events without randomness.
 
 mod common;
 
-use common::{World, id, ms, trace};
+use common::{SimulatedZone, id, ms, trace};
 
-/// What keeps the other owner from learning that it was fenced.
+/// Fault that keeps the second owner from detecting that it was fenced.
 #[derive(Debug, Clone, Copy)]
-enum Other {
-    /// It loses the platform as soon as both are marked.
+enum SecondOwnerFault {
+    /// Loses the platform as soon as both owners are fenced.
     LosesPlatform,
-    /// The same, this much later.
+    /// Loses the platform this many milliseconds after both owners are fenced.
     LosesPlatformLater(u64),
-    /// It is paused.
-    IsPaused(u64),
-    /// Nothing: both start anew.
-    StartsAnew,
+    /// Is paused for this many milliseconds.
+    Paused(u64),
+    /// No fault: both owners restart.
+    Restarts,
 }
 
-/// What happens besides.
+/// Event that happens in addition to the mutual fence.
 #[derive(Debug, Clone, Copy)]
-enum Besides {
+enum ConcurrentEvent {
     Nothing,
-    /// The first one starts anew several times in series.
-    StartsInSeries,
+    /// The first owner restarts three times.
+    RepeatedRestarts,
     /// A third instance joins.
-    ThirdJoins,
-    /// The platform is gone for the first one as well, for a second after its start.
-    PlatformGone,
+    ThirdInstanceJoins,
+    /// The first owner loses the platform too, for one second after its restart.
+    PlatformLost,
     /// Operators lower the slots of all servers.
     SlotsLowered,
-    /// The cut between the two ends.
-    CutEnds,
+    /// The two owners can reach each other again.
+    CutHealed,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct History {
-    /// How much later the second direction is cut, and with it the second fence.
+struct Scenario {
+    /// Delay of the cut of the second direction, and so of the second fence, after the first.
     second_cut_after_ms: u64,
     list_every_ms: u64,
-    other: Other,
-    besides: Besides,
+    second: SecondOwnerFault,
+    concurrent_event: ConcurrentEvent,
 }
 
-const OTHERS: [Other; 6] = [
-    Other::LosesPlatform,
-    Other::LosesPlatformLater(200),
-    Other::LosesPlatformLater(500),
-    Other::IsPaused(2_500),
-    Other::IsPaused(6_000),
-    Other::StartsAnew,
+const SECOND_OWNER_FAULTS: [SecondOwnerFault; 6] = [
+    SecondOwnerFault::LosesPlatform,
+    SecondOwnerFault::LosesPlatformLater(200),
+    SecondOwnerFault::LosesPlatformLater(500),
+    SecondOwnerFault::Paused(2_500),
+    SecondOwnerFault::Paused(6_000),
+    SecondOwnerFault::Restarts,
 ];
-const BESIDES: [Besides; 6] = [
-    Besides::Nothing,
-    Besides::StartsInSeries,
-    Besides::ThirdJoins,
-    Besides::PlatformGone,
-    Besides::SlotsLowered,
-    Besides::CutEnds,
+const CONCURRENT_EVENTS: [ConcurrentEvent; 6] = [
+    ConcurrentEvent::Nothing,
+    ConcurrentEvent::RepeatedRestarts,
+    ConcurrentEvent::ThirdInstanceJoins,
+    ConcurrentEvent::PlatformLost,
+    ConcurrentEvent::SlotsLowered,
+    ConcurrentEvent::CutHealed,
 ];
 
-fn histories() -> impl Iterator<Item = History> {
-    let moments = [(0, 100), (0, 500), (200, 300), (600, 500)];
-    moments
+fn scenarios() -> impl Iterator<Item = Scenario> {
+    let timings = [(0, 100), (0, 500), (200, 300), (600, 500)];
+    timings
         .into_iter()
-        .flat_map(|moment| OTHERS.map(|other| (moment, other)))
-        .flat_map(|(moment, other)| BESIDES.map(|besides| (moment, other, besides)))
+        .flat_map(|timing| SECOND_OWNER_FAULTS.map(|second| (timing, second)))
+        .flat_map(|(timing, second)| {
+            CONCURRENT_EVENTS.map(|concurrent_event| (timing, second, concurrent_event))
+        })
         .map(
-            |((second_cut_after_ms, list_every_ms), other, besides)| History {
+            |((second_cut_after_ms, list_every_ms), second, concurrent_event)| Scenario {
                 second_cut_after_ms,
                 list_every_ms,
-                other,
-                besides,
+                second,
+                concurrent_event,
             },
         )
 }
 
 const SLOTS: u32 = 3;
-/// The list's lag and a fence are over by then.
-const LONGEST_WAIT_FOR_FENCES_MS: u64 = 4_000;
+/// Upper bound on the wait for both fences; it covers the list's lag and a fence.
+const MAX_WAIT_FOR_FENCES_MS: u64 = 4_000;
 
-fn is_fence(happening: &trace::Happening) -> bool {
-    matches!(happening, trace::Happening::Fenced { .. })
+fn is_fence(event: &trace::TraceEvent) -> bool {
+    matches!(event, trace::TraceEvent::Fenced { .. })
 }
 
-/// The first learns that it was fenced; the other is kept from it.
-fn play(history: History, erases_marks: bool) -> World {
-    let (first, other) = (id("a-1"), id("a-2"));
-    let mut world = World::new(1, &["a-1", "a-2"], &[SLOTS, SLOTS, SLOTS]);
-    world.is_greedy = true;
-    world.demand_percent = 100;
-    world.tolerates_excess = true;
-    world.erases_marks = erases_marks;
-    world.list_every_ms = history.list_every_ms;
-    world.run(8_000);
-    world.cuts.insert((first.clone(), other.clone()));
-    world.run(history.second_cut_after_ms);
-    world.cuts.insert((other.clone(), first.clone()));
-    let deadline = world.now + ms(LONGEST_WAIT_FOR_FENCES_MS);
-    while world.trace.count(is_fence) < 2 && world.now < deadline {
-        world.run(common::STEP_MS);
+/// Runs a scenario: the first owner detects that it was fenced, the second may be kept from that.
+fn run_scenario(scenario: Scenario, deletes_fenced_entries: bool) -> SimulatedZone {
+    let (first, second) = (id("a-1"), id("a-2"));
+    let mut zone = SimulatedZone::new(1, &["a-1", "a-2"], &[SLOTS, SLOTS, SLOTS]);
+    zone.uses_full_deadline = true;
+    zone.demand_percent = 100;
+    zone.tolerates_excess = true;
+    zone.deletes_fenced_entries = deletes_fenced_entries;
+    zone.list_every_ms = scenario.list_every_ms;
+    zone.run(8_000);
+    zone.cuts.insert((first.clone(), second.clone()));
+    zone.run(scenario.second_cut_after_ms);
+    zone.cuts.insert((second.clone(), first.clone()));
+    let deadline = zone.now + ms(MAX_WAIT_FOR_FENCES_MS);
+    while zone.trace.count(is_fence) < 2 && zone.now < deadline {
+        zone.run(common::STEP_MS);
     }
-    match history.other {
-        Other::LosesPlatform => drop(world.without_platform.insert(other)),
-        Other::LosesPlatformLater(later_ms) => {
-            world.run(later_ms);
-            world.without_platform.insert(other);
+    match scenario.second {
+        SecondOwnerFault::LosesPlatform => drop(zone.without_platform.insert(second)),
+        SecondOwnerFault::LosesPlatformLater(later_ms) => {
+            zone.run(later_ms);
+            zone.without_platform.insert(second);
         }
-        Other::IsPaused(pause_ms) => world.pause(&other, ms(pause_ms)),
-        Other::StartsAnew => {}
+        SecondOwnerFault::Paused(pause_ms) => zone.pause(&second, ms(pause_ms)),
+        SecondOwnerFault::Restarts => {}
     }
-    happen_besides(&mut world, history.besides);
-    world.run(12_000);
-    world
+    apply_concurrent_event(&mut zone, scenario.concurrent_event);
+    zone.run(12_000);
+    zone
 }
 
-fn happen_besides(world: &mut World, besides: Besides) {
+fn apply_concurrent_event(zone: &mut SimulatedZone, concurrent_event: ConcurrentEvent) {
     let first = id("a-1");
-    match besides {
-        Besides::Nothing => {}
-        Besides::StartsInSeries => {
+    match concurrent_event {
+        ConcurrentEvent::Nothing => {}
+        ConcurrentEvent::RepeatedRestarts => {
             for _ in 0..3 {
-                world.run(700);
-                world.kill(&first);
-                world.start(&first);
+                zone.run(700);
+                zone.kill(&first);
+                zone.start(&first);
             }
         }
-        Besides::ThirdJoins => {
-            world.run(700);
-            world.start(&id("a-3"));
+        ConcurrentEvent::ThirdInstanceJoins => {
+            zone.run(700);
+            zone.start(&id("a-3"));
         }
-        Besides::PlatformGone => {
-            world.run(700);
-            world.without_platform.insert(first.clone());
-            world.run(1_000);
-            world.without_platform.remove(&first);
+        ConcurrentEvent::PlatformLost => {
+            zone.run(700);
+            zone.without_platform.insert(first.clone());
+            zone.run(1_000);
+            zone.without_platform.remove(&first);
         }
-        Besides::SlotsLowered => {
-            world.run(700);
-            world.set_slots(SLOTS - 1);
+        ConcurrentEvent::SlotsLowered => {
+            zone.run(700);
+            zone.set_slots(SLOTS - 1);
         }
-        Besides::CutEnds => {
-            world.run(1_000);
-            world.cuts.clear();
+        ConcurrentEvent::CutHealed => {
+            zone.run(1_000);
+            zone.cuts.clear();
         }
     }
 }
 
-/// Whether the first has started anew before the other learned that it was fenced as well.
-fn is_first_alone(world: &World) -> bool {
-    world.trace.has_mutual_fence()
+/// Returns whether the two owners fenced each other before either detected its own fence.
+fn has_mutual_fence(zone: &SimulatedZone) -> bool {
+    zone.trace.has_mutual_fence()
 }
 
-/// Guards against one owner that starts anew and lends what the other, fenced as well, still lends.
+/// Guards against an owner that restarts and grants slots which the other owner, fenced too, still grants.
 #[test]
-fn two_owners_that_fenced_each_other_never_lend_the_same_slots() {
+fn two_owners_that_fenced_each_other_never_grant_the_same_slots() {
     let mut mutual = 0;
-    for history in histories() {
-        let world = play(history, false);
+    for scenario in scenarios() {
+        let zone = run_scenario(scenario, false);
         assert!(
-            world.excess.is_none(),
-            "{history:?}\n{}",
-            world.excess.unwrap_or_default()
+            zone.excess.is_none(),
+            "{scenario:?}\n{}",
+            zone.excess.unwrap_or_default()
         );
-        mutual += u32::from(is_first_alone(&world));
+        mutual += u32::from(has_mutual_fence(&zone));
     }
-    println!("{mutual} histories with a mutual fence");
-    assert!(
-        mutual > 100,
-        "only {mutual} histories hold the fault that they are about"
-    );
+    println!("{mutual} scenarios with a mutual fence");
+    assert!(mutual > 100, "only {mutual} scenarios have a mutual fence");
 }
 
-/// Guards against histories that no longer hold the fault: with the entry of a fenced start deleted they overfill a server.
+/// Guards against scenarios that no longer reproduce the fault: if a fence deletes the entry of the fenced
+/// incarnation and leaves no fence record, they must overload a server.
 #[test]
-fn without_marks_the_histories_overfill_a_server() {
-    let overfilled = histories().filter(|history| play(*history, true).excess.is_some());
-    let overfilled: Vec<History> = overfilled.collect();
+fn without_fence_records_the_scenarios_overload_a_server() {
+    let overloaded = scenarios().filter(|scenario| run_scenario(*scenario, true).excess.is_some());
+    let overloaded: Vec<Scenario> = overloaded.collect();
     println!(
-        "{} histories overfill a server without marks: {overfilled:?}",
-        overfilled.len()
+        "{} scenarios overload a server without fence records: {overloaded:?}",
+        overloaded.len()
     );
-    assert!(overfilled.len() > 10, "{overfilled:?}");
+    assert!(overloaded.len() > 10, "{overloaded:?}");
 }
 
-/// Guards against a zone in which servers stay without an owner after both have started anew.
+/// Guards against servers that stay without an owner after both owners restarted.
 #[test]
 fn a_zone_serves_again_after_a_mutual_fence() {
-    for other in OTHERS {
-        let history = History {
+    for second in SECOND_OWNER_FAULTS {
+        let scenario = Scenario {
             second_cut_after_ms: 0,
             list_every_ms: 300,
-            other,
-            besides: Besides::CutEnds,
+            second,
+            concurrent_event: ConcurrentEvent::CutHealed,
         };
-        let mut world = play(history, false);
-        world.without_platform.clear();
-        world.run(10_000);
-        let before = world.started;
-        world.run(2_000);
+        let mut zone = run_scenario(scenario, false);
+        zone.without_platform.clear();
+        zone.run(10_000);
+        let before = zone.started;
+        zone.run(2_000);
         assert!(
-            (0..3).all(|number| world.owner(number).is_some()),
-            "{history:?}"
+            (0..3).all(|number| zone.owner(number).is_some()),
+            "{scenario:?}"
         );
-        assert!(world.started > before + 5, "{history:?}");
+        assert!(zone.started > before + 5, "{scenario:?}");
     }
 }
--- a/crates/damaskvane-slots/tests/random.rs
+++ b/crates/damaskvane-slots/tests/random.rs
@@ -1,54 +1,54 @@
-//! Randomised runs: whatever happens in a zone, no backend server ever runs more than its slots.
+//! Randomised runs: no fault or change in a zone makes a backend server run more requests than its slots.
 
 mod common;
 
-use common::{World, disturbance, id};
+use common::{SimulatedZone, disturbance, id};
 use rand::{RngExt, SeedableRng};
 
-fn disturb(world: &mut World) {
-    let mut random = world.random.clone();
+fn disturb(zone: &mut SimulatedZone) {
+    let mut random = zone.random.clone();
     let drawn =
-        disturbance::Disturbance::draw(&mut random, |name| world.instances.contains_key(name));
-    world.random = random;
-    world.disturb(drawn);
+        disturbance::Disturbance::draw(&mut random, |name| zone.instances.contains_key(name));
+    zone.random = random;
+    zone.disturb(drawn);
 }
 
-/// Seeds that found two owners once.
+/// Seeds whose runs once had two owners of one server.
 const FAILED_ONCE: [u64; 10] = [86, 116, 291, 298, 507, 1520, 1752, 2698, 3479, 3571];
 
-/// Seeds that found two owners once where instances start amid faults.
+/// Seeds whose runs once had two owners of one server, in runs in which instances start amid faults.
 const FAILED_AMID_FAULTS: [u64; 10] = [206, 620, 670, 850, 1038, 1050, 1592, 1872, 3331, 6709];
 
-/// How many seeds are run; `DAMASKVANE_SEEDS=1000` makes a long run of it.
+/// Returns the number of seeds to run, 24 by default; `DAMASKVANE_SEEDS=1000` makes a long run.
 fn seeds() -> u64 {
     let seeds = std::env::var("DAMASKVANE_SEEDS").ok();
     seeds.and_then(|seeds| seeds.parse().ok()).unwrap_or(24)
 }
 
-/// The zone of a seed, with its kind of load.
-fn zone_of(seed: u64) -> World {
-    let mut world = World::new(seed, &disturbance::NAMES[..3], &[6, 3, 1]);
-    world.is_greedy = seed % 2 == 1;
-    world.demand_percent = 20 + 40 * (seed % 3) as u32;
-    world
+/// Returns the zone for a seed; the seed also selects the load.
+fn zone_of(seed: u64) -> SimulatedZone {
+    let mut zone = SimulatedZone::new(seed, &disturbance::NAMES[..3], &[6, 3, 1]);
+    zone.uses_full_deadline = seed % 2 == 1;
+    zone.demand_percent = 20 + 40 * (seed % 3) as u32;
+    zone
 }
 
-/// Runs one seed for a minute; how many requests ran.
+/// Runs one seed for a minute of virtual time and returns the number of requests that were sent.
 fn run_disturbed(seed: u64) -> u64 {
     eprintln!("seed {seed}");
-    let mut world = zone_of(seed);
+    let mut zone = zone_of(seed);
     for _ in 0..6_000 {
-        if world.random.random_ratio(1, 80) {
-            disturb(&mut world);
+        if zone.random.random_ratio(1, 80) {
+            disturb(&mut zone);
         }
-        world.step();
+        zone.step();
     }
-    world.started
+    zone.started
 }
 
-/// Instances join, leave, die, are paused past their leases and cut off in one or both directions;
-/// messages are lost, late and overtake each other; the platform's list lags and can't be reached. If
-/// two instances ever lent the same slot, a backend server would shed work that was promised a place.
+/// Guards against two instances that grant the same slot, so that a backend server sheds requests that hold a
+/// permit. Instances join, leave, die, are paused past their leases and are cut off in one or both directions;
+/// messages are lost, late and out of order; the platform's list lags and can't be reached.
 #[test]
 fn a_backend_server_never_runs_more_than_its_slots() {
     let mut started = 0;
@@ -58,32 +58,33 @@
     assert!(started > 400 * seeds(), "only {started} requests ran");
 }
 
-/// Two instances are cut from each other and fence each other at the same moment. One starts anew, finds
-/// itself alone on the list, and waits for leases to lapse, but not for the authority of the other, which
-/// goes on lending for longer. A backend server then gets more requests than it has slots, and sheds.
+/// Guards against two owners after two instances, cut from each other, fenced each other at the same time. One
+/// restarts, is the only instance on the list and waits for leases to expire, but not for the authority of the
+/// other, which grants slots for longer. The backend server then gets more requests than slots and sheds some.
 #[test]
 fn a_server_keeps_to_its_slots_after_two_owners_fenced_each_other() {
     assert!(run_disturbed(669) > 400);
 }
 
-/// Runs one seed for a minute in which instances start amid whatever disturbs the zone; how many requests ran.
+/// Runs one seed for a minute of virtual time in which instances start amid faults, and returns the number of
+/// requests that were sent.
 ///
-/// Disturbances have a generator of their own, so that a seed means the same whatever the code sends.
+/// Disturbances have their own generator, so that a seed gives the same faults whatever the code sends.
 fn run_amid_faults(seed: u64) -> u64 {
     eprintln!("seed {seed}");
     let mut faults = rand_pcg::Pcg32::seed_from_u64(seed);
-    let mut world = zone_of(seed);
-    world.admits_known_gap = false;
+    let mut zone = zone_of(seed);
+    zone.allows_cuts_before_discovery = false;
     for _ in 0..6_000 {
         if faults.random_ratio(1, 80) {
-            world.disturb(disturbance::Disturbance::draw_amid_faults(&mut faults));
+            zone.disturb(disturbance::Disturbance::draw_amid_faults(&mut faults));
         }
-        world.step();
+        zone.step();
     }
-    world.started
+    zone.started
 }
 
-/// Guards against a start amid cuts, pauses and a lost platform that leaves a server with two owners.
+/// Guards against two owners of one server after an instance started amid cuts, pauses and a lost platform.
 #[test]
 fn a_backend_server_keeps_to_its_slots_when_instances_start_amid_faults() {
     let mut started = 0;
@@ -93,34 +94,31 @@
     assert!(started > 100 * seeds(), "only {started} requests ran");
 }
 
-/// After any disorder the zone finds back to one owner for each backend server and serves.
+/// Guards against a backend server that has no owner, or several, long after all faults are over.
 #[test]
 fn a_zone_serves_again_after_the_faults_are_over() {
     for seed in 100..108 {
-        let mut world = World::new(seed, &disturbance::NAMES[..3], &[6, 3, 1]);
+        let mut zone = SimulatedZone::new(seed, &disturbance::NAMES[..3], &[6, 3, 1]);
         for _ in 0..3_000 {
-            if world.random.random_ratio(1, 80) {
-                disturb(&mut world);
+            if zone.random.random_ratio(1, 80) {
+                disturb(&mut zone);
             }
-            world.step();
+            zone.step();
         }
-        world.cuts.clear();
-        world.without_platform.clear();
-        (world.loss_permille, world.max_delay_ms) = (0, 5);
+        zone.cuts.clear();
+        zone.without_platform.clear();
+        (zone.loss_permille, zone.max_delay_ms) = (0, 5);
         for name in &disturbance::NAMES[..2] {
-            if !world.instances.contains_key(&id(name)) {
-                world.start(&id(name));
+            if !zone.instances.contains_key(&id(name)) {
+                zone.start(&id(name));
             }
         }
-        world.run(30_000);
-        let before = world.started;
-        world.run(2_000);
+        zone.run(30_000);
+        let before = zone.started;
+        zone.run(2_000);
         for number in 0..3 {
-            assert!(
-                world.owner(number).is_some(),
-                "seed {seed}: server {number}"
-            );
+            assert!(zone.owner(number).is_some(), "seed {seed}: server {number}");
         }
-        assert!(world.started > before + 10, "seed {seed}");
+        assert!(zone.started > before + 10, "seed {seed}");
     }
 }
--- a/crates/damaskvane-slots/tests/takeover.rs
+++ b/crates/damaskvane-slots/tests/takeover.rs
@@ -1,208 +1,218 @@
-//! Who may take over a backend server, where not all instances of the zone know the same.
+//! Which instance may take over a backend server while the instances of the zone have different views of it.
 
 mod common;
 
-use common::{World, id, ms, server, trace};
+use common::{SimulatedZone, id, ms, server, trace};
 use damaskvane_membership::ownership;
 use damaskvane_slots::exchange::OwnerPhase;
 
-/// The only server of the zone: whoever owns it, requests at all instances run on its slots.
+/// Slots of the only server of the zone: requests at all instances use them, whichever instance is the owner.
 const ONE_SERVER: [u32; 1] = [3];
 
-/// Guards against two owners after a replacement of which an instance without the platform never heard.
+/// Guards against two owners after an instance was replaced and another one, without the platform, does not know
+/// the replacement.
 #[test]
-fn a_replacement_unknown_to_one_instance_does_not_overfill_a_server() {
+fn a_replacement_unknown_to_one_instance_does_not_overload_a_server() {
     for names in [
         ["a-1", "a-2"],
         ["a-2", "a-1"],
         ["a-3", "a-1"],
         ["a-4", "a-2"],
     ] {
-        for newcomer in ["b-1", "b-2", "b-3", "b-4"] {
-            let mut world = World::busy(&names, &[3, 3, 3]);
+        for new_instance in ["b-1", "b-2", "b-3", "b-4"] {
+            let mut zone = SimulatedZone::under_full_load(&names, &[3, 3, 3]);
             let [stopped, unaware] = names.map(id);
-            world.without_platform.insert(unaware);
-            world.start(&id(newcomer));
-            world.run(3_000);
-            world.leave(&stopped);
-            world.run(20_000);
+            zone.without_platform.insert(unaware);
+            zone.start(&id(new_instance));
+            zone.run(3_000);
+            zone.leave(&stopped);
+            zone.run(20_000);
         }
     }
 }
 
-/// Guards against two owners where the old one dies after a handover of which one instance never heard.
+/// Guards against two owners after the old owner handed over to a new instance and died, while one instance does
+/// not know the new one.
 #[test]
-fn a_death_after_a_handover_does_not_let_an_unaware_instance_lend() {
-    for newcomer in ["b-1", "b-2", "b-3", "b-4"] {
-        let mut world = World::busy(&["a-1", "a-2"], &[3, 3, 3]);
-        world.without_platform.insert(id("a-2"));
-        world.start(&id(newcomer));
-        world.run(3_000);
-        world.kill(&id("a-1"));
-        world.run(20_000);
+fn a_death_after_a_handover_does_not_let_an_unaware_instance_grant_slots() {
+    for new_instance in ["b-1", "b-2", "b-3", "b-4"] {
+        let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &[3, 3, 3]);
+        zone.without_platform.insert(id("a-2"));
+        zone.start(&id(new_instance));
+        zone.run(3_000);
+        zone.kill(&id("a-1"));
+        zone.run(20_000);
     }
 }
 
-/// Guards against callers of a newcomer that are refused as long as one instance does not know of it.
+/// Guards against a new instance that refuses its clients as long as one instance does not know it.
 #[test]
-fn a_newcomer_that_may_not_claim_yet_borrows() {
-    let newcomers = (1..30).map(|number| id(&format!("b-{number}")));
-    let named = newcomers.filter(|newcomer| {
-        let zone = [id("a-1"), id("a-2"), newcomer.clone()];
-        ownership::owner(server(0).as_str(), &zone).as_ref() == Some(newcomer)
+fn a_new_instance_that_may_not_claim_yet_acquires_slots() {
+    let new_instances = (1..30).map(|number| id(&format!("b-{number}")));
+    let named = new_instances.filter(|new_instance| {
+        let zone = [id("a-1"), id("a-2"), new_instance.clone()];
+        ownership::owner(server(0).as_str(), &zone).as_ref() == Some(new_instance)
     });
     let mut runs = 0;
-    for newcomer in named {
-        let mut world = World::busy(&["a-1", "a-2"], &ONE_SERVER);
-        let owner = world.owner(0).expect("an owner");
+    for new_instance in named {
+        let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &ONE_SERVER);
+        let owner = zone.owner(0).expect("an owner");
         let unaware = if owner == id("a-1") { "a-2" } else { "a-1" };
-        world.without_platform.insert(id(unaware));
-        world.start(&newcomer);
-        world.run(5_000);
-        assert_eq!(world.owner(0), Some(owner), "beside {newcomer}");
-        let acquired = world.instances[&newcomer].slots.counters().acquired;
-        assert!(acquired > 0, "{newcomer} borrowed nothing");
+        zone.without_platform.insert(id(unaware));
+        zone.start(&new_instance);
+        zone.run(5_000);
+        assert_eq!(zone.owner(0), Some(owner), "beside {new_instance}");
+        let acquired = zone.instances[&new_instance].slots.counters().acquired;
+        assert!(acquired > 0, "{new_instance} acquired nothing");
         runs += 1;
     }
     assert!(runs > 0);
 }
 
-/// Guards against a newcomer that owns nothing for good once the platform is back for all.
+/// Guards against a new instance that never owns a server, even after all instances regained the platform.
 #[test]
-fn a_newcomer_claims_once_all_know_of_it() {
+fn a_new_instance_claims_once_all_instances_know_it() {
     let mut owned = 0;
-    for newcomer in ["b-1", "b-2", "b-3", "b-4"] {
-        let mut world = World::busy(&["a-1", "a-2"], &[3, 3, 3]);
-        world.without_platform.insert(id("a-2"));
-        world.start(&id(newcomer));
-        world.run(3_000);
-        world.without_platform.clear();
-        world.run(5_000);
+    for new_instance in ["b-1", "b-2", "b-3", "b-4"] {
+        let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &[3, 3, 3]);
+        zone.without_platform.insert(id("a-2"));
+        zone.start(&id(new_instance));
+        zone.run(3_000);
+        zone.without_platform.clear();
+        zone.run(5_000);
         owned += (0..3)
-            .filter(|number| world.owner(*number) == Some(id(newcomer)))
+            .filter(|number| zone.owner(*number) == Some(id(new_instance)))
             .count();
-        assert!((0..3).all(|number| world.owner(number).is_some()));
+        assert!((0..3).all(|number| zone.owner(number).is_some()));
     }
     assert!(owned > 0);
 }
 
-/// Guards against a fenced owner that seems alone, and goes on, when the one that fenced it dies soon after.
+/// Guards against a fenced owner that continues to grant slots, as the only instance in its view, when the
+/// instance that fenced it dies soon after.
 #[test]
-fn the_death_of_a_neighbour_soon_after_its_fence_revives_no_owner() {
+fn the_death_of_the_fencing_neighbour_restores_no_owner() {
     for death_after_ms in (1_000..4_000).step_by(100) {
-        let mut world = World::busy(&["a-1", "a-2"], &ONE_SERVER);
-        let owner = world.owner(0).expect("an owner");
+        let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &ONE_SERVER);
+        let owner = zone.owner(0).expect("an owner");
         let neighbour = if owner == id("a-1") {
             id("a-2")
         } else {
             id("a-1")
         };
-        world.cuts.insert((owner.clone(), neighbour.clone()));
-        world.without_platform.insert(owner);
-        world.run(death_after_ms);
-        world.start(&id("a-3"));
-        world.kill(&neighbour);
-        world.cuts.clear();
-        world.run(15_000);
+        zone.cuts.insert((owner.clone(), neighbour.clone()));
+        zone.without_platform.insert(owner);
+        zone.run(death_after_ms);
+        zone.start(&id("a-3"));
+        zone.kill(&neighbour);
+        zone.cuts.clear();
+        zone.run(15_000);
     }
 }
 
-/// Guards against a takeover from one that goes on as the last of a zone that is cut off from the platform.
+/// Guards against a takeover from an instance that continues as the last one of a zone without the platform,
+/// when the other instance of the zone regains the platform.
 #[test]
-fn a_platform_that_returns_to_half_a_zone_leaves_one_owner() {
+fn a_platform_regained_by_half_a_zone_leaves_one_owner() {
     for cut_after_ms in [600, 2_000, 6_000] {
-        for back_after_ms in [500, 2_000, 5_000, 9_000] {
-            let mut world = World::busy(&["a-1", "a-2"], &[3, 3, 3]);
-            let (back, alone) = (id("a-1"), id("a-2"));
-            world.without_platform.extend([back.clone(), alone.clone()]);
-            world.run(cut_after_ms);
-            world.cut(&back, &alone);
-            world.run(back_after_ms);
-            world.without_platform.remove(&back);
-            world.run(40_000);
-            assert!((0..3).all(|number| world.phase("a-1", number) == OwnerPhase::Serving));
+        for reconnected_after_ms in [500, 2_000, 5_000, 9_000] {
+            let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &[3, 3, 3]);
+            let (reconnected, isolated) = (id("a-1"), id("a-2"));
+            zone.without_platform
+                .extend([reconnected.clone(), isolated.clone()]);
+            zone.run(cut_after_ms);
+            zone.cut(&reconnected, &isolated);
+            zone.run(reconnected_after_ms);
+            zone.without_platform.remove(&reconnected);
+            zone.run(40_000);
+            assert!((0..3).all(|number| zone.phase("a-1", number) == OwnerPhase::Serving));
         }
     }
 }
 
-/// Guards against the same by a newcomer, which knows only the mark.
+/// Guards against a takeover by a new instance from an owner that continues without peers. The new instance
+/// knows of that owner only by its fence record.
 #[test]
-fn a_mark_tells_a_newcomer_of_one_that_goes_on_alone() {
+fn a_fence_record_makes_a_new_instance_wait_for_an_isolated_owner() {
     for replaced_after_ms in [0, 1_000, 4_000] {
-        let mut world = World::busy(&["a-1", "a-2"], &ONE_SERVER);
-        let alone = world.owner(0).expect("an owner");
-        let back = if alone == id("a-1") {
+        let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &ONE_SERVER);
+        let isolated = zone.owner(0).expect("an owner");
+        let reconnected = if isolated == id("a-1") {
             id("a-2")
         } else {
             id("a-1")
         };
-        world.without_platform.extend([back.clone(), alone.clone()]);
-        world.run(4_000);
-        world.cut(&back, &alone);
-        world.cut(&id("a-3"), &alone);
-        world.run(3_000);
-        world.without_platform.remove(&back);
-        let is_mark =
-            |happening: &trace::Happening| matches!(happening, trace::Happening::Fenced { .. });
-        while world.trace.count(is_mark) == 0 {
-            world.run(100);
+        zone.without_platform
+            .extend([reconnected.clone(), isolated.clone()]);
+        zone.run(4_000);
+        zone.cut(&reconnected, &isolated);
+        zone.cut(&id("a-3"), &isolated);
+        zone.run(3_000);
+        zone.without_platform.remove(&reconnected);
+        let is_fence =
+            |event: &trace::TraceEvent| matches!(event, trace::TraceEvent::Fenced { .. });
+        while zone.trace.count(is_fence) == 0 {
+            zone.run(100);
         }
-        world.run(replaced_after_ms);
-        world.kill(&back);
-        world.start(&id("a-3"));
-        world.run(40_000);
-        assert_eq!(world.phase("a-3", 0), OwnerPhase::Serving);
+        zone.run(replaced_after_ms);
+        zone.kill(&reconnected);
+        zone.start(&id("a-3"));
+        zone.run(40_000);
+        assert_eq!(zone.phase("a-3", 0), OwnerPhase::Serving);
     }
 }
 
-/// Guards against a fenced instance that takes over what its fencer has handed to a newcomer.
+/// Guards against a fenced instance that takes over servers which the instance that fenced it has handed to a
+/// new instance.
 #[test]
-fn one_that_was_left_alone_takes_nothing_over_from_who_may_have_fenced_it() {
+fn an_isolated_instance_takes_nothing_over_from_a_possible_fencer() {
     for stop_after_ms in [500, 1_500, 3_000, 5_000] {
-        for newcomer in ["b-1", "b-2", "b-3", "b-4"] {
-            let mut world = World::busy(&["a-1", "a-2"], &[3, 3, 3]);
-            let (back, alone) = (id("a-1"), id("a-2"));
-            world.without_platform.extend([back.clone(), alone.clone()]);
-            world.run(3_000);
-            world.cut(&back, &alone);
-            world.run(2_000);
-            world.without_platform.remove(&back);
-            world.run(1_000);
-            world.start(&id(newcomer));
-            world.run(stop_after_ms);
-            world.leave(&back);
-            world.cuts.clear();
-            world.run(15_000);
+        for new_instance in ["b-1", "b-2", "b-3", "b-4"] {
+            let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &[3, 3, 3]);
+            let (reconnected, isolated) = (id("a-1"), id("a-2"));
+            zone.without_platform
+                .extend([reconnected.clone(), isolated.clone()]);
+            zone.run(3_000);
+            zone.cut(&reconnected, &isolated);
+            zone.run(2_000);
+            zone.without_platform.remove(&reconnected);
+            zone.run(1_000);
+            zone.start(&id(new_instance));
+            zone.run(stop_after_ms);
+            zone.leave(&reconnected);
+            zone.cuts.clear();
+            zone.run(15_000);
         }
     }
 }
 
-/// Guards against an instance that wakes up and lends before it has read a list or noticed its pause.
+/// Guards against a paused instance that resumes and grants slots before it has read a list or detected its pause.
 #[test]
-fn one_that_was_alone_lends_nothing_when_it_wakes_up_beside_its_successor() {
+fn a_resumed_single_instance_grants_nothing_beside_its_successor() {
     for pause_ms in (14_000..14_500).step_by(10).chain([20_010]) {
-        let mut world = World::busy(&["a-1"], &ONE_SERVER);
-        world.pause(&id("a-1"), ms(pause_ms));
-        world.cut(&id("a-1"), &id("a-2"));
-        world.start(&id("a-2"));
-        world.run(pause_ms - 1_000);
-        assert_eq!(world.phase("a-2", 0), OwnerPhase::Serving);
-        world.run(5_000);
+        let mut zone = SimulatedZone::under_full_load(&["a-1"], &ONE_SERVER);
+        zone.pause(&id("a-1"), ms(pause_ms));
+        zone.cut(&id("a-1"), &id("a-2"));
+        zone.start(&id("a-2"));
+        zone.run(pause_ms - 1_000);
+        assert_eq!(zone.phase("a-2", 0), OwnerPhase::Serving);
+        zone.run(5_000);
     }
 }
 
-/// Guards against a newcomer whose list lacks an owner, since the platform lost its entry.
+/// Guards against two owners when a new instance starts and the platform has lost the entry of an owner, so that
+/// the list does not name it.
 #[test]
-fn a_newcomer_hears_of_an_owner_whose_entry_was_lost() {
+fn a_new_instance_discovers_an_owner_missing_from_the_list() {
     let mut served = 0;
-    for newcomer in (1..9).map(|number| id(&format!("b-{number}"))) {
-        let mut world = World::busy(&["a-1", "a-2"], &[3, 3, 3]);
-        world.without_platform.insert(id("a-2"));
-        world.list.remove(&id("a-2"));
-        world.start(&newcomer);
-        world.run(15_000);
+    for new_instance in (1..9).map(|number| id(&format!("b-{number}"))) {
+        let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &[3, 3, 3]);
+        zone.without_platform.insert(id("a-2"));
+        zone.list.remove(&id("a-2"));
+        zone.start(&new_instance);
+        zone.run(15_000);
         served += (0..3)
-            .filter(|number| world.owner(*number) == Some(newcomer.clone()))
+            .filter(|number| zone.owner(*number) == Some(new_instance.clone()))
             .count();
     }
     assert!(served > 0);
