--- a/crates/damaskvane-membership/tests/authority.rs
+++ b/crates/damaskvane-membership/tests/authority.rs
@@ -1,4 +1,4 @@
-//! Whether one may go on with what it owns, and whether another may take it: never both.
+//! Whether an instance keeps its authority and whether another may take over its servers: never both at once.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use damaskvane_membership::{record, view};
 use rand::{RngExt, SeedableRng};
 
-/// A process dies and its machine answers for it. The proof is there at once, and its work can be
-/// taken over without waiting for the platform.
+/// Guards against a wait for the platform after a process died and its machine refuses connections. The refused
+/// probe proves the death, so the servers of the dead instance can be taken over at once.
 #[test]
 fn a_refused_probe_proves_a_death() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -18,11 +18,11 @@
     assert!(zone.has_authority(&id("z-a-1")));
 }
 
-/// A process is paused. To its neighbour it looks dead, but nothing proves it, so what it owns stays
-/// its own; it is then fenced through the platform, and when it wakes up it must not go on. If it did,
-/// two instances would fill the same slots.
+/// Guards against two instances that fill the same slots after a pause of their owner. The owner looks dead to
+/// its neighbour, but without proof it keeps its servers until it is fenced through the platform. After the pause
+/// it must not use them.
 #[test]
-fn a_paused_owner_is_fenced_and_stays_out() {
+fn a_paused_owner_is_fenced_and_regains_no_authority() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.paused.insert(id("z-a-2"));
     zone.run(5_000);
@@ -36,8 +36,8 @@
     zone.check();
 }
 
-/// An instance is cut off from its neighbour and from the platform, but not from backend servers. It
-/// can't learn that it was fenced, so it must stop by itself before the other begins.
+/// Guards against two owners after an instance was cut off from its neighbour and the platform, but not from the
+/// backend servers. It can't detect that it was fenced, so its authority must expire before the other takes over.
 #[test]
 fn an_instance_that_is_cut_off_stops_by_itself() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -53,10 +53,10 @@
     assert!(zone.has_authority(&id("z-a-1")));
 }
 
-/// Only one direction is broken: the owner hears its neighbour, the neighbour does not hear the owner.
-/// Hearing others is then no sign of being heard.
+/// Guards against an owner that keeps its authority because it receives heartbeats, while its own do not arrive.
+/// Only the direction from the owner to its neighbour is cut.
 #[test]
-fn hearing_is_not_being_heard() {
+fn received_heartbeats_alone_do_not_keep_authority() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.cut("z-a-2", "z-a-1");
     zone.without_platform.insert(id("z-a-2"));
@@ -66,10 +66,10 @@
     assert!(!zone.has_authority(&id("z-a-2")));
 }
 
-/// The zone is cut off from the platform, and then the machine of its other instance is lost. Nobody
-/// could have fenced the last one: it goes on, or the zone would serve nothing until the cut heals.
+/// Guards against a zone that serves nothing after it was cut off from the platform and then lost the machine of
+/// its other instance. No instance could have fenced the last one, so the last one continues.
 #[test]
-fn the_last_instance_of_a_cut_zone_goes_on() {
+fn the_last_instance_of_a_zone_without_the_platform_keeps_authority() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.without_platform.extend([id("z-a-1"), id("z-a-2")]);
     zone.run(10_000);
@@ -79,30 +79,31 @@
     assert_eq!(zone.state("z-a-1", "z-a-2"), Some(InstanceState::Dead));
 }
 
-/// A connection goes silent for good in one direction while new ones work. The sender sees by the echoes
-/// that it is not heard, and dials anew.
+/// Guards against a connection that stays in use after it stopped working in one direction, while a new one would
+/// work. Missing echoes show the sender that its heartbeats do not arrive, and it reconnects.
 #[test]
-fn a_silent_connection_is_made_anew() {
+fn a_silent_connection_is_reopened() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.cut("z-a-2", "z-a-1");
     zone.run(6_000);
-    let wanted = (id("z-a-2"), id("z-a-1"));
-    assert!(zone.reconnects.contains(&wanted));
+    let expected = (id("z-a-2"), id("z-a-1"));
+    assert!(zone.reconnects.contains(&expected));
 }
 
-/// An instance that is about to stop says so at once, and its neighbours give it nothing new.
+/// Guards against neighbours that still give new work to an instance whose planned stop has begun: the leaving
+/// instance announces the stop at once.
 #[test]
-fn leaving_is_told_at_once() {
+fn leaving_is_announced_at_once() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
-    zone.feed(&id("z-a-2"), view::Event::Leave, 5);
+    zone.handle_event(&id("z-a-2"), view::Event::Leave, 5);
     zone.run(2 * STEP_MS);
     assert_eq!(zone.state("z-a-1", "z-a-2"), Some(InstanceState::Leaving));
 }
 
-/// One instance fences another and then dies itself. Its death must not give the fenced one its authority
-/// back: a third may have taken over on that proof.
+/// Guards against a fenced instance that regains its authority when the instance that fenced it dies. A third
+/// instance may have taken over on the proof of that fence.
 #[test]
-fn the_death_of_who_fenced_it_revives_nobody() {
+fn the_death_of_the_fencing_instance_restores_no_authority() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.without_platform.insert(id("z-a-2"));
     zone.cut("z-a-1", "z-a-2");
@@ -115,10 +116,10 @@
     assert!(!zone.has_authority(&id("z-a-2")));
 }
 
-/// A newcomer fences an instance that does not know it. A neighbour of both sees that on the list, and
-/// must not tell the fenced one by its echoes that all is well.
+/// Guards against a fenced instance that keeps its authority by the echoes of a neighbour. A new instance, unknown
+/// to the fenced one, has fenced it; the neighbour reads that on the list and must not support its authority.
 #[test]
-fn a_neighbour_does_not_support_one_that_was_dropped_from_the_list() {
+fn a_neighbour_does_not_support_the_authority_of_an_unlisted_instance() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.without_platform.insert(id("z-a-1"));
     zone.list.remove(&id("z-a-1"));
@@ -126,10 +127,10 @@
     assert!(!zone.has_authority(&id("z-a-1")));
 }
 
-/// A neighbour had lost the platform when its last heartbeat before a pause was sent. That says nothing
-/// after the pause: it may have reached the platform meanwhile, and fenced the paused one.
+/// Guards against authority after a pause that rests on a heartbeat from before it. The neighbour had no platform
+/// when it sent that heartbeat, but may have regained it during the pause and fenced the paused instance.
 #[test]
-fn what_was_heard_before_a_pause_supports_nobody_after_it() {
+fn heartbeats_from_before_a_pause_support_no_authority_after_it() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.without_platform.extend([id("z-a-1"), id("z-a-2")]);
     zone.run(10_000);
@@ -146,9 +147,10 @@
     }
 }
 
-/// Guards against a quarter of an hour of waiting for one that was listed long after an outage of the platform.
+/// Guards against a wait of a quarter of an hour for an instance that was listed long after an outage of the
+/// platform.
 #[test]
-fn one_that_came_after_an_outage_is_not_waited_for_longer() {
+fn an_instance_listed_after_an_outage_is_not_waited_for_longer() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.without_platform.extend([id("z-a-1"), id("z-a-2")]);
     zone.run(10_000);
@@ -161,9 +163,9 @@
     assert!(gone.from <= zone.now + common::ms(18_000));
 }
 
-/// Guards against a takeover from one that may think itself the last of a zone that is cut off.
+/// Guards against a takeover from an instance that may continue as the last one of a zone without the platform.
 #[test]
-fn one_that_may_go_on_alone_is_waited_for() {
+fn an_instance_that_may_continue_alone_is_waited_for() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.without_platform.extend([id("z-a-1"), id("z-a-2")]);
     zone.run(10_000);
@@ -178,39 +180,40 @@
     assert!(zone.gone("z-a-1", "z-a-2").is_some());
     assert!(
         zone.has_authority(&id("z-a-2")),
-        "it may think itself alone"
+        "it may be the only instance in its view"
     );
 }
 
-/// Guards against a living start that is handed on as fenced, by the mark of an earlier one.
+/// Guards against a live incarnation that is reported as fenced because of the fence record of an earlier one.
 #[test]
-fn a_mark_is_not_handed_on_with_a_later_start() {
+fn a_fence_record_does_not_apply_to_a_later_incarnation() {
     let mut a = common::member("z-a-1", 1);
-    let mark = record::InstanceRecord {
+    let fence_record = record::InstanceRecord {
         fenced: true,
         ..common::record("z-a-2", 1)
     };
     a.handle(
         common::at(100),
-        common::list(&[common::record("z-a-1", 1), mark]),
+        common::list(&[common::record("z-a-1", 1), fence_record]),
     );
     let heartbeat = view::Event::Heartbeat {
         from: id("z-a-2"),
         incarnation: damaskvane_core::ids::Incarnation::new(2),
-        heartbeat: common::beat(1),
+        heartbeat: common::new_heartbeat(1),
     };
     a.handle(common::at(200), heartbeat);
     let known = a
         .instances()
         .find(|view| view.record.instance == id("z-a-2"));
-    let known = known.expect("a later start is heard");
+    let known = known.expect("a later incarnation is known");
     assert_eq!(known.incarnation.get(), 2);
     assert!(!known.record.fenced);
 }
 
-/// Guards against an instance that goes on for ever, and takes over, after a neighbour that may have fenced it has ended.
+/// Guards against an instance that continues for ever, and takes over servers, after the death of a neighbour that
+/// may have fenced it.
 #[test]
-fn the_end_of_a_silent_neighbour_leaves_a_bound_on_who_goes_on_alone() {
+fn the_death_of_a_silent_neighbour_leaves_the_authority_bounded() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.without_platform.extend([id("z-a-1"), id("z-a-2")]);
     zone.run(10_000);
@@ -230,10 +233,10 @@
     assert!(zone.instances[&id("z-a-2")].roster().may_take_over);
 }
 
-/// A newcomer has not been heard by an instance whose address answers. That one may be alone in its view
-/// and go on, so the newcomer must not take what it owns on silence alone.
+/// Guards against a new instance that takes over because it received no heartbeat from an instance whose address
+/// answers. That instance may not know the new one, and may continue as the only instance in its view.
 #[test]
-fn one_that_may_not_know_of_a_newcomer_is_not_fenced() {
+fn an_instance_unaware_of_a_new_one_is_not_fenced() {
     let mut zone = Zone::new(&["z-a-1"]);
     zone.without_platform.insert(id("z-a-1"));
     zone.instances
@@ -244,10 +247,10 @@
     assert_ne!(zone.state("z-a-2", "z-a-1"), Some(InstanceState::Gone));
 }
 
-/// The list drops one start of an instance, a later start is heard, and the platform then is out of
-/// reach. The old list is no proof against the later start.
+/// Guards against an old list that counts as proof that a later incarnation is gone. The list drops one incarnation
+/// of an instance, a heartbeat of a later one arrives, and then the platform can't be reached.
 #[test]
-fn a_list_proves_nothing_against_a_later_start() {
+fn an_old_list_proves_nothing_against_a_later_incarnation() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.list.remove(&id("z-a-2"));
     zone.run(1_000);
@@ -257,17 +260,18 @@
     let heartbeat = view::Event::Heartbeat {
         from: id("z-a-2"),
         incarnation: damaskvane_core::ids::Incarnation::new(2),
-        heartbeat: common::beat(1),
+        heartbeat: common::new_heartbeat(1),
     };
-    zone.feed(&id("z-a-1"), heartbeat, 5);
+    zone.handle_event(&id("z-a-1"), heartbeat, 5);
     zone.run(20_000);
     assert_eq!(zone.state("z-a-1", "z-a-2"), Some(InstanceState::Dead));
 }
 
-/// One instance fences another, which starts anew, is cut off from the first, and fences it in turn. The
-/// first has lost the platform meanwhile, and would go on if it thought itself alone in its zone.
+/// Guards against an instance that continues as the only one of its zone after a restarted instance fenced it. The
+/// first fences the second; the second restarts, is cut off from the first and fences it. The first has lost the
+/// platform meanwhile and has received nothing from the new incarnation.
 #[test]
-fn who_has_fenced_may_be_fenced_by_a_start_it_never_heard() {
+fn a_fencing_instance_may_be_fenced_by_an_unseen_incarnation() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
     zone.cut("z-a-1", "z-a-2");
     zone.cut("z-a-2", "z-a-1");
@@ -279,10 +283,10 @@
     assert!(!zone.has_authority(&id("z-a-1")));
 }
 
-/// The answer to a fence is lost, and nobody learns whether it was taken. It must be asked for again, or
-/// what the dead instance owned would be out of use for ever.
+/// Guards against servers of a dead instance that stay unused for ever because the response to a fence request was
+/// lost. The instance can't know whether the fence took effect, so it must request the fence again.
 #[test]
-fn a_fence_without_an_answer_is_asked_for_again() {
+fn a_fence_request_without_a_response_is_repeated() {
     let mut a = common::member("z-a-1", 1);
     let records = [common::record("z-a-1", 1), common::record("z-a-2", 1)];
     let mut fences = 0;
@@ -310,8 +314,8 @@
     assert!((3..30).contains(&fences), "{fences}");
 }
 
-/// Cuts in one or both directions, pauses, deaths and an unreachable platform come and go at random.
-/// At no time may one instance be free to take over from another that would still act.
+/// Guards against an instance that may take over from another that still has authority. Cuts in one or both
+/// directions, pauses and an unreachable platform start and end at random.
 #[test]
 fn random_faults_never_leave_two_owners() {
     for seed in 0..40 {
--- a/crates/damaskvane-membership/tests/common/mod.rs
+++ b/crates/damaskvane-membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Memberships in virtual time: messages take a while, and can be lost, cut or held back by a pause.
+//! Simulation of memberships in virtual time: messages are delayed, and are lost by cuts or held back by pauses.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -19,7 +19,7 @@
     time::TimeMs::new(ms)
 }
 
-/// The entry of `zone-number` in the list.
+/// Returns the list entry of an instance whose name has the form `zone-number`.
 pub(crate) fn record(name: &str, incarnation: u64) -> record::InstanceRecord {
     let (zone, _) = name.rsplit_once('-').expect("zone and number");
     let (region, _) = zone.rsplit_once('-').unwrap_or((zone, ""));
@@ -38,7 +38,7 @@
     }
 }
 
-pub(crate) fn beat(sequence: u64) -> heartbeat::Heartbeat {
+pub(crate) fn new_heartbeat(sequence: u64) -> heartbeat::Heartbeat {
     heartbeat::Heartbeat {
         sequence,
         echo: None,
@@ -77,24 +77,25 @@
         .map(|view| view.state)
 }
 
-struct Flying {
+struct InFlightMessage {
     due: time::TimeMs,
     from: ids::InstanceId,
     to: ids::InstanceId,
     heartbeat: heartbeat::Heartbeat,
 }
 
-/// A zone of instances and the platform's list, in steps of 50 ms.
+/// A simulated zone of instances with the platform's list, in steps of `STEP_MS`.
 pub(crate) struct Zone {
     pub(crate) now: time::TimeMs,
     pub(crate) instances: BTreeMap<ids::InstanceId, view::Membership>,
     pub(crate) list: BTreeMap<ids::InstanceId, record::InstanceRecord>,
-    /// Pairs (from, to) between which nothing arrives.
+    /// Pairs (from, to) between which no heartbeat arrives.
     pub(crate) cuts: BTreeSet<(ids::InstanceId, ids::InstanceId)>,
     pub(crate) paused: BTreeSet<ids::InstanceId>,
     pub(crate) without_platform: BTreeSet<ids::InstanceId>,
+    /// Pairs (from, to) of the connections that instances asked to have replaced.
     pub(crate) reconnects: Vec<(ids::InstanceId, ids::InstanceId)>,
-    flying: Vec<Flying>,
+    in_flight: Vec<InFlightMessage>,
 }
 
 pub(crate) const STEP_MS: u64 = 50;
@@ -114,7 +115,7 @@
             paused: BTreeSet::new(),
             without_platform: BTreeSet::new(),
             reconnects: Vec::new(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
         };
         zone.run(2_000);
         zone
@@ -137,20 +138,20 @@
             let is_list_due = self.now.get().is_multiple_of(LIST_EVERY_MS);
             if is_list_due && !self.without_platform.contains(&name) {
                 let records: Vec<_> = self.list.values().cloned().collect();
-                self.feed(&name, list(&records), delay_ms);
+                self.handle_event(&name, list(&records), delay_ms);
             }
-            self.feed(&name, view::Event::Tick, delay_ms);
+            self.handle_event(&name, view::Event::Tick, delay_ms);
         }
     }
 
     fn deliver(&mut self, delay_ms: u64) {
         let now = self.now;
         let paused = &self.paused;
-        let (due, later): (Vec<Flying>, Vec<Flying>) = self
-            .flying
+        let (due, later): (Vec<InFlightMessage>, Vec<InFlightMessage>) = self
+            .in_flight
             .drain(..)
             .partition(|message| message.due <= now && !paused.contains(&message.to));
-        self.flying = later;
+        self.in_flight = later;
         for message in due {
             if self
                 .cuts
@@ -163,11 +164,16 @@
                 incarnation: ids::Incarnation::new(1),
                 heartbeat: message.heartbeat,
             };
-            self.feed(&message.to, event, delay_ms);
+            self.handle_event(&message.to, event, delay_ms);
         }
     }
 
-    pub(crate) fn feed(&mut self, name: &ids::InstanceId, event: view::Event, delay_ms: u64) {
+    pub(crate) fn handle_event(
+        &mut self,
+        name: &ids::InstanceId,
+        event: view::Event,
+        delay_ms: u64,
+    ) {
         let Some(instance) = self.instances.get_mut(name) else {
             return;
         };
@@ -178,7 +184,7 @@
 
     fn perform(&mut self, from: &ids::InstanceId, action: view::Action, delay_ms: u64) {
         match action {
-            view::Action::Send { to, heartbeat, .. } => self.flying.push(Flying {
+            view::Action::Send { to, heartbeat, .. } => self.in_flight.push(InFlightMessage {
                 due: self.now + ms(delay_ms),
                 from: from.clone(),
                 to,
@@ -201,7 +207,7 @@
                     incarnation,
                     outcome,
                 };
-                self.feed(from, event, delay_ms);
+                self.handle_event(from, event, delay_ms);
             }
             view::Action::Fence {
                 instance,
@@ -216,7 +222,7 @@
                     instance,
                     incarnation,
                 };
-                self.feed(from, event, delay_ms);
+                self.handle_event(from, event, delay_ms);
             }
             view::Action::RemoveFenceRecord {
                 instance,
@@ -239,7 +245,7 @@
         state_of(&self.instances[&id(observer)], name)
     }
 
-    /// What one instance holds for the end of another.
+    /// Returns the proof and time by which the observer counts another instance as gone, if it does.
     pub(crate) fn gone(&self, observer: &str, name: &str) -> Option<state::Gone> {
         let roster = self.instances[&id(observer)].roster();
         let mut members = roster.members.into_iter();
@@ -247,14 +253,14 @@
         member.and_then(|member| member.gone)
     }
 
-    /// Whether an instance would use what it owns if it ran now.
+    /// Returns whether the instance still has authority over the servers that it owns.
     pub(crate) fn has_authority(&self, name: &ids::InstanceId) -> bool {
         self.instances[name]
             .authority_until()
             .is_some_and(|until| until > self.now)
     }
 
-    /// Nobody may take over from one that would still use what it owns.
+    /// Checks that no instance may take over from another that still has authority.
     pub(crate) fn check(&self) {
         for observer in self.instances.values() {
             for member in observer.roster().members {
@@ -262,7 +268,7 @@
                 if is_over && self.instances.contains_key(&member.instance) {
                     assert!(
                         !self.has_authority(&member.instance),
-                        "{} is gone for {} but acts at {:?}",
+                        "{} is gone for {} but has authority at {:?}",
                         member.instance,
                         observer.own().instance,
                         self.now
--- a/crates/damaskvane-membership/tests/digests.rs
+++ b/crates/damaskvane-membership/tests/digests.rs
@@ -1,4 +1,4 @@
-//! Digests over zones and regions: late, crossed, doubled and lost ones; and what all of it costs.
+//! Digests between zones and regions that arrive late, out of order or twice, and the cost of control traffic.
 
 mod common;
 
@@ -10,14 +10,15 @@
 use damaskvane_peer::envelope;
 use serde::Serialize;
 
-/// About the size of what a zone says of two services.
+/// Body of a digest, about as large as the report of a zone on two services.
 type Body = Vec<u8>;
 
 const BODY_BYTES: usize = 60;
 const STEP_MS: u64 = 200;
 
-/// What TCP, IP and the transport add to a message, and the acknowledgement that comes back.
+/// Bytes that TCP, IP and the transport add to a message.
 const HEADER_BYTES: usize = 8 + 52;
+/// Bytes of the acknowledgement that is returned for a message.
 const ACKNOWLEDGEMENT_BYTES: usize = 52;
 
 #[derive(Serialize)]
@@ -37,13 +38,13 @@
     bytes_in: usize,
 }
 
-/// Regions of zones of instances; every message arrives one step later.
+/// Simulated regions of zones of instances; every message arrives one step after it was sent.
 struct Fleet {
     now: time::TimeMs,
     nodes: BTreeMap<ids::InstanceId, Node>,
     records: Vec<record::InstanceRecord>,
-    flying: Vec<(ids::InstanceId, ids::InstanceId, digest::DigestBundle<Body>)>,
-    beating: Vec<(ids::InstanceId, ids::InstanceId, heartbeat::Heartbeat)>,
+    digests_in_flight: Vec<(ids::InstanceId, ids::InstanceId, digest::DigestBundle<Body>)>,
+    heartbeats_in_flight: Vec<(ids::InstanceId, ids::InstanceId, heartbeat::Heartbeat)>,
 }
 
 impl Fleet {
@@ -63,8 +64,8 @@
         let mut fleet = Self {
             now: at(0),
             nodes: nodes.collect(),
-            flying: Vec::new(),
-            beating: Vec::new(),
+            digests_in_flight: Vec::new(),
+            heartbeats_in_flight: Vec::new(),
             records,
         };
         fleet.read_list();
@@ -89,11 +90,11 @@
     fn run(&mut self, span_ms: u64) {
         for _ in 0..span_ms / STEP_MS {
             self.now = self.now + ms(STEP_MS);
-            for (from, to, bundle) in core::mem::take(&mut self.flying) {
+            for (from, to, bundle) in core::mem::take(&mut self.digests_in_flight) {
                 self.deliver(&from, &to, bundle);
             }
-            for (from, to, heartbeat) in core::mem::take(&mut self.beating) {
-                self.beat(from, &to, heartbeat);
+            for (from, to, heartbeat) in core::mem::take(&mut self.heartbeats_in_flight) {
+                self.deliver_heartbeat(from, &to, heartbeat);
             }
             let names: Vec<_> = self.nodes.keys().cloned().collect();
             for name in names {
@@ -109,9 +110,10 @@
         };
         for action in node.membership.handle(now, view::Event::Tick) {
             if let view::Action::Send { to, heartbeat, .. } = action {
-                node.bytes_out += size(name, &Wire::Heartbeat(&heartbeat));
+                node.bytes_out += message_bytes(name, &Wire::Heartbeat(&heartbeat));
                 node.bytes_in += ACKNOWLEDGEMENT_BYTES;
-                self.beating.push((name.clone(), to, heartbeat));
+                self.heartbeats_in_flight
+                    .push((name.clone(), to, heartbeat));
             }
         }
         let Some(topology) = &node.topology else {
@@ -127,10 +129,11 @@
     fn send(&mut self, from: &ids::InstanceId, sends: Vec<digest::DigestSend<Body>>) {
         for send in sends {
             if let Some(node) = self.nodes.get_mut(from) {
-                node.bytes_out += size(from, &Wire::Digests(&send.bundle));
+                node.bytes_out += message_bytes(from, &Wire::Digests(&send.bundle));
                 node.bytes_in += ACKNOWLEDGEMENT_BYTES;
             }
-            self.flying.push((from.clone(), send.to, send.bundle));
+            self.digests_in_flight
+                .push((from.clone(), send.to, send.bundle));
         }
     }
 
@@ -143,7 +146,7 @@
         let Some(node) = self.nodes.get_mut(to) else {
             return;
         };
-        node.bytes_in += size(from, &Wire::Digests(&bundle));
+        node.bytes_in += message_bytes(from, &Wire::Digests(&bundle));
         node.bytes_out += ACKNOWLEDGEMENT_BYTES;
         let Some(topology) = &node.topology else {
             return;
@@ -152,20 +155,25 @@
         self.send(to, sends);
     }
 
-    fn beat(&mut self, from: ids::InstanceId, to: &ids::InstanceId, beat: heartbeat::Heartbeat) {
+    fn deliver_heartbeat(
+        &mut self,
+        from: ids::InstanceId,
+        to: &ids::InstanceId,
+        heartbeat: heartbeat::Heartbeat,
+    ) {
         if let Some(node) = self.nodes.get_mut(to) {
-            node.bytes_in += size(&from, &Wire::Heartbeat(&beat));
+            node.bytes_in += message_bytes(&from, &Wire::Heartbeat(&heartbeat));
             node.bytes_out += ACKNOWLEDGEMENT_BYTES;
             let event = view::Event::Heartbeat {
                 from,
                 incarnation: ids::Incarnation::new(1),
-                heartbeat: beat,
+                heartbeat,
             };
             node.membership.handle(self.now, event);
         }
     }
 
-    fn oldest(&self) -> time::SpanMs {
+    fn oldest_digest_age(&self) -> time::SpanMs {
         let ages = self
             .nodes
             .values()
@@ -187,13 +195,13 @@
     }
 }
 
-fn size(from: &ids::InstanceId, wire: &Wire<'_>) -> usize {
+fn message_bytes(from: &ids::InstanceId, wire: &Wire<'_>) -> usize {
     let header = envelope::Header::new(from.clone(), ids::Incarnation::new(1_000));
     let message = envelope::encode(&header, wire).expect("encodes");
     message.len() + HEADER_BYTES
 }
 
-fn one(sequence: u64, author: &str, age_ms: u64) -> digest::DigestBundle<u64> {
+fn bundle_of(sequence: u64, author: &str, age_ms: u64) -> digest::DigestBundle<u64> {
     digest::DigestBundle(vec![digest::Digest {
         zone: "z-b".parse().expect("a valid zone"),
         author: id(author),
@@ -212,8 +220,8 @@
     a.topology(&"z".parse().expect("a valid region"))
 }
 
-/// Digests are delayed, swapped and repeated on their way. If an older one replaced a newer one, weights
-/// would swing back, and clients would be sent to a zone that filled up since.
+/// Guards against an older digest that replaces a newer one, since digests are delayed, reordered and repeated in
+/// flight. Weights would swing back, and clients would be sent to a zone that has become full since.
 #[test]
 fn an_older_digest_never_replaces_a_newer() {
     let topology = topology();
@@ -227,7 +235,7 @@
     ];
     let expected = [3, 3, 3, 5, 5];
     for ((sequence, author), expected) in arrivals.into_iter().zip(expected) {
-        let bundle = one(sequence, author, 0);
+        let bundle = bundle_of(sequence, author, 0);
         exchange.receive(at(10), &topology, &id("z-b-1"), bundle);
         let held: Vec<u64> = exchange
             .digests(at(10))
@@ -237,20 +245,27 @@
     }
 }
 
-/// Ages travel as spans and grow while a digest is held, also by one that was paused with it.
+/// Guards against a digest that looks newer than it is. Its age is sent as a span and grows while an instance
+/// holds the digest, also while that instance is paused.
 #[test]
-fn the_age_of_a_digest_counts_all_that_held_it() {
+fn the_age_of_a_digest_includes_the_time_at_every_holder() {
     let topology = topology();
     let mut exchange = digest::DigestExchange::new(digest::DigestSettings::default());
-    exchange.receive(at(1_000), &topology, &id("z-b-1"), one(1, "z-b-1", 400));
+    exchange.receive(
+        at(1_000),
+        &topology,
+        &id("z-b-1"),
+        bundle_of(1, "z-b-1", 400),
+    );
     let age = exchange.digests(at(31_000)).next().map(|digest| digest.age);
     assert_eq!(age, Some(ms(30_400)));
 }
 
-/// All instances of a zone are replaced, and the new aggregator counts from one. Told of the higher
-/// number it goes on from there; its zone would otherwise look frozen to all others.
+/// Guards against a zone whose digests are ignored after all its instances were replaced, because the new
+/// aggregator counts from one. The aggregator receives the higher number and continues from there; otherwise all
+/// other zones would hold an old digest.
 #[test]
-fn a_zone_whose_instances_were_all_replaced_is_heard_at_once() {
+fn digests_of_a_fully_replaced_zone_are_accepted_at_once() {
     let mut fleet = Fleet::new(&[2], 2);
     fleet.run(60_000);
     fleet
@@ -268,7 +283,8 @@
     }
 }
 
-/// The aggregator of a zone dies. The next in rank takes over as soon as it is seen dead.
+/// Guards against a zone without digests after its aggregator died: the next in rank takes over as soon as it
+/// counts the aggregator as dead.
 #[test]
 fn a_dead_aggregator_is_replaced() {
     let mut fleet = Fleet::new(&[2], 3);
@@ -298,9 +314,10 @@
     assert!(age.unwrap() < ms(2_500));
 }
 
-/// At the size to come: 9 regions, 23 zones, 18 instances each. All zones are known everywhere, none
-/// older than the slow exchange between regions allows, and control stays within 5 KB a second for each
-/// instance, in and out, with the headers of TCP and IP and all acknowledgements counted.
+/// Guards against control traffic above its budget at the planned size: 9 regions, 23 zones, 18 instances each.
+/// Every instance has digests of all zones, none older than the slow exchange between regions allows. Control
+/// traffic stays within 5 KB a second for each instance, in and out, including the headers of TCP and IP and all
+/// acknowledgements.
 #[test]
 fn control_stays_within_its_budget_at_full_size() {
     const WARM_UP_MS: u64 = 21_000;
@@ -320,15 +337,15 @@
         .collect();
     rates.sort_unstable();
     let mean = rates.iter().sum::<usize>() / rates.len();
-    let (median, most) = (rates[rates.len() / 2], rates[rates.len() - 1]);
+    let (median, max) = (rates[rates.len() / 2], rates[rates.len() - 1]);
     println!(
-        "bytes a second: mean {mean}, median {median}, most {most}, oldest {}",
-        fleet.oldest()
+        "bytes a second: mean {mean}, median {median}, max {max}, oldest {}",
+        fleet.oldest_digest_age()
     );
     for node in fleet.nodes.values() {
         assert_eq!(node.digests.digests(fleet.now).count(), 23);
     }
-    assert!(fleet.oldest() < ms(14_000));
+    assert!(fleet.oldest_digest_age() < ms(14_000));
     assert!(mean < BUDGET_BYTES_PER_SECOND, "mean {mean}");
-    assert!(most < BUDGET_BYTES_PER_SECOND, "most {most}");
+    assert!(max < BUDGET_BYTES_PER_SECOND, "max {max}");
 }
--- a/crates/damaskvane-membership/tests/plan.rs
+++ b/crates/damaskvane-membership/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Who sends heartbeats to whom, and who owns what.
+//! Which instances send heartbeats to each other, and which instance owns which server.
 
 mod common;
 
@@ -19,7 +19,7 @@
     #![proptest_config(ProptestConfig::with_cases(24))]
 
     #[test]
-    fn hearing_is_mutual_and_bounded(count in 1_usize..80) {
+    fn heartbeat_neighbours_are_mutual_and_bounded(count in 1_usize..80) {
         let settings = settings::MembershipSettings::default();
         let zone = zone(count);
         for own in &zone {
@@ -33,14 +33,14 @@
     }
 
     #[test]
-    fn only_what_the_lost_instance_owned_changes_its_owner(count in 2_usize..20, lost in 0_usize..20) {
+    fn only_servers_of_the_lost_instance_change_owner(count in 2_usize..20, lost in 0_usize..20) {
         let zone = zone(count);
         let lost = &zone[lost % count];
-        let rest: Vec<ids::InstanceId> = zone.iter().filter(|other| *other != lost).cloned().collect();
+        let remaining: Vec<ids::InstanceId> = zone.iter().filter(|other| *other != lost).cloned().collect();
         for server in 0..50 {
             let key = format!("server-{server}");
             let before = ownership::owner(&key, &zone);
-            let after = ownership::owner(&key, &rest);
+            let after = ownership::owner(&key, &remaining);
             prop_assert!(before == after || before.as_ref() == Some(lost));
             prop_assert_eq!(before, ownership::ranking(&key, &zone).first().cloned());
         }
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn every_instance_owns_something() {
+fn every_instance_owns_a_server() {
     let zone = zone(6);
     let owners: BTreeSet<_> = (0..100)
         .filter_map(|server| ownership::owner(&format!("server-{server}"), &zone))
--- a/crates/damaskvane-membership/tests/silence.rs
+++ b/crates/damaskvane-membership/tests/silence.rs
@@ -1,8 +1,8 @@
-//! Who counts as live, suspect or dead: list, heartbeats and pauses.
+//! Which instances count as live, suspect or dead, by the list, heartbeats and pauses.
 
 mod common;
 
-use common::{at, beat, id, list, member, ms, record, state_of};
+use common::{at, id, list, member, ms, new_heartbeat, record, state_of};
 use damaskvane_core::ids;
 use damaskvane_membership::state::InstanceState;
 use damaskvane_membership::view;
@@ -11,21 +11,21 @@
     view::Event::Heartbeat {
         from: id(from),
         incarnation: ids::Incarnation::new(incarnation),
-        heartbeat: beat(sequence),
+        heartbeat: new_heartbeat(sequence),
     }
 }
 
-/// Ticks every 100 ms, as a process does that is not paused.
+/// Ticks every 100 ms, as a process that is not paused does.
 fn tick_until(membership: &mut view::Membership, from_ms: u64, to_ms: u64) {
     for now_ms in (from_ms..=to_ms).step_by(100) {
         membership.handle(at(now_ms), view::Event::Tick);
     }
 }
 
-/// An instance dies without a word. Look-ups must stop naming it after seconds, not before: a single
-/// lost heartbeat is no death, and clients would be sent away from a healthy instance.
+/// Guards against lookups that still name an instance long after its last heartbeat, and against lookups that
+/// drop a healthy instance after a single lost heartbeat.
 #[test]
-fn silence_makes_suspect_then_dead() {
+fn missing_heartbeats_make_an_instance_suspect_then_dead() {
     let cases = [
         (900, InstanceState::Live),
         (1_000, InstanceState::Suspect),
@@ -41,11 +41,11 @@
     }
 }
 
-/// A process is stopped for a minute by its machine and then goes on. All its neighbours have been
-/// silent by its clock. If it believed that, it would answer every look-up with itself alone, and all
-/// clients of the zone would come to it.
+/// Guards against a process that declares its neighbours dead after its machine paused it for a minute, since by
+/// its clock they sent no heartbeat. Every lookup response would name only that process, and all clients of the
+/// zone would use it.
 #[test]
-fn a_process_that_was_paused_does_not_judge_the_others() {
+fn a_resumed_process_does_not_declare_others_dead() {
     let mut a = member("z-a-1", 1);
     a.handle(at(0), list(&[record("z-a-1", 1), record("z-a-2", 1)]));
     a.handle(at(0), heartbeat("z-a-2", 1, 1));
@@ -56,13 +56,13 @@
     assert_eq!(state_of(&a, "z-a-2"), Some(InstanceState::Dead));
 }
 
-/// A restarted instance sends while heartbeats of its earlier start are still on their way. The earlier
-/// ones must count for nothing: they say *leaving*, and clients would lose a fresh instance.
+/// Guards against a restarted instance that is shown as leaving, and so lost to clients, by heartbeats of its
+/// earlier incarnation that are still in flight.
 #[test]
-fn a_later_incarnation_voids_the_earlier() {
+fn a_later_incarnation_replaces_the_earlier() {
     let mut a = member("z-a-1", 1);
     a.handle(at(0), list(&[record("z-a-1", 1), record("z-a-2", 1)]));
-    let mut last = beat(9);
+    let mut last = new_heartbeat(9);
     last.leaving = true;
     let leaving = view::Event::Heartbeat {
         from: id("z-a-2"),
@@ -75,16 +75,16 @@
     a.handle(at(30), leaving);
     assert_eq!(state_of(&a, "z-a-2"), Some(InstanceState::Live));
     assert_eq!(a.counters().old_incarnation, 1);
-    // The list lags and still names the earlier start.
+    // The list lags and still names the earlier incarnation.
     a.handle(at(40), list(&[record("z-a-1", 1), record("z-a-2", 1)]));
     let incarnations: Vec<u64> = a.instances().map(|view| view.incarnation.get()).collect();
     assert_eq!(incarnations, [2]);
 }
 
-/// The list drops an instance by mistake while it runs. As long as it is heard it stays, but not for
-/// ever; and one that was never listed is not believed at all.
+/// Guards against the loss of a running instance that the list drops by mistake. Its heartbeats keep it, but not
+/// for ever; heartbeats of an instance that was never listed are ignored.
 #[test]
-fn heartbeats_outweigh_the_list_for_a_while() {
+fn heartbeats_keep_an_unlisted_instance_for_a_bounded_time() {
     let mut a = member("z-a-1", 1);
     a.handle(at(0), list(&[record("z-a-1", 1), record("z-a-2", 1)]));
     a.handle(at(0), heartbeat("z-a-9", 1, 1));
@@ -94,17 +94,17 @@
         a.handle(at(round * 100), heartbeat("z-a-2", 1, round));
         a.handle(at(round * 100), view::Event::Tick);
     }
-    // Nobody is dropped by a list that was read long ago.
+    // A list that was read long ago drops no instance.
     assert_eq!(state_of(&a, "z-a-2"), Some(InstanceState::Live));
     a.handle(at(70_100), list(&[record("z-a-1", 1)]));
     a.handle(at(70_100), view::Event::Tick);
     assert_eq!(state_of(&a, "z-a-2"), Some(InstanceState::Gone));
 }
 
-/// The list names an instance that died before this one started. It is trusted for a while, as it may
-/// just not have been heard yet, and then no more.
+/// Guards against a listed instance that stays live for ever although it died before this instance started. It
+/// counts as live until a timeout, because its first heartbeat may not have arrived yet.
 #[test]
-fn a_listed_instance_that_is_never_heard_is_trusted_for_a_while() {
+fn a_listed_instance_without_heartbeats_is_live_until_a_timeout() {
     let mut a = member("z-a-1", 1);
     a.handle(at(0), list(&[record("z-a-1", 1), record("z-a-2", 1)]));
     tick_until(&mut a, 0, 4_900);
@@ -113,7 +113,8 @@
     assert_eq!(state_of(&a, "z-a-2"), Some(InstanceState::Dead));
 }
 
-/// Two reads of the list cross, and the older one comes last. It must not bring back who has left.
+/// Guards against an older list that brings back an instance that has left: two reads of the list cross, and the
+/// older one arrives last.
 #[test]
 fn an_older_list_changes_nothing() {
     let mut a = member("z-a-1", 1);
@@ -128,9 +129,9 @@
     assert_eq!(a.counters().old_lists, 1);
 }
 
-/// Heartbeats overtake each other after a new connection was made. The old one must not count.
+/// Guards against an old heartbeat that counts as a new one: heartbeats arrive out of order after a reconnect.
 #[test]
-fn an_overtaken_heartbeat_counts_for_nothing() {
+fn an_out_of_order_heartbeat_is_ignored() {
     let mut a = member("z-a-1", 1);
     a.handle(at(0), list(&[record("z-a-1", 1), record("z-a-2", 1)]));
     a.handle(at(10), heartbeat("z-a-2", 1, 7));
--- a/crates/damaskvane-membership/tests/sizes.rs
+++ b/crates/damaskvane-membership/tests/sizes.rs
@@ -2,14 +2,15 @@
 
 mod common;
 
-use common::{beat, id};
+use common::{id, new_heartbeat};
 use damaskvane_core::ids;
 use damaskvane_peer::envelope;
 
-/// The budget of control is worked out with these sizes. A field that is added must not double them.
+/// Guards against a new field that doubles the size of a heartbeat: the budget of control traffic is computed
+/// from this size.
 #[test]
 fn a_heartbeat_is_small() {
-    let mut heartbeat = beat(100_000);
+    let mut heartbeat = new_heartbeat(100_000);
     heartbeat.echo = Some(100_000);
     let header = envelope::Header::new(id("sask-a-1"), ids::Incarnation::new(1_000));
     let cbor = envelope::encode(&header, &heartbeat).unwrap().len();
