--- a/crates/damaskvane-dispatch/src/admission/priority.rs
+++ b/crates/damaskvane-dispatch/src/admission/priority.rs
@@ -23,7 +23,7 @@
     Low,
 }
 
-/// the priority must be high, normal or low; omit the header for normal
+/// a priority is high, normal or low; leave the header out for normal
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParsePriorityError;
 
--- a/crates/damaskvane-dispatch/src/home/name.rs
+++ b/crates/damaskvane-dispatch/src/home/name.rs
@@ -23,7 +23,7 @@
     pub incarnation: ids::Incarnation,
 }
 
-/// {text:?} is not a home; use instance/incarnation as given in the lookup response
+/// {text:?} is no home; write instance/incarnation as the look-up answered them
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseHomeError {
     text: String,
