--- a/crates/damaskvane-engine/src/engine.rs
+++ b/crates/damaskvane-engine/src/engine.rs
@@ -44,7 +44,7 @@
 use crate::event::{Action, Event, ExchangeNumber, RequestNumber};
 use crate::{directory, message, peer};
 
-type Keys = home::HomeTable<Arc<message::BackendAnswer>>;
+type Keys = home::HomeTable<Arc<message::BackendResponse>>;
 
 /// The request engine of one entry instance.
 #[derive(Debug)]
--- a/crates/damaskvane-engine/src/engine/answers.rs
+++ b/crates/damaskvane-engine/src/engine/answers.rs
@@ -14,7 +14,7 @@
 use crate::event::Action;
 use crate::{message, peer};
 
-type Outcome = outcome::Outcome<Arc<message::BackendAnswer>>;
+type Outcome = outcome::Outcome<Arc<message::BackendResponse>>;
 
 impl Engine {
     /// Ends a request: its key learns the outcome, then everybody who waits for it.
@@ -22,7 +22,7 @@
         &mut self,
         now: time::TimeMs,
         origin: Option<Origin>,
-        answered: exchange::Answered<Arc<message::BackendAnswer>>,
+        answered: exchange::Answered<Arc<message::BackendResponse>>,
     ) {
         let (permit, outcome) = answered.into_parts();
         match permit {
@@ -38,7 +38,7 @@
 
     pub(super) fn answer_waiters(
         &mut self,
-        finish: home::FinishedKey<Arc<message::BackendAnswer>>,
+        finish: home::FinishedKey<Arc<message::BackendResponse>>,
     ) {
         for waiter in finish.waiters {
             let Some(id) = self.waiters.remove(&waiter) else {
--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -201,7 +201,7 @@
         &mut self,
         now: time::TimeMs,
         from: &home::Home,
-        part: home::HandoverPart<Arc<message::BackendAnswer>>,
+        part: home::HandoverPart<Arc<message::BackendResponse>>,
     ) {
         let number = part.part;
         // The home of the keys can be later than the process that sends them: it was renewed since.
@@ -230,7 +230,7 @@
     pub(super) fn amended(
         &mut self,
         now: time::TimeMs,
-        record: home::HandoverRecord<Arc<message::BackendAnswer>>,
+        record: home::HandoverRecord<Arc<message::BackendResponse>>,
     ) {
         if let Some(finish) = self.keys.accept_amendment(now, record) {
             self.answer_waiters(finish);
--- a/crates/damaskvane-engine/src/event/action.rs
+++ b/crates/damaskvane-engine/src/event/action.rs
@@ -42,7 +42,7 @@
         /// The request.
         number: number::RequestNumber,
         /// The answer.
-        outcome: outcome::Outcome<Arc<message::BackendAnswer>>,
+        outcome: outcome::Outcome<Arc<message::BackendResponse>>,
     },
     /// Run an exchange and report its end.
     Start(Exchange),
--- a/crates/damaskvane-engine/src/event/exchange_end.rs
+++ b/crates/damaskvane-engine/src/event/exchange_end.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExchangeEnd {
     /// The backend server's whole answer to this very request.
-    Answered(message::BackendAnswer),
+    Answered(message::BackendResponse),
     /// The backend server refused before running.
     Refused,
     /// The connection could not be opened: nothing was sent.
--- a/crates/damaskvane-engine/src/message.rs
+++ b/crates/damaskvane-engine/src/message.rs
@@ -11,6 +11,6 @@
 mod header;
 mod request;
 
-pub use answer::BackendAnswer;
+pub use answer::BackendResponse;
 pub use header::Header;
 pub use request::{Idempotency, ServiceRequest};
--- a/crates/damaskvane-engine/src/message/answer.rs
+++ b/crates/damaskvane-engine/src/message/answer.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_engine::message;
 //!
-//! let answer = message::BackendAnswer { status: 200, headers: Vec::new(), body: b"ok".to_vec() };
+//! let answer = message::BackendResponse { status: 200, headers: Vec::new(), body: b"ok".to_vec() };
 //! assert_eq!(answer.len(), 2);
 //! ```
 
@@ -14,7 +14,7 @@
 
 /// An answer whose length was checked; a cut one never becomes a value of this type.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BackendAnswer {
+pub struct BackendResponse {
     /// The HTTP status.
     pub status: u16,
     /// The headers that are passed on.
@@ -24,7 +24,7 @@
     pub body: Vec<u8>,
 }
 
-impl BackendAnswer {
+impl BackendResponse {
     /// How many bytes it occupies.
     #[must_use]
     pub fn len(&self) -> usize {
@@ -43,7 +43,7 @@
     }
 }
 
-impl home::ResponseSize for BackendAnswer {
+impl home::ResponseSize for BackendResponse {
     fn size_bytes(&self) -> u64 {
         self.len() as u64
     }
--- a/crates/damaskvane-engine/src/peer/forward.rs
+++ b/crates/damaskvane-engine/src/peer/forward.rs
@@ -37,7 +37,7 @@
     /// The request it answers.
     pub request_id: ids::RequestId,
     /// The answer.
-    pub outcome: outcome::Outcome<Arc<message::BackendAnswer>>,
+    pub outcome: outcome::Outcome<Arc<message::BackendResponse>>,
 }
 
 impl ForwardAnswer {
--- a/crates/damaskvane-engine/src/peer/peer_message.rs
+++ b/crates/damaskvane-engine/src/peer/peer_message.rs
@@ -28,11 +28,11 @@
     /// The home's answer.
     ForwardAnswer(forward::ForwardAnswer),
     /// A part of a leaving instance's table of keys.
-    Handover(Box<home::HandoverPart<Arc<message::BackendAnswer>>>),
+    Handover(Box<home::HandoverPart<Arc<message::BackendResponse>>>),
     /// The successor holds a part.
     HandoverTaken(departure::HandoverTaken),
     /// An outcome that a leaving instance learned after its handover.
-    Amendment(Box<home::HandoverRecord<Arc<message::BackendAnswer>>>),
+    Amendment(Box<home::HandoverRecord<Arc<message::BackendResponse>>>),
     /// A backend server died while it ran these requests.
     Incident(Box<quarantine::Incident>),
     /// A request is suspect no more.
--- a/crates/damaskvane-entry/src/client_api/listener.rs
+++ b/crates/damaskvane-entry/src/client_api/listener.rs
@@ -171,7 +171,7 @@
 async fn run(
     api: &ClientApi,
     request: message::ServiceRequest,
-) -> outcome::Outcome<Arc<message::BackendAnswer>> {
+) -> outcome::Outcome<Arc<message::BackendResponse>> {
     let lost = outcome::Outcome::unknown(refusal::RefusalReason::InternalInvariant);
     let number = api.serving.next_request_number();
     let (sender, receiver) = flume::bounded(1);
--- a/crates/damaskvane-entry/src/client_api/reply.rs
+++ b/crates/damaskvane-entry/src/client_api/reply.rs
@@ -33,7 +33,7 @@
 /// The answer to a request that went through the engine.
 #[must_use]
 pub fn from_outcome(
-    outcome: outcome::Outcome<Arc<message::BackendAnswer>>,
+    outcome: outcome::Outcome<Arc<message::BackendResponse>>,
     request_id: &str,
     config_version: u64,
 ) -> HttpAnswer {
@@ -97,7 +97,7 @@
     answer
 }
 
-fn completed(answer: &message::BackendAnswer) -> HttpAnswer {
+fn completed(answer: &message::BackendResponse) -> HttpAnswer {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::new(Full::new(Bytes::copy_from_slice(&answer.body)));
     *response.status_mut() = status;
--- a/crates/damaskvane-entry/src/exchange.rs
+++ b/crates/damaskvane-entry/src/exchange.rs
@@ -198,7 +198,7 @@
 }
 
 fn answered(status: attohttpc::StatusCode, headers: &HeaderMap, body: Vec<u8>) -> ExchangeEnd {
-    ExchangeEnd::Answered(message::BackendAnswer {
+    ExchangeEnd::Answered(message::BackendResponse {
         status: status.as_u16(),
         headers: passed_on(headers),
         body,
--- a/crates/damaskvane-entry/src/inbox/input.rs
+++ b/crates/damaskvane-entry/src/inbox/input.rs
@@ -14,7 +14,7 @@
 use damaskvane_engine::{event, message};
 
 /// Where a client's handler waits for its answer.
-pub type Reply = flume::Sender<outcome::Outcome<Arc<message::BackendAnswer>>>;
+pub type Reply = flume::Sender<outcome::Outcome<Arc<message::BackendResponse>>>;
 
 /// One message to the engine's thread.
 #[derive(Debug)]
--- a/crates/damaskvane-entry/tests/connections.rs
+++ b/crates/damaskvane-entry/tests/connections.rs
@@ -59,7 +59,7 @@
 }
 
 fn answer(reply: &inbox::Reply, bytes: usize) {
-    let answer = message::BackendAnswer {
+    let answer = message::BackendResponse {
         status: 200,
         headers: Vec::new(),
         body: vec![b'x'; bytes],
--- a/crates/damaskvane-scenario/src/world/clients.rs
+++ b/crates/damaskvane-scenario/src/world/clients.rs
@@ -22,7 +22,7 @@
     /// The answer, and when it came.
     Answered {
         /// The answer.
-        outcome: outcome::Outcome<Arc<message::BackendAnswer>>,
+        outcome: outcome::Outcome<Arc<message::BackendResponse>>,
         /// When it came.
         at: time::TimeMs,
     },
@@ -139,7 +139,7 @@
         &mut self,
         me: &home::Home,
         number: event::RequestNumber,
-        outcome: outcome::Outcome<Arc<message::BackendAnswer>>,
+        outcome: outcome::Outcome<Arc<message::BackendResponse>>,
     ) {
         let entry = self.entries.get_mut(&me.instance);
         let Some(label) = entry.and_then(|entry| entry.clients.remove(&number)) else {
--- a/crates/damaskvane-scenario/src/world/server.rs
+++ b/crates/damaskvane-scenario/src/world/server.rs
@@ -189,7 +189,7 @@
             ServerMode::Swallow | ServerMode::Silent | ServerMode::HangUp => return,
             ServerMode::Cut => event::ExchangeEnd::Cut,
             ServerMode::Cross => event::ExchangeEnd::Crossed,
-            _ => event::ExchangeEnd::Answered(message::BackendAnswer {
+            _ => event::ExchangeEnd::Answered(message::BackendResponse {
                 status: if run.is_cut_short {
                     STATUS_GIVEN_UP
                 } else {
--- a/crates/damaskvane-scenario/src/world/truth.rs
+++ b/crates/damaskvane-scenario/src/world/truth.rs
@@ -100,6 +100,6 @@
     }
 }
 
-const fn is_not_run(outcome: &outcome::Outcome<Arc<message::BackendAnswer>>) -> bool {
+const fn is_not_run(outcome: &outcome::Outcome<Arc<message::BackendResponse>>) -> bool {
     matches!(outcome, outcome::Outcome::NotRun(_))
 }
