--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -54,7 +54,7 @@
             ExchangeEnd::Lost | ExchangeEnd::Cut => self.note_death(now, flight),
             ExchangeEnd::Refused
             | ExchangeEnd::NotSent
-            | ExchangeEnd::Silent
+            | ExchangeEnd::Timeout
             | ExchangeEnd::Crossed => self.crashes.list.release(flight.fingerprint),
         }
     }
--- a/crates/damaskvane-engine/src/engine/ended.rs
+++ b/crates/damaskvane-engine/src/engine/ended.rs
@@ -45,7 +45,7 @@
             ExchangeEnd::Refused => flight.sent.failed(retry::RetryReason::BackendRefused),
             ExchangeEnd::NotSent => flight.sent.failed(retry::RetryReason::ConnectFailed),
             ExchangeEnd::Lost => flight.sent.failed(retry::RetryReason::ConnectionLost),
-            ExchangeEnd::Silent => flight.sent.failed(retry::RetryReason::SilentConnection),
+            ExchangeEnd::Timeout => flight.sent.failed(retry::RetryReason::SilentConnection),
             ExchangeEnd::Cut => flight.sent.failed(retry::RetryReason::AnswerCut),
             ExchangeEnd::Crossed => flight.sent.failed(retry::RetryReason::AnswerCrossed),
         };
--- a/crates/damaskvane-engine/src/engine/servers/judgement.rs
+++ b/crates/damaskvane-engine/src/engine/servers/judgement.rs
@@ -27,7 +27,7 @@
         ExchangeEnd::Lost | ExchangeEnd::Cut => connection::Failure::Closed {
             on_new_connection: true,
         },
-        ExchangeEnd::Silent => connection::Failure::Timeout {
+        ExchangeEnd::Timeout => connection::Failure::Timeout {
             on_new_connection: true,
         },
         ExchangeEnd::Crossed => connection::Failure::MismatchedResponse,
--- a/crates/damaskvane-engine/src/event/exchange_end.rs
+++ b/crates/damaskvane-engine/src/event/exchange_end.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_engine::event;
 //!
 //! assert!(event::ExchangeEnd::Refused.proves_not_run());
-//! assert!(!event::ExchangeEnd::Silent.proves_not_run());
+//! assert!(!event::ExchangeEnd::Timeout.proves_not_run());
 //! ```
 
 use crate::message;
@@ -21,7 +21,7 @@
     /// The connection was lost after the request may have been read.
     Lost,
     /// Nothing was heard until the time for this exchange had passed.
-    Silent,
+    Timeout,
     /// The answer ended before its length, or was longer than allowed.
     Cut,
     /// The answer names another request.
--- a/crates/damaskvane-entry/src/exchange.rs
+++ b/crates/damaskvane-entry/src/exchange.rs
@@ -89,7 +89,7 @@
         ExchangeEnd::Refused => "refused",
         ExchangeEnd::NotSent => "not_sent",
         ExchangeEnd::Lost => "lost",
-        ExchangeEnd::Silent => "silent",
+        ExchangeEnd::Timeout => "silent",
         ExchangeEnd::Cut => "cut",
         ExchangeEnd::Crossed => "crossed",
     }
@@ -158,7 +158,7 @@
         | io::ErrorKind::HostUnreachable
         | io::ErrorKind::NetworkUnreachable
         | io::ErrorKind::AddrNotAvailable => ExchangeEnd::NotSent,
-        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => ExchangeEnd::Silent,
+        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => ExchangeEnd::Timeout,
         _ => ExchangeEnd::Lost,
     }
 }
@@ -184,7 +184,7 @@
     let most = limits.answer_limit_bytes as u64 + 1;
     if let Err(error) = reader.take(most).read_to_end(&mut body) {
         return match io_failure(&error) {
-            ExchangeEnd::Silent => ExchangeEnd::Silent,
+            ExchangeEnd::Timeout => ExchangeEnd::Timeout,
             _ => ExchangeEnd::Cut,
         };
     }
--- a/crates/damaskvane-entry/tests/exchange.rs
+++ b/crates/damaskvane-entry/tests/exchange.rs
@@ -173,10 +173,10 @@
 #[test]
 fn a_silent_server_is_given_up_at_the_deadline() {
     for (said, expected) in [
-        (String::new(), ExchangeEnd::Silent),
+        (String::new(), ExchangeEnd::Timeout),
         (
             format!("{HEAD}content-length: 5\r\n\r\nwh"),
-            ExchangeEnd::Silent,
+            ExchangeEnd::Timeout,
         ),
     ] {
         let listener = loopback();
--- a/crates/damaskvane-scenario/src/world/exchanges.rs
+++ b/crates/damaskvane-scenario/src/world/exchanges.rs
@@ -42,7 +42,7 @@
         let wait = time::SpanMs::new(exchange.deadline.get() + LATE_ANSWER_MS);
         let silent = event::Event::ExchangeEnded {
             exchange: number,
-            end: event::ExchangeEnd::Silent,
+            end: event::ExchangeEnd::Timeout,
         };
         self.send_to_start(&me, wait, Input::Engine(Box::new(silent)));
         let arrive = Delivery::Arrive {
