--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -55,7 +55,7 @@
             ExchangeEnd::Refused
             | ExchangeEnd::NotSent
             | ExchangeEnd::Timeout
-            | ExchangeEnd::Crossed => self.crashes.list.release(flight.fingerprint),
+            | ExchangeEnd::MismatchedResponse => self.crashes.list.release(flight.fingerprint),
         }
     }
 
--- a/crates/damaskvane-engine/src/engine/ended.rs
+++ b/crates/damaskvane-engine/src/engine/ended.rs
@@ -47,7 +47,9 @@
             ExchangeEnd::Lost => flight.sent.failed(retry::RetryReason::ConnectionLost),
             ExchangeEnd::Timeout => flight.sent.failed(retry::RetryReason::SilentConnection),
             ExchangeEnd::Cut => flight.sent.failed(retry::RetryReason::AnswerCut),
-            ExchangeEnd::Crossed => flight.sent.failed(retry::RetryReason::AnswerCrossed),
+            ExchangeEnd::MismatchedResponse => {
+                flight.sent.failed(retry::RetryReason::AnswerCrossed)
+            }
         };
         match progress {
             exchange::Progress::Answered(answered) => {
--- a/crates/damaskvane-engine/src/engine/servers/judgement.rs
+++ b/crates/damaskvane-engine/src/engine/servers/judgement.rs
@@ -30,7 +30,7 @@
         ExchangeEnd::Timeout => connection::Failure::Timeout {
             on_new_connection: true,
         },
-        ExchangeEnd::Crossed => connection::Failure::MismatchedResponse,
+        ExchangeEnd::MismatchedResponse => connection::Failure::MismatchedResponse,
     };
     let finish = if end.proves_not_run() {
         exchange::Finish::Ended
--- a/crates/damaskvane-engine/src/event/exchange_end.rs
+++ b/crates/damaskvane-engine/src/event/exchange_end.rs
@@ -25,7 +25,7 @@
     /// The answer ended before its length, or was longer than allowed.
     Cut,
     /// The answer names another request.
-    Crossed,
+    MismatchedResponse,
 }
 
 impl ExchangeEnd {
--- a/crates/damaskvane-entry/src/exchange.rs
+++ b/crates/damaskvane-entry/src/exchange.rs
@@ -91,7 +91,7 @@
         ExchangeEnd::Lost => "lost",
         ExchangeEnd::Timeout => "silent",
         ExchangeEnd::Cut => "cut",
-        ExchangeEnd::Crossed => "crossed",
+        ExchangeEnd::MismatchedResponse => "crossed",
     }
 }
 
@@ -170,7 +170,7 @@
 ) -> ExchangeEnd {
     let (status, headers, reader) = response.split();
     if !names_only(&headers, request.request_id.as_str()) {
-        return ExchangeEnd::Crossed;
+        return ExchangeEnd::MismatchedResponse;
     }
     if status.as_u16() == STATUS_UNAVAILABLE && text(&headers, header::NOT_RUN) == Some("true") {
         return ExchangeEnd::Refused;
--- a/crates/damaskvane-entry/tests/exchange.rs
+++ b/crates/damaskvane-entry/tests/exchange.rs
@@ -99,10 +99,18 @@
     let refused = "HTTP/1.1 503 Busy\r\ndamaskvane-request-id: r-1\r\ndamaskvane-not-run: true\r\ncontent-length: 0\r\n\r\n";
     let crossed_refusal = refused.replace("r-1", "r-2");
     let cases = [
-        ("crossed", crossed, ExchangeEnd::Crossed),
-        ("without a name", nameless, ExchangeEnd::Crossed),
-        ("with two names", &two_names, ExchangeEnd::Crossed),
-        ("after an interim answer", &early, ExchangeEnd::Crossed),
+        ("crossed", crossed, ExchangeEnd::MismatchedResponse),
+        ("without a name", nameless, ExchangeEnd::MismatchedResponse),
+        (
+            "with two names",
+            &two_names,
+            ExchangeEnd::MismatchedResponse,
+        ),
+        (
+            "after an interim answer",
+            &early,
+            ExchangeEnd::MismatchedResponse,
+        ),
         ("without a length", &no_length, ExchangeEnd::Cut),
         ("with two lengths", &two_lengths, ExchangeEnd::Cut),
         ("in another coding", &other_coding, ExchangeEnd::Cut),
@@ -116,7 +124,7 @@
         (
             "a refusal of another request",
             &crossed_refusal,
-            ExchangeEnd::Crossed,
+            ExchangeEnd::MismatchedResponse,
         ),
     ];
     for (name, answer, expected) in cases {
--- a/crates/damaskvane-scenario/src/world/server.rs
+++ b/crates/damaskvane-scenario/src/world/server.rs
@@ -188,7 +188,7 @@
         let end = match mode {
             ServerMode::Swallow | ServerMode::Silent | ServerMode::HangUp => return,
             ServerMode::Cut => event::ExchangeEnd::Cut,
-            ServerMode::Cross => event::ExchangeEnd::Crossed,
+            ServerMode::Cross => event::ExchangeEnd::MismatchedResponse,
             _ => event::ExchangeEnd::Answered(message::BackendResponse {
                 status: if run.is_cut_short {
                     STATUS_GIVEN_UP
