--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -51,7 +51,7 @@
                     self.tell_region(&peer::PeerMessage::Cleared(flight.fingerprint));
                 }
             }
-            ExchangeEnd::Lost | ExchangeEnd::Cut => self.note_death(now, flight),
+            ExchangeEnd::Lost | ExchangeEnd::TruncatedResponse => self.note_death(now, flight),
             ExchangeEnd::Refused
             | ExchangeEnd::NotSent
             | ExchangeEnd::Timeout
--- a/crates/damaskvane-engine/src/engine/ended.rs
+++ b/crates/damaskvane-engine/src/engine/ended.rs
@@ -46,7 +46,7 @@
             ExchangeEnd::NotSent => flight.sent.failed(retry::RetryReason::ConnectFailed),
             ExchangeEnd::Lost => flight.sent.failed(retry::RetryReason::ConnectionLost),
             ExchangeEnd::Timeout => flight.sent.failed(retry::RetryReason::SilentConnection),
-            ExchangeEnd::Cut => flight.sent.failed(retry::RetryReason::AnswerCut),
+            ExchangeEnd::TruncatedResponse => flight.sent.failed(retry::RetryReason::AnswerCut),
             ExchangeEnd::MismatchedResponse => {
                 flight.sent.failed(retry::RetryReason::AnswerCrossed)
             }
--- a/crates/damaskvane-engine/src/engine/servers/judgement.rs
+++ b/crates/damaskvane-engine/src/engine/servers/judgement.rs
@@ -24,7 +24,7 @@
         }
         ExchangeEnd::Refused => connection::Failure::Shed,
         ExchangeEnd::NotSent => connection::Failure::Refused,
-        ExchangeEnd::Lost | ExchangeEnd::Cut => connection::Failure::Closed {
+        ExchangeEnd::Lost | ExchangeEnd::TruncatedResponse => connection::Failure::Closed {
             on_new_connection: true,
         },
         ExchangeEnd::Timeout => connection::Failure::Timeout {
--- a/crates/damaskvane-engine/src/event/exchange_end.rs
+++ b/crates/damaskvane-engine/src/event/exchange_end.rs
@@ -23,7 +23,7 @@
     /// Nothing was heard until the time for this exchange had passed.
     Timeout,
     /// The answer ended before its length, or was longer than allowed.
-    Cut,
+    TruncatedResponse,
     /// The answer names another request.
     MismatchedResponse,
 }
--- a/crates/damaskvane-entry/src/exchange.rs
+++ b/crates/damaskvane-entry/src/exchange.rs
@@ -90,7 +90,7 @@
         ExchangeEnd::NotSent => "not_sent",
         ExchangeEnd::Lost => "lost",
         ExchangeEnd::Timeout => "silent",
-        ExchangeEnd::Cut => "cut",
+        ExchangeEnd::TruncatedResponse => "cut",
         ExchangeEnd::MismatchedResponse => "crossed",
     }
 }
@@ -146,7 +146,7 @@
         | attohttpc::ErrorKind::InvalidBaseUrl
         | attohttpc::ErrorKind::InvalidUrlHost
         | attohttpc::ErrorKind::InvalidUrlPort => ExchangeEnd::NotSent,
-        attohttpc::ErrorKind::InvalidResponse(_) => ExchangeEnd::Cut,
+        attohttpc::ErrorKind::InvalidResponse(_) => ExchangeEnd::TruncatedResponse,
         _ => ExchangeEnd::Lost,
     }
 }
@@ -185,16 +185,16 @@
     if let Err(error) = reader.take(most).read_to_end(&mut body) {
         return match io_failure(&error) {
             ExchangeEnd::Timeout => ExchangeEnd::Timeout,
-            _ => ExchangeEnd::Cut,
+            _ => ExchangeEnd::TruncatedResponse,
         };
     }
     if body.len() > limits.answer_limit_bytes {
-        return ExchangeEnd::Cut;
+        return ExchangeEnd::TruncatedResponse;
     }
     if is_whole_at_end || content_length(&headers) == Some(body.len()) {
         return answered(status, &headers, body);
     }
-    ExchangeEnd::Cut
+    ExchangeEnd::TruncatedResponse
 }
 
 fn answered(status: attohttpc::StatusCode, headers: &HeaderMap, body: Vec<u8>) -> ExchangeEnd {
--- a/crates/damaskvane-entry/src/exchange_pool.rs
+++ b/crates/damaskvane-entry/src/exchange_pool.rs
@@ -156,7 +156,7 @@
         logging::field::OUTCOME => exchange::word(end),
     );
     match end {
-        event::ExchangeEnd::Cut | event::ExchangeEnd::MismatchedResponse => {
+        event::ExchangeEnd::TruncatedResponse | event::ExchangeEnd::MismatchedResponse => {
             warn!(logger, "an answer was not the whole answer to its request"; fields);
         }
         _ => debug!(logger, "exchange ended"; fields),
--- a/crates/damaskvane-entry/tests/exchange.rs
+++ b/crates/damaskvane-entry/tests/exchange.rs
@@ -78,7 +78,7 @@
     let whole = format!("{HEAD}content-length: 5\r\n\r\nwhole");
     for length in 0..whole.len() {
         let end = end_after("GET", &whole[..length]);
-        let is_cut = matches!(end, ExchangeEnd::Lost | ExchangeEnd::Cut);
+        let is_cut = matches!(end, ExchangeEnd::Lost | ExchangeEnd::TruncatedResponse);
         assert!(is_cut, "cut after {length} bytes: {end:?}");
     }
     assert_eq!(body(&end_after("GET", &whole)), Some(&b"whole"[..]));
@@ -111,14 +111,26 @@
             &early,
             ExchangeEnd::MismatchedResponse,
         ),
-        ("without a length", &no_length, ExchangeEnd::Cut),
-        ("with two lengths", &two_lengths, ExchangeEnd::Cut),
-        ("in another coding", &other_coding, ExchangeEnd::Cut),
-        ("too long", &too_long, ExchangeEnd::Cut),
+        (
+            "without a length",
+            &no_length,
+            ExchangeEnd::TruncatedResponse,
+        ),
+        (
+            "with two lengths",
+            &two_lengths,
+            ExchangeEnd::TruncatedResponse,
+        ),
+        (
+            "in another coding",
+            &other_coding,
+            ExchangeEnd::TruncatedResponse,
+        ),
+        ("too long", &too_long, ExchangeEnd::TruncatedResponse),
         (
             "no HTTP",
             "220 mail.example ESMTP\r\n\r\n",
-            ExchangeEnd::Cut,
+            ExchangeEnd::TruncatedResponse,
         ),
         ("refused", refused, ExchangeEnd::Refused),
         (
@@ -143,7 +155,11 @@
     let head = whole.find("\r\n\r\n").expect("a head") + 4;
     for length in head..whole.len() - 2 {
         let end = end_after("GET", &whole[..length]);
-        assert_eq!(end, ExchangeEnd::Cut, "cut after {length} bytes");
+        assert_eq!(
+            end,
+            ExchangeEnd::TruncatedResponse,
+            "cut after {length} bytes"
+        );
     }
 }
 
--- a/crates/damaskvane-scenario/src/world/server.rs
+++ b/crates/damaskvane-scenario/src/world/server.rs
@@ -187,7 +187,7 @@
     fn answer_run(&mut self, mode: ServerMode, run: &Run) {
         let end = match mode {
             ServerMode::Swallow | ServerMode::Silent | ServerMode::HangUp => return,
-            ServerMode::Cut => event::ExchangeEnd::Cut,
+            ServerMode::Cut => event::ExchangeEnd::TruncatedResponse,
             ServerMode::Cross => event::ExchangeEnd::MismatchedResponse,
             _ => event::ExchangeEnd::Answered(message::BackendResponse {
                 status: if run.is_cut_short {
