--- a/crates/damaskvane-engine/src/engine.rs
+++ b/crates/damaskvane-engine/src/engine.rs
@@ -161,7 +161,7 @@
             Event::Submit { number, request } => {
                 self.submit(now, pending::Origin::Client(number), *request, 0);
             }
-            Event::ClientGone { number } => self.client_gone(now, number),
+            Event::ClientDisconnected { number } => self.client_gone(now, number),
             Event::ExchangeEnded { exchange, end } => self.ended(now, exchange, end),
             Event::Peer { from, message } => self.peer(now, &from, *message),
             Event::Directory(directory) => {
--- a/crates/damaskvane-engine/src/event/input.rs
+++ b/crates/damaskvane-engine/src/event/input.rs
@@ -3,8 +3,8 @@
 //! ```
 //! use damaskvane_engine::event;
 //!
-//! let event = event::Event::ClientGone { number: event::RequestNumber::new(7) };
-//! assert!(format!("{event:?}").contains("ClientGone"));
+//! let event = event::Event::ClientDisconnected { number: event::RequestNumber::new(7) };
+//! assert!(format!("{event:?}").contains("ClientDisconnected"));
 //! ```
 
 use std::sync::Arc;
@@ -27,7 +27,7 @@
         request: Box<message::ServiceRequest>,
     },
     /// The client closed its connection before the answer.
-    ClientGone {
+    ClientDisconnected {
         /// The request it waited for.
         number: number::RequestNumber,
     },
--- a/crates/damaskvane-entry/src/engine_thread.rs
+++ b/crates/damaskvane-entry/src/engine_thread.rs
@@ -169,7 +169,7 @@
                 event::Event::Submit { number, request }
             }
             inbox::Input::Event(event) => {
-                if let event::Event::ClientGone { number } = &event {
+                if let event::Event::ClientDisconnected { number } = &event {
                     self.replies.remove(number);
                 }
                 event
--- a/crates/damaskvane-entry/src/inbox.rs
+++ b/crates/damaskvane-entry/src/inbox.rs
@@ -6,7 +6,7 @@
 //!
 //! let (sender, receiver) = flume::unbounded();
 //! drop(inbox::ClientGuard::new(sender, inbox::RequestNumber::new(7)));
-//! assert!(matches!(receiver.recv(), Ok(inbox::Input::Event(event::Event::ClientGone { .. }))));
+//! assert!(matches!(receiver.recv(), Ok(inbox::Input::Event(event::Event::ClientDisconnected { .. }))));
 //! ```
 
 mod client_guard;
--- a/crates/damaskvane-entry/src/inbox/client_guard.rs
+++ b/crates/damaskvane-entry/src/inbox/client_guard.rs
@@ -38,7 +38,7 @@
 impl Drop for ClientGuard {
     fn drop(&mut self) {
         if let Some(inbox) = self.inbox.take() {
-            let _ = inbox.send(input::Input::Event(event::Event::ClientGone {
+            let _ = inbox.send(input::Input::Event(event::Event::ClientDisconnected {
                 number: self.number,
             }));
         }
--- a/crates/damaskvane-entry/tests/connections.rs
+++ b/crates/damaskvane-entry/tests/connections.rs
@@ -123,7 +123,7 @@
             .recv_timeout(common::WAIT)
             .expect("a message")
         {
-            inbox::Input::Event(event::Event::ClientGone { number }) => {
+            inbox::Input::Event(event::Event::ClientDisconnected { number }) => {
                 assert_eq!(number, submitted);
             }
             other => panic!("{other:?}"),
--- a/crates/damaskvane-scenario/src/world/clients.rs
+++ b/crates/damaskvane-scenario/src/world/clients.rs
@@ -174,7 +174,7 @@
         let Some((incarnation, number)) = sent.taken_as else {
             return;
         };
-        let gone = event::Event::ClientGone { number };
+        let gone = event::Event::ClientDisconnected { number };
         let start = home::Home::new(via, incarnation);
         let input = Input::Engine(Box::new(gone));
         self.send_to_start(&start, time::SpanMs::ZERO, input);
