--- a/crates/damaskvane-engine/src/engine/answers.rs
+++ b/crates/damaskvane-engine/src/engine/answers.rs
@@ -58,7 +58,7 @@
             None => {}
             Some(Origin::Client(number)) => {
                 self.clients.remove(&number);
-                self.actions.push(Action::Answer { number, outcome });
+                self.actions.push(Action::Respond { number, outcome });
             }
             Some(Origin::Peer {
                 asker,
--- a/crates/damaskvane-engine/src/event/action.rs
+++ b/crates/damaskvane-engine/src/event/action.rs
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub enum Action {
     /// Give a client its final answer.
-    Answer {
+    Respond {
         /// The request.
         number: number::RequestNumber,
         /// The answer.
--- a/crates/damaskvane-entry/src/engine_thread.rs
+++ b/crates/damaskvane-entry/src/engine_thread.rs
@@ -192,7 +192,7 @@
 
     fn carry_out(&mut self, action: event::Action) {
         match action {
-            event::Action::Answer { number, outcome } => {
+            event::Action::Respond { number, outcome } => {
                 if let Some(reply) = self.replies.remove(&number) {
                     let _ = reply.send(outcome);
                 }
--- a/crates/damaskvane-scenario/src/world/entry.rs
+++ b/crates/damaskvane-scenario/src/world/entry.rs
@@ -118,7 +118,7 @@
 
     fn carry_out(&mut self, me: &home::Home, action: event::Action) {
         match action {
-            event::Action::Answer { number, outcome } => self.answered(me, number, outcome),
+            event::Action::Respond { number, outcome } => self.answered(me, number, outcome),
             event::Action::Start(exchange) => self.start_exchange(me, exchange),
             event::Action::Cancel {
                 address,
