--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -90,7 +90,7 @@
         self.crashes.list.record_incident(now, &incident);
         self.actions.push(Action::Count {
             family: "crashes",
-            word: "incident",
+            label: "incident",
         });
         self.tell_region(&peer::PeerMessage::Incident(Box::new(incident)));
     }
--- a/crates/damaskvane-engine/src/engine/renewal.rs
+++ b/crates/damaskvane-engine/src/engine/renewal.rs
@@ -30,7 +30,7 @@
         self.keys.renew(next);
         self.actions.push(Action::Count {
             family: "keys",
-            word: "renewed",
+            label: "renewed",
         });
         let home = self.keys.home().clone();
         self.actions.push(Action::HomeRenewed { home });
--- a/crates/damaskvane-engine/src/event/action.rs
+++ b/crates/damaskvane-engine/src/event/action.rs
@@ -75,7 +75,7 @@
         /// The counter's family.
         family: &'static str,
         /// The counter's word.
-        word: &'static str,
+        label: &'static str,
     },
     /// An invariant was broken and the unsafe action refused.
     Broken {
--- a/crates/damaskvane-entry/src/engine_thread.rs
+++ b/crates/damaskvane-entry/src/engine_thread.rs
@@ -217,7 +217,9 @@
             event::Action::CountRetry(reason) => {
                 self.serving.counters.increment("retried", reason.as_str());
             }
-            event::Action::Count { family, word } => self.serving.counters.increment(family, word),
+            event::Action::Count { family, label } => {
+                self.serving.counters.increment(family, label)
+            }
             event::Action::Broken { invariant } => {
                 self.serving
                     .counters
