--- a/crates/damaskvane-engine/src/directory.rs
+++ b/crates/damaskvane-engine/src/directory.rs
@@ -30,7 +30,7 @@
     /// The region of this instance.
     pub own_region: Option<ids::RegionId>,
     /// The longest time for which clients keep a look-up answer.
-    pub answer_ttl: time::SpanMs,
+    pub lookup_ttl: time::SpanMs,
     /// Every declared service.
     pub services: BTreeMap<ids::ServiceId, Service>,
     /// The backend servers of the own availability zone.
--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -77,7 +77,7 @@
             // Until the last instance has heard of it, look-ups still name this one; what they answer
             // is kept for one TTL. A client that came later would find another incarnation or nothing.
             let settings = shutdown::ShutdownSettings {
-                lookup_ttl_ms: self.directory.answer_ttl.get(),
+                lookup_ttl_ms: self.directory.lookup_ttl.get(),
                 ..self.settings.shutdown
             };
             self.departure = Departure::Leaving(serving.leave(now, settings));
--- a/crates/damaskvane-entry/src/translate/directory.rs
+++ b/crates/damaskvane-entry/src/translate/directory.rs
@@ -36,7 +36,7 @@
             .availability_zones()
             .get(zone)
             .map(|zone| zone.region.clone()),
-        answer_ttl: config
+        lookup_ttl: config
             .services()
             .values()
             .map(|service| service.lookup_ttl_ms)
--- a/crates/damaskvane-scenario/src/world/control.rs
+++ b/crates/damaskvane-scenario/src/world/control.rs
@@ -184,7 +184,7 @@
             version: entry.config.version,
             own_region: Some(region_of(&zone)),
             own_zone: Some(zone),
-            answer_ttl: LOOKUP_TTL,
+            lookup_ttl: LOOKUP_TTL,
             services: entry.config.services.clone(),
             backend_servers,
             instances: entry
