--- a/crates/damaskvane-engine/src/directory/service.rs
+++ b/crates/damaskvane-engine/src/directory/service.rs
@@ -14,7 +14,7 @@
     /// The longest a request may take.
     pub request_timeout: time::SpanMs,
     /// How long a request usually runs on a backend server.
-    pub typical_request: time::SpanMs,
+    pub typical_duration: time::SpanMs,
     /// The most requests that wait on one instance.
     pub queue_limit: u32,
     /// Retries as a share of first tries.
@@ -25,7 +25,7 @@
     fn default() -> Self {
         Self {
             request_timeout: time::SpanMs::new(2_000),
-            typical_request: time::SpanMs::new(50),
+            typical_duration: time::SpanMs::new(50),
             queue_limit: 64,
             retry_budget: units::Permille::new(100),
         }
--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -265,7 +265,7 @@
         self.directory
             .services
             .get(service)
-            .map_or(time::SpanMs::ZERO, |service| service.typical_request)
+            .map_or(time::SpanMs::ZERO, |service| service.typical_duration)
     }
 
     /// Among servers that are equally free the one that was left alone for longest is next: all caches
--- a/crates/damaskvane-engine/src/engine/submit.rs
+++ b/crates/damaskvane-engine/src/engine/submit.rs
@@ -138,7 +138,7 @@
     ) -> time::SpanMs {
         let slots = u64::from(self.servers.capacity(now, service).get());
         let rounds = (waiting as u64).div_ceil(slots.max(1));
-        time::SpanMs::new(rounds * settings.typical_request.get())
+        time::SpanMs::new(rounds * settings.typical_duration.get())
     }
 
     pub(super) fn insert(
--- a/crates/damaskvane-entry/src/translate/directory.rs
+++ b/crates/damaskvane-entry/src/translate/directory.rs
@@ -65,7 +65,7 @@
 fn engine_service(service: &declaration::Service) -> directory::Service {
     directory::Service {
         request_timeout: service.request_timeout_ms,
-        typical_request: service.typical_request_ms,
+        typical_duration: service.typical_request_ms,
         queue_limit: service.queue_limit,
         retry_budget: service.retry_budget_permille,
     }
--- a/crates/damaskvane-scenario/src/world/control.rs
+++ b/crates/damaskvane-scenario/src/world/control.rs
@@ -57,7 +57,7 @@
             } => {
                 let declared = directory::Service {
                     request_timeout: timeout,
-                    typical_request: time,
+                    typical_duration: time,
                     queue_limit: queue,
                     ..directory::Service::default()
                 };
@@ -89,7 +89,7 @@
             .config
             .services
             .get(&service)
-            .map_or(time::SpanMs::new(50), |service| service.typical_request);
+            .map_or(time::SpanMs::new(50), |service| service.typical_duration);
         let declared = directory::BackendServer {
             slots,
             connections: CONNECTIONS,
