--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -63,7 +63,7 @@
 
     /// How far a planned stop is, for operators.
     #[must_use]
-    pub fn departure(&self, now: time::TimeMs) -> Option<shutdown::Progress> {
+    pub fn shutdown_progress(&self, now: time::TimeMs) -> Option<shutdown::Progress> {
         let running = self.flights.len();
         match &self.departure {
             Departure::Serving(_) | Departure::Stopped(_) => None,
--- a/crates/damaskvane-entry/src/engine_thread.rs
+++ b/crates/damaskvane-entry/src/engine_thread.rs
@@ -155,7 +155,7 @@
         self.status
             .publish("slot_refusals", json!(self.engine.slot_refusals()));
         self.status
-            .publish("stop", json!(self.engine.departure(now)));
+            .publish("stop", json!(self.engine.shutdown_progress(now)));
     }
 
     fn event(&mut self, input: inbox::Input) -> event::Event {
