--- a/crates/damaskvane-engine/src/engine.rs
+++ b/crates/damaskvane-engine/src/engine.rs
@@ -1,6 +1,6 @@
 //! The engine: admits requests, finds them a slot, follows them to their final answer.
 //!
-//! The way of a request: `submit` looks its key up and queues it, `pump` finds a backend server with a
+//! The way of a request: `submit` looks its key up and queues it, `launch_waiting` finds a backend server with a
 //! free slot, `ended` takes the end of the exchange and answers or tries again. A non-repeatable
 //! request of another home goes through `forwarding`; a planned stop through `leaving`.
 //!
@@ -8,23 +8,23 @@
 //! use damaskvane_dispatch::home;
 //! use damaskvane_engine::engine;
 //!
-//! let me: home::Home = "e-1/1".parse()?;
-//! let engine = engine::Engine::new(me, engine::EngineSettings::default());
+//! let own_home: home::Home = "e-1/1".parse()?;
+//! let engine = engine::Engine::new(own_home, engine::EngineSettings::default());
 //! assert_eq!(engine.running(), 0);
 //! # Ok::<(), home::ParseHomeError>(())
 //! ```
 
-mod answers;
 mod crashes;
 mod ended;
 mod expiry;
 mod forwarding;
+mod launch;
 mod leaving;
 mod load;
+mod pause;
 mod pending;
-mod pulse;
-mod pump;
 mod renewal;
+mod responses;
 mod servers;
 mod settings;
 mod submit;
@@ -49,7 +49,7 @@
 /// The request engine of one entry instance.
 #[derive(Debug)]
 pub struct Engine {
-    me: home::Home,
+    own_home: home::Home,
     settings: EngineSettings,
     directory: Arc<directory::Directory>,
     keys: Keys,
@@ -58,14 +58,14 @@
     waiters: BTreeMap<home::WaiterId, pending::LocalId>,
     queue: admission::Queue<pending::LocalId>,
     /// Requests that have left the queue and wait for a certain slot: further tries, and suspects.
-    held: Vec<pending::LocalId>,
-    flights: BTreeMap<ExchangeNumber, pending::Flight>,
+    deferred: Vec<pending::LocalId>,
+    active_exchanges: BTreeMap<ExchangeNumber, pending::ActiveExchange>,
     servers: servers::Servers,
     crashes: crashes::Crashes,
     retries: BTreeMap<ids::ServiceId, retry::RetryPolicy>,
-    departure: leaving::Departure,
-    handed_to: Option<home::Home>,
-    pulse: pulse::Pulse,
+    shutdown_state: leaving::ShutdownState,
+    handover_target: Option<home::Home>,
+    pause_detector: pause::PauseDetector,
     rng: Pcg64Mcg,
     next_id: u64,
     load: EngineLoad,
@@ -75,25 +75,25 @@
 impl Engine {
     /// An engine without a configuration.
     #[must_use]
-    pub fn new(me: home::Home, settings: EngineSettings) -> Self {
+    pub fn new(own_home: home::Home, settings: EngineSettings) -> Self {
         Self {
-            keys: home::HomeTable::new(me.clone(), settings.keys.clone()),
-            rng: Pcg64Mcg::seed_from_u64(me.incarnation.get()),
-            servers: servers::Servers::new(&me),
-            me,
+            keys: home::HomeTable::new(own_home.clone(), settings.keys.clone()),
+            rng: Pcg64Mcg::seed_from_u64(own_home.incarnation.get()),
+            servers: servers::Servers::new(&own_home),
+            own_home,
 
             directory: Arc::default(),
             requests: BTreeMap::new(),
             clients: BTreeMap::new(),
             waiters: BTreeMap::new(),
             queue: admission::Queue::new(settings.queue.clone()),
-            held: Vec::new(),
-            flights: BTreeMap::new(),
+            deferred: Vec::new(),
+            active_exchanges: BTreeMap::new(),
             crashes: crashes::Crashes::new(settings.quarantine.clone()),
             retries: BTreeMap::new(),
-            departure: leaving::Departure::default(),
-            handed_to: None,
-            pulse: pulse::Pulse::default(),
+            shutdown_state: leaving::ShutdownState::default(),
+            handover_target: None,
+            pause_detector: pause::PauseDetector::default(),
             next_id: 1,
             load: EngineLoad::default(),
             actions: Vec::new(),
@@ -104,19 +104,19 @@
     /// How many exchanges run.
     #[must_use]
     pub fn running(&self) -> usize {
-        self.flights.len()
+        self.active_exchanges.len()
     }
 
     /// Whether no request is under way in any form.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.requests.is_empty() && self.flights.is_empty()
+        self.requests.is_empty() && self.active_exchanges.is_empty()
     }
 
     /// How many requests wait for a slot.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.queue.len() + self.held.len()
+        self.queue.len() + self.deferred.len()
     }
 
     /// Backend servers that drain or have drained, for operators.
@@ -156,46 +156,55 @@
     /// Takes an event at a point in time and returns what is to be done, in order.
     #[must_use]
     pub fn handle(&mut self, now: time::TimeMs, event: Event) -> Vec<Action> {
-        self.pulse.beat(now);
+        self.pause_detector.record_call(now);
         match event {
             Event::Submit { number, request } => {
                 self.submit(now, pending::Origin::Client(number), *request, 0);
             }
-            Event::ClientDisconnected { number } => self.client_gone(now, number),
-            Event::ExchangeEnded { exchange, end } => self.ended(now, exchange, end),
-            Event::Peer { from, message } => self.peer(now, &from, *message),
+            Event::ClientDisconnected { number } => self.handle_client_disconnect(now, number),
+            Event::ExchangeEnded { exchange, end } => self.handle_exchange_end(now, exchange, end),
+            Event::Peer { from, message } => self.handle_peer_message(now, &from, *message),
             Event::Directory(directory) => {
-                self.learn(now, directory);
-                self.give_up_unreachable(now);
+                self.apply_directory(now, directory);
+                self.fail_unreachable_forwards(now);
             }
-            Event::Roster(roster) => self.servers.roster(now, *roster),
+            Event::Roster(roster) => self.servers.apply_roster(now, *roster),
             Event::HealthReported {
                 backend_server,
                 healthy,
-            } => self.servers.reported(now, &backend_server, healthy),
+            } => self
+                .servers
+                .record_health_report(now, &backend_server, healthy),
             Event::ClearQuarantine(fingerprint) => self.clear_by_operator(now, fingerprint),
             Event::Leave => self.leave(now),
             Event::Tick => {
                 self.expire(now);
                 self.renew_keys();
-                self.advance_departure(now);
+                self.advance_shutdown(now);
             }
         }
-        self.pump(now);
+        self.launch_waiting(now);
         core::mem::take(&mut self.actions)
     }
 
-    fn peer(&mut self, now: time::TimeMs, from: &home::Home, message: peer::PeerMessage) {
+    fn handle_peer_message(
+        &mut self,
+        now: time::TimeMs,
+        from: &home::Home,
+        message: peer::PeerMessage,
+    ) {
         match message {
-            peer::PeerMessage::Forward(forward) => self.forwarded_here(now, from, forward),
-            peer::PeerMessage::ForwardAnswer(answer) => self.forward_answered(now, from, answer),
-            peer::PeerMessage::Handover(part) => self.take_over(now, from, *part),
-            peer::PeerMessage::HandoverTaken(taken) => self.handover_taken(from, taken),
-            peer::PeerMessage::Amendment(record) => self.amended(now, *record),
-            peer::PeerMessage::Incident(incident) => self.incident_told(now, &incident),
-            peer::PeerMessage::Cleared(fingerprint) => self.cleared_told(now, fingerprint),
-            peer::PeerMessage::Slots(message) => self.servers.message(now, from, *message),
-            peer::PeerMessage::Renewed(home) => self.renewal_told(from, home),
+            peer::PeerMessage::Forward(forward) => self.handle_forward(now, from, forward),
+            peer::PeerMessage::ForwardResponse(response) => {
+                self.handle_forward_response(now, from, response);
+            }
+            peer::PeerMessage::Handover(part) => self.handle_handover(now, from, *part),
+            peer::PeerMessage::HandoverAck(ack) => self.handle_handover_ack(from, ack),
+            peer::PeerMessage::Amendment(record) => self.handle_amendment(now, *record),
+            peer::PeerMessage::Incident(incident) => self.handle_incident(now, &incident),
+            peer::PeerMessage::Cleared(fingerprint) => self.handle_cleared(now, fingerprint),
+            peer::PeerMessage::Slots(message) => self.servers.handle_message(now, from, *message),
+            peer::PeerMessage::Renewed(home) => self.handle_renewal(from, home),
             peer::PeerMessage::Departed(departed) => {
                 self.keys
                     .record_successor(now, departed.departed, departed.successor);
@@ -203,10 +212,10 @@
         }
     }
 
-    fn learn(&mut self, now: time::TimeMs, directory: Arc<directory::Directory>) {
-        self.servers.learn(now, &directory);
+    fn apply_directory(&mut self, now: time::TimeMs, directory: Arc<directory::Directory>) {
+        self.servers.apply_directory(now, &directory);
         let before = core::mem::replace(&mut self.directory, directory);
-        self.brief_newcomers(&before);
+        self.update_new_instances(&before);
         for (id, service) in &self.directory.services {
             self.retries.entry(id.clone()).or_insert_with(|| {
                 retry::RetryPolicy::new(retry::RetrySettings {
@@ -217,7 +226,7 @@
         }
     }
 
-    fn carry_slot_actions(&mut self) {
+    fn forward_slot_actions(&mut self) {
         for action in self.servers.take_actions() {
             match action {
                 exchange::Action::Send { to, message } => self.actions.push(Action::Send {
@@ -240,7 +249,7 @@
 
     /// An invariant is broken: the unsafe action is not taken. Under test the process stops here, so
     /// that the run that led to it can be read.
-    fn broken(&mut self, invariant: &'static str) {
+    fn report_broken_invariant(&mut self, invariant: &'static str) {
         self.actions.push(Action::Broken { invariant });
         debug_assert!(false, "invariant broken: {invariant}");
     }
--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -1,7 +1,7 @@
 //! Requests that crash what runs them: noticed here, told to the region, refused.
 //!
 //! ```text
-//! connection dies -> incident with everything in flight on that server -> region
+//! connection dies -> incident with everything in active on that server -> region
 //! suspect -> runs alone, elsewhere; second incident -> refused until expiry; completed run -> cleared
 //! ```
 
@@ -11,7 +11,7 @@
 use damaskvane_dispatch::{fingerprint, home, quarantine};
 
 use crate::engine::Engine;
-use crate::engine::pending::Flight;
+use crate::engine::pending::ActiveExchange;
 use crate::event::{Action, ExchangeEnd};
 use crate::peer;
 
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(super) struct Crashes {
     pub(super) list: quarantine::Quarantine,
-    gather: time::SpanMs,
+    incident_window: time::SpanMs,
     reported: BTreeMap<ids::BackendServerId, time::TimeMs>,
     next_serial: u64,
 }
@@ -27,7 +27,7 @@
 impl Crashes {
     pub(super) fn new(settings: quarantine::QuarantineSettings) -> Self {
         Self {
-            gather: time::SpanMs::new(settings.gather_ms),
+            incident_window: time::SpanMs::new(settings.gather_ms),
             list: quarantine::Quarantine::new(settings),
             reported: BTreeMap::new(),
             next_serial: 1,
@@ -36,49 +36,55 @@
 
     /// Whether the death of a server has just been reported; its other connections die with it.
     fn is_reported(&mut self, now: time::TimeMs, server: &ids::BackendServerId) -> bool {
-        let gather = self.gather;
-        self.reported.retain(|_, at| now.since(*at) < gather);
+        let incident_window = self.incident_window;
+        self.reported
+            .retain(|_, at| now.since(*at) < incident_window);
         self.reported.contains_key(server)
     }
 }
 
 impl Engine {
     /// Takes the end of an exchange as evidence for or against its request.
-    pub(super) fn note_end(&mut self, now: time::TimeMs, flight: &Flight, end: &ExchangeEnd) {
+    pub(super) fn record_evidence(
+        &mut self,
+        now: time::TimeMs,
+        active: &ActiveExchange,
+        end: &ExchangeEnd,
+    ) {
         match end {
             ExchangeEnd::Answered(_) => {
-                if self.crashes.list.record_completed(now, flight.fingerprint) {
-                    self.tell_region(&peer::PeerMessage::Cleared(flight.fingerprint));
+                if self.crashes.list.note_completed(now, active.fingerprint) {
+                    self.send_to_region(&peer::PeerMessage::Cleared(active.fingerprint));
                 }
             }
-            ExchangeEnd::Lost | ExchangeEnd::TruncatedResponse => self.note_death(now, flight),
+            ExchangeEnd::Lost | ExchangeEnd::TruncatedResponse => self.record_crash(now, active),
             ExchangeEnd::Refused
             | ExchangeEnd::NotSent
             | ExchangeEnd::Timeout
-            | ExchangeEnd::MismatchedResponse => self.crashes.list.release(flight.fingerprint),
+            | ExchangeEnd::MismatchedResponse => self.crashes.list.release(active.fingerprint),
         }
     }
 
     /// A connection died. Everything in flight on the server is suspect at once: were the neighbours
     /// only added as their connections die, one of them could be retried beside the guilty request and
     /// be blamed for the second death.
-    fn note_death(&mut self, now: time::TimeMs, dead: &Flight) {
-        let server = dead.taken.server().clone();
+    fn record_crash(&mut self, now: time::TimeMs, lost: &ActiveExchange) {
+        let server = lost.slot_permit.server().clone();
         if self.crashes.is_reported(now, &server) {
             return;
         }
         let mut suspects: Vec<fingerprint::Fingerprint> = self
-            .flights
+            .active_exchanges
             .values()
-            .filter(|flight| *flight.taken.server() == server)
-            .map(|flight| flight.fingerprint)
+            .filter(|active| *active.slot_permit.server() == server)
+            .map(|active| active.fingerprint)
             .collect();
-        suspects.push(dead.fingerprint);
+        suspects.push(lost.fingerprint);
         suspects.sort();
         suspects.dedup();
         let incident = quarantine::Incident {
             id: quarantine::IncidentId {
-                reporter: self.me.clone(),
+                reporter: self.own_home.clone(),
                 serial: self.crashes.next_serial,
             },
             server: server.clone(),
@@ -92,14 +98,14 @@
             family: "crashes",
             label: "incident",
         });
-        self.tell_region(&peer::PeerMessage::Incident(Box::new(incident)));
+        self.send_to_region(&peer::PeerMessage::Incident(Box::new(incident)));
     }
 
-    pub(super) fn incident_told(&mut self, now: time::TimeMs, incident: &quarantine::Incident) {
+    pub(super) fn handle_incident(&mut self, now: time::TimeMs, incident: &quarantine::Incident) {
         self.crashes.list.record_incident(now, incident);
     }
 
-    pub(super) fn cleared_told(
+    pub(super) fn handle_cleared(
         &mut self,
         now: time::TimeMs,
         fingerprint: fingerprint::Fingerprint,
@@ -114,7 +120,7 @@
         fingerprint: fingerprint::Fingerprint,
     ) {
         self.crashes.list.clear(now, fingerprint);
-        self.tell_region(&peer::PeerMessage::Cleared(fingerprint));
+        self.send_to_region(&peer::PeerMessage::Cleared(fingerprint));
     }
 
     /// The suspects and refused requests, for operators.
@@ -123,7 +129,7 @@
         self.crashes.list.list(now)
     }
 
-    fn tell_region(&mut self, message: &peer::PeerMessage) {
+    fn send_to_region(&mut self, message: &peer::PeerMessage) {
         let region: Vec<home::Home> = self
             .directory
             .instances
--- a/crates/damaskvane-engine/src/engine/ended.rs
+++ b/crates/damaskvane-engine/src/engine/ended.rs
@@ -15,52 +15,57 @@
 use crate::event::{Action, ExchangeEnd, ExchangeNumber};
 
 impl Engine {
-    pub(super) fn ended(&mut self, now: time::TimeMs, exchange: ExchangeNumber, end: ExchangeEnd) {
-        let Some(flight) = self.flights.remove(&exchange) else {
+    pub(super) fn handle_exchange_end(
+        &mut self,
+        now: time::TimeMs,
+        exchange: ExchangeNumber,
+        end: ExchangeEnd,
+    ) {
+        let Some(active) = self.active_exchanges.remove(&exchange) else {
             return;
         };
-        self.note_end(now, &flight, &end);
-        let took = now.since(flight.sent.sent_at());
+        self.record_evidence(now, &active, &end);
+        let took = now.since(active.sent.sent_at());
         self.servers
-            .ended(now, &flight.service, flight.taken, took, &end);
+            .record_end(now, &active.service, active.slot_permit, took, &end);
         if !matches!(end, ExchangeEnd::Answered(_) | ExchangeEnd::Refused) {
             self.load
                 .services
-                .entry(flight.service.clone())
+                .entry(active.service.clone())
                 .or_default()
                 .errors += 1;
         }
         let progress = match end {
             // The exchange compared the answer's request id with the request's own; a mismatch comes
             // here as Crossed, a wrong length as Cut.
-            ExchangeEnd::Answered(answer) => {
-                let length = answer.body.len() as u64;
-                flight.sent.answered(exchange::BackendResponse {
-                    request: flight.request_id,
+            ExchangeEnd::Answered(response) => {
+                let length = response.body.len() as u64;
+                active.sent.answered(exchange::BackendResponse {
+                    request: active.request_id,
                     declared_bytes: length,
                     received_bytes: length,
-                    response: Arc::new(answer),
+                    answer: Arc::new(response),
                 })
             }
-            ExchangeEnd::Refused => flight.sent.failed(retry::RetryReason::BackendRefused),
-            ExchangeEnd::NotSent => flight.sent.failed(retry::RetryReason::ConnectFailed),
-            ExchangeEnd::Lost => flight.sent.failed(retry::RetryReason::ConnectionLost),
-            ExchangeEnd::Timeout => flight.sent.failed(retry::RetryReason::SilentConnection),
-            ExchangeEnd::TruncatedResponse => flight.sent.failed(retry::RetryReason::AnswerCut),
+            ExchangeEnd::Refused => active.sent.failed(retry::RetryReason::BackendRefused),
+            ExchangeEnd::NotSent => active.sent.failed(retry::RetryReason::ConnectFailed),
+            ExchangeEnd::Lost => active.sent.failed(retry::RetryReason::ConnectionLost),
+            ExchangeEnd::Timeout => active.sent.failed(retry::RetryReason::SilentConnection),
+            ExchangeEnd::TruncatedResponse => active.sent.failed(retry::RetryReason::AnswerCut),
             ExchangeEnd::MismatchedResponse => {
-                flight.sent.failed(retry::RetryReason::AnswerCrossed)
+                active.sent.failed(retry::RetryReason::AnswerCrossed)
             }
         };
         match progress {
             exchange::Progress::Answered(answered) => {
                 let origin = self
                     .requests
-                    .remove(&flight.id)
+                    .remove(&active.id)
                     .and_then(|pending| pending.origin);
                 self.finish(now, origin, answered);
             }
             exchange::Progress::Retry { reason, admitted } => {
-                self.retry(now, flight.id, reason, admitted);
+                self.retry(now, active.id, reason, admitted);
             }
         }
     }
@@ -77,7 +82,9 @@
         };
         let service = pending.request.service.clone();
         let has_client = pending.origin.is_some();
-        let untried = self.servers.count(now, &service, admitted.tried());
+        let untried = self
+            .servers
+            .candidate_count(now, &service, admitted.tried());
         let decision = match self.retries.get_mut(&service) {
             Some(policy) if has_client => policy.decide(now, &admitted, untried, &mut self.rng),
             _ => retry::RetryDecision::Stop(retry::RetryStop::NoOtherServer),
@@ -92,7 +99,7 @@
             }
             retry::RetryDecision::Stop(stop) => {
                 let origin = self.requests.remove(&id).and_then(|pending| pending.origin);
-                self.finish(now, origin, admitted.refuse(stop.refusal_reason()));
+                self.finish(now, origin, admitted.refuse(stop.refusal()));
             }
         }
     }
--- a/crates/damaskvane-engine/src/engine/expiry.rs
+++ b/crates/damaskvane-engine/src/engine/expiry.rs
@@ -15,18 +15,18 @@
     pub(super) fn expire(&mut self, now: time::TimeMs) {
         self.servers.tick(now);
         for finish in self.keys.expire(now) {
-            self.answer_waiters(finish);
+            self.respond_to_waiters(finish);
         }
-        let given_up = self.queue.expire(now);
-        self.give_up_all(now, given_up);
+        let rejected = self.queue.expire(now);
+        self.abandon_rejected(now, rejected);
         self.end_backoffs(now);
-        let past: Vec<LocalId> = self
+        let expired: Vec<LocalId> = self
             .requests
             .iter()
             .filter(|(_, pending)| pending.deadline.is_past(now))
             .map(|(id, _)| *id)
             .collect();
-        for id in past {
+        for id in expired {
             self.deadline_passed(now, id);
         }
     }
@@ -39,12 +39,12 @@
             if *until > now {
                 continue;
             }
-            let placeholder = Stage::Flying(crate::event::ExchangeNumber::new(0));
+            let placeholder = Stage::Running(crate::event::ExchangeNumber::new(0));
             if let Stage::Backoff { admitted, .. } =
                 core::mem::replace(&mut pending.stage, placeholder)
             {
                 pending.stage = Stage::Requeued(admitted);
-                self.held.push(*id);
+                self.deferred.push(*id);
             }
         }
     }
@@ -54,14 +54,14 @@
             return;
         };
         match &pending.stage {
-            Stage::Flying(_) => {
+            Stage::Running(_) => {
                 let origin = pending.origin.take();
                 if origin.is_some() {
                     let unknown = outcome::Outcome::unknown(refusal::RefusalReason::DeadlinePassed);
-                    self.answer(origin, unknown);
+                    self.respond(origin, unknown);
                 }
             }
-            _ => self.give_up(now, id, refusal::RefusalReason::QueueTimeout),
+            _ => self.abandon(now, id, refusal::RefusalReason::QueueTimeout),
         }
     }
 }
--- a/crates/damaskvane-engine/src/engine/forwarding.rs
+++ b/crates/damaskvane-engine/src/engine/forwarding.rs
@@ -25,12 +25,12 @@
         hops: u32,
     ) {
         let forwarded = exchange::Forwarded::new(request.request_id.clone());
-        if hops >= self.settings.most_hops || !self.can_reach(&home) {
+        if hops >= self.settings.max_hops || !self.can_reach(&home) {
             self.finish(now, Some(origin), forwarded.unreachable());
             return;
         }
-        let mut passed_on = (*request).clone();
-        passed_on.time_left = deadline.time_left(now);
+        let mut forwarded_request = (*request).clone();
+        forwarded_request.time_left = deadline.time_left(now);
         let stage = Stage::Forwarded {
             forwarded,
             to: home.clone(),
@@ -39,7 +39,7 @@
         let forward = peer::Forward {
             correlation: id.0,
             hops: hops + 1,
-            request: passed_on,
+            request: forwarded_request,
         };
         self.actions.push(Action::Send {
             to: home.instance,
@@ -54,14 +54,14 @@
             .is_some_and(|peer| peer.reachability.takes_messages())
     }
 
-    pub(super) fn forwarded_here(
+    pub(super) fn handle_forward(
         &mut self,
         now: time::TimeMs,
         from: &home::Home,
         forward: peer::Forward,
     ) {
         let origin = Origin::Peer {
-            asker: from.clone(),
+            forwarder: from.clone(),
             correlation: forward.correlation,
             request_id: forward.request.request_id.clone(),
         };
@@ -73,30 +73,30 @@
     ///
     /// So is one that an earlier process of this instance asked for: its number now belongs to another
     /// request, whose client would read somebody else's confirmation.
-    pub(super) fn forward_answered(
+    pub(super) fn handle_forward_response(
         &mut self,
         now: time::TimeMs,
         from: &home::Home,
-        answer: peer::ForwardAnswer,
+        response: peer::ForwardResponse,
     ) {
-        let id = LocalId(answer.correlation);
+        let id = LocalId(response.correlation);
         let is_expected = self.requests.get(&id).is_some_and(|pending| {
             matches!(&pending.stage, Stage::Forwarded { to, .. } if to.instance == from.instance)
         });
-        if !is_expected || answer.asker != self.me {
+        if !is_expected || response.forwarder != self.own_home {
             return;
         }
         let Some(pending) = self.requests.remove(&id) else {
             return;
         };
         if let Stage::Forwarded { forwarded, .. } = pending.stage {
-            let answered = forwarded.answered(&answer.request_id, answer.outcome);
+            let answered = forwarded.answered(&response.request_id, response.outcome);
             self.finish(now, pending.origin, answered);
         }
     }
 
     /// Gives up what was forwarded to instances that have died since: nothing will come back.
-    pub(super) fn give_up_unreachable(&mut self, now: time::TimeMs) {
+    pub(super) fn fail_unreachable_forwards(&mut self, now: time::TimeMs) {
         let lost: Vec<LocalId> = self
             .requests
             .iter()
--- a/crates/damaskvane-engine/src/engine/pump.rs
+++ b/crates/damaskvane-engine/src/engine/launch.rs
@@ -11,14 +11,14 @@
 use damaskvane_dispatch::{quarantine, refusal};
 
 use crate::engine::Engine;
-use crate::engine::pending::{Flight, LocalId, Stage};
-use crate::engine::servers::Taken;
+use crate::engine::pending::{ActiveExchange, LocalId, Stage};
+use crate::engine::servers::SlotPermit;
 use crate::event::{Action, Exchange, ExchangeNumber};
 
 impl Engine {
-    pub(super) fn pump(&mut self, now: time::TimeMs) {
-        if self.pulse.holds(now) {
-            self.carry_slot_actions();
+    pub(super) fn launch_waiting(&mut self, now: time::TimeMs) {
+        if self.pause_detector.is_holding(now) {
+            self.forward_slot_actions();
             return;
         }
         self.launch_all(now);
@@ -32,7 +32,7 @@
                 self.servers.demand_others(now, &service, count);
             }
         }
-        self.carry_slot_actions();
+        self.forward_slot_actions();
     }
 
     fn waiting_by_service(&self) -> BTreeMap<ids::ServiceId, usize> {
@@ -47,7 +47,7 @@
 
     /// What waits for a certain slot goes first, then the queue while a service has a free slot.
     fn launch_all(&mut self, now: time::TimeMs) {
-        for id in core::mem::take(&mut self.held) {
+        for id in core::mem::take(&mut self.deferred) {
             self.try_launch(now, id);
         }
         loop {
@@ -68,25 +68,28 @@
         };
         let service = pending.request.service.clone();
         let fingerprint = pending.fingerprint;
-        match self.crashes.list.decide(now, fingerprint) {
-            quarantine::QuarantineDecision::Refuse { retry_after } => {
+        match self.crashes.list.judge(now, fingerprint) {
+            quarantine::Verdict::Refuse { retry_after } => {
                 let reason = refusal::RefusalReason::Quarantined;
-                self.give_up_until(now, id, reason, retry_after);
+                self.abandon_with_retry_after(now, id, reason, retry_after);
                 return;
             }
-            quarantine::QuarantineDecision::Wait => {
-                self.held.push(id);
+            quarantine::Verdict::Wait => {
+                self.deferred.push(id);
                 return;
             }
-            quarantine::QuarantineDecision::Run | quarantine::QuarantineDecision::RunAlone => {}
+            quarantine::Verdict::Run | quarantine::Verdict::RunAlone => {}
         }
-        let excluded = self.excluded(now, id);
-        let wanted = self.time_left(now, id);
-        match self.servers.take(now, &service, &excluded, wanted) {
-            Some(taken) => self.launch(now, id, taken),
+        let excluded = self.excluded_servers(now, id);
+        let requested_time = self.time_left(now, id);
+        match self
+            .servers
+            .acquire_slot(now, &service, &excluded, requested_time)
+        {
+            Some(slot_permit) => self.launch(now, id, slot_permit),
             None => {
                 self.crashes.list.release(fingerprint);
-                self.held.push(id);
+                self.deferred.push(id);
             }
         }
     }
@@ -96,7 +99,7 @@
     ///
     /// With no other server in reach the innocent neighbours of a crash would wait until the suspicion
     /// expires, minutes later; so the server they died on is taken again, and a second death decides.
-    fn excluded(&self, now: time::TimeMs, id: LocalId) -> Vec<ids::BackendServerId> {
+    fn excluded_servers(&self, now: time::TimeMs, id: LocalId) -> Vec<ids::BackendServerId> {
         let Some(pending) = self.requests.get(&id) else {
             return Vec::new();
         };
@@ -111,7 +114,7 @@
             .cloned();
         let excluded: Vec<ids::BackendServerId> = tried.iter().cloned().chain(avoided).collect();
         let service = &pending.request.service;
-        if self.servers.count(now, service, &excluded) == 0 {
+        if self.servers.candidate_count(now, service, &excluded) == 0 {
             tried
         } else {
             excluded
@@ -126,37 +129,39 @@
             })
     }
 
-    fn launch(&mut self, now: time::TimeMs, id: LocalId, taken: Taken) {
+    fn launch(&mut self, now: time::TimeMs, id: LocalId, slot_permit: SlotPermit) {
         let exchange = ExchangeNumber::new(self.next_id());
-        let server = taken.server().clone();
+        let server = slot_permit.server().clone();
         let (Some(address), Some(pending)) =
             (self.servers.address(&server), self.requests.get_mut(&id))
         else {
-            self.broken("a slot was taken for a request or server that is not known");
+            self.report_broken_invariant(
+                "a slot was taken for a request or server that is not known",
+            );
             return;
         };
-        let stage = core::mem::replace(&mut pending.stage, Stage::Flying(exchange));
+        let stage = core::mem::replace(&mut pending.stage, Stage::Running(exchange));
         let admitted = match stage {
             Stage::Queued(received) => received.admit(),
             Stage::Requeued(admitted) => admitted,
             other => {
                 pending.stage = other;
-                self.broken("a request that is not queued was launched");
+                self.report_broken_invariant("a request that is not queued was launched");
                 return;
             }
         };
         let request = pending.request.clone();
         let fingerprint = pending.fingerprint;
-        let deadline = taken.deadline_ms();
-        self.flights.insert(
+        let deadline = slot_permit.deadline_ms();
+        self.active_exchanges.insert(
             exchange,
-            Flight {
+            ActiveExchange {
                 id,
                 service: request.service.clone(),
                 request_id: request.request_id.clone(),
                 fingerprint,
                 sent: admitted.send(now, server.clone()),
-                taken,
+                slot_permit,
             },
         );
         self.actions.push(Action::Start(Exchange {
@@ -170,13 +175,13 @@
     }
 
     pub(super) fn cancel(&mut self, exchange: ExchangeNumber) {
-        let Some(flight) = self.flights.get(&exchange) else {
+        let Some(active) = self.active_exchanges.get(&exchange) else {
             return;
         };
-        if let Some(address) = self.servers.address(flight.taken.server()) {
+        if let Some(address) = self.servers.address(active.slot_permit.server()) {
             self.actions.push(Action::Cancel {
                 address,
-                request_id: flight.request_id.clone(),
+                request_id: active.request_id.clone(),
             });
         }
     }
--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -16,7 +16,7 @@
 
 /// How far a planned stop has come.
 #[derive(Debug)]
-pub(super) enum Departure {
+pub(super) enum ShutdownState {
     Serving(shutdown::Serving),
     Leaving(shutdown::Leaving),
     HandingOver(Handover),
@@ -28,18 +28,18 @@
 pub(super) struct Handover {
     phase: shutdown::HandingOver,
     /// Parts that the successor has not acknowledged.
-    missing: BTreeSet<u32>,
+    unacknowledged: BTreeSet<u32>,
     resend_at: time::TimeMs,
     is_announced: bool,
 }
 
-impl Default for Departure {
+impl Default for ShutdownState {
     fn default() -> Self {
         Self::Serving(shutdown::Serving)
     }
 }
 
-impl Departure {
+impl ShutdownState {
     /// Clients may use a cached look-up answer for one TTL; after that nobody was told to come.
     pub(super) const fn takes_no_requests(&self) -> bool {
         matches!(self, Self::HandingOver(_) | Self::Stopped(_))
@@ -50,11 +50,11 @@
     /// Whether a planned stop has finished all work, or its time is over.
     #[must_use]
     pub fn is_drained(&self, now: time::TimeMs) -> bool {
-        match &self.departure {
-            Departure::Stopped(stopped) => {
+        match &self.shutdown_state {
+            ShutdownState::Stopped(stopped) => {
                 stopped.is_timed_out
                     || (self.requests.is_empty()
-                        && self.flights.is_empty()
+                        && self.active_exchanges.is_empty()
                         && self.servers.is_drained(now))
             }
             _ => false,
@@ -64,76 +64,76 @@
     /// How far a planned stop is, for operators.
     #[must_use]
     pub fn shutdown_progress(&self, now: time::TimeMs) -> Option<shutdown::Progress> {
-        let running = self.flights.len();
-        match &self.departure {
-            Departure::Serving(_) | Departure::Stopped(_) => None,
-            Departure::Leaving(phase) => Some(phase.progress(now, running)),
-            Departure::HandingOver(handover) => Some(handover.phase.progress(now, running)),
+        let running = self.active_exchanges.len();
+        match &self.shutdown_state {
+            ShutdownState::Serving(_) | ShutdownState::Stopped(_) => None,
+            ShutdownState::Leaving(phase) => Some(phase.progress(now, running)),
+            ShutdownState::HandingOver(handover) => Some(handover.phase.progress(now, running)),
         }
     }
 
     pub(super) fn leave(&mut self, now: time::TimeMs) {
-        if let Departure::Serving(serving) = &self.departure {
+        if let ShutdownState::Serving(serving) = &self.shutdown_state {
             // Until the last instance has heard of it, look-ups still name this one; what they answer
             // is kept for one TTL. A client that came later would find another incarnation or nothing.
             let settings = shutdown::ShutdownSettings {
                 lookup_ttl_ms: self.directory.lookup_ttl.get(),
                 ..self.settings.shutdown
             };
-            self.departure = Departure::Leaving(serving.leave(now, settings));
+            self.shutdown_state = ShutdownState::Leaving(serving.leave(now, settings));
         }
     }
 
-    pub(super) fn advance_departure(&mut self, now: time::TimeMs) {
-        let running = self.flights.len();
-        let departure = core::mem::take(&mut self.departure);
-        self.departure = match departure {
-            Departure::Leaving(phase) => match phase.begin_handover(now, running) {
+    pub(super) fn advance_shutdown(&mut self, now: time::TimeMs) {
+        let running = self.active_exchanges.len();
+        let shutdown_state = core::mem::take(&mut self.shutdown_state);
+        self.shutdown_state = match shutdown_state {
+            ShutdownState::Leaving(phase) => match phase.lapse(now, running) {
                 Ok(phase) => self.begin_handover(now, phase),
-                Err(phase) => Departure::Leaving(phase),
+                Err(phase) => ShutdownState::Leaving(phase),
             },
-            Departure::HandingOver(handover) => self.go_on_handing_over(now, handover),
+            ShutdownState::HandingOver(handover) => self.continue_handover(now, handover),
             other => other,
         };
         self.send_amendments();
     }
 
-    fn begin_handover(&mut self, now: time::TimeMs, phase: shutdown::HandingOver) -> Departure {
-        let mut missing = BTreeSet::new();
+    fn begin_handover(&mut self, now: time::TimeMs, phase: shutdown::HandingOver) -> ShutdownState {
+        let mut unacknowledged = BTreeSet::new();
         match self.successor() {
             None => self.keys.close(),
             Some(successor) => {
                 if let Ok(parts) = self.keys.hand_over(now, &successor) {
-                    missing = parts.iter().map(|part| part.part).collect();
-                    self.handed_to = Some(successor);
+                    unacknowledged = parts.iter().map(|part| part.part).collect();
+                    self.handover_target = Some(successor);
                 }
             }
         }
-        self.send_parts(now, &missing);
-        Departure::HandingOver(Handover {
+        self.send_parts(now, &unacknowledged);
+        ShutdownState::HandingOver(Handover {
             phase,
-            missing,
+            unacknowledged,
             resend_at: now + self.settings.handover_resend,
             is_announced: false,
         })
     }
 
-    fn go_on_handing_over(&mut self, now: time::TimeMs, mut handover: Handover) -> Departure {
-        if handover.missing.is_empty() && !handover.is_announced {
+    fn continue_handover(&mut self, now: time::TimeMs, mut handover: Handover) -> ShutdownState {
+        if handover.unacknowledged.is_empty() && !handover.is_announced {
             handover.is_announced = true;
             self.announce_successor();
         }
-        if !handover.missing.is_empty() && handover.resend_at <= now {
+        if !handover.unacknowledged.is_empty() && handover.resend_at <= now {
             handover.resend_at = now + self.settings.handover_resend;
-            self.send_parts(now, &handover.missing);
+            self.send_parts(now, &handover.unacknowledged);
         }
-        let is_acknowledged = handover.missing.is_empty();
+        let is_acknowledged = handover.unacknowledged.is_empty();
         match handover
             .phase
-            .stop(now, self.flights.len(), is_acknowledged)
+            .stop(now, self.active_exchanges.len(), is_acknowledged)
         {
-            Ok(stopped) => Departure::Stopped(stopped),
-            Err(phase) => Departure::HandingOver(Handover { phase, ..handover }),
+            Ok(stopped) => ShutdownState::Stopped(stopped),
+            Err(phase) => ShutdownState::HandingOver(Handover { phase, ..handover }),
         }
     }
 
@@ -151,14 +151,17 @@
             .map(|(id, peer)| home::Home::new(id.clone(), peer.incarnation))
     }
 
-    fn send_parts(&mut self, now: time::TimeMs, missing: &BTreeSet<u32>) {
-        let Some(successor) = self.handed_to.clone() else {
+    fn send_parts(&mut self, now: time::TimeMs, unacknowledged: &BTreeSet<u32>) {
+        let Some(successor) = self.handover_target.clone() else {
             return;
         };
         let Ok(parts) = self.keys.hand_over(now, &successor) else {
             return;
         };
-        for part in parts.iter().filter(|part| missing.contains(&part.part)) {
+        for part in parts
+            .iter()
+            .filter(|part| unacknowledged.contains(&part.part))
+        {
             self.actions.push(Action::Send {
                 to: successor.instance.clone(),
                 message: Box::new(peer::PeerMessage::Handover(Box::new(part.clone()))),
@@ -168,7 +171,7 @@
 
     /// Tells everybody who answers for this home now; whoever misses it answers *unknown*.
     fn announce_successor(&mut self) {
-        let Some(successor) = self.handed_to.clone() else {
+        let Some(successor) = self.handover_target.clone() else {
             return;
         };
         for (instance, peer) in &self.directory.instances {
@@ -186,7 +189,7 @@
     }
 
     fn send_amendments(&mut self) {
-        let Some(successor) = self.handed_to.clone() else {
+        let Some(successor) = self.handover_target.clone() else {
             return;
         };
         for record in self.keys.take_amendments() {
@@ -197,7 +200,7 @@
         }
     }
 
-    pub(super) fn take_over(
+    pub(super) fn handle_handover(
         &mut self,
         now: time::TimeMs,
         from: &home::Home,
@@ -211,29 +214,29 @@
             return;
         }
         if self.keys.accept_handover(now, part).is_ok() {
-            let taken = peer::HandoverTaken { part: number };
+            let ack = peer::HandoverAck { part: number };
             self.actions.push(Action::Send {
                 to: from.instance.clone(),
-                message: Box::new(peer::PeerMessage::HandoverTaken(taken)),
+                message: Box::new(peer::PeerMessage::HandoverAck(ack)),
             });
         }
     }
 
-    pub(super) fn handover_taken(&mut self, from: &home::Home, taken: peer::HandoverTaken) {
-        if let Departure::HandingOver(handover) = &mut self.departure
-            && self.handed_to.as_ref() == Some(from)
+    pub(super) fn handle_handover_ack(&mut self, from: &home::Home, ack: peer::HandoverAck) {
+        if let ShutdownState::HandingOver(handover) = &mut self.shutdown_state
+            && self.handover_target.as_ref() == Some(from)
         {
-            handover.missing.remove(&taken.part);
+            handover.unacknowledged.remove(&ack.part);
         }
     }
 
-    pub(super) fn amended(
+    pub(super) fn handle_amendment(
         &mut self,
         now: time::TimeMs,
         record: home::HandoverRecord<Arc<message::BackendResponse>>,
     ) {
         if let Some(finish) = self.keys.accept_amendment(now, record) {
-            self.answer_waiters(finish);
+            self.respond_to_waiters(finish);
         }
     }
 }
--- a/crates/damaskvane-engine/src/engine/load.rs
+++ b/crates/damaskvane-engine/src/engine/load.rs
@@ -40,8 +40,8 @@
         for (service, slots) in self.servers.serving(now) {
             load.services.entry(service).or_default().slots = slots;
         }
-        for flight in self.flights.values() {
-            let entry = load.services.entry(flight.service.clone()).or_default();
+        for active in self.active_exchanges.values() {
+            let entry = load.services.entry(active.service.clone()).or_default();
             entry.running = entry.running + units::Slots::new(1);
         }
         load
--- a/crates/damaskvane-engine/src/engine/pending.rs
+++ b/crates/damaskvane-engine/src/engine/pending.rs
@@ -1,7 +1,7 @@
 //! A request on its way through the engine.
 //!
 //! ```text
-//! Queued -> Flying -> (Backoff -> Flying)* -> answered
+//! Queued -> Running -> (Backoff -> Running)* -> answered
 //! Joined -> answered by the try that runs
 //! Forwarded -> answered by the home
 //! ```
@@ -11,7 +11,7 @@
 use damaskvane_core::{ids, time};
 use damaskvane_dispatch::{deadline, exchange, fingerprint, home};
 
-use crate::engine::servers::Taken;
+use crate::engine::servers::SlotPermit;
 use crate::event::{ExchangeNumber, RequestNumber};
 use crate::message;
 
@@ -27,7 +27,7 @@
     /// Another instance, which passed the request on.
     Peer {
         /// The process that did; a later start of it counts its correlations anew.
-        asker: home::Home,
+        forwarder: home::Home,
         correlation: u64,
         request_id: ids::RequestId,
     },
@@ -46,7 +46,7 @@
         until: time::TimeMs,
     },
     /// A backend server has it.
-    Flying(ExchangeNumber),
+    Running(ExchangeNumber),
     /// Waits for the outcome of another try of the same key.
     Joined {
         scope: home::Scope,
@@ -80,11 +80,11 @@
 
 /// A request at a backend server.
 #[derive(Debug)]
-pub(super) struct Flight {
+pub(super) struct ActiveExchange {
     pub(super) id: LocalId,
     pub(super) service: ids::ServiceId,
     pub(super) request_id: ids::RequestId,
     pub(super) fingerprint: fingerprint::Fingerprint,
     pub(super) sent: exchange::Sent,
-    pub(super) taken: Taken,
+    pub(super) slot_permit: SlotPermit,
 }
--- a/crates/damaskvane-engine/src/engine/renewal.rs
+++ b/crates/damaskvane-engine/src/engine/renewal.rs
@@ -2,7 +2,7 @@
 //!
 //! ```text
 //! table nearly worn out -> next incarnation -> look-ups here and everywhere name it
-//! newcomer or healed cut -> successors of departed homes that are adopted here, and the own home
+//! new_instance or healed cut -> successors of departed homes that are taken_over here, and the own home
 //! ```
 
 use std::collections::BTreeMap;
@@ -36,11 +36,11 @@
         self.actions.push(Action::HomeRenewed { home });
         let all: Vec<ids::InstanceId> = reachable(&self.directory).keys().cloned().collect();
         for instance in all {
-            self.tell_home(&instance);
+            self.send_home(&instance);
         }
     }
 
-    fn tell_home(&mut self, to: &ids::InstanceId) {
+    fn send_home(&mut self, to: &ids::InstanceId) {
         self.actions.push(Action::Send {
             to: to.clone(),
             message: Box::new(peer::PeerMessage::Renewed(self.keys.home().clone())),
@@ -48,7 +48,7 @@
     }
 
     /// Another instance has taken a new incarnation for its keys.
-    pub(super) fn renewal_told(&mut self, from: &home::Home, home: home::Home) {
+    pub(super) fn handle_renewal(&mut self, from: &home::Home, home: home::Home) {
         if home.instance == from.instance && home.incarnation > from.incarnation {
             self.actions.push(Action::HomeRenewed { home });
         }
@@ -59,36 +59,36 @@
     /// The restarted process of a departed home has heard no announcement of its successor. It would
     /// answer *unknown* for bookings that stand, to clients that come back to it. Only the successor
     /// tells, so that a newcomer in a large fleet hears each notice once.
-    pub(super) fn brief_newcomers(&mut self, before: &Arc<directory::Directory>) {
+    pub(super) fn update_new_instances(&mut self, before: &Arc<directory::Directory>) {
         let known = reachable(before);
-        let newcomers: Vec<ids::InstanceId> = reachable(&self.directory)
+        let new_instances: Vec<ids::InstanceId> = reachable(&self.directory)
             .into_iter()
             .filter(|(instance, incarnation)| known.get(instance) != Some(incarnation))
             .map(|(instance, _)| instance)
             .collect();
-        if newcomers.is_empty() {
+        if new_instances.is_empty() {
             return;
         }
-        let adopted = self.adopted_here();
-        let is_renewed = *self.keys.home() != self.me;
-        for newcomer in newcomers {
-            for departed in &adopted {
+        let taken_over = self.taken_over_homes();
+        let is_renewed = *self.keys.home() != self.own_home;
+        for new_instance in new_instances {
+            for departed in &taken_over {
                 self.actions.push(Action::Send {
-                    to: newcomer.clone(),
+                    to: new_instance.clone(),
                     message: Box::new(peer::PeerMessage::Departed(departed.clone())),
                 });
             }
             if is_renewed {
-                self.tell_home(&newcomer);
+                self.send_home(&new_instance);
             }
         }
     }
 
-    fn adopted_here(&self) -> Vec<peer::Departed> {
+    fn taken_over_homes(&self) -> Vec<peer::Departed> {
         self.keys
             .successors()
-            .filter(|(_, successor)| successor.instance == self.me.instance)
-            .filter(|(_, successor)| successor.incarnation >= self.me.incarnation)
+            .filter(|(_, successor)| successor.instance == self.own_home.instance)
+            .filter(|(_, successor)| successor.incarnation >= self.own_home.incarnation)
             .map(|(departed, successor)| peer::Departed {
                 departed: departed.clone(),
                 successor: successor.clone(),
--- a/crates/damaskvane-engine/src/engine/answers.rs
+++ b/crates/damaskvane-engine/src/engine/responses.rs
@@ -29,14 +29,14 @@
             Some(permit) => {
                 let finish = self.keys.finish(now, permit, outcome);
                 let outcome = finish.outcome.clone();
-                self.answer_waiters(finish);
-                self.answer(origin, outcome);
+                self.respond_to_waiters(finish);
+                self.respond(origin, outcome);
             }
-            None => self.answer(origin, outcome),
+            None => self.respond(origin, outcome),
         }
     }
 
-    pub(super) fn answer_waiters(
+    pub(super) fn respond_to_waiters(
         &mut self,
         finish: home::FinishedKey<Arc<message::BackendResponse>>,
     ) {
@@ -45,12 +45,12 @@
                 continue;
             };
             if let Some(pending) = self.requests.remove(&id) {
-                self.answer(pending.origin, finish.outcome.clone());
+                self.respond(pending.origin, finish.outcome.clone());
             }
         }
     }
 
-    pub(super) fn answer(&mut self, origin: Option<Origin>, outcome: Outcome) {
+    pub(super) fn respond(&mut self, origin: Option<Origin>, outcome: Outcome) {
         if let Some(reason) = outcome.reason() {
             self.actions.push(Action::CountRefusal(reason));
         }
@@ -61,48 +61,53 @@
                 self.actions.push(Action::Respond { number, outcome });
             }
             Some(Origin::Peer {
-                asker,
+                forwarder,
                 correlation,
                 request_id,
             }) => {
-                let to = asker.instance.clone();
-                let answer = peer::ForwardAnswer {
-                    asker,
+                let to = forwarder.instance.clone();
+                let response = peer::ForwardResponse {
+                    forwarder,
                     correlation,
                     request_id,
                     outcome,
                 };
                 self.actions.push(Action::Send {
                     to,
-                    message: Box::new(peer::PeerMessage::ForwardAnswer(answer)),
+                    message: Box::new(peer::PeerMessage::ForwardResponse(response)),
                 });
             }
         }
     }
 
     /// Gives up what the admission queue can't serve in time.
-    pub(super) fn give_up_all(
+    pub(super) fn abandon_rejected(
         &mut self,
         now: time::TimeMs,
-        given_up: impl IntoIterator<Item = admission::Rejected<LocalId>>,
+        rejected: impl IntoIterator<Item = admission::Rejected<LocalId>>,
     ) {
-        for given_up in given_up {
-            self.give_up_until(now, given_up.request, given_up.reason, given_up.retry_after);
+        for rejected in rejected {
+            self.abandon_with_retry_after(
+                now,
+                rejected.request,
+                rejected.reason,
+                rejected.retry_after,
+            );
         }
     }
 
     /// Gives up a request that no backend server has; its answer goes out at once.
-    pub(super) fn give_up(
+    pub(super) fn abandon(
         &mut self,
         now: time::TimeMs,
         id: LocalId,
         reason: refusal::RefusalReason,
     ) {
-        self.give_up_until(now, id, reason, reason.default_retry_after());
+        self.abandon_with_retry_after(now, id, reason, reason.default_retry_after());
     }
 
     /// The same, naming when to come back.
-    pub(super) fn give_up_until(
+    pub(super) fn abandon_with_retry_after(
         &mut self,
         now: time::TimeMs,
         id: LocalId,
@@ -110,11 +115,11 @@
         retry_after: time::SpanMs,
     ) {
         self.queue.remove_where(|queued| *queued == id);
-        self.held.retain(|held| *held != id);
+        self.deferred.retain(|deferred| *deferred != id);
         let Some(pending) = self.requests.remove(&id) else {
             return;
         };
-        if is_for_want_of_capacity(reason) {
+        if is_capacity_refusal(reason) {
             self.count_refused(&pending.request.service);
         }
         match pending.stage {
@@ -133,14 +138,16 @@
                 self.keys.remove_waiter(&scope, waiter);
                 self.waiters.remove(&waiter);
                 let unknown = outcome::Outcome::unknown(refusal::RefusalReason::DeadlinePassed);
-                self.answer(pending.origin, unknown);
+                self.respond(pending.origin, unknown);
+            }
+            Stage::Running(_) => {
+                self.report_broken_invariant("a request at a backend server was given up");
             }
-            Stage::Flying(_) => self.broken("a request at a backend server was given up"),
         }
     }
 }
 
-const fn is_for_want_of_capacity(reason: refusal::RefusalReason) -> bool {
+const fn is_capacity_refusal(reason: refusal::RefusalReason) -> bool {
     matches!(
         reason,
         refusal::RefusalReason::QueueTimeout
--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -5,8 +5,8 @@
 //! ```
 
 mod drain_status;
-mod judgement;
-mod views;
+mod end_effect;
+mod status;
 
 use core::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -23,38 +23,38 @@
 use crate::event::ExchangeEnd;
 
 /// Connections are shared out for so many instances of a zone, whoever of them lives.
-const MOST_INSTANCES_OF_A_ZONE: u32 = 32;
+const MAX_INSTANCES_PER_ZONE: u32 = 32;
 
 /// A slot that was taken for one request.
-pub(super) type Taken = permit::Permit<permit::Sending>;
+pub(super) type SlotPermit = permit::Permit<permit::Sending>;
 
 /// Backend servers of the own zone.
 #[derive(Debug)]
 pub(super) struct Servers {
     slots: exchange::SlotExchange,
     pools: BTreeMap<ids::ServiceId, health::Pool>,
-    lives: BTreeMap<ids::BackendServerId, drain::Lifecycle>,
+    lifecycles: BTreeMap<ids::BackendServerId, drain::Lifecycle>,
     connections: BTreeMap<ids::BackendServerId, connections::ConnectionBudget>,
     warm_up: drain::WarmUpSettings,
-    uses: u64,
+    use_counter: u64,
     last_uses: BTreeMap<ids::BackendServerId, u64>,
     directory: Arc<directory::Directory>,
     actions: Vec<exchange::Action>,
 }
 
 impl Servers {
-    pub(super) fn new(me: &home::Home) -> Self {
+    pub(super) fn new(own_home: &home::Home) -> Self {
         Self {
             slots: exchange::SlotExchange::new(
-                me.instance.clone(),
-                me.incarnation,
+                own_home.instance.clone(),
+                own_home.incarnation,
                 settings::SlotSettings::default(),
             ),
             pools: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            lifecycles: BTreeMap::new(),
             connections: BTreeMap::new(),
             warm_up: drain::WarmUpSettings::default(),
-            uses: 0,
+            use_counter: 0,
             last_uses: BTreeMap::new(),
             directory: Arc::default(),
             actions: Vec::new(),
@@ -66,12 +66,16 @@
         core::mem::take(&mut self.actions)
     }
 
-    fn tell(&mut self, now: time::TimeMs, event: exchange::Event) {
+    fn handle_slot_event(&mut self, now: time::TimeMs, event: exchange::Event) {
         let actions = self.slots.handle(now, event);
         self.actions.extend(actions);
     }
 
-    pub(super) fn learn(&mut self, now: time::TimeMs, directory: &Arc<directory::Directory>) {
+    pub(super) fn apply_directory(
+        &mut self,
+        now: time::TimeMs,
+        directory: &Arc<directory::Directory>,
+    ) {
         let is_first = self.directory.version == ids::ConfigVersion::default();
         self.directory = Arc::clone(directory);
         let limits = directory
@@ -82,7 +86,7 @@
                 slots: entry.slots,
             })
             .collect();
-        self.tell(now, exchange::Event::Servers(limits));
+        self.handle_slot_event(now, exchange::Event::Servers(limits));
         for (id, entry) in &directory.backend_servers {
             let pool = self
                 .pools
@@ -93,32 +97,32 @@
             } else {
                 pool.join(id.clone(), now);
             }
-            let life = self
-                .lives
+            let lifecycle = self
+                .lifecycles
                 .entry(id.clone())
                 .or_insert_with(|| drain::Lifecycle::active(now));
             if entry.draining {
-                life.drain(now);
+                lifecycle.drain(now);
             } else {
-                life.resume(now);
+                lifecycle.resume(now);
             }
             self.connections.entry(id.clone()).or_insert_with(|| {
-                connections::ConnectionBudget::new(entry.connections, MOST_INSTANCES_OF_A_ZONE)
+                connections::ConnectionBudget::new(entry.connections, MAX_INSTANCES_PER_ZONE)
             });
         }
     }
 
-    pub(super) fn roster(&mut self, now: time::TimeMs, roster: view::Roster) {
-        self.tell(now, exchange::Event::Roster(roster));
+    pub(super) fn apply_roster(&mut self, now: time::TimeMs, roster: view::Roster) {
+        self.handle_slot_event(now, exchange::Event::Roster(roster));
     }
 
-    pub(super) fn message(
+    pub(super) fn handle_message(
         &mut self,
         now: time::TimeMs,
         from: &home::Home,
         message: message::AddressedMessage,
     ) {
-        self.tell(
+        self.handle_slot_event(
             now,
             exchange::Event::Message {
                 from: from.instance.clone(),
@@ -128,7 +132,7 @@
         );
     }
 
-    pub(super) fn reported(
+    pub(super) fn record_health_report(
         &mut self,
         now: time::TimeMs,
         server: &ids::BackendServerId,
@@ -145,13 +149,13 @@
     }
 
     pub(super) fn tick(&mut self, now: time::TimeMs) {
-        self.tell(now, exchange::Event::Tick);
-        for (server, life) in &mut self.lives {
+        self.handle_slot_event(now, exchange::Event::Tick);
+        for (server, lifecycle) in &mut self.lifecycles {
             let running = self
                 .connections
                 .get(server)
                 .map_or(0, connections::ConnectionBudget::in_use);
-            life.advance(now, running as usize, &self.warm_up);
+            lifecycle.advance(now, running as usize, &self.warm_up);
         }
     }
 
@@ -185,7 +189,7 @@
     }
 
     /// How many backend servers could take a request now or soon.
-    pub(super) fn count(
+    pub(super) fn candidate_count(
         &self,
         now: time::TimeMs,
         service: &ids::ServiceId,
@@ -204,31 +208,34 @@
     /// Whether a request of a service could be sent now.
     pub(super) fn has_free_slot(&self, now: time::TimeMs, service: &ids::ServiceId) -> bool {
         self.candidates(now, service, &[])
-            .filter(|(id, server)| self.has_room(now, id, server))
+            .filter(|(id, server)| self.has_capacity(now, id, server))
             .any(|(id, _)| self.slots.free(now, id) > units::Slots::ZERO)
     }
 
     /// Takes a slot of the backend server with the most free ones.
-    pub(super) fn take(
+    pub(super) fn acquire_slot(
         &mut self,
         now: time::TimeMs,
         service: &ids::ServiceId,
         tried: &[ids::BackendServerId],
-        wanted: time::SpanMs,
-    ) -> Option<Taken> {
+        requested_time: time::SpanMs,
+    ) -> Option<SlotPermit> {
         let server = self
             .candidates(now, service, tried)
-            .filter(|(id, server)| self.has_room(now, id, server))
+            .filter(|(id, server)| self.has_capacity(now, id, server))
             .map(|(id, _)| (self.slots.free(now, id), id))
             .filter(|(free, _)| *free > units::Slots::ZERO)
             .max_by_key(|(free, id)| (*free, Reverse(self.last_use(id))))
             .map(|(_, id)| id.clone())?;
-        let least = self.least_time(service).min(wanted);
-        let ready = self.slots.begin(now, &server, wanted, least).ok()?;
+        let min_time = self.min_run_time(service).min(requested_time);
+        let ready = self
+            .slots
+            .begin(now, &server, requested_time, min_time)
+            .ok()?;
         match ready.send(now) {
-            Ok(taken) => {
-                self.opened(service, &server);
-                Some(taken)
+            Ok(slot_permit) => {
+                self.record_started(service, &server);
+                Some(slot_permit)
             }
             Err(permit::LeaseExpired(returned)) => {
                 self.slots.count_expired();
@@ -240,7 +247,7 @@
     }
 
     /// A cold or ailing server gets a part of its slots only; the connections have their own limit.
-    fn has_room(
+    fn has_capacity(
         &self,
         now: time::TimeMs,
         id: &ids::BackendServerId,
@@ -261,7 +268,7 @@
         in_use < share.min(admitted)
     }
 
-    fn least_time(&self, service: &ids::ServiceId) -> time::SpanMs {
+    fn min_run_time(&self, service: &ids::ServiceId) -> time::SpanMs {
         self.directory
             .services
             .get(service)
@@ -274,9 +281,9 @@
         self.last_uses.get(server).copied().unwrap_or(0)
     }
 
-    fn opened(&mut self, service: &ids::ServiceId, server: &ids::BackendServerId) {
-        self.uses += 1;
-        self.last_uses.insert(server.clone(), self.uses);
+    fn record_started(&mut self, service: &ids::ServiceId, server: &ids::BackendServerId) {
+        self.use_counter += 1;
+        self.last_uses.insert(server.clone(), self.use_counter);
         if let Some(budget) = self.connections.get_mut(server) {
             let _ = budget.open();
         }
@@ -289,23 +296,23 @@
     ///
     /// After a lost or silent connection the request may still run until the deadline it was sent. One
     /// would see the backend server run more than its slots if the slot were used again before.
-    pub(super) fn ended(
+    pub(super) fn record_end(
         &mut self,
         now: time::TimeMs,
         service: &ids::ServiceId,
-        taken: Taken,
+        slot_permit: SlotPermit,
         took: time::SpanMs,
         end: &ExchangeEnd,
     ) {
-        let server = taken.server().clone();
-        let (finish, outcome) = judgement::judge(end, took);
+        let server = slot_permit.server().clone();
+        let (finish, outcome) = end_effect::classify_end(end, took);
         if let Some(budget) = self.connections.get_mut(&server) {
             budget.close();
         }
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_end(&server, outcome, now);
         }
-        let actions = self.slots.finish(now, &taken.into_released(), finish);
+        let actions = self.slots.finish(now, &slot_permit.into_released(), finish);
         self.actions.extend(actions);
     }
 
@@ -336,12 +343,12 @@
         &self,
         now: time::TimeMs,
         service: &ids::ServiceId,
-        to_me: bool,
+        assigned_here: bool,
     ) -> Vec<ids::BackendServerId> {
         self.candidates(now, service, &[])
-            .filter(|(id, server)| self.has_room(now, id, server))
+            .filter(|(id, server)| self.has_capacity(now, id, server))
             .map(|(id, _)| id)
-            .filter(|id| self.slots.is_assigned(id) == to_me)
+            .filter(|id| self.slots.is_assigned(id) == assigned_here)
             .cloned()
             .collect()
     }
@@ -350,7 +357,7 @@
         let waiting = units::Slots::new(u32::try_from(waiting).unwrap_or(u32::MAX));
         for server in servers {
             let server = server.clone();
-            self.tell(now, exchange::Event::Demand { server, waiting });
+            self.handle_slot_event(now, exchange::Event::Demand { server, waiting });
         }
     }
 
--- a/crates/damaskvane-engine/src/engine/servers/judgement.rs
+++ b/crates/damaskvane-engine/src/engine/servers/end_effect.rs
@@ -14,7 +14,7 @@
 
 /// What the end of an exchange says of the slot, and of the server. Each exchange has a connection of its
 /// own, so that a silent or broken one is not the fault of an earlier exchange.
-pub(super) const fn judge(
+pub(super) const fn classify_end(
     end: &ExchangeEnd,
     took: time::SpanMs,
 ) -> (exchange::Finish, health::Outcome) {
--- a/crates/damaskvane-engine/src/engine/servers/views.rs
+++ b/crates/damaskvane-engine/src/engine/servers/status.rs
@@ -16,8 +16,8 @@
 impl Servers {
     /// Backend servers that drain or have drained, and since when.
     pub(in crate::engine) fn draining(&self) -> impl Iterator<Item = DrainStatus> + '_ {
-        self.lives.iter().filter_map(|(server, life)| {
-            let (phase, since) = match life {
+        self.lifecycles.iter().filter_map(|(server, lifecycle)| {
+            let (phase, since) = match lifecycle {
                 drain::Lifecycle::Draining(draining) => ("draining", draining.since()),
                 drain::Lifecycle::Drained(drained) => ("drained", drained.since()),
                 drain::Lifecycle::Cold(_) | drain::Lifecycle::Active(_) => return None,
--- a/crates/damaskvane-engine/src/engine/settings.rs
+++ b/crates/damaskvane-engine/src/engine/settings.rs
@@ -3,8 +3,8 @@
 //! ```
 //! use damaskvane_engine::engine;
 //!
-//! let settings = engine::EngineSettings { most_hops: 1, ..engine::EngineSettings::default() };
-//! assert_eq!(settings.most_hops, 1);
+//! let settings = engine::EngineSettings { max_hops: 1, ..engine::EngineSettings::default() };
+//! assert_eq!(settings.max_hops, 1);
 //! ```
 
 use damaskvane_core::time;
@@ -22,7 +22,7 @@
     /// Requests that crash backend servers.
     pub quarantine: quarantine::QuarantineSettings,
     /// How often a request is passed on from instance to instance at most.
-    pub most_hops: u32,
+    pub max_hops: u32,
     /// A planned stop; the look-up TTL comes from the declared services.
     pub shutdown: shutdown::ShutdownSettings,
     /// After how long a part of a handover is sent again.
@@ -36,7 +36,7 @@
             retries: retry::RetrySettings::default(),
             queue: admission::QueueSettings::default(),
             quarantine: quarantine::QuarantineSettings::default(),
-            most_hops: 3,
+            max_hops: 3,
             shutdown: shutdown::ShutdownSettings::default(),
             handover_resend: time::SpanMs::new(200),
         }
--- a/crates/damaskvane-engine/src/engine/submit.rs
+++ b/crates/damaskvane-engine/src/engine/submit.rs
@@ -50,7 +50,7 @@
                 let id = self.insert(origin, request, deadline, stage);
                 self.waiters.insert(waiter, id);
             }
-            home::BeginDecision::Answer(outcome) => self.answer(Some(origin), outcome),
+            home::BeginDecision::Answer(outcome) => self.respond(Some(origin), outcome),
             home::BeginDecision::Forward(home) => {
                 self.forward(now, origin, request, deadline, home, hops);
             }
@@ -64,7 +64,7 @@
         request: Arc<message::ServiceRequest>,
         received: exchange::Received,
     ) {
-        if let Some((reason, retry_after)) = self.refuses(&request.service, now) {
+        if let Some((reason, retry_after)) = self.admission_refusal(&request.service, now) {
             self.count_refused(&request.service);
             let answered = received.refuse_with_retry_after(reason, retry_after);
             self.finish(now, Some(origin), answered);
@@ -77,7 +77,7 @@
         let service = request.service.clone();
         let priority = request.priority;
         let id = self.insert(origin, request, deadline, Stage::Queued(received));
-        let given_up = self.queue.push(
+        let rejected = self.queue.push(
             now,
             admission::QueuedRequest {
                 request: id,
@@ -86,7 +86,7 @@
                 deadline,
             },
         );
-        self.give_up_all(now, given_up);
+        self.abandon_rejected(now, rejected);
     }
 
     pub(super) fn count_refused(&mut self, service: &ids::ServiceId) {
@@ -95,7 +95,7 @@
     }
 
     /// Why a new request of a service would not even be queued.
-    fn refuses(
+    fn admission_refusal(
         &self,
         service: &ids::ServiceId,
         now: time::TimeMs,
@@ -107,21 +107,21 @@
         let Some(settings) = self.directory.services.get(service) else {
             return refused(refusal::RefusalReason::ServiceUnknown);
         };
-        if self.departure.takes_no_requests() {
+        if self.shutdown_state.takes_no_requests() {
             return refused(refusal::RefusalReason::InstanceLeaving);
         }
-        if self.servers.count(now, service, &[]) == 0 {
+        if self.servers.candidate_count(now, service, &[]) == 0 {
             return refused(refusal::RefusalReason::NoBackendServer);
         }
-        let waiting = self.waiting_for(service);
+        let waiting = self.waiting_count(service);
         if waiting >= settings.queue_limit as usize {
-            let retry_after = self.time_to_drain(now, service, settings, waiting);
+            let retry_after = self.queue_drain_time(now, service, settings, waiting);
             return Some((refusal::RefusalReason::QueueFull, retry_after));
         }
         None
     }
 
-    fn waiting_for(&self, service: &ids::ServiceId) -> usize {
+    fn waiting_count(&self, service: &ids::ServiceId) -> usize {
         self.requests
             .values()
             .filter(|pending| pending.request.service == *service && pending.stage.is_waiting())
@@ -129,7 +129,7 @@
     }
 
     /// When the requests that wait now will have been served at the service's usual pace.
-    fn time_to_drain(
+    fn queue_drain_time(
         &self,
         now: time::TimeMs,
         service: &ids::ServiceId,
@@ -165,7 +165,7 @@
         id
     }
 
-    pub(super) fn client_gone(&mut self, now: time::TimeMs, number: RequestNumber) {
+    pub(super) fn handle_client_disconnect(&mut self, now: time::TimeMs, number: RequestNumber) {
         let Some(id) = self.clients.remove(&number) else {
             return;
         };
@@ -176,14 +176,14 @@
         match &pending.stage {
             // The slot stays taken until the exchange ends: only then is the backend server known to
             // be free. A non-repeatable request runs on, so that its next try hears the outcome.
-            Stage::Flying(exchange) => {
+            Stage::Running(exchange) => {
                 let exchange = *exchange;
                 if pending.request.is_repeatable() {
                     self.cancel(exchange);
                 }
             }
             Stage::Queued(_) | Stage::Requeued(_) | Stage::Backoff { .. } => {
-                self.give_up(now, id, refusal::RefusalReason::ClientGone);
+                self.abandon(now, id, refusal::RefusalReason::ClientGone);
             }
             Stage::Joined { scope, waiter } => {
                 self.keys.remove_waiter(scope, *waiter);
--- a/crates/damaskvane-engine/src/message.rs
+++ b/crates/damaskvane-engine/src/message.rs
@@ -7,10 +7,10 @@
 //! assert_eq!(header.value(), "text/plain");
 //! ```
 
-mod answer;
 mod header;
 mod request;
+mod response;
 
-pub use answer::BackendResponse;
 pub use header::Header;
 pub use request::{Idempotency, ServiceRequest};
+pub use response::BackendResponse;
--- a/crates/damaskvane-engine/src/message/answer.rs
+++ b/crates/damaskvane-engine/src/message/response.rs
@@ -3,8 +3,8 @@
 //! ```
 //! use damaskvane_engine::message;
 //!
-//! let answer = message::BackendResponse { status: 200, headers: Vec::new(), body: b"ok".to_vec() };
-//! assert_eq!(answer.len(), 2);
+//! let response = message::BackendResponse { status: 200, headers: Vec::new(), body: b"ok".to_vec() };
+//! assert_eq!(response.len(), 2);
 //! ```
 
 use damaskvane_dispatch::home;
--- a/crates/damaskvane-engine/src/peer.rs
+++ b/crates/damaskvane-engine/src/peer.rs
@@ -15,6 +15,6 @@
 mod forward;
 mod peer_message;
 
-pub use departure::{Departed, HandoverTaken};
-pub use forward::{Forward, ForwardAnswer};
+pub use departure::{Departed, HandoverAck};
+pub use forward::{Forward, ForwardResponse};
 pub use peer_message::PeerMessage;
--- a/crates/damaskvane-engine/src/peer/departure.rs
+++ b/crates/damaskvane-engine/src/peer/departure.rs
@@ -3,8 +3,8 @@
 //! ```
 //! use damaskvane_engine::peer;
 //!
-//! let taken = peer::HandoverTaken { part: 0 };
-//! assert_eq!(taken.part, 0);
+//! let ack = peer::HandoverAck { part: 0 };
+//! assert_eq!(ack.part, 0);
 //! ```
 
 use damaskvane_dispatch::home;
@@ -12,7 +12,7 @@
 
 /// The successor holds a part of the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandoverTaken {
+pub struct HandoverAck {
     /// Which part, from 0.
     pub part: u32,
 }
--- a/crates/damaskvane-engine/src/peer/forward.rs
+++ b/crates/damaskvane-engine/src/peer/forward.rs
@@ -3,8 +3,8 @@
 //! ```
 //! use damaskvane_engine::peer;
 //!
-//! let answer = peer::ForwardAnswer::lost("e-1/3".parse()?, 7, "r-1".parse()?);
-//! assert_eq!(answer.correlation, 7);
+//! let response = peer::ForwardResponse::lost("e-1/3".parse()?, 7, "r-1".parse()?);
+//! assert_eq!(response.correlation, 7);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
@@ -29,9 +29,10 @@
 
 /// The home's final answer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ForwardAnswer {
+pub struct ForwardResponse {
     /// The process that passed the request on; a later start of it counts its requests anew.
-    pub asker: home::Home,
+    #[serde(rename = "asker")]
+    pub forwarder: home::Home,
     /// The asker's number for the request.
     pub correlation: u64,
     /// The request it answers.
@@ -40,12 +41,12 @@
     pub outcome: outcome::Outcome<Arc<message::BackendResponse>>,
 }
 
-impl ForwardAnswer {
+impl ForwardResponse {
     /// The answer where the home has none.
     #[must_use]
-    pub const fn lost(asker: home::Home, correlation: u64, request_id: ids::RequestId) -> Self {
+    pub const fn lost(forwarder: home::Home, correlation: u64, request_id: ids::RequestId) -> Self {
         Self {
-            asker,
+            forwarder,
             correlation,
             request_id,
             outcome: outcome::Outcome::unknown(refusal::RefusalReason::HomeUnreachable),
--- a/crates/damaskvane-engine/src/peer/peer_message.rs
+++ b/crates/damaskvane-engine/src/peer/peer_message.rs
@@ -26,11 +26,13 @@
     /// A request for its home.
     Forward(forward::Forward),
     /// The home's answer.
-    ForwardAnswer(forward::ForwardAnswer),
+    #[serde(rename = "ForwardAnswer")]
+    ForwardResponse(forward::ForwardResponse),
     /// A part of a leaving instance's table of keys.
     Handover(Box<home::HandoverPart<Arc<message::BackendResponse>>>),
     /// The successor holds a part.
-    HandoverTaken(departure::HandoverTaken),
+    #[serde(rename = "HandoverTaken")]
+    HandoverAck(departure::HandoverAck),
     /// An outcome that a leaving instance learned after its handover.
     Amendment(Box<home::HandoverRecord<Arc<message::BackendResponse>>>),
     /// A backend server died while it ran these requests.
@@ -51,9 +53,9 @@
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Forward(_) => "forward",
-            Self::ForwardAnswer(_) => "forward_answer",
+            Self::ForwardResponse(_) => "forward_answer",
             Self::Handover(_) => "handover",
-            Self::HandoverTaken(_) => "handover_taken",
+            Self::HandoverAck(_) => "handover_taken",
             Self::Amendment(_) => "amendment",
             Self::Incident(_) => "incident",
             Self::Cleared(_) => "cleared",
--- a/crates/damaskvane-engine/tests/renewal.rs
+++ b/crates/damaskvane-engine/tests/renewal.rs
@@ -29,7 +29,7 @@
 }
 
 /// An engine whose table takes no key before it wants a new incarnation.
-fn worn_out() -> engine::Engine {
+fn engine_due_for_renewal() -> engine::Engine {
     let mut settings = engine::EngineSettings::default();
     settings.keys.max_tombstones = 0;
     engine::Engine::new(home_of("a-1/5"), settings)
@@ -52,8 +52,8 @@
 /// An instance takes a new incarnation for its keys. If another went on naming the old one in look-ups,
 /// its clients' new bookings would be answered *unknown*; so would those of one that starts later.
 #[test]
-fn peers_and_newcomers_hear_of_a_renewed_home() {
-    let mut engine = worn_out();
+fn a_renewed_home_is_sent_to_peers_and_new_instances() {
+    let mut engine = engine_due_for_renewal();
     let _ = engine.handle(time::TimeMs::new(1), directory_with(&["b-1/7"]));
     let actions = engine.handle(time::TimeMs::new(10), event::Event::Tick);
     assert_eq!(renewals(&actions), ["own look-ups: a-1/6", "to b-1: a-1/6"]);
@@ -68,7 +68,7 @@
 
 /// A message that names another sender's home, or an older one, would send clients astray.
 #[test]
-fn only_an_instance_itself_renews_its_home() {
+fn a_renewal_is_accepted_only_from_the_instance_itself() {
     let mut engine = engine::Engine::new(home_of("a-1/5"), engine::EngineSettings::default());
     let cases = [
         ("b-1/7", "b-1/8", 1),
@@ -76,11 +76,11 @@
         ("b-1/7", "b-1/6", 0),
     ];
     for (from, renewed, expected) in cases {
-        let told = event::Event::Peer {
+        let message = event::Event::Peer {
             from: home_of(from),
             message: Box::new(peer::PeerMessage::Renewed(home_of(renewed))),
         };
-        let actions = engine.handle(time::TimeMs::new(1), told);
+        let actions = engine.handle(time::TimeMs::new(1), message);
         assert_eq!(renewals(&actions).len(), expected, "{from} says {renewed}");
     }
 }
