--- a/crates/damaskvane-entry/src/engine_thread.rs
+++ b/crates/damaskvane-entry/src/engine_thread.rs
@@ -218,7 +218,7 @@
                 self.serving.counters.increment("retried", reason.as_str());
             }
             event::Action::Count { family, label } => {
-                self.serving.counters.increment(family, label)
+                self.serving.counters.increment(family, label);
             }
             event::Action::Broken { invariant } => {
                 self.serving
