--- a/crates/damaskvane-engine/src/directory.rs
+++ b/crates/damaskvane-engine/src/directory.rs
@@ -1,4 +1,4 @@
-//! What the engine knows of its surroundings: services, backend servers of its zone, other instances.
+//! The services, the backend servers of the local availability zone and the other entry instances.
 //!
 //! The control thread builds a new directory whenever the configuration or the membership changes.
 //!
@@ -20,21 +20,21 @@
 pub use peer_instance::{PeerInstance, Reachability};
 pub use service::Service;
 
-/// Everything the engine knows of its surroundings, as one immutable value.
+/// An immutable snapshot of the configuration and membership that the engine uses.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
-    /// The configuration version that it rests on.
+    /// The version of the configuration that the snapshot was built from; zero before the first one.
     pub version: ids::ConfigVersion,
     /// The availability zone of this instance.
     pub own_zone: Option<ids::AvailabilityZoneId>,
     /// The region of this instance.
     pub own_region: Option<ids::RegionId>,
-    /// The longest time for which clients keep a look-up answer.
+    /// The longest time for which clients cache a lookup response.
     pub lookup_ttl: time::SpanMs,
-    /// Every declared service.
+    /// Every service that the configuration declares.
     pub services: BTreeMap<ids::ServiceId, Service>,
-    /// The backend servers of the own availability zone.
+    /// The backend servers of the local availability zone.
     pub backend_servers: BTreeMap<ids::BackendServerId, BackendServer>,
-    /// Every other entry instance that is known.
+    /// Every other entry instance in the member table.
     pub instances: BTreeMap<ids::InstanceId, PeerInstance>,
 }
--- a/crates/damaskvane-engine/src/directory/backend_server.rs
+++ b/crates/damaskvane-engine/src/directory/backend_server.rs
@@ -1,4 +1,4 @@
-//! A backend server of the own availability zone as the engine sees it.
+//! The engine's record of a backend server in the local availability zone.
 //!
 //! ```
 //! use damaskvane_engine::directory;
@@ -12,23 +12,23 @@
 
 use damaskvane_core::{ids, units};
 
-/// A backend server of the own availability zone.
+/// The declared properties of a backend server in the local availability zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendServer {
-    /// The service it runs.
+    /// The service that the backend server runs.
     pub service: ids::ServiceId,
-    /// Where it listens.
+    /// The address that the backend server listens on.
     pub address: net::SocketAddr,
-    /// How many requests may run on it at a time.
+    /// The maximum number of requests that may run on the backend server at the same time.
     pub slots: units::Slots,
-    /// How many connections it takes.
+    /// The maximum number of connections, shared by all instances of the zone.
     pub connections: u32,
-    /// Whether it takes no new work.
+    /// Whether the configuration drains the backend server, so that it gets no new requests.
     pub draining: bool,
 }
 
 impl BackendServer {
-    /// A backend server with one slot.
+    /// Creates a backend server with one slot and one connection that is not draining.
     #[must_use]
     pub const fn new(service: ids::ServiceId, address: net::SocketAddr) -> Self {
         Self {
--- a/crates/damaskvane-engine/src/directory/peer_instance.rs
+++ b/crates/damaskvane-engine/src/directory/peer_instance.rs
@@ -1,4 +1,4 @@
-//! Another entry instance as the engine sees it.
+//! The engine's record of another entry instance.
 //!
 //! ```
 //! use damaskvane_engine::directory;
@@ -9,34 +9,34 @@
 
 use damaskvane_core::ids;
 
-/// Whether an instance can be talked to.
+/// Whether another instance can be reached, according to its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// It sends heartbeats.
+    /// The instance sends heartbeats.
     Live,
-    /// It sends heartbeats and says that it is leaving.
+    /// The instance sends heartbeats and reports a planned stop.
     Leaving,
-    /// It has been silent for longer than heartbeats allow.
+    /// No heartbeat was received for longer than the heartbeat timeout.
     Dead,
 }
 
 impl Reachability {
-    /// Whether a message to it has a chance.
+    /// Returns whether a message to the instance can be delivered.
     #[must_use]
     pub const fn takes_messages(self) -> bool {
         matches!(self, Self::Live | Self::Leaving)
     }
 }
 
-/// Another entry instance.
+/// The location and state of another entry instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerInstance {
-    /// Its latest start.
+    /// The incarnation of the latest process of the instance.
     pub incarnation: ids::Incarnation,
-    /// Where it stands.
+    /// The availability zone of the instance.
     pub availability_zone: ids::AvailabilityZoneId,
     /// The region of that zone.
     pub region: ids::RegionId,
-    /// Whether it can be talked to.
+    /// Whether the instance can be reached.
     pub reachability: Reachability,
 }
--- a/crates/damaskvane-engine/src/directory/service.rs
+++ b/crates/damaskvane-engine/src/directory/service.rs
@@ -1,4 +1,4 @@
-//! A service as the engine sees it.
+//! The engine's limits for a service.
 //!
 //! ```
 //! use damaskvane_engine::directory;
@@ -8,16 +8,16 @@
 
 use damaskvane_core::{time, units};
 
-/// Bounds of one service.
+/// The limits of one service, from its declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Service {
-    /// The longest a request may take.
+    /// The maximum time for a request, with all its attempts; a client's shorter deadline takes precedence.
     pub request_timeout: time::SpanMs,
-    /// How long a request usually runs on a backend server.
+    /// The usual duration of a request on a backend server.
     pub typical_duration: time::SpanMs,
-    /// The most requests that wait on one instance.
+    /// The maximum number of requests that wait for a slot on one instance.
     pub queue_limit: u32,
-    /// Retries as a share of first tries.
+    /// The maximum share of retries in the number of first attempts.
     pub retry_budget: units::Permille,
 }
 
--- a/crates/damaskvane-engine/src/event.rs
+++ b/crates/damaskvane-engine/src/event.rs
@@ -1,4 +1,4 @@
-//! What the engine is told, and what it wants done.
+//! The events that the engine handles and the actions that it returns.
 //!
 //! ```
 //! use damaskvane_engine::event;
--- a/crates/damaskvane-engine/src/event/action.rs
+++ b/crates/damaskvane-engine/src/event/action.rs
@@ -1,4 +1,4 @@
-//! What the engine wants done.
+//! The actions that the engine returns to its driver.
 //!
 //! ```
 //! use damaskvane_dispatch::refusal;
@@ -17,69 +17,69 @@
 use crate::event::number;
 use crate::{message, peer};
 
-/// An exchange to be run.
+/// An exchange with a backend server that the driver has to run.
 #[derive(Debug, Clone)]
 pub struct Exchange {
-    /// The engine's number for it.
+    /// The number of the exchange, assigned by the engine.
     pub number: number::ExchangeNumber,
-    /// The backend server.
+    /// The backend server that gets the request.
     pub backend_server: ids::BackendServerId,
-    /// Where it listens.
+    /// The address that the backend server listens on.
     pub address: net::SocketAddr,
-    /// What to send.
+    /// The request to send.
     pub request: Arc<message::ServiceRequest>,
-    /// The deadline that the backend server is given, as a span from the sending on.
+    /// The deadline that is sent to the backend server, as a span that starts when the request is sent.
     pub deadline: time::SpanMs,
-    /// The lease of its slot ends here: after this point it must not be sent any more.
+    /// The end of the lease of the slot; the request must not be sent at or after this time.
     pub begin_before: time::TimeMs,
 }
 
-/// What the engine wants done; the driver carries it out in order.
+/// An action for the driver, which carries out actions in the order of the list.
 #[derive(Debug)]
 pub enum Action {
-    /// Give a client its final answer.
+    /// Send a client its final response.
     Respond {
-        /// The request.
+        /// The request, by the number that the driver assigned.
         number: number::RequestNumber,
-        /// The answer.
+        /// The outcome of the request: a response, a refusal or unknown.
         outcome: outcome::Outcome<Arc<message::BackendResponse>>,
     },
-    /// Run an exchange and report its end.
+    /// Run an exchange and report its end with an `ExchangeEnded` event.
     Start(Exchange),
-    /// Ask a backend server to stop a request; its exchange still reports its end.
+    /// Request a backend server to cancel a request; the end of its exchange is still reported.
     Cancel {
-        /// Where the backend server listens.
+        /// The address that the backend server listens on.
         address: net::SocketAddr,
-        /// The request.
+        /// The identifier of the attempt to cancel.
         request_id: ids::RequestId,
     },
     /// Send a message to another entry instance.
     Send {
-        /// The receiver.
+        /// The instance that receives the message.
         to: ids::InstanceId,
-        /// The message.
+        /// The message to send.
         message: Box<peer::PeerMessage>,
     },
-    /// From now on name this home in look-up answers for its instance, this one or another: new keys of
-    /// an older incarnation of the same process are *unknown* after 30 s.
+    /// Name this home in lookup responses for its instance, which may be the local one or another: requests
+    /// with new keys of an older incarnation of the same process end as *unknown* after 30 s.
     HomeRenewed {
-        /// The instance with its new incarnation; heartbeats and leases go on under the old one.
+        /// The instance with its new incarnation; heartbeats and leases continue under the old incarnation.
         home: home::Home,
     },
-    /// Count a refusal.
+    /// Increment the counter of a refusal reason.
     CountRefusal(refusal::RefusalReason),
-    /// Count a retry.
+    /// Increment the counter of a retry reason.
     CountRetry(retry::RetryReason),
-    /// Count another event by family and word.
+    /// Increment another event counter.
     Count {
-        /// The counter's family.
+        /// The family of the counter.
         family: &'static str,
-        /// The counter's word.
+        /// The label of the counter within its family.
         label: &'static str,
     },
-    /// An invariant was broken and the unsafe action refused.
+    /// Report a broken invariant; the engine has not carried out the unsafe operation.
     Broken {
-        /// Which invariant.
+        /// The description of the invariant, which is also a label of the counters.
         invariant: &'static str,
     },
 }
--- a/crates/damaskvane-engine/src/event/exchange_end.rs
+++ b/crates/damaskvane-engine/src/event/exchange_end.rs
@@ -9,27 +9,27 @@
 
 use crate::message;
 
-/// How an exchange ended.
+/// The way in which an exchange with a backend server ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExchangeEnd {
-    /// The backend server's whole answer to this very request.
+    /// The backend server sent a complete response to this request.
     Answered(message::BackendResponse),
-    /// The backend server refused before running.
+    /// The backend server refused the request before running any of it.
     Refused,
-    /// The connection could not be opened: nothing was sent.
+    /// The connection could not be opened or the lease of the slot had ended, so that nothing was sent.
     NotSent,
-    /// The connection was lost after the request may have been read.
+    /// The connection was lost at a time when the backend server may have read the request.
     Lost,
-    /// Nothing was heard until the time for this exchange had passed.
+    /// No response arrived within the time limit of the exchange.
     Timeout,
-    /// The answer ended before its length, or was longer than allowed.
+    /// The response ended before its declared length, was malformed, or was longer than allowed.
     TruncatedResponse,
-    /// The answer names another request.
+    /// The response does not name exactly this request.
     MismatchedResponse,
 }
 
 impl ExchangeEnd {
-    /// Whether it is certain that the backend server did not run the request.
+    /// Returns whether the backend server certainly did not run the request.
     #[must_use]
     pub const fn proves_not_run(&self) -> bool {
         matches!(self, Self::Refused | Self::NotSent)
--- a/crates/damaskvane-engine/src/event/input.rs
+++ b/crates/damaskvane-engine/src/event/input.rs
@@ -1,4 +1,4 @@
-//! What the engine is told.
+//! The events that the engine handles.
 //!
 //! ```
 //! use damaskvane_engine::event;
@@ -16,50 +16,50 @@
 use crate::event::{exchange_end, number};
 use crate::{directory, message, peer};
 
-/// What the engine is told.
+/// An event for the engine.
 #[derive(Debug)]
 pub enum Event {
-    /// A client's request arrived, whole.
+    /// A complete request of a client was received.
     Submit {
-        /// The driver's number for it.
+        /// The number of the request, assigned by the driver.
         number: number::RequestNumber,
-        /// The request.
+        /// The request of the client.
         request: Box<message::ServiceRequest>,
     },
-    /// The client closed its connection before the answer.
+    /// The client closed its connection before it got a response.
     ClientDisconnected {
-        /// The request it waited for.
+        /// The request whose response the client was waiting for.
         number: number::RequestNumber,
     },
     /// An exchange ended.
     ExchangeEnded {
-        /// Which one.
+        /// The number of the exchange, assigned by the engine.
         exchange: number::ExchangeNumber,
-        /// How.
+        /// The result of the exchange.
         end: exchange_end::ExchangeEnd,
     },
-    /// Another entry instance sent a message.
+    /// A message of another entry instance was received.
     Peer {
-        /// Who sent it.
+        /// The instance that sent the message, with the incarnation of its process.
         from: home::Home,
-        /// What it says.
+        /// The received message.
         message: Box<peer::PeerMessage>,
     },
-    /// Configuration or membership changed.
+    /// The configuration or the membership changed.
     Directory(Arc<directory::Directory>),
-    /// The instances of the own zone, as owners of slots.
+    /// The instances of the local zone, among which the ownership of slots is divided.
     Roster(Box<view::Roster>),
-    /// A backend server reported its health.
+    /// A health report of a backend server was received.
     HealthReported {
-        /// The backend server.
+        /// The backend server that the report is about.
         backend_server: ids::BackendServerId,
-        /// What it says.
+        /// Whether the backend server is healthy.
         healthy: bool,
     },
-    /// An operator lets a quarantined request go.
+    /// An operator removed a request from the quarantine.
     ClearQuarantine(fingerprint::Fingerprint),
     /// A planned stop has begun.
     Leave,
-    /// Time passed.
+    /// The driver's timer fired; deadlines, backoffs and expiries are checked.
     Tick,
 }
--- a/crates/damaskvane-engine/src/event/number.rs
+++ b/crates/damaskvane-engine/src/event/number.rs
@@ -1,4 +1,4 @@
-//! Numbers that the engine and its driver use to talk about the same thing.
+//! Numbers by which the engine and its driver identify requests and exchanges.
 //!
 //! ```
 //! use damaskvane_engine::event;
@@ -6,22 +6,22 @@
 //! assert!(event::ExchangeNumber::new(1) < event::ExchangeNumber::new(2));
 //! ```
 
-/// A request on this instance; the driver counts it up.
+/// The number of a client's request on this instance, assigned by the driver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(u64);
 
-/// An exchange with a backend server; the engine counts it up.
+/// The number of an exchange with a backend server, assigned by the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeNumber(u64);
 
 impl RequestNumber {
-    /// Wraps a plain number.
+    /// Wraps an integer.
     #[must_use]
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The plain number.
+    /// Returns the number as an integer.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
@@ -29,13 +29,13 @@
 }
 
 impl ExchangeNumber {
-    /// Wraps a plain number.
+    /// Wraps an integer.
     #[must_use]
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The plain number.
+    /// Returns the number as an integer.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
--- a/crates/damaskvane-engine/src/lib.rs
+++ b/crates/damaskvane-engine/src/lib.rs
@@ -1,12 +1,13 @@
-//! The request engine of an entry instance: events and a time in, actions out, no I/O.
+//! The request engine of an entry instance, a state machine without I/O: it takes events with a time and
+//! returns actions.
 //!
 //! # Crate guide
 //!
-//! - [`message`]: what clients send and backend servers answer.
-//! - [`directory`]: what the engine knows of its surroundings.
-//! - [`event`]: what it is told, and what it wants done.
-//! - [`peer`]: what engines say to each other.
-//! - [`engine`]: the engine itself.
+//! - [`message`]: requests of clients and responses of backend servers.
+//! - [`directory`]: the services, backend servers and other instances that the engine uses.
+//! - [`event`]: the events that the engine handles and the actions that it returns.
+//! - [`peer`]: the messages between the engines of entry instances.
+//! - [`engine`]: the engine, its settings and its load figures.
 
 pub mod directory;
 pub mod engine;
--- a/crates/damaskvane-engine/src/message.rs
+++ b/crates/damaskvane-engine/src/message.rs
@@ -1,4 +1,4 @@
-//! What clients send and backend servers answer, as the engine and its peers carry it.
+//! Requests of clients and responses of backend servers, as the engine and its peers exchange them.
 //!
 //! ```
 //! use damaskvane_engine::message;
--- a/crates/damaskvane-engine/src/message/header.rs
+++ b/crates/damaskvane-engine/src/message/header.rs
@@ -1,4 +1,4 @@
-//! One HTTP header that is passed on as it is.
+//! An HTTP header that is forwarded unchanged.
 //!
 //! ```
 //! use damaskvane_engine::message;
@@ -9,24 +9,24 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A header's name and value.
+/// The name and value of an HTTP header.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header(String, String);
 
 impl Header {
-    /// A header of a name in lower case and a value.
+    /// Creates a header; the name must be in lower case.
     #[must_use]
     pub fn new(name: impl Into<String>, value: impl Into<String>) -> Self {
         Self(name.into(), value.into())
     }
 
-    /// The name, in lower case.
+    /// Returns the name, in lower case.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.0
     }
 
-    /// The value.
+    /// Returns the value, unchanged from the request or response.
     #[must_use]
     pub fn value(&self) -> &str {
         &self.1
--- a/crates/damaskvane-engine/src/message/request.rs
+++ b/crates/damaskvane-engine/src/message/request.rs
@@ -1,4 +1,4 @@
-//! A client's request.
+//! One attempt of a client's request.
 //!
 //! ```
 //! use damaskvane_engine::message;
@@ -16,45 +16,45 @@
 
 const DEFAULT_TIME_LEFT: time::SpanMs = time::SpanMs::new(10_000);
 
-/// What makes a non-repeatable request recognisable on every try.
+/// Identifies a non-repeatable request across the attempts of its client.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Idempotency {
-    /// The client's key.
+    /// The idempotency key that the client chose; all attempts of a request carry the same key.
     pub key: ids::IdempotencyKey,
-    /// The instance that the first try was sent to.
+    /// The home of the key: the instance that received the first attempt, with its incarnation.
     pub home: home::Home,
-    /// Which try of the client this is, from 1; 0 where the client does not number its tries.
+    /// The number of the attempt, from 1; 0 if the client does not number its attempts.
     pub try_number: u32,
 }
 
-/// One try of a client's request for a service.
+/// One attempt of a client's request for a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRequest {
-    /// The service.
+    /// The service that the client requests.
     pub service: ids::ServiceId,
-    /// Names this try.
+    /// The identifier of this attempt; every attempt has its own.
     pub request_id: ids::RequestId,
     /// The HTTP method, in upper case.
     pub method: String,
-    /// The path and query for the backend server, from the slash on.
+    /// The path and query for the backend server, with the leading slash.
     pub path: String,
-    /// Headers that are passed on.
+    /// The headers that are forwarded to the backend server.
     pub headers: Vec<header::Header>,
-    /// The whole body.
+    /// The complete body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// The block the client belongs to, where it says so.
+    /// The block of clients that the client belongs to, if the request names one.
     pub client: Option<ids::ClientBlock>,
-    /// Key and home; present on every non-repeatable request.
+    /// The idempotency key and its home; present on every non-repeatable request.
     pub idempotency: Option<Idempotency>,
-    /// How urgent it is.
+    /// The priority in the admission queue.
     pub priority: admission::Priority,
-    /// The time left when the request was received.
+    /// The time until the client's deadline when this instance received the request.
     pub time_left: time::SpanMs,
 }
 
 impl ServiceRequest {
-    /// A repeatable request without a body.
+    /// Creates a GET request without headers and body, with the default time until the deadline.
     #[must_use]
     pub fn get(
         service: ids::ServiceId,
@@ -75,13 +75,13 @@
         }
     }
 
-    /// Whether running it twice does no harm.
+    /// Returns whether the request may safely run twice, as GET and HEAD may.
     #[must_use]
     pub fn is_repeatable(&self) -> bool {
         matches!(self.method.as_str(), "GET" | "HEAD")
     }
 
-    /// What the key is bound to: service, method, path and body.
+    /// Returns the fingerprint of the service, method, path and body, to which an idempotency key is bound.
     #[must_use]
     pub fn fingerprint(&self) -> fingerprint::Fingerprint {
         fingerprint::Fingerprint::of(&self.service, &self.method, &self.path, &self.body)
--- a/crates/damaskvane-engine/src/message/response.rs
+++ b/crates/damaskvane-engine/src/message/response.rs
@@ -1,4 +1,4 @@
-//! A backend server's whole answer.
+//! The complete response of a backend server.
 //!
 //! ```
 //! use damaskvane_engine::message;
@@ -12,20 +12,20 @@
 
 use crate::message::header;
 
-/// An answer whose length was checked; a cut one never becomes a value of this type.
+/// A response of verified length; a truncated response never becomes a value of this type.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendResponse {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The headers that are passed on.
+    /// The headers that are forwarded to the client.
     pub headers: Vec<header::Header>,
-    /// The whole body.
+    /// The complete body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
 impl BackendResponse {
-    /// How many bytes it occupies.
+    /// Returns the length of the body and of all header names and values, in bytes.
     #[must_use]
     pub fn len(&self) -> usize {
         let headers: usize = self
@@ -36,7 +36,7 @@
         self.body.len() + headers
     }
 
-    /// Whether it has neither headers nor a body.
+    /// Returns whether the response has neither headers nor a body.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
--- a/crates/damaskvane-engine/src/peer.rs
+++ b/crates/damaskvane-engine/src/peer.rs
@@ -1,4 +1,4 @@
-//! What the engines of entry instances say to each other.
+//! The messages between the engines of entry instances.
 //!
 //! ```
 //! use damaskvane_engine::peer;
--- a/crates/damaskvane-engine/src/peer/departure.rs
+++ b/crates/damaskvane-engine/src/peer/departure.rs
@@ -1,4 +1,4 @@
-//! What a leaving instance and its successor tell each other and the rest.
+//! The messages of a handover from a leaving instance to its successor.
 //!
 //! ```
 //! use damaskvane_engine::peer;
@@ -10,18 +10,18 @@
 use damaskvane_dispatch::home;
 use serde::{Deserialize, Serialize};
 
-/// The successor holds a part of the table.
+/// The acknowledgement that the successor has stored a part of the key table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverAck {
-    /// Which part, from 0.
+    /// The index of the part, from 0.
     pub part: u32,
 }
 
-/// Who answers for a home that has left.
+/// The notice that a successor has taken over the keys of a home that has left.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departed {
     /// The home that left.
     pub departed: home::Home,
-    /// The one that took its keys over.
+    /// The home that took over the keys.
     pub successor: home::Home,
 }
--- a/crates/damaskvane-engine/src/peer/forward.rs
+++ b/crates/damaskvane-engine/src/peer/forward.rs
@@ -1,4 +1,4 @@
-//! A non-repeatable request on its way to its home, and the answer on its way back.
+//! The messages that forward a non-repeatable request to its home and return the home's response.
 //!
 //! ```
 //! use damaskvane_engine::peer;
@@ -16,33 +16,33 @@
 
 use crate::message;
 
-/// A request that only its home may dispatch.
+/// A forwarded request, which only its home may dispatch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Forward {
-    /// The sender's number; the answer names it.
+    /// The sender's number of the request, which the response repeats.
     pub correlation: u64,
-    /// How often it has been passed on, this time included.
+    /// The number of times that the request was forwarded, including this one.
     pub hops: u32,
-    /// The request, with the time that is left.
+    /// The request, with the remaining time until its deadline.
     pub request: message::ServiceRequest,
 }
 
-/// The home's final answer.
+/// The home's final response to a forwarded request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ForwardResponse {
-    /// The process that passed the request on; a later start of it counts its requests anew.
+    /// The process that forwarded the request; each later incarnation numbers its requests anew.
     #[serde(rename = "asker")]
     pub forwarder: home::Home,
-    /// The asker's number for the request.
+    /// The forwarder's number of the request.
     pub correlation: u64,
-    /// The request it answers.
+    /// The attempt that the response belongs to.
     pub request_id: ids::RequestId,
-    /// The answer.
+    /// The outcome of the request at its home.
     pub outcome: outcome::Outcome<Arc<message::BackendResponse>>,
 }
 
 impl ForwardResponse {
-    /// The answer where the home has none.
+    /// Creates the response for a request whose home could not be reached: the outcome is unknown.
     #[must_use]
     pub const fn lost(forwarder: home::Home, correlation: u64, request_id: ids::RequestId) -> Self {
         Self {
--- a/crates/damaskvane-engine/src/peer/peer_message.rs
+++ b/crates/damaskvane-engine/src/peer/peer_message.rs
@@ -1,4 +1,4 @@
-//! Every message between engines.
+//! The type of all messages between engines.
 //!
 //! ```
 //! use damaskvane_engine::peer;
@@ -20,35 +20,35 @@
 use crate::message;
 use crate::peer::{departure, forward};
 
-/// A message from one engine to another; it may be lost, doubled or late.
+/// A message from one engine to another; messages may be lost, duplicated or late.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A request for its home.
+    /// A non-repeatable request, forwarded to its home.
     Forward(forward::Forward),
-    /// The home's answer.
+    /// The home's response to a forwarded request.
     #[serde(rename = "ForwardAnswer")]
     ForwardResponse(forward::ForwardResponse),
-    /// A part of a leaving instance's table of keys.
+    /// A part of a leaving instance's key table.
     Handover(Box<home::HandoverPart<Arc<message::BackendResponse>>>),
-    /// The successor holds a part.
+    /// The successor has stored a part of the key table.
     #[serde(rename = "HandoverTaken")]
     HandoverAck(departure::HandoverAck),
-    /// An outcome that a leaving instance learned after its handover.
+    /// An outcome that reached a leaving instance after its handover.
     Amendment(Box<home::HandoverRecord<Arc<message::BackendResponse>>>),
-    /// A backend server died while it ran these requests.
+    /// A backend server crashed while it ran the listed requests.
     Incident(Box<quarantine::Incident>),
-    /// A request is suspect no more.
+    /// A request is no longer suspected of crashing backend servers.
     Cleared(fingerprint::Fingerprint),
-    /// About slots of backend servers.
+    /// A message of the slot exchange about slots of backend servers.
     Slots(Box<slot_message::AddressedMessage>),
-    /// Who answers for a home that has left.
+    /// A successor has taken over the keys of a home that has left.
     Departed(departure::Departed),
-    /// The sender takes new keys under this home from now on.
+    /// The sender now accepts new keys under this home.
     Renewed(home::Home),
 }
 
 impl PeerMessage {
-    /// The word under which it is counted.
+    /// Returns the label under which the message is counted.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
