--- a/crates/damaskvane-engine/src/engine.rs
+++ b/crates/damaskvane-engine/src/engine.rs
@@ -1,8 +1,8 @@
-//! The engine: admits requests, finds them a slot, follows them to their final answer.
+//! The engine, which admits requests, assigns each a slot of a backend server and returns its final response.
 //!
-//! The way of a request: `submit` looks its key up and queues it, `launch_waiting` finds a backend server with a
-//! free slot, `ended` takes the end of the exchange and answers or tries again. A non-repeatable
-//! request of another home goes through `forwarding`; a planned stop through `leaving`.
+//! The path of a request: `submit` looks up its key and queues it, `launch_waiting` sends it to a backend server
+//! with a free slot, and `handle_exchange_end` responds or retries. Non-repeatable requests of other homes are
+//! handled in `forwarding`, a planned stop in `leaving`.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -57,7 +57,7 @@
     clients: BTreeMap<RequestNumber, pending::LocalId>,
     waiters: BTreeMap<home::WaiterId, pending::LocalId>,
     queue: admission::Queue<pending::LocalId>,
-    /// Requests that have left the queue and wait for a certain slot: further tries, and suspects.
+    /// Requests that have left the queue and wait for a slot of particular servers: retries and suspects.
     deferred: Vec<pending::LocalId>,
     active_exchanges: BTreeMap<ExchangeNumber, pending::ActiveExchange>,
     servers: servers::Servers,
@@ -73,7 +73,7 @@
 }
 
 impl Engine {
-    /// An engine without a configuration.
+    /// Creates an engine without a configuration, which refuses all requests.
     #[must_use]
     pub fn new(own_home: home::Home, settings: EngineSettings) -> Self {
         Self {
@@ -101,59 +101,60 @@
         }
     }
 
-    /// How many exchanges run.
+    /// Returns the number of exchanges that run.
     #[must_use]
     pub fn running(&self) -> usize {
         self.active_exchanges.len()
     }
 
-    /// Whether no request is under way in any form.
+    /// Returns whether no request is in progress and no exchange runs.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty() && self.active_exchanges.is_empty()
     }
 
-    /// How many requests wait for a slot.
+    /// Returns the number of requests that wait for a slot.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queue.len() + self.deferred.len()
     }
 
-    /// Backend servers that drain or have drained, for operators.
+    /// Returns the backend servers that drain or have drained, for operators.
     pub fn draining(&self) -> impl Iterator<Item = DrainStatus> + '_ {
         self.servers.draining()
     }
 
-    /// The home that look-ups name for this instance; its incarnation can be later than the process's.
+    /// Returns the home that lookups name for this instance. After a renewal its incarnation is later than that
+    /// of the process.
     #[must_use]
     pub const fn home(&self) -> &home::Home {
         self.keys.home()
     }
 
-    /// Whether a configuration is in force and requests could find a slot.
+    /// Returns whether a configuration is active and requests can get a slot.
     #[must_use]
     pub fn is_ready(&self, now: time::TimeMs) -> bool {
         self.directory.version > ids::ConfigVersion::default() && self.servers.can_serve(now)
     }
 
-    /// How the slots of each backend server stand, for operators.
+    /// Returns the state of the slots of each backend server, for operators.
     pub fn slots(&self, now: time::TimeMs) -> impl Iterator<Item = exchange::ServerStatus<'_>> {
         self.servers.slots(now)
     }
 
-    /// How often this instance as an owner lent nothing, by reason.
+    /// Returns how often this instance, as an owner, refused to grant slots, by reason.
     #[must_use]
     pub fn slot_refusals(&self) -> BTreeMap<&'static str, u64> {
         self.servers.slot_refusals()
     }
 
-    /// How many idempotency keys are kept.
+    /// Returns the number of idempotency keys in the key table.
     #[must_use]
     pub fn keys(&self) -> usize {
         self.keys.len()
     }
 
-    /// Takes an event at a point in time and returns what is to be done, in order.
+    /// Handles an event at the given time and returns the actions, in the order of their execution.
     #[must_use]
     pub fn handle(&mut self, now: time::TimeMs, event: Event) -> Vec<Action> {
         self.pause_detector.record_call(now);
@@ -247,8 +248,8 @@
         id
     }
 
-    /// An invariant is broken: the unsafe action is not taken. Under test the process stops here, so
-    /// that the run that led to it can be read.
+    /// Reports a broken invariant; the caller does not carry out the unsafe operation. In debug builds this
+    /// panics, so that the events that led to the fault can be analysed.
     fn report_broken_invariant(&mut self, invariant: &'static str) {
         self.actions.push(Action::Broken { invariant });
         debug_assert!(false, "invariant broken: {invariant}");
--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -1,7 +1,7 @@
-//! Requests that crash what runs them: noticed here, told to the region, refused.
+//! Detects requests that crash backend servers, reports them to the region and refuses them.
 //!
 //! ```text
-//! connection dies -> incident with everything in active on that server -> region
+//! connection lost -> incident with all requests that run on that server -> region
 //! suspect -> runs alone, elsewhere; second incident -> refused until expiry; completed run -> cleared
 //! ```
 
@@ -15,7 +15,7 @@
 use crate::event::{Action, ExchangeEnd};
 use crate::peer;
 
-/// The quarantine, and what this instance has reported.
+/// The quarantine, and the crashes that this instance has reported.
 #[derive(Debug)]
 pub(super) struct Crashes {
     pub(super) list: quarantine::Quarantine,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether the death of a server has just been reported; its other connections die with it.
+    /// Returns whether a crash of the server was just reported; a crash also breaks its other connections.
     fn is_reported(&mut self, now: time::TimeMs, server: &ids::BackendServerId) -> bool {
         let incident_window = self.incident_window;
         self.reported
@@ -44,7 +44,7 @@
 }
 
 impl Engine {
-    /// Takes the end of an exchange as evidence for or against its request.
+    /// Records the end of an exchange as evidence for or against its request.
     pub(super) fn record_evidence(
         &mut self,
         now: time::TimeMs,
@@ -65,9 +65,9 @@
         }
     }
 
-    /// A connection died. Everything in flight on the server is suspect at once: were the neighbours
-    /// only added as their connections die, one of them could be retried beside the guilty request and
-    /// be blamed for the second death.
+    /// Records a lost connection as a crash of its server. All requests that run on the server become suspects
+    /// at once. If each became one only when its own connection was lost, an innocent request could be retried
+    /// beside the request that caused the crash, and be blamed for the second crash.
     fn record_crash(&mut self, now: time::TimeMs, lost: &ActiveExchange) {
         let server = lost.slot_permit.server().clone();
         if self.crashes.is_reported(now, &server) {
@@ -113,7 +113,7 @@
         self.crashes.list.clear(now, fingerprint);
     }
 
-    /// An operator lets a request go, here and in the whole region.
+    /// Removes a request from the quarantine of this instance and of the region, on behalf of an operator.
     pub(super) fn clear_by_operator(
         &mut self,
         now: time::TimeMs,
@@ -123,7 +123,7 @@
         self.send_to_region(&peer::PeerMessage::Cleared(fingerprint));
     }
 
-    /// The suspects and refused requests, for operators.
+    /// Returns the suspected and the refused requests, for operators.
     #[must_use]
     pub fn quarantined(&self, now: time::TimeMs) -> Vec<quarantine::QuarantineEntry> {
         self.crashes.list.list(now)
--- a/crates/damaskvane-engine/src/engine/ended.rs
+++ b/crates/damaskvane-engine/src/engine/ended.rs
@@ -1,7 +1,7 @@
-//! An exchange ended: the request is answered or tried again.
+//! The end of an exchange: the request gets its final response or is retried.
 //!
 //! ```text
-//! answered whole -> final answer
+//! complete response -> final response
 //! failed -> another backend server, if that is safe, within the budget and before the deadline
 //! ```
 
@@ -36,8 +36,8 @@
                 .errors += 1;
         }
         let progress = match end {
-            // The exchange compared the answer's request id with the request's own; a mismatch comes
-            // here as Crossed, a wrong length as Cut.
+            // The driver has compared the request id and the length of the response; it reports a wrong id
+            // as `MismatchedResponse` and a wrong length as `TruncatedResponse`.
             ExchangeEnd::Answered(response) => {
                 let length = response.body.len() as u64;
                 active.sent.answered(exchange::BackendResponse {
--- a/crates/damaskvane-engine/src/engine/expiry.rs
+++ b/crates/damaskvane-engine/src/engine/expiry.rs
@@ -1,8 +1,8 @@
-//! What the passing of time ends: waits before a further try, deadlines, windows.
+//! Expiry of retry delays, deadlines, queued requests and keys.
 //!
 //! ```text
-//! deadline passed, no backend server has it -> final answer at once
-//! deadline passed, a backend server has it -> the client hears unknown, the outcome is awaited
+//! deadline passed, not sent to a backend server -> final response at once
+//! deadline passed, sent to a backend server -> the client gets unknown, the outcome is awaited
 //! ```
 
 use damaskvane_core::time;
--- a/crates/damaskvane-engine/src/engine/forwarding.rs
+++ b/crates/damaskvane-engine/src/engine/forwarding.rs
@@ -1,4 +1,4 @@
-//! A non-repeatable request goes to its home, and the home's answer comes back.
+//! The forwarding of non-repeatable requests to their home, and of the home's responses to the client.
 //!
 //! ```text
 //! client -> this instance -> home (or its successor) -> this instance -> client
@@ -68,11 +68,11 @@
         self.submit(now, origin, forward.request, forward.hops);
     }
 
-    /// An answer counts only from the instance that the request went to; one that comes from
-    /// elsewhere, twice or after the deadline belongs to nothing and is dropped.
+    /// Handles the response to a forwarded request. A response is accepted only from the instance that got the
+    /// request; a response from another instance, a duplicate, or one after the deadline is dropped.
     ///
-    /// So is one that an earlier process of this instance asked for: its number now belongs to another
-    /// request, whose client would read somebody else's confirmation.
+    /// A response to a request of an earlier process of this instance is dropped as well. Its number now belongs
+    /// to another request, whose client would get the confirmation of another client's request.
     pub(super) fn handle_forward_response(
         &mut self,
         now: time::TimeMs,
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Gives up what was forwarded to instances that have died since: nothing will come back.
+    /// Ends the requests that were forwarded to instances that can no longer be reached, because no response
+    /// will arrive.
     pub(super) fn fail_unreachable_forwards(&mut self, now: time::TimeMs) {
         let lost: Vec<LocalId> = self
             .requests
--- a/crates/damaskvane-engine/src/engine/launch.rs
+++ b/crates/damaskvane-engine/src/engine/launch.rs
@@ -1,8 +1,8 @@
-//! Takes requests off the queue while backend servers have free slots.
+//! Sends waiting requests to backend servers that have free slots.
 //!
 //! ```text
 //! queue -> a backend server not tried yet, with a free leased slot -> exchange
-//! what still waits -> slots are asked for: own backend servers first, then other owners
+//! requests that still wait -> slots are requested from this instance as an owner first, then from others
 //! ```
 
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
         waiting
     }
 
-    /// What waits for a certain slot goes first, then the queue while a service has a free slot.
+    /// Launches deferred requests first, then queued requests as long as their service has a free slot.
     fn launch_all(&mut self, now: time::TimeMs) {
         for id in core::mem::take(&mut self.deferred) {
             self.try_launch(now, id);
@@ -94,11 +94,12 @@
         }
     }
 
-    /// Backend servers that the request must not go to: those it has tried and, while there are others,
-    /// those that died while they ran it or a request like it.
+    /// Returns the backend servers that the request must not be sent to: those that it has tried and, if other
+    /// servers remain, those that crashed while they ran a request with the same fingerprint.
     ///
-    /// With no other server in reach the innocent neighbours of a crash would wait until the suspicion
-    /// expires, minutes later; so the server they died on is taken again, and a second death decides.
+    /// If no other server remains, the servers that crashed are allowed again, and a second crash decides.
+    /// Otherwise innocent requests that ran during a crash would wait until their suspicion expires, minutes
+    /// later.
     fn excluded_servers(&self, now: time::TimeMs, id: LocalId) -> Vec<ids::BackendServerId> {
         let Some(pending) = self.requests.get(&id) else {
             return Vec::new();
--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -1,4 +1,5 @@
-//! A planned stop: out of look-up answers, one look-up TTL of service, then the keys go to a successor.
+//! A planned stop: lookups no longer name the instance, it serves for one more lookup TTL, then it hands its
+//! keys over to a successor.
 //!
 //! ```text
 //! Serving -> Leaving (still serves) -> HandingOver -> Stopped
@@ -14,7 +15,7 @@
 use crate::event::Action;
 use crate::{directory, message, peer};
 
-/// How far a planned stop has come.
+/// The phase of a planned stop.
 #[derive(Debug)]
 pub(super) enum ShutdownState {
     Serving(shutdown::Serving),
@@ -23,11 +24,11 @@
     Stopped(shutdown::Stopped),
 }
 
-/// A table of keys on its way to the successor.
+/// A handover of the key table to the successor that is in progress.
 #[derive(Debug)]
 pub(super) struct Handover {
     phase: shutdown::HandingOver,
-    /// Parts that the successor has not acknowledged.
+    /// The parts that the successor has not acknowledged.
     unacknowledged: BTreeSet<u32>,
     resend_at: time::TimeMs,
     is_announced: bool,
@@ -40,14 +41,15 @@
 }
 
 impl ShutdownState {
-    /// Clients may use a cached look-up answer for one TTL; after that nobody was told to come.
+    /// Returns whether new requests are refused. While the instance is leaving, clients may still use a lookup
+    /// response that they cached for one TTL; once the handover begins, no valid response names the instance.
     pub(super) const fn takes_no_requests(&self) -> bool {
         matches!(self, Self::HandingOver(_) | Self::Stopped(_))
     }
 }
 
 impl Engine {
-    /// Whether a planned stop has finished all work, or its time is over.
+    /// Returns whether a planned stop has finished all work, or its time limit has passed.
     #[must_use]
     pub fn is_drained(&self, now: time::TimeMs) -> bool {
         match &self.shutdown_state {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// How far a planned stop is, for operators.
+    /// Returns the progress of a planned stop, for operators; `None` before and after it.
     #[must_use]
     pub fn shutdown_progress(&self, now: time::TimeMs) -> Option<shutdown::Progress> {
         let running = self.active_exchanges.len();
@@ -74,8 +76,9 @@
 
     pub(super) fn leave(&mut self, now: time::TimeMs) {
         if let ShutdownState::Serving(serving) = &self.shutdown_state {
-            // Until the last instance has heard of it, look-ups still name this one; what they answer
-            // is kept for one TTL. A client that came later would find another incarnation or nothing.
+            // Lookups name this instance until every instance has received the notice, and clients cache
+            // their responses for one TTL. Without the wait a client would reach another incarnation or no
+            // process at all.
             let settings = shutdown::ShutdownSettings {
                 lookup_ttl_ms: self.directory.lookup_ttl.get(),
                 ..self.settings.shutdown
@@ -137,7 +140,7 @@
         }
     }
 
-    /// A live instance, of the own zone if there is one.
+    /// Selects a live instance, of the local zone if there is one.
     fn successor(&self) -> Option<home::Home> {
         let live = || {
             self.directory
@@ -169,7 +172,8 @@
         }
     }
 
-    /// Tells everybody who answers for this home now; whoever misses it answers *unknown*.
+    /// Sends all reachable instances the successor of this home. An instance that misses the notice responds
+    /// *unknown* to requests for the home.
     fn announce_successor(&mut self) {
         let Some(successor) = self.handover_target.clone() else {
             return;
@@ -207,7 +211,7 @@
         part: home::HandoverPart<Arc<message::BackendResponse>>,
     ) {
         let number = part.part;
-        // The home of the keys can be later than the process that sends them: it was renewed since.
+        // The home of the keys can have a later incarnation than the sending process, after a renewal.
         let is_senders =
             part.from.instance == from.instance && part.from.incarnation >= from.incarnation;
         if !is_senders {
--- a/crates/damaskvane-engine/src/engine/load.rs
+++ b/crates/damaskvane-engine/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! What the engine says of its load, for the zone's digest.
+//! The load that the engine reports for the digest of its zone.
 //!
 //! ```
 //! use damaskvane_engine::engine;
@@ -12,28 +12,28 @@
 
 use crate::engine::Engine;
 
-/// One service on this instance.
+/// The load of one service on this instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineServiceLoad {
-    /// Slots of the backend servers that this instance owns and that take work.
+    /// The slots of the backend servers that this instance owns and that may get requests.
     pub slots: units::Slots,
-    /// Exchanges that run.
+    /// The number of exchanges that run, as slots.
     pub running: units::Slots,
-    /// Requests refused for want of capacity since the last call.
+    /// The number of requests refused for lack of capacity since the last call.
     pub refused: u64,
-    /// Exchanges that failed since the last call.
+    /// The number of exchanges that failed since the last call; refusals by a backend server do not count.
     pub errors: u64,
 }
 
-/// The engine's load since the last call.
+/// The load of the engine, with counters since the last call.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// By service.
+    /// The load by service; services without load or slots can be missing.
     pub services: BTreeMap<ids::ServiceId, EngineServiceLoad>,
 }
 
 impl Engine {
-    /// The load since the last call.
+    /// Returns the current load and resets its counters.
     #[must_use]
     pub fn take_load(&mut self, now: time::TimeMs) -> EngineLoad {
         let mut load = core::mem::take(&mut self.load);
--- a/crates/damaskvane-engine/src/engine/pause.rs
+++ b/crates/damaskvane-engine/src/engine/pause.rs
@@ -1,4 +1,4 @@
-//! Notices that this process was paused, and holds new work back until it has heard what it missed.
+//! Detects that this process was paused, and delays new exchanges until the missed messages are read.
 //!
 //! ```text
 //! gap between two events over 1 s -> nothing is sent to backend servers for 300 ms
@@ -6,15 +6,16 @@
 
 use damaskvane_core::time;
 
-/// Ticks come every few milliseconds; a gap above this was a pause.
+/// A longer gap between two calls of the engine counts as a pause; ticks arrive every few milliseconds.
 const PAUSE_THRESHOLD: time::SpanMs = time::SpanMs::new(1_000);
-/// How long what waited in the sockets may take to be read, and a neighbour to tell of a change.
+/// The time allowed for reading the messages that waited in the sockets, and for a neighbour to report a change.
 const CATCH_UP_TIME: time::SpanMs = time::SpanMs::new(300);
 
-/// When the engine was last called, and whether it is catching up.
+/// The time of the last call of the engine, and the end of the delay after a pause.
 ///
-/// Requests that waited out a pause are read before the news of a drain that happened meanwhile. Sent at
-/// once, a leaving backend server would get work long after it should; operators would see it in its log.
+/// Requests that arrived during a pause are read before the notice of a drain that began meanwhile. If they were
+/// sent at once, a draining backend server would get requests long after its drain began, which operators would
+/// see in its log.
 #[derive(Debug, Default)]
 pub(super) struct PauseDetector {
     last: Option<time::TimeMs>,
@@ -30,7 +31,7 @@
         self.last = Some(now);
     }
 
-    /// Whether new work has to wait.
+    /// Returns whether new exchanges have to wait.
     pub(super) fn is_holding(&self, now: time::TimeMs) -> bool {
         now < self.hold_until
     }
--- a/crates/damaskvane-engine/src/engine/pending.rs
+++ b/crates/damaskvane-engine/src/engine/pending.rs
@@ -1,8 +1,8 @@
-//! A request on its way through the engine.
+//! The state of a request in the engine.
 //!
 //! ```text
 //! Queued -> Running -> (Backoff -> Running)* -> answered
-//! Joined -> answered by the try that runs
+//! Joined -> answered by the attempt that runs
 //! Forwarded -> answered by the home
 //! ```
 
@@ -15,44 +15,44 @@
 use crate::event::{ExchangeNumber, RequestNumber};
 use crate::message;
 
-/// A request on this instance, whoever it came from.
+/// The local number of a request, which came from a client or from another instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LocalId(pub(super) u64);
 
-/// Who waits for the answer.
+/// The origin of a request, which gets the response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Origin {
     /// A client of this instance.
     Client(RequestNumber),
-    /// Another instance, which passed the request on.
+    /// Another instance, which forwarded the request.
     Peer {
-        /// The process that did; a later start of it counts its correlations anew.
+        /// The process that forwarded the request; each later incarnation numbers its requests anew.
         forwarder: home::Home,
         correlation: u64,
         request_id: ids::RequestId,
     },
 }
 
-/// Where the request is.
+/// The stage of a request.
 #[derive(Debug)]
 pub(super) enum Stage {
-    /// Waits for its first slot.
+    /// The request waits for a slot for its first attempt at a backend server.
     Queued(exchange::Received),
-    /// Waits for the slot of a further try.
+    /// The request waits for a slot for a retry.
     Requeued(exchange::Admitted),
-    /// Waits before a further try.
+    /// The request waits for the end of the delay before a retry.
     Backoff {
         admitted: exchange::Admitted,
         until: time::TimeMs,
     },
-    /// A backend server has it.
+    /// The request was sent to a backend server.
     Running(ExchangeNumber),
-    /// Waits for the outcome of another try of the same key.
+    /// The request waits for the outcome of another attempt with the same key.
     Joined {
         scope: home::Scope,
         waiter: home::WaiterId,
     },
-    /// Another instance has it.
+    /// The request was forwarded to another instance.
     Forwarded {
         forwarded: exchange::Forwarded,
         to: home::Home,
@@ -60,25 +60,25 @@
 }
 
 impl Stage {
-    /// Whether it waits for a slot.
+    /// Returns whether the request waits for a slot.
     pub(super) const fn is_waiting(&self) -> bool {
         matches!(self, Self::Queued(_) | Self::Requeued(_))
     }
 }
 
-/// A request on its way.
+/// A request without a final response.
 #[derive(Debug)]
 pub(super) struct Pending {
-    /// Who waits; none once the client went away or was answered.
+    /// The origin that waits; `None` once the client has disconnected or got its response.
     pub(super) origin: Option<Origin>,
     pub(super) request: Arc<message::ServiceRequest>,
-    /// What the request is recognised by on other servers and instances.
+    /// The fingerprint that identifies the request across backend servers and instances.
     pub(super) fingerprint: fingerprint::Fingerprint,
     pub(super) deadline: deadline::Deadline,
     pub(super) stage: Stage,
 }
 
-/// A request at a backend server.
+/// An exchange with a backend server that has not ended.
 #[derive(Debug)]
 pub(super) struct ActiveExchange {
     pub(super) id: LocalId,
--- a/crates/damaskvane-engine/src/engine/renewal.rs
+++ b/crates/damaskvane-engine/src/engine/renewal.rs
@@ -1,8 +1,8 @@
-//! A new incarnation for keys without a restart, and what newcomers are told.
+//! The renewal of the incarnation for keys without a restart, and the notices for new instances.
 //!
 //! ```text
-//! table nearly worn out -> next incarnation -> look-ups here and everywhere name it
-//! new_instance or healed cut -> successors of departed homes that are taken_over here, and the own home
+//! key table nearly exhausted -> next incarnation -> lookups of all instances name it
+//! new or reconnected instance -> notices of homes that this instance took over, and of its own renewal
 //! ```
 
 use std::collections::BTreeMap;
@@ -17,11 +17,11 @@
 use crate::peer;
 
 impl Engine {
-    /// Takes the next incarnation once the table of keys is nearly worn out.
+    /// Moves to the next incarnation when the key table is nearly exhausted.
     ///
-    /// One would see every new key refused with `key_table_full` for the rest of the process. Processes
-    /// take the milliseconds of the wall clock for their incarnation, so that no later start gets a
-    /// number that was reached by counting up here.
+    /// Otherwise the process would refuse every new key with `key_table_full` until its end. A process takes
+    /// the wall clock in milliseconds as its incarnation, so that no later process gets an incarnation that
+    /// was reached by increments here.
     pub(super) fn renew_keys(&mut self) {
         if !self.keys.needs_renewal() {
             return;
@@ -47,18 +47,19 @@
         });
     }
 
-    /// Another instance has taken a new incarnation for its keys.
+    /// Handles the notice that another instance has a new incarnation for its keys. Only a later incarnation of
+    /// the sender itself is accepted.
     pub(super) fn handle_renewal(&mut self, from: &home::Home, home: home::Home) {
         if home.instance == from.instance && home.incarnation > from.incarnation {
             self.actions.push(Action::HomeRenewed { home });
         }
     }
 
-    /// Tells instances that start, or can be reached again, what they have missed.
+    /// Sends instances that started, or can be reached again, the notices that they missed.
     ///
-    /// The restarted process of a departed home has heard no announcement of its successor. It would
-    /// answer *unknown* for bookings that stand, to clients that come back to it. Only the successor
-    /// tells, so that a newcomer in a large fleet hears each notice once.
+    /// The restarted process of a departed home has not received the notice of its successor. It would respond
+    /// *unknown* to returning clients whose requests were completed. Only the successor sends the notice, so
+    /// that a new instance of a large fleet receives each notice once.
     pub(super) fn update_new_instances(&mut self, before: &Arc<directory::Directory>) {
         let known = reachable(before);
         let new_instances: Vec<ids::InstanceId> = reachable(&self.directory)
--- a/crates/damaskvane-engine/src/engine/responses.rs
+++ b/crates/damaskvane-engine/src/engine/responses.rs
@@ -1,7 +1,7 @@
-//! Final answers: to the client, to the instance that passed the request on, to those who joined.
+//! Final responses to clients, to instances that forwarded a request, and to joined attempts.
 //!
 //! ```text
-//! Answered -> table of keys (keyed requests) -> origin and waiters
+//! Answered -> key table (keyed requests) -> origin and waiters
 //! ```
 
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 type Outcome = outcome::Outcome<Arc<message::BackendResponse>>;
 
 impl Engine {
-    /// Ends a request: its key learns the outcome, then everybody who waits for it.
+    /// Ends a request: records the outcome for its key, then responds to its origin and to all waiters.
     pub(super) fn finish(
         &mut self,
         now: time::TimeMs,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Gives up what the admission queue can't serve in time.
+    /// Abandons the requests that the admission queue rejected.
     pub(super) fn abandon_rejected(
         &mut self,
         now: time::TimeMs,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Gives up a request that no backend server has; its answer goes out at once.
+    /// Abandons a request that does not run on a backend server, and responds at once.
     pub(super) fn abandon(
         &mut self,
         now: time::TimeMs,
@@ -106,7 +106,7 @@
         self.abandon_with_retry_after(now, id, reason, reason.default_retry_after());
     }
 
-    /// The same, naming when to come back.
+    /// Abandons a request as [`Self::abandon`] does, with the time after which the client may retry.
     pub(super) fn abandon_with_retry_after(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -1,7 +1,7 @@
-//! Backend servers as this instance may use them: slots on lease, connections in share, health.
+//! The backend servers that this instance may use, with leased slots, a share of connections, and health.
 //!
 //! ```text
-//! candidate = declared, not draining, healthy, with a connection left and a leased slot free
+//! candidate = declared, not draining, admitted by its health; usable with a free connection and slot
 //! ```
 
 mod drain_status;
@@ -22,13 +22,14 @@
 use crate::directory;
 use crate::event::ExchangeEnd;
 
-/// Connections are shared out for so many instances of a zone, whoever of them lives.
+/// The number of instances of a zone among which the connections of a backend server are divided, however
+/// many of them are live.
 const MAX_INSTANCES_PER_ZONE: u32 = 32;
 
-/// A slot that was taken for one request.
+/// The permit to send one request to a backend server, backed by a leased slot.
 pub(super) type SlotPermit = permit::Permit<permit::Sending>;
 
-/// Backend servers of the own zone.
+/// The backend servers of the local zone.
 #[derive(Debug)]
 pub(super) struct Servers {
     slots: exchange::SlotExchange,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// What the slots want done since the last call.
+    /// Returns the actions of the slot exchange since the last call.
     pub(super) fn take_actions(&mut self) -> Vec<exchange::Action> {
         core::mem::take(&mut self.actions)
     }
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Whether a planned stop has handed over what this instance owned.
+    /// Returns whether this instance, in a planned stop, has handed over the slots that it owned.
     pub(super) fn is_drained(&self, now: time::TimeMs) -> bool {
         self.slots.is_drained(now)
     }
@@ -188,7 +189,7 @@
         pool.is_some_and(|pool| pool.admission(server, now).takes_work())
     }
 
-    /// How many backend servers could take a request now or soon.
+    /// Returns the number of backend servers that may get a request of a service, now or when a slot is free.
     pub(super) fn candidate_count(
         &self,
         now: time::TimeMs,
@@ -198,21 +199,21 @@
         self.candidates(now, service, tried).count()
     }
 
-    /// Slots of a service that take work now.
+    /// Returns the total number of slots of the backend servers that may get requests of a service.
     pub(super) fn capacity(&self, now: time::TimeMs, service: &ids::ServiceId) -> units::Slots {
         self.candidates(now, service, &[])
             .map(|(_, server)| server.slots)
             .sum()
     }
 
-    /// Whether a request of a service could be sent now.
+    /// Returns whether a request of a service could be sent now.
     pub(super) fn has_free_slot(&self, now: time::TimeMs, service: &ids::ServiceId) -> bool {
         self.candidates(now, service, &[])
             .filter(|(id, server)| self.has_capacity(now, id, server))
             .any(|(id, _)| self.slots.free(now, id) > units::Slots::ZERO)
     }
 
-    /// Takes a slot of the backend server with the most free ones.
+    /// Acquires a slot of the backend server that has the most free slots.
     pub(super) fn acquire_slot(
         &mut self,
         now: time::TimeMs,
@@ -246,7 +247,8 @@
         }
     }
 
-    /// A cold or ailing server gets a part of its slots only; the connections have their own limit.
+    /// Returns whether a backend server has capacity for another request. A cold or unhealthy server may use only
+    /// a part of its slots; connections have a limit of their own.
     fn has_capacity(
         &self,
         now: time::TimeMs,
@@ -275,8 +277,8 @@
             .map_or(time::SpanMs::ZERO, |service| service.typical_duration)
     }
 
-    /// Among servers that are equally free the one that was left alone for longest is next: all caches
-    /// stay warm, and a fault of one is seen.
+    /// Returns the rank of the last use of a backend server. Among servers with equally many free slots the
+    /// least recently used one is next, so that all caches stay warm and a fault of any server is detected.
     fn last_use(&self, server: &ids::BackendServerId) -> u64 {
         self.last_uses.get(server).copied().unwrap_or(0)
     }
@@ -292,10 +294,11 @@
         }
     }
 
-    /// An exchange ended: its slot is free, or counts as taken until the backend server has stopped.
+    /// Records the end of an exchange: its slot is free, or counts as in use until the backend server must have
+    /// stopped the request.
     ///
-    /// After a lost or silent connection the request may still run until the deadline it was sent. One
-    /// would see the backend server run more than its slots if the slot were used again before.
+    /// After a lost connection or a timeout the request may still run until the deadline that was sent with
+    /// it. If the slot were used again earlier, the backend server would run more requests than it has slots.
     pub(super) fn record_end(
         &mut self,
         now: time::TimeMs,
@@ -316,8 +319,7 @@
         self.actions.extend(actions);
     }
 
-    /// Asks for slots while requests wait: of the own backend servers first, which takes no message,
-    /// then of the others in equal parts.
+    /// Requests slots for waiting requests from backend servers that this instance owns, which takes no message.
     pub(super) fn demand_own(
         &mut self,
         now: time::TimeMs,
@@ -328,6 +330,7 @@
         self.demand(now, &own, waiting);
     }
 
+    /// Requests slots for waiting requests from the backend servers of other owners, in equal parts.
     pub(super) fn demand_others(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-engine/src/engine/servers/drain_status.rs
+++ b/crates/damaskvane-engine/src/engine/servers/drain_status.rs
@@ -1,4 +1,4 @@
-//! A backend server on its way out, as operators see it.
+//! The status of a draining or drained backend server, for operators.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -16,15 +16,15 @@
 
 use damaskvane_core::{ids, time};
 
-/// A backend server that drains or has drained.
+/// The drain status of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainStatus {
-    /// The backend server.
+    /// The backend server that drains or has drained.
     pub backend_server: ids::BackendServerId,
-    /// `draining` or `drained`.
+    /// The phase: `draining` or `drained`.
     pub phase: &'static str,
-    /// Since when.
+    /// The time when the phase began.
     pub since: time::TimeMs,
-    /// What this instance still runs on it.
+    /// The number of requests that this instance still runs on the backend server.
     pub running: u32,
 }
--- a/crates/damaskvane-engine/src/engine/servers/end_effect.rs
+++ b/crates/damaskvane-engine/src/engine/servers/end_effect.rs
@@ -1,8 +1,8 @@
-//! What the end of an exchange says of its slot and of its backend server.
+//! The effect of the end of an exchange on its slot and on the health of its backend server.
 //!
 //! ```text
-//! answered, refused, not sent -> the slot is free
-//! lost, silent, cut, crossed  -> the slot counts as taken until the backend server must have stopped
+//! answered, refused, not sent           -> the slot is free
+//! lost, timeout, truncated, mismatched  -> the slot counts as in use until the server must have stopped
 //! ```
 
 use damaskvane_core::time;
@@ -12,8 +12,8 @@
 
 use crate::event::ExchangeEnd;
 
-/// What the end of an exchange says of the slot, and of the server. Each exchange has a connection of its
-/// own, so that a silent or broken one is not the fault of an earlier exchange.
+/// Returns the effect of the end of an exchange on its slot and on the health of its server. Each exchange has
+/// its own connection, so that an earlier exchange can't have caused a timeout or a lost connection.
 pub(super) const fn classify_end(
     end: &ExchangeEnd,
     took: time::SpanMs,
--- a/crates/damaskvane-engine/src/engine/servers/status.rs
+++ b/crates/damaskvane-engine/src/engine/servers/status.rs
@@ -1,4 +1,4 @@
-//! How the backend servers stand, for digests and operators.
+//! The state of the backend servers, for digests and operators.
 //!
 //! ```text
 //! slots granted here -> capacity in the zone's digest; drains -> status
@@ -14,7 +14,7 @@
 use crate::engine::servers::drain_status::DrainStatus;
 
 impl Servers {
-    /// Backend servers that drain or have drained, and since when.
+    /// Returns the backend servers that drain or have drained, with the start of that phase.
     pub(in crate::engine) fn draining(&self) -> impl Iterator<Item = DrainStatus> + '_ {
         self.lifecycles.iter().filter_map(|(server, lifecycle)| {
             let (phase, since) = match lifecycle {
@@ -34,7 +34,7 @@
         })
     }
 
-    /// How the slots of each backend server stand.
+    /// Returns the state of the slots of each backend server.
     pub(in crate::engine) fn slots(
         &self,
         now: time::TimeMs,
@@ -42,7 +42,7 @@
         self.slots.status(now)
     }
 
-    /// How often this instance as an owner lent nothing, by reason.
+    /// Returns how often this instance, as an owner, refused to grant slots, by reason.
     pub(in crate::engine) fn slot_refusals(&self) -> BTreeMap<&'static str, u64> {
         self.slots
             .counters()
@@ -52,21 +52,21 @@
             .collect()
     }
 
-    /// Whether requests could find a slot in this zone: another instance owns backend servers, or this
-    /// one has begun to lend. A zone without backend servers has nothing to wait for.
+    /// Returns whether requests can get a slot in this zone: another instance owns backend servers, or this
+    /// instance has begun to grant slots. A zone without backend servers has nothing to wait for.
     pub(in crate::engine) fn can_serve(&self, now: time::TimeMs) -> bool {
         let mut is_empty = true;
         for status in self.slots.status(now) {
             is_empty = false;
-            let is_lent_elsewhere = !self.slots.is_assigned(status.server);
-            if is_lent_elsewhere || status.phase == exchange::OwnerPhase::Serving {
+            let is_owned_elsewhere = !self.slots.is_assigned(status.server);
+            if is_owned_elsewhere || status.phase == exchange::OwnerPhase::Serving {
                 return true;
             }
         }
         is_empty
     }
 
-    /// Slots that this instance grants and that take work, by service.
+    /// Returns the slots that this instance grants on backend servers that may get requests, by service.
     pub(in crate::engine) fn serving(
         &self,
         now: time::TimeMs,
--- a/crates/damaskvane-engine/src/engine/settings.rs
+++ b/crates/damaskvane-engine/src/engine/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the engine.
+//! The settings of the engine.
 //!
 //! ```
 //! use damaskvane_engine::engine;
@@ -10,22 +10,22 @@
 use damaskvane_core::time;
 use damaskvane_dispatch::{admission, home, quarantine, retry, shutdown};
 
-/// Settings of the engine.
+/// The settings of the engine and of its parts.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// The table of idempotency keys.
+    /// The limits of the table of idempotency keys.
     pub keys: home::HomeSettings,
-    /// Retries; the share comes from each service's declaration.
+    /// The limits of retries; the share of retries comes from each service's declaration instead.
     pub retries: retry::RetrySettings,
-    /// Requests that wait for a slot.
+    /// The limits of the admission queue, in which requests wait for a slot.
     pub queue: admission::QueueSettings,
-    /// Requests that crash backend servers.
+    /// The limits of the quarantine of requests that crash backend servers.
     pub quarantine: quarantine::QuarantineSettings,
-    /// How often a request is passed on from instance to instance at most.
+    /// The maximum number of times that a request is forwarded from instance to instance.
     pub max_hops: u32,
-    /// A planned stop; the look-up TTL comes from the declared services.
+    /// The time limits of a planned stop; the lookup TTL comes from the declared services instead.
     pub shutdown: shutdown::ShutdownSettings,
-    /// After how long a part of a handover is sent again.
+    /// The delay after which an unacknowledged part of a handover is sent again.
     pub handover_resend: time::SpanMs,
 }
 
--- a/crates/damaskvane-engine/src/engine/submit.rs
+++ b/crates/damaskvane-engine/src/engine/submit.rs
@@ -1,7 +1,7 @@
-//! A request arrives: its key is looked up, then it is queued, joined, forwarded or answered.
+//! The arrival of a request: its key is looked up, then it is queued, joined, forwarded or answered.
 //!
 //! ```text
-//! keyed request -> table of keys -> dispatch here | join a running try | replay | forward to its home
+//! keyed request -> key table -> dispatch here | join a running attempt | replay | forward to its home
 //! ```
 
 use std::sync::Arc;
@@ -94,7 +94,8 @@
         load.refused += 1;
     }
 
-    /// Why a new request of a service would not even be queued.
+    /// Returns why a new request of a service is refused before it is queued, and the time until a retry; `None`
+    /// if it may be queued.
     fn admission_refusal(
         &self,
         service: &ids::ServiceId,
@@ -128,7 +129,7 @@
             .count()
     }
 
-    /// When the requests that wait now will have been served at the service's usual pace.
+    /// Returns the estimated time until all waiting requests are served, from the slots and the typical duration.
     fn queue_drain_time(
         &self,
         now: time::TimeMs,
@@ -174,8 +175,8 @@
         };
         pending.origin = None;
         match &pending.stage {
-            // The slot stays taken until the exchange ends: only then is the backend server known to
-            // be free. A non-repeatable request runs on, so that its next try hears the outcome.
+            // The slot stays in use until the exchange ends, because only then the backend server is known
+            // to be free. A non-repeatable request continues, so that its next attempt gets the outcome.
             Stage::Running(exchange) => {
                 let exchange = *exchange;
                 if pending.request.is_repeatable() {
--- a/crates/damaskvane-engine/tests/renewal.rs
+++ b/crates/damaskvane-engine/tests/renewal.rs
@@ -1,4 +1,4 @@
-//! What other instances are told of a home, and who is believed.
+//! Tests of the notices about a renewed home: which instances get them, and which notices are accepted.
 
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
     }))
 }
 
-/// An engine whose table takes no key before it wants a new incarnation.
+/// Returns an engine whose key table requires a new incarnation before it accepts any key.
 fn engine_due_for_renewal() -> engine::Engine {
     let mut settings = engine::EngineSettings::default();
     settings.keys.max_tombstones = 0;
@@ -39,7 +39,7 @@
     actions
         .iter()
         .filter_map(|action| match action {
-            event::Action::HomeRenewed { home } => Some(format!("own look-ups: {home}")),
+            event::Action::HomeRenewed { home } => Some(format!("own lookups: {home}")),
             event::Action::Send { to, message } => match &**message {
                 peer::PeerMessage::Renewed(home) => Some(format!("to {to}: {home}")),
                 _ => None,
@@ -49,14 +49,14 @@
         .collect()
 }
 
-/// An instance takes a new incarnation for its keys. If another went on naming the old one in look-ups,
-/// its clients' new bookings would be answered *unknown*; so would those of one that starts later.
+/// Guards against an instance that names the old home in lookups after a renewal: new requests of its clients
+/// would end as *unknown*. Instances that start after the renewal need the notice as well.
 #[test]
 fn a_renewed_home_is_sent_to_peers_and_new_instances() {
     let mut engine = engine_due_for_renewal();
     let _ = engine.handle(time::TimeMs::new(1), directory_with(&["b-1/7"]));
     let actions = engine.handle(time::TimeMs::new(10), event::Event::Tick);
-    assert_eq!(renewals(&actions), ["own look-ups: a-1/6", "to b-1: a-1/6"]);
+    assert_eq!(renewals(&actions), ["own lookups: a-1/6", "to b-1: a-1/6"]);
     assert_eq!(*engine.home(), home_of("a-1/6"));
     let at = time::TimeMs::new(20);
     let actions = engine.handle(at, directory_with(&["b-1/7", "c-1/9"]));
@@ -66,7 +66,7 @@
     assert_eq!(renewals(&actions), ["to b-1: a-1/6"]);
 }
 
-/// A message that names another sender's home, or an older one, would send clients astray.
+/// A notice of another instance's home, or of an older incarnation, would send clients to a wrong home.
 #[test]
 fn a_renewal_is_accepted_only_from_the_instance_itself() {
     let mut engine = engine::Engine::new(home_of("a-1/5"), engine::EngineSettings::default());
@@ -81,6 +81,6 @@
             message: Box::new(peer::PeerMessage::Renewed(home_of(renewed))),
         };
         let actions = engine.handle(time::TimeMs::new(1), message);
-        assert_eq!(renewals(&actions).len(), expected, "{from} says {renewed}");
+        assert_eq!(renewals(&actions).len(), expected, "{from} sends {renewed}");
     }
 }
