--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -53,7 +53,7 @@
     ) {
         match end {
             ExchangeEnd::Answered(_) => {
-                if self.crashes.list.note_completed(now, active.fingerprint) {
+                if self.crashes.list.record_completed(now, active.fingerprint) {
                     self.send_to_region(&peer::PeerMessage::Cleared(active.fingerprint));
                 }
             }
--- a/crates/damaskvane-engine/src/engine/ended.rs
+++ b/crates/damaskvane-engine/src/engine/ended.rs
@@ -44,7 +44,7 @@
                     request: active.request_id,
                     declared_bytes: length,
                     received_bytes: length,
-                    answer: Arc::new(response),
+                    response: Arc::new(response),
                 })
             }
             ExchangeEnd::Refused => active.sent.failed(retry::RetryReason::BackendRefused),
@@ -99,7 +99,7 @@
             }
             retry::RetryDecision::Stop(stop) => {
                 let origin = self.requests.remove(&id).and_then(|pending| pending.origin);
-                self.finish(now, origin, admitted.refuse(stop.refusal()));
+                self.finish(now, origin, admitted.refuse(stop.refusal_reason()));
             }
         }
     }
--- a/crates/damaskvane-engine/src/engine/launch.rs
+++ b/crates/damaskvane-engine/src/engine/launch.rs
@@ -68,17 +68,17 @@
         };
         let service = pending.request.service.clone();
         let fingerprint = pending.fingerprint;
-        match self.crashes.list.judge(now, fingerprint) {
-            quarantine::Verdict::Refuse { retry_after } => {
+        match self.crashes.list.decide(now, fingerprint) {
+            quarantine::QuarantineDecision::Refuse { retry_after } => {
                 let reason = refusal::RefusalReason::Quarantined;
                 self.abandon_with_retry_after(now, id, reason, retry_after);
                 return;
             }
-            quarantine::Verdict::Wait => {
+            quarantine::QuarantineDecision::Wait => {
                 self.deferred.push(id);
                 return;
             }
-            quarantine::Verdict::Run | quarantine::Verdict::RunAlone => {}
+            quarantine::QuarantineDecision::Run | quarantine::QuarantineDecision::RunAlone => {}
         }
         let excluded = self.excluded_servers(now, id);
         let requested_time = self.time_left(now, id);
--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -91,7 +91,7 @@
         let running = self.active_exchanges.len();
         let shutdown_state = core::mem::take(&mut self.shutdown_state);
         self.shutdown_state = match shutdown_state {
-            ShutdownState::Leaving(phase) => match phase.lapse(now, running) {
+            ShutdownState::Leaving(phase) => match phase.begin_handover(now, running) {
                 Ok(phase) => self.begin_handover(now, phase),
                 Err(phase) => ShutdownState::Leaving(phase),
             },
