--- a/crates/damaskvane-dispatch/tests/exchange.rs
+++ b/crates/damaskvane-dispatch/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! The life cycle of one request, and its retries.
+//! Tests of the life cycle of one request and of the retry policy.
 
 use damaskvane_core::time;
 use damaskvane_dispatch::{deadline, exchange, home, outcome, refusal, retry};
@@ -13,7 +13,7 @@
 }
 
 fn request(name: &str) -> damaskvane_core::ids::RequestId {
-    name.parse().expect("a request")
+    name.parse().expect("valid request id")
 }
 
 fn repeatable() -> exchange::Received {
@@ -28,10 +28,10 @@
 fn send(received: exchange::Received) -> exchange::Sent {
     received
         .admit()
-        .send(at(1), "desk-1".parse().expect("a server"))
+        .send(at(1), "desk-1".parse().expect("valid server id"))
 }
 
-fn answer(name: &str, received_bytes: u64) -> exchange::BackendResponse<u64> {
+fn response(name: &str, received_bytes: u64) -> exchange::BackendResponse<u64> {
     exchange::BackendResponse {
         request: request(name),
         declared_bytes: 8,
@@ -40,10 +40,10 @@
     }
 }
 
-/// A backend server is killed at each phase of an exchange. Whatever the phase, a non-repeatable
-/// request is tried again only if it has not run, and is never said not to have run if it may have.
+/// A backend server fails at each phase of an exchange. A non-repeatable request must be retried only
+/// if it has not run, and the outcome must not be *not run* if the request may have run.
 #[test]
-fn each_failure_leads_to_a_true_answer() {
+fn each_failure_leads_to_a_correct_outcome() {
     for reason in retry::RetryReason::ALL {
         match send(keyed()).failed::<u64>(reason) {
             exchange::Progress::Retry { admitted, .. } => {
@@ -60,47 +60,47 @@
         else {
             panic!("a repeatable request may be retried after {reason}");
         };
-        let word = if reason.proves_not_run() {
+        let label = if reason.proves_not_run() {
             "not-run"
         } else {
             "unknown"
         };
         let answered = admitted.refuse::<u64>(refusal::RefusalReason::Overloaded);
-        assert_eq!(answered.outcome().as_str(), word, "{reason}");
+        assert_eq!(answered.outcome().as_str(), label, "{reason}");
     }
 }
 
-/// A request that may have run on one backend server is refused by the next one before running. The
-/// second server's word says nothing about the first.
+/// A request may have run on a first backend server, and a second server refuses it before running. The
+/// refusal of the second server does not prove that the first one did not run the request.
 #[test]
-fn a_refusal_after_a_lost_try_is_no_proof() {
+fn a_refusal_after_a_lost_attempt_does_not_prove_not_run() {
     let exchange::Progress::Retry { admitted, .. } =
         send(repeatable()).failed::<u64>(retry::RetryReason::ConnectionLost)
     else {
-        panic!("repeatable");
+        panic!("expected a retry of a repeatable request");
     };
-    let sent = admitted.send(at(2), "desk-2".parse().expect("a server"));
+    let sent = admitted.send(at(2), "desk-2".parse().expect("valid server id"));
     let exchange::Progress::Retry { admitted, .. } =
         sent.failed::<u64>(retry::RetryReason::BackendRefused)
     else {
-        panic!("repeatable");
+        panic!("expected a retry of a repeatable request");
     };
     assert_eq!(admitted.tried().len(), 2);
     let answered = admitted.refuse::<u64>(refusal::RefusalReason::BackendRefused);
     assert_eq!(answered.outcome().as_str(), "unknown");
 }
 
-/// An answer that belongs to an abandoned exchange is read as the next one's, or the connection is cut
-/// within an answer. A client would see a stranger's booking, or half a list of allergies.
+/// The response to an abandoned exchange is read as the response to the next one, or a connection is
+/// closed within a response. A client would receive another client's booking or a truncated list.
 #[test]
-fn crossed_and_cut_answers_are_not_passed_on() {
+fn mismatched_and_truncated_responses_are_not_forwarded() {
     let cases = [
         ("mine", 8, None),
         ("mine", 5, Some(retry::RetryReason::AnswerCut)),
         ("theirs", 8, Some(retry::RetryReason::AnswerCrossed)),
     ];
     for (name, received_bytes, expected) in cases {
-        let progress = send(repeatable()).answered(answer(name, received_bytes));
+        let progress = send(repeatable()).answered(response(name, received_bytes));
         match (progress, expected) {
             (exchange::Progress::Answered(answered), None) => {
                 assert_eq!(answered.outcome(), &outcome::Outcome::Completed(7));
@@ -116,10 +116,10 @@
     assert_eq!(answered.outcome().as_str(), "unknown");
 }
 
-/// A backend server sheds everything, and each entry instance tries again. Without a budget the load
-/// doubles just when the server can't bear it.
+/// A backend server sheds all requests, and each entry instance retries them. Without a retry budget the
+/// retries would double the load of an overloaded server.
 #[test]
-fn retries_stay_under_their_budget() {
+fn retries_stay_within_their_budget() {
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(4);
     let mut policy = retry::RetryPolicy::new(retry::RetrySettings::default());
     let admitted = repeatable().admit();
@@ -133,22 +133,23 @@
 }
 
 #[test]
-fn retries_end_with_servers_tries_and_time() {
+fn retries_stop_when_servers_attempts_or_time_run_out() {
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(4);
     let mut policy = retry::RetryPolicy::new(retry::RetrySettings::default());
     let mut admitted = repeatable().admit();
-    let stops = |decision, expected| assert_eq!(decision, retry::RetryDecision::Stop(expected));
+    let assert_stop =
+        |decision, expected| assert_eq!(decision, retry::RetryDecision::Stop(expected));
     let decision = policy.decide(at(0), &admitted, 0, &mut rng);
-    stops(decision, retry::RetryStop::NoOtherServer);
+    assert_stop(decision, retry::RetryStop::NoOtherServer);
     let decision = policy.decide(at(1_990), &admitted, 1, &mut rng);
-    stops(decision, retry::RetryStop::DeadlineTooShort);
+    assert_stop(decision, retry::RetryStop::DeadlineTooShort);
     for server in ["desk-1", "desk-2", "desk-3"] {
-        let sent = admitted.send(at(0), server.parse().expect("a server"));
+        let sent = admitted.send(at(0), server.parse().expect("valid server id"));
         admitted = match sent.failed::<u64>(retry::RetryReason::ConnectFailed) {
             exchange::Progress::Retry { admitted, .. } => admitted,
             exchange::Progress::Answered(answered) => panic!("{answered:?}"),
         };
     }
     let decision = policy.decide(at(0), &admitted, 1, &mut rng);
-    stops(decision, retry::RetryStop::TriesUsed);
+    assert_stop(decision, retry::RetryStop::TriesUsed);
 }
--- a/crates/damaskvane-dispatch/tests/home.rs
+++ b/crates/damaskvane-dispatch/tests/home.rs
@@ -1,4 +1,4 @@
-//! The table of idempotency keys at their home.
+//! Tests of the table of idempotency keys at their home instance.
 
 mod support;
 
@@ -6,46 +6,46 @@
 use damaskvane_dispatch::{home, outcome, refusal};
 
 use support::keys::{
-    ANSWER, Table, at, attempt, dispatch, fingerprint_of, home_of, not_run, reason, table,
+    RESPONSE, Table, at, attempt, dispatch, fingerprint_of, home_of, not_run, reason, table,
 };
 
-/// A client hears nothing, since the answer was lost on the way back, and asks again. If the second
-/// try ran, the caterer would be booked twice.
+/// The response to a client is lost, and the client repeats its request. If the second attempt ran, the
+/// client would have two bookings.
 #[test]
-fn a_repeat_gets_the_same_answer() {
+fn a_repeated_request_gets_the_same_outcome() {
     let mut table = table("a/1");
     let permit = dispatch(&mut table, 0, &attempt("k", "a/1", 1));
-    let finish = table.finish(at(10), permit, outcome::Outcome::Completed(ANSWER));
+    let finish = table.finish(at(10), permit, outcome::Outcome::Completed(RESPONSE));
     assert!(finish.waiters.is_empty());
     let repeat = table.begin(at(20), &attempt("k", "a/1", 2));
     assert!(
         matches!(
             repeat,
-            home::BeginDecision::Answer(outcome::Outcome::Completed(ANSWER))
+            home::BeginDecision::Answer(outcome::Outcome::Completed(RESPONSE))
         ),
         "{repeat:?}"
     );
 }
 
-/// The client's impatience sends the same key through three entry instances at once. All three get
-/// the one answer.
+/// A client with a short timeout sends the same key through three entry instances at once. All three
+/// attempts must get the outcome of the one that runs.
 #[test]
-fn tries_at_the_same_time_join_the_one_that_runs() {
+fn concurrent_attempts_join_the_running_one() {
     let mut table = table("a/1");
     let permit = dispatch(&mut table, 0, &attempt("k", "a/1", 1));
     let mut joined = Vec::new();
     for try_number in 2..=3 {
         match table.begin(at(1), &attempt("k", "a/1", try_number)) {
             home::BeginDecision::Join(waiter) => joined.push(waiter),
-            other => panic!("no join: {other:?}"),
+            other => panic!("expected a join, got {other:?}"),
         }
     }
-    let finish = table.finish(at(10), permit, outcome::Outcome::Completed(ANSWER));
+    let finish = table.finish(at(10), permit, outcome::Outcome::Completed(RESPONSE));
     assert_eq!(finish.waiters, joined);
 }
 
-/// A client library takes one key for two bookings. Replaying the first answer would tell the second
-/// client that its booking stands.
+/// A client library uses one key for two bookings. A replay of the first response would report the second
+/// booking as completed, although it never ran.
 #[test]
 fn a_key_with_another_body_is_refused() {
     let mut table = table("a/1");
@@ -56,14 +56,14 @@
     };
     let expected = Some(refusal::RefusalReason::KeyReusedWithOtherBody);
     assert_eq!(reason(&table.begin(at(1), &other_body)), expected);
-    let _ = table.finish(at(2), permit, outcome::Outcome::Completed(ANSWER));
+    let _ = table.finish(at(2), permit, outcome::Outcome::Completed(RESPONSE));
     assert_eq!(reason(&table.begin(at(3), &other_body)), expected);
 }
 
-/// The home was killed and restarted, with its memory gone, and the client tries again. Running the
-/// key would run it twice if the first start had dispatched it.
+/// The home is killed and restarted without its key table, and the client repeats its request. The key
+/// would run twice if the previous incarnation had already dispatched it.
 #[test]
-fn homes_that_are_not_here_are_forwarded_or_unknown() {
+fn keys_of_other_homes_are_forwarded_or_unknown() {
     let mut table = table("a/2");
     let restarted = table.begin(at(0), &attempt("k", "a/1", 2));
     assert_eq!(
@@ -79,13 +79,13 @@
     assert!(matches!(elsewhere, home::BeginDecision::Forward(home) if home == home_of("b/1")));
 }
 
-/// A try comes back after the outcome was dropped. Taken for a new key it would run again, and *not
-/// run* would be untrue.
+/// An attempt arrives after the outcome of its key was removed. The key would run twice if it were treated
+/// as new, and the answer *not run* would be false.
 #[test]
 fn a_key_is_unknown_after_its_window() {
     let mut table = table("a/1");
     let permit = dispatch(&mut table, 0, &attempt("k", "a/1", 1));
-    let _ = table.finish(at(10), permit, outcome::Outcome::Completed(ANSWER));
+    let _ = table.finish(at(10), permit, outcome::Outcome::Completed(RESPONSE));
     assert!(table.expire(at(700_000)).is_empty());
     assert!(table.is_empty());
     let late = table.begin(at(700_000), &attempt("k", "a/1", 2));
@@ -96,13 +96,13 @@
     drop(dispatch(&mut table, 700_002, &attempt("l", "a/2", 1)));
 }
 
-/// The clock of the process steps back by minutes. Outcomes must neither vanish early nor be kept as
-/// if time stood still.
+/// The clock of the process steps back by minutes. Outcomes must neither be removed early nor be retained
+/// without end.
 #[test]
-fn a_step_back_of_the_clock_changes_nothing() {
+fn a_backward_clock_step_does_not_change_expiry() {
     let mut table = table("a/1");
     let permit = dispatch(&mut table, 500_000, &attempt("k", "a/1", 1));
-    let _ = table.finish(at(5), permit, outcome::Outcome::Completed(ANSWER));
+    let _ = table.finish(at(5), permit, outcome::Outcome::Completed(RESPONSE));
     let _ = table.expire(at(0));
     let _ = table.expire(at(600_010));
     assert_eq!(table.len(), 1);
@@ -110,10 +110,10 @@
     assert!(table.is_empty());
 }
 
-/// A flood of new keys fills the table. Those that have run must stay protected, and the new ones are
-/// told truly that they did not run.
+/// A flood of new keys fills the table. Keys that have run must stay protected against a second run, and
+/// new keys must be answered with *not run*.
 #[test]
-fn a_full_table_refuses_new_keys_and_keeps_the_others() {
+fn a_full_table_refuses_new_keys_and_keeps_existing_ones() {
     let by_entries = home::HomeSettings {
         max_entries: 1,
         ..Default::default()
@@ -131,19 +131,19 @@
         let permit = dispatch(&mut table, 0, &attempt("k", "a/1", 1));
         let refused = table.begin(at(1), &attempt("l", "a/1", 1));
         assert_eq!(reason(&refused), Some(refusal::RefusalReason::KeyTableFull));
-        let _ = table.finish(at(2), permit, outcome::Outcome::Completed(ANSWER));
+        let _ = table.finish(at(2), permit, outcome::Outcome::Completed(RESPONSE));
         let repeat = table.begin(at(3), &attempt("k", "a/1", 2));
         assert!(matches!(
             repeat,
-            home::BeginDecision::Answer(outcome::Outcome::Completed(ANSWER))
+            home::BeginDecision::Answer(outcome::Outcome::Completed(RESPONSE))
         ));
     }
 }
 
-/// A first try lies unread in the socket of a paused instance. The second is answered with *not run*,
-/// the client gives up, and the pause ends: the first try must not run any more.
+/// A first attempt stays unread in the socket of a paused instance. The second attempt is answered with
+/// *not run*, and the client stops. When the pause ends, the first attempt must not run.
 #[test]
-fn a_late_try_does_not_run_after_a_later_one_was_refused() {
+fn a_late_attempt_does_not_run_after_a_later_one_was_refused() {
     let mut table = table("a/1");
     let permit = dispatch(&mut table, 0, &attempt("k", "a/1", 2));
     let (permit, refused) = not_run(permit);
@@ -153,33 +153,33 @@
     drop(dispatch(&mut table, 3, &attempt("k", "a/1", 3)));
 }
 
-/// A backend server never answers, and the entry is paused past every time-out. The client is told
-/// *unknown*; when the outcome arrives after all, the next try hears it.
+/// A backend server does not respond until every timeout has passed, and the client receives *unknown*.
+/// When the outcome arrives late, the next attempt must receive it.
 #[test]
-fn an_outcome_that_comes_late_replaces_unknown() {
+fn a_late_outcome_replaces_unknown() {
     let mut table = table("a/1");
     let permit = dispatch(&mut table, 0, &attempt("k", "a/1", 1));
     assert!(matches!(
         table.begin(at(1), &attempt("k", "a/1", 2)),
         home::BeginDecision::Join(_)
     ));
-    let given_up = table.expire(at(60_000));
-    assert_eq!(given_up.len(), 1);
-    assert_eq!(given_up[0].waiters.len(), 1);
+    let abandoned = table.expire(at(60_000));
+    assert_eq!(abandoned.len(), 1);
+    assert_eq!(abandoned[0].waiters.len(), 1);
     let unknown = table.begin(at(60_001), &attempt("k", "a/1", 3));
     assert_eq!(reason(&unknown), Some(refusal::RefusalReason::OutcomeLost));
-    let _ = table.finish(at(60_002), permit, outcome::Outcome::Completed(ANSWER));
+    let _ = table.finish(at(60_002), permit, outcome::Outcome::Completed(RESPONSE));
     let known = table.begin(at(60_003), &attempt("k", "a/1", 4));
     assert!(matches!(
         known,
-        home::BeginDecision::Answer(outcome::Outcome::Completed(ANSWER))
+        home::BeginDecision::Answer(outcome::Outcome::Completed(RESPONSE))
     ));
 }
 
-/// Two bodies race for one key. The one that was refused for it must not run later by an older try,
-/// when the other gave the key back.
+/// Two requests with different bodies use one key, and one of them is refused. An older attempt of the
+/// refused request must not run after the other request ended as *not run* and released the key.
 #[test]
-fn a_refused_body_does_not_run_after_the_other_gave_the_key_back() {
+fn a_refused_body_does_not_run_after_the_other_released_the_key() {
     let mut table = table("a/1");
     let other_body = home::Attempt {
         fingerprint: fingerprint_of("rooms"),
@@ -197,13 +197,13 @@
     assert_eq!(reason(&late), Some(refusal::RefusalReason::TrySuperseded));
 }
 
-/// An instance takes a new incarnation for its keys while clients hold look-up answers that name the one
-/// before. Their new bookings run all the same for a while; what ran before never runs again.
+/// An instance renews the incarnation of its key table while clients hold lookup responses that name the
+/// previous one. New keys of these clients must run for a limited time; keys that ran must not run again.
 #[test]
-fn an_incarnation_takes_new_keys_for_a_while_after_its_renewal() {
+fn the_previous_incarnation_accepts_new_keys_for_a_while_after_a_renewal() {
     let mut table = table("a/1");
     let permit = dispatch(&mut table, 0, &attempt("old", "a/1", 1));
-    let _ = table.finish(at(10), permit, outcome::Outcome::Completed(ANSWER));
+    let _ = table.finish(at(10), permit, outcome::Outcome::Completed(RESPONSE));
     assert!(table.expire(at(700_000)).is_empty());
     table.renew(ids::Incarnation::new(2));
     drop(dispatch(&mut table, 710_000, &attempt("new", "a/1", 1)));
@@ -214,17 +214,17 @@
     assert_eq!(reason(&late), Some(refusal::RefusalReason::KeyExpired));
 }
 
-/// A table is worn out and refuses a first try; then it is renewed, and that try comes late. Run now, it
-/// would make the refusal untrue.
+/// A table has all its tombstones in use and refuses an attempt. An earlier attempt arrives after the
+/// renewal of the table. If that attempt ran, the refusal's *not run* would be false.
 #[test]
-fn a_worn_out_incarnation_takes_nothing_after_its_renewal() {
+fn a_full_incarnation_accepts_no_keys_after_a_renewal() {
     let settings = home::HomeSettings {
         max_tombstones: 1,
         ..Default::default()
     };
     let mut table = Table::new(home_of("a/1"), settings);
     let permit = dispatch(&mut table, 0, &attempt("k", "a/1", 1));
-    let _ = table.finish(at(10), permit, outcome::Outcome::Completed(ANSWER));
+    let _ = table.finish(at(10), permit, outcome::Outcome::Completed(RESPONSE));
     let refused = table.begin(at(20), &attempt("l", "a/1", 2));
     assert_eq!(reason(&refused), Some(refusal::RefusalReason::KeyTableFull));
     let _ = table.expire(at(700_000));
--- a/crates/damaskvane-dispatch/tests/home_exhaustive.rs
+++ b/crates/damaskvane-dispatch/tests/home_exhaustive.rs
@@ -1,5 +1,6 @@
-//! A search through every order of events for small bounds: 2 entry instances, 2 keys, 3 tries, one
-//! restart, one handover and one wait past the window, with messages late, crossed and repeated.
+//! An exhaustive search through the orders of events within small bounds: 2 entry instances, 2 keys, 3
+//! attempts, one restart, one handover and one wait beyond the retention window, with delayed, reordered
+//! and duplicated messages.
 
 mod support;
 
@@ -17,29 +18,32 @@
     world
 }
 
-struct Digest(DefaultHasher);
+struct StateHasher(DefaultHasher);
 
-impl fmt::Write for Digest {
+impl fmt::Write for StateHasher {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         self.0.write(text.as_bytes());
         Ok(())
     }
 }
 
-fn digest(world: &World) -> u64 {
-    let mut digest = Digest(DefaultHasher::new());
-    fmt::Write::write_fmt(&mut digest, format_args!("{world:?}")).expect("no failure");
-    digest.0.finish()
+fn state_hash(world: &World) -> u64 {
+    let mut hasher = StateHasher(DefaultHasher::new());
+    fmt::Write::write_fmt(&mut hasher, format_args!("{world:?}"))
+        .expect("writes to a hasher succeed");
+    hasher.0.finish()
 }
 
-/// Breadth first; a permit can't be copied, so a state is reached again by replaying its path.
+/// Searches all reachable states breadth first and returns their number.
+///
+/// A dispatch permit can't be cloned, so each state is rebuilt by replaying the actions that lead to it.
 fn search(bounds: Bounds) -> usize {
     let mut seen = collections::HashSet::new();
     let mut queue = collections::VecDeque::from([Vec::new()]);
     while let Some(path) = queue.pop_front() {
         let world = replay(&path, bounds);
         assert_eq!(world.violation(), None, "after {path:?}");
-        if !seen.insert(digest(&world)) {
+        if !seen.insert(state_hash(&world)) {
             continue;
         }
         for action in world.actions() {
@@ -52,8 +56,8 @@
     seen.len()
 }
 
-/// The home is killed before, during or after a dispatch, and restarted; the tries reach either
-/// instance in any order. A booking would stand twice, or be told *not run* and stand.
+/// The home is killed before, during or after a dispatch, and restarted. The attempts reach both
+/// instances in any order. A booking could run twice, or run and be reported as *not run*.
 #[test]
 fn at_most_once_holds_in_every_order_around_a_restart() {
     let bounds = Bounds {
@@ -65,8 +69,8 @@
     assert!(search(bounds) > 1_000);
 }
 
-/// The home leaves and hands over while tries and outcomes are under way, and messages arrive late,
-/// crossed and twice. One key: keys share no record, and two take minutes.
+/// The home leaves and hands over while attempts and outcomes are in transit, and messages are delayed,
+/// reordered and duplicated. One key is enough, because keys share no record, and two take minutes.
 #[test]
 fn at_most_once_holds_in_every_order_around_a_handover() {
     let bounds = Bounds {
@@ -77,7 +81,7 @@
     assert!(search(bounds) > 1_000);
 }
 
-/// The outcomes of the tries are dropped after their window while late tries are still under way.
+/// The outcomes of attempts are removed after the retention window while late attempts are in transit.
 #[test]
 fn at_most_once_holds_in_every_order_around_the_window() {
     let bounds = Bounds {
--- a/crates/damaskvane-dispatch/tests/random_run.rs
+++ b/crates/damaskvane-dispatch/tests/random_run.rs
@@ -1,14 +1,14 @@
-//! Randomised runs over the decision code, with a checker of what ran against what was answered.
+//! Randomised runs of the decision code, checked by comparing the executed requests with the answers.
 
 use damaskvane_dispatch::model;
 
 const STEPS: u64 = 100_000;
 
-/// Instances are killed, paused past every time-out and restarted as planned, messages are late,
-/// crossed, repeated and lost, and backend servers fail in each phase of an exchange. A user would find
-/// a booking standing twice, a refused one standing, or a stranger's answer.
+/// Instances are killed, paused beyond every timeout and restarted as planned. Messages are delayed,
+/// reordered, duplicated and lost, and backend servers fail in each phase of an exchange. A client could
+/// get a duplicate booking, a booking that was reported as refused, or another client's response.
 #[test]
-fn nothing_runs_twice_and_every_answer_is_true() {
+fn nothing_runs_twice_and_every_answer_is_correct() {
     for seed in [1, 2, 3] {
         let mut run = model::Run::new(seed, model::ModelSettings::default());
         run.steps(STEPS);
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops of backend servers and entry instances, and silent connections.
+//! Tests of planned stops of backend servers and entry instances, and of failed connections.
 
 use damaskvane_core::time;
 use damaskvane_dispatch::{connection, drain, shutdown};
@@ -7,10 +7,10 @@
     time::TimeMs::new(ms)
 }
 
-/// A backend server is taken out for maintenance while requests run on it. New work from the moment
-/// of adoption would be cut when it stops.
+/// A backend server is drained for maintenance while requests run on it. A request sent to the server
+/// after the drain takes effect would be aborted when the server stops.
 #[test]
-fn a_draining_server_takes_no_new_work_and_ends_when_idle() {
+fn a_draining_server_takes_no_new_requests_and_is_drained_when_idle() {
     let settings = drain::WarmUpSettings::default();
     for mut server in [
         drain::Lifecycle::active(at(0)),
@@ -30,9 +30,9 @@
     }
 }
 
-/// A backend server comes back with empty caches. Its whole share at once would overload it.
+/// A backend server returns with empty caches. Its full share at once would overload the server.
 #[test]
-fn a_cold_server_gets_its_share_step_by_step() {
+fn the_share_of_a_cold_server_grows_with_time() {
     let settings = drain::WarmUpSettings::default();
     let mut server = drain::Lifecycle::active(at(0));
     server.drain(at(0));
@@ -40,7 +40,10 @@
     let mut last = 0;
     for now_ms in [0, 10_000, 20_000, 29_999] {
         server.advance(at(now_ms), 0, &settings);
-        let share = server.share(at(now_ms), &settings).expect("a share").get();
+        let share = server
+            .share(at(now_ms), &settings)
+            .expect("server has a share")
+            .get();
         assert!(share > last && share < 1_000, "{share} at {now_ms}");
         last = share;
     }
@@ -48,17 +51,17 @@
     assert!(matches!(server, drain::Lifecycle::Active(_)), "{server:?}");
 }
 
-/// Kept connections to a healthy server went silent, since something between has lost track of them.
-/// Blamed for it, the server would be left out while fresh connections work.
+/// Reused connections to a healthy server time out, because a device on their path has dropped its
+/// state. If the failures counted, the server would be excluded although new connections work.
 #[test]
-fn silent_kept_connections_do_not_count_against_a_server() {
+fn timeouts_on_reused_connections_do_not_count_against_a_server() {
     let mut health = connection::ServerHealth::default();
     for _ in 0..100 {
-        let silent = connection::Failure::Timeout {
+        let timeout = connection::Failure::Timeout {
             on_new_connection: false,
         };
         assert_eq!(
-            health.record_failure(silent),
+            health.record_failure(timeout),
             connection::Action::RetryOnNewConnection
         );
         let shed = connection::Failure::Shed;
@@ -66,11 +69,11 @@
     }
     assert!(!health.is_suspect());
     for _ in 0..3 {
-        let silent = connection::Failure::Timeout {
+        let timeout = connection::Failure::Timeout {
             on_new_connection: true,
         };
         assert_eq!(
-            health.record_failure(silent),
+            health.record_failure(timeout),
             connection::Action::CountAsServerFailure
         );
     }
@@ -79,9 +82,10 @@
     assert!(!health.is_suspect());
 }
 
-/// A client abandons its exchange. Its answer, still to come, would be read as the next one's.
+/// A client abandons its exchange before the response arrives. On a reused connection, the response
+/// would be read as the response to the next request.
 #[test]
-fn only_a_refusal_leaves_a_connection_usable() {
+fn only_a_shed_request_leaves_a_connection_reusable() {
     for failure in [
         connection::Failure::Abandoned,
         connection::Failure::MismatchedResponse,
@@ -97,37 +101,44 @@
     assert!(connection::Failure::Shed.is_connection_reusable());
 }
 
-/// An entry instance is stopped as planned while clients hold look-up answers that name it. Stopped
-/// before these lapse, it would be missed; stopped before its requests end, it would cut them.
+/// An entry instance has a planned stop while clients hold lookup responses that name the instance. A stop
+/// before these responses expire would fail new requests, and a stop before running requests end would
+/// abort them.
 #[test]
-fn an_instance_leaves_after_look_ups_have_lapsed_and_work_has_ended() {
+fn an_instance_leaves_after_lookups_have_expired_and_requests_have_ended() {
     let settings = shutdown::ShutdownSettings::default();
     let leaving = shutdown::Serving.leave(at(0), settings);
     let leaving = leaving
         .begin_handover(at(3_999), 0)
-        .expect_err("look-ups hold");
-    let leaving = leaving.begin_handover(at(5_000), 1).expect_err("work runs");
+        .expect_err("lookups are still valid");
+    let leaving = leaving
+        .begin_handover(at(5_000), 1)
+        .expect_err("a request is running");
     assert_eq!(
         leaving.progress(at(5_000), 1).time_left,
         time::SpanMs::new(25_000)
     );
-    let handing_over = leaving.begin_handover(at(6_000), 0).expect("quiet");
+    let handing_over = leaving
+        .begin_handover(at(6_000), 0)
+        .expect("no requests are running");
     let handing_over = handing_over
         .stop(at(6_100), 0, false)
-        .expect_err("no successor yet");
-    let stopped = handing_over.stop(at(6_200), 0, true).expect("done");
+        .expect_err("no successor has the keys yet");
+    let stopped = handing_over
+        .stop(at(6_200), 0, true)
+        .expect("stop is complete");
     assert!(!stopped.is_timed_out);
 }
 
-/// A request never ends. The stop ends all the same, and says that it was cut short.
+/// A request never ends. The planned stop must still end, and report that its time ran out.
 #[test]
-fn a_stop_has_a_longest_time() {
+fn a_planned_stop_has_a_max_duration() {
     let leaving = shutdown::Serving.leave(at(0), shutdown::ShutdownSettings::default());
     let handing_over = leaving
         .begin_handover(at(30_000), 1)
-        .expect("the time is over");
+        .expect("max duration has passed");
     let stopped = handing_over
         .stop(at(40_000), 1, true)
-        .expect("the time is over");
+        .expect("max duration has passed");
     assert!(stopped.is_timed_out);
 }
--- a/crates/damaskvane-dispatch/tests/support/keys.rs
+++ b/crates/damaskvane-dispatch/tests/support/keys.rs
@@ -1,14 +1,14 @@
-//! Short ways to build tries and tables of keys.
+//! Builders of attempts, key tables and outcomes for the tests of homes and handovers.
 
 use damaskvane_core::time;
 use damaskvane_dispatch::{deadline, exchange, fingerprint, home, outcome, refusal};
 
 pub type Table = home::HomeTable<u64>;
 
-pub const ANSWER: u64 = 42;
+pub const RESPONSE: u64 = 42;
 
 pub fn home_of(text: &str) -> home::Home {
-    text.parse().expect("a home")
+    text.parse().expect("valid home")
 }
 
 pub fn at(ms: u64) -> time::TimeMs {
@@ -16,13 +16,13 @@
 }
 
 pub fn fingerprint_of(body: &str) -> fingerprint::Fingerprint {
-    let service = "rider-desk".parse().expect("a service");
+    let service = "rider-desk".parse().expect("valid service id");
     fingerprint::Fingerprint::of(&service, "POST", "/book", body.as_bytes())
 }
 
 pub fn attempt(key: &str, home: &str, try_number: u32) -> home::Attempt {
     home::Attempt {
-        key: key.parse().expect("a key"),
+        key: key.parse().expect("valid key"),
         home: home_of(home),
         fingerprint: fingerprint_of("meals"),
         try_number,
@@ -37,7 +37,7 @@
 pub fn dispatch(table: &mut Table, now_ms: u64, attempt: &home::Attempt) -> home::DispatchPermit {
     match table.begin(at(now_ms), attempt) {
         home::BeginDecision::Dispatch(permit) => permit,
-        other => panic!("no dispatch: {other:?}"),
+        other => panic!("expected a dispatch, got {other:?}"),
     }
 }
 
@@ -50,9 +50,9 @@
 
 pub fn not_run(permit: home::DispatchPermit) -> (home::DispatchPermit, outcome::Outcome<u64>) {
     let deadline = deadline::Deadline::after(at(0), time::SpanMs::new(2_000));
-    let request = "try".parse().expect("a request");
+    let request = "try".parse().expect("valid request id");
     let received = exchange::Received::keyed(request, deadline, permit);
     let answered = received.refuse(refusal::RefusalReason::QueueFull);
     let (permit, outcome) = answered.into_parts();
-    (permit.expect("keyed"), outcome)
+    (permit.expect("keyed request has a permit"), outcome)
 }
--- a/crates/damaskvane-dispatch/tests/support/mod.rs
+++ b/crates/damaskvane-dispatch/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! What several test files share.
+//! Helpers that several test files share.
 
 #![allow(
     dead_code,
     unreachable_pub,
-    reason = "each test file uses a part of it"
+    reason = "each test file uses only some of the helpers"
 )]
 
 pub mod keys;
