--- a/crates/damaskvane-steering/tests/blocks.rs
+++ b/crates/damaskvane-steering/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! The compact table agrees with an ordinary map.
+//! Tests that the compact block table agrees with an ordered map.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 fn random_blocks(seed: u64, count: usize) -> BTreeMap<blocks::BlockKey, blocks::Class> {
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
     let mut entry = || {
-        // Half of the prefixes are packed densely, as address space is, the other half spread out.
+        // Half of the prefixes are dense, as in allocated address space; the other half are spread out.
         let spread: u32 = rng.random();
         let prefix = if rng.random() {
             spread % 200_000
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_table_answers_as_a_map_does() {
+fn lookups_agree_with_a_map() {
     for seed in 0..5 {
         let map = random_blocks(seed, 100_000);
         let table = blocks::BlockTable::build(map.clone()).unwrap();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn changes_answer_as_a_map_does_and_leave_other_chunks_alone() {
+fn changes_agree_with_a_map_and_share_unchanged_chunks() {
     let mut map = random_blocks(1, 100_000);
     let table = blocks::BlockTable::build(map.clone()).unwrap();
     let keys: Vec<_> = map.keys().copied().step_by(500).collect();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_key_that_stands_twice_is_refused() {
+fn a_duplicate_key_is_rejected() {
     let key = blocks::BlockKey::address(9);
     let error =
         blocks::BlockTable::build([(key, blocks::Class::new(1)), (key, blocks::Class::new(2))]);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn blocks_named_by_text_are_found() {
+fn blocks_with_names_are_found() {
     let names =
         (0..10_000).map(|index| format!("sask-{index}").parse::<ids::ClientBlock>().unwrap());
     let names: Vec<_> = names.collect();
--- a/crates/damaskvane-steering/tests/common/mod.rs
+++ b/crates/damaskvane-steering/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Deployments and reports that several tests use.
+//! A topology, digests and accessors of plans that several test files share.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 use damaskvane_steering::{digest, input, plan, rate};
 
 pub(crate) const SERVICE: &str = "rider-desk";
-/// The time between two plans.
+/// Time between two plans, in milliseconds.
 pub(crate) const STEP_MS: u64 = 1_000;
 
 pub(crate) fn zone(text: &str) -> ids::AvailabilityZoneId {
@@ -26,7 +26,7 @@
     rate::Rate::per_second(requests)
 }
 
-/// Three regions of two zones; 20 slots a zone at 100 ms are 200 requests a second.
+/// Returns three regions of two zones; 20 slots a zone at 100 ms are 200 requests a second.
 pub(crate) fn topology() -> input::Topology {
     let regions = ["ab", "mb", "sask"];
     let mut topology = input::Topology::default();
@@ -48,7 +48,7 @@
     topology
 }
 
-/// A report of a zone that carries `demand` of its own clients.
+/// Returns a zone's digest with a demand of the zone's own clients, in requests a second.
 pub(crate) fn report(
     id: &ids::AvailabilityZoneId,
     sequence: u64,
@@ -65,20 +65,20 @@
     report
 }
 
-/// Fresh reports of all zones, with the same demand of each zone's clients.
-pub(crate) fn all_report(view: &mut digest::View, sequence: u64, now_ms: u64, demand: u64) {
+/// Applies a new digest of each zone, with the same demand of each zone's own clients.
+pub(crate) fn apply_all_reports(view: &mut digest::View, sequence: u64, now_ms: u64, demand: u64) {
     for id in topology().zones.keys() {
         view.apply_digest(report(id, sequence, now_ms, demand));
     }
 }
 
-/// All planned flows to a destination.
+/// Returns the sum of all planned flows to a destination.
 pub(crate) fn planned_to(plan: &plan::Plan, destination: &ids::AvailabilityZoneId) -> rate::Rate {
     let sources = plan.services[&service_id()].sources.values();
     sources.map(|source| source.flow(destination)).sum()
 }
 
-/// The flow between two zones.
+/// Returns the planned flow from a source to a destination.
 pub(crate) fn flow(plan: &plan::Plan, source: &str, destination: &str) -> rate::Rate {
     let source = plan.source(&service_id(), &zone(source)).unwrap();
     source.flow(&zone(destination))
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -1,4 +1,5 @@
-//! Granted, local and cached together stay within capacity; grants lapse at the source first.
+//! Tests that granted and local rates together stay within capacity, and that a grant expires at its
+//! holder before the granter releases the granted rate.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn a_grant_lapses_to_the_static_share() {
+fn an_expired_grant_leaves_the_static_share() {
     let mut holder = credit::Holder::new(rps(3), at(0));
     let request = holder.request(rps(40), at(1_000));
     let grant = credit::Grant {
@@ -33,12 +34,13 @@
     assert_eq!(
         holder.rate(at(6_000)),
         rps(3),
-        "counted from the ask, not from the arrival"
+        "the lifetime starts at the request, not at the arrival of the grant"
     );
 }
 
-/// A grant is held up on its way and arrives when the receiver has given its rate to another source.
-/// Counting from the arrival, both would use it and the receiver is sent twice what it granted.
+/// A grant is delayed and arrives after the receiving zone has granted its rate to another source. If the
+/// lifetime started at the arrival, both sources would use the rate, and the receiver would get twice the
+/// granted rate.
 #[test]
 fn a_late_grant_is_not_used() {
     let mut holder = credit::Holder::new(rps(3), at(0));
@@ -50,12 +52,15 @@
     };
     assert!(!holder.accept(grant, at(5_000)));
     assert_eq!(holder.rate(at(5_000)), rps(3));
-    assert!(!holder.accept(grant, at(5_001)), "an answer counts once");
+    assert!(
+        !holder.accept(grant, at(5_001)),
+        "a response is accepted at most once"
+    );
 }
 
-/// A source is paused between taking a permit and sending, past the end of its grant.
+/// A source is paused between acquiring a permit and sending the request, until its grant has expired.
 #[test]
-fn a_permit_is_void_once_its_grant_has_lapsed() {
+fn a_permit_is_invalid_once_its_grant_has_expired() {
     let mut holder = credit::Holder::new(rps(3), at(0));
     let request = holder.request(rps(40), at(0));
     holder.accept(
@@ -108,10 +113,10 @@
     assert!((0..20).all(|step| holder.acquire(at(step * 1_000)).is_none()));
 }
 
-/// Asks and grants are delayed and lost, local demand jumps, and sources ask for all they can get.
-/// Were the sum to pass the capacity, the receiver's own clients would be refused for strangers.
+/// Grants are delayed and lost, local demand jumps, and sources request more than the capacity. If the sum
+/// of rates exceeded the capacity, the receiver's own clients would be refused in favour of other zones.
 #[test]
-fn granted_local_and_cached_never_pass_the_capacity() {
+fn granted_and_local_rates_never_exceed_the_capacity() {
     for seed in 0..30 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
         let mut granter = credit::Granter::new(settings());
@@ -119,14 +124,14 @@
             .iter()
             .map(|_| credit::Holder::new(rps(3), at(0)))
             .collect();
-        let mut on_the_way: Vec<(u64, usize, credit::Grant)> = Vec::new();
+        let mut in_transit: Vec<(u64, usize, credit::Grant)> = Vec::new();
         let mut local = rps(100);
         for now_ms in (0..120_000).step_by(100) {
             granter.remove_expired(at(now_ms));
-            // Local clients are admitted up to what is not reserved, as the entry instance does.
-            let wished = rps(rng.random_range(50..200));
+            // As in an entry instance, local clients are admitted up to the capacity that is not reserved.
+            let demand = rps(rng.random_range(50..200));
             local = if rng.random_range(0..20) == 0 {
-                wished
+                demand
             } else {
                 local
             };
@@ -142,13 +147,13 @@
                 };
                 let grant = granter.grant(&zone(SOURCES[index]), request, load, at(now_ms));
                 if rng.random_range(0..5) > 0 {
-                    on_the_way.push((now_ms + rng.random_range(0..8_000), index, grant));
+                    in_transit.push((now_ms + rng.random_range(0..8_000), index, grant));
                 }
             }
-            let (due, later): (Vec<_>, Vec<_>) = on_the_way
+            let (due, later): (Vec<_>, Vec<_>) = in_transit
                 .into_iter()
                 .partition(|(due_ms, ..)| *due_ms <= now_ms);
-            on_the_way = later;
+            in_transit = later;
             for (_, index, grant) in due {
                 holders[index].accept(grant, at(now_ms));
             }
@@ -164,36 +169,38 @@
 }
 
 #[test]
-fn a_receiver_over_its_capacity_renews_nothing() {
+fn a_receiver_near_its_capacity_renews_no_grant() {
     let mut granter = credit::Granter::new(settings());
     let request = credit::CreditRequest {
         number: 1,
         rate: rps(60),
     };
-    let calm = credit::LocalLoad {
+    let low_load = credit::LocalLoad {
         capacity: rps(200),
         local: rps(50),
     };
     assert_eq!(
-        granter.grant(&zone("mb-a"), request, calm, at(0)).rate,
+        granter.grant(&zone("mb-a"), request, low_load, at(0)).rate,
         rps(60)
     );
-    let over = credit::LocalLoad {
+    let high_load = credit::LocalLoad {
         capacity: rps(200),
         local: rps(180),
     };
     assert_eq!(
-        granter.grant(&zone("mb-a"), request, over, at(1_000)).rate,
+        granter
+            .grant(&zone("mb-a"), request, high_load, at(1_000))
+            .rate,
         rps(3)
     );
     granter.remove_expired(at(8_000));
     assert_eq!(granter.reserved(), rps(9));
 }
 
-/// A smaller renewal is granted while the larger grant before it may still be used, since the renewal
-/// can be lost on its way. Forgetting the larger one gives its rate away twice.
+/// A smaller renewal is granted while the larger previous grant may still be in use, because the renewal
+/// can be lost. If the larger grant were no longer reserved, its rate could be granted twice.
 #[test]
-fn a_smaller_renewal_keeps_the_larger_grant_reserved_until_it_lapses() {
+fn a_smaller_renewal_keeps_the_larger_grant_reserved_until_it_expires() {
     let mut granter = credit::Granter::new(settings());
     let load = credit::LocalLoad {
         capacity: rps(200),
--- a/crates/damaskvane-steering/tests/health.rs
+++ b/crates/damaskvane-steering/tests/health.rs
@@ -1,4 +1,4 @@
-//! Reports against what is seen in use.
+//! Tests of how health reports and the observed outcomes of requests decide a server's admission.
 #![allow(clippy::unwrap_used)]
 
 use damaskvane_core::{ids, time};
@@ -30,26 +30,26 @@
     }
 }
 
-/// Every health endpoint says ill at once, for a reason that has nothing to do with the service. A pool
-/// that believes them refuses everyone although every request would work.
+/// All health endpoints report unhealthy at once, for a cause outside the service. A pool that excluded all
+/// servers would refuse all requests, although every request would succeed.
 #[test]
-fn reports_alone_take_out_no_more_than_their_bound() {
+fn reports_alone_exclude_no_more_servers_than_their_limit() {
     for count in 1..=20 {
         let (mut pool, servers) = pool(count);
         for server in &servers {
             pool.record_report(server, false, at(60_000));
         }
-        let out = pool
+        let excluded = pool
             .admissions(at(60_000))
             .into_values()
             .filter(|admission| !admission.takes_work())
             .count();
-        assert_eq!(out, count * 340 / 1_000, "of {count}");
+        assert_eq!(excluded, count * 340 / 1_000, "of {count}");
     }
 }
 
 #[test]
-fn a_server_that_just_answered_outweighs_its_report() {
+fn a_recent_response_outweighs_an_unhealthy_report() {
     let (mut pool, servers) = pool(3);
     pool.record_report(&servers[0], false, at(60_000));
     assert_eq!(
@@ -63,15 +63,15 @@
 }
 
 #[test]
-fn an_old_report_says_nothing() {
+fn an_old_report_is_ignored() {
     let (mut pool, servers) = pool(3);
     pool.record_report(&servers[0], false, at(60_000));
     assert_eq!(pool.admission(&servers[0], at(65_001)), Admission::Full);
 }
 
-/// A server's report says healthy while its requests fail.
+/// A server reports healthy while its requests fail.
 #[test]
-fn failures_take_a_server_out_whatever_its_report_says() {
+fn failures_exclude_a_server_despite_a_healthy_report() {
     let (mut pool, servers) = pool(3);
     for _ in 0..3 {
         pool.record_start(&servers[0]);
@@ -99,15 +99,16 @@
 }
 
 #[test]
-fn a_cold_server_gets_a_part_that_grows() {
+fn a_cold_server_gets_a_growing_part_of_its_slots() {
     let (pool, servers) = pool(3);
     let slots = |ms| pool.admission(&servers[0], at(ms)).slots(6);
     assert_eq!([slots(0), slots(5_000), slots(10_000)], [1, 3, 6]);
 }
 
-/// A server's report says idle while it sheds. Its refusals are seen here and halve what it gets.
+/// A server reports that it is idle while it sheds requests. The pool counts the refusals and halves the
+/// server's slots.
 #[test]
-fn a_server_that_refuses_gets_half() {
+fn a_server_that_refuses_requests_gets_half_of_its_slots() {
     let (mut pool, servers) = pool(3);
     for _ in 0..3 {
         pool.record_end(&servers[0], Outcome::Refused, at(60_000));
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn a_slow_server_gets_half() {
+fn a_slow_server_gets_half_of_its_slots() {
     let (mut pool, servers) = pool(3);
     for (index, took_ms) in [(0, 400), (1, 50), (2, 50)] {
         let took = time::SpanMs::new(took_ms);
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_new_at_once() {
+fn a_leaving_server_gets_no_new_requests() {
     let (mut pool, servers) = pool(2);
     pool.leave(&servers[0]);
     assert_eq!(
@@ -147,6 +148,6 @@
     pool.join(servers[0].clone(), at(60_000));
     assert!(
         !pool.admission(&servers[0], at(60_000)).takes_work(),
-        "a late list does not bring it back"
+        "a late list does not readmit a leaving server"
     );
 }
--- a/crates/damaskvane-steering/tests/picker.rs
+++ b/crates/damaskvane-steering/tests/picker.rs
@@ -1,4 +1,4 @@
-//! Clients keep their zone, and refusals go round.
+//! Tests that clients keep their zone, and that refusals rotate among the clients.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_change_of_weights_moves_only_as_many_clients_as_it_must() {
+fn a_change_of_weights_moves_little_more_than_the_changed_share() {
     let before = plan_of(&[("ab-a", 700_000), ("ab-b", 200_000), ("mb-a", 100_000)]);
     let after = plan_of(&[("ab-a", 600_000), ("ab-b", 300_000), ("mb-a", 100_000)]);
     let moved = (0..CLIENTS).filter(|hash| first(&before, *hash, 0) != first(&after, *hash, 9));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn all_destinations_are_named_in_the_clients_own_order() {
+fn all_destinations_are_returned_in_the_clients_own_order() {
     let plan = plan_of(&[("ab-a", 700_000), ("ab-b", 300_000)]);
     let client = picker::Client {
         zone: zone("ab-a"),
@@ -73,10 +73,10 @@
     assert_eq!(zones.len(), 2);
 }
 
-/// In a shortage a part of the clients is refused. Were it always the same part, their users would be
-/// without the service for as long as it lasts, while others notice nothing.
+/// In a shortage, a share of the clients is refused. If it were always the same clients, they would be
+/// without the service for the whole shortage, while all others are served.
 #[test]
-fn refusals_go_round_among_the_clients() {
+fn refusals_rotate_among_the_clients() {
     let plan = plan_of(&[("ab-a", 750_000)]);
     let refused = |hash, now_ms| first(&plan, hash, now_ms).is_none();
     let share = (0..CLIENTS).filter(|hash| refused(*hash, 0)).count() as f64 / CLIENTS as f64;
--- a/crates/damaskvane-steering/tests/planner.rs
+++ b/crates/damaskvane-steering/tests/planner.rs
@@ -1,11 +1,11 @@
-//! What plans keep to, over random runs with fixed seeds.
+//! Tests of the limits that plans keep, some of them in random runs with fixed seeds.
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
 use std::collections::{BTreeMap, VecDeque};
 
-use common::{STEP_MS, all_report, at, flow, planned_to, rps, service_id, topology, zone};
+use common::{STEP_MS, apply_all_reports, at, flow, planned_to, rps, service_id, topology, zone};
 use damaskvane_core::{ids, units};
 use damaskvane_steering::{digest, plan, planner, policy, rate};
 use rand::{RngExt, SeedableRng};
@@ -22,19 +22,19 @@
     shares
 }
 
-/// What can arrive at a destination while caches hold any of the recent answers.
-fn worst_arrival(
+/// Returns the highest rate that can arrive at a destination while caches hold any of the recent shares.
+fn max_arrival_rate(
     recent: &VecDeque<Shares>,
     plan: &plan::Plan,
     to: &ids::AvailabilityZoneId,
 ) -> rate::Rate {
     let sources = plan.services[&service_id()].sources.iter();
-    let worst = sources.map(|(source, planned)| {
+    let rates = sources.map(|(source, planned)| {
         let pair = (source.clone(), to.clone());
         let shares = recent.iter().filter_map(|shares| shares.get(&pair));
         planned.demand.ppm(shares.copied().max().unwrap_or(0))
     });
-    worst.sum()
+    rates.sum()
 }
 
 fn random_report(
@@ -55,10 +55,10 @@
     report
 }
 
-/// Reports are lost, late, frozen and absurd, zones are cut off and come back, and a plan is made
-/// each second. A user would notice a broken promise as refusals in one zone while others are free.
+/// Reports are lost or have extreme values, zones become unreachable and return, and a plan is made each
+/// second. A plan above a zone's capacity would cause refusals there while other zones have capacity.
 #[test]
-fn no_destination_is_ever_promised_more_than_it_can_carry() {
+fn no_destination_is_planned_above_its_capacity() {
     for seed in 0..40 {
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
         let policy = [policy::Policy::Latency, policy::Policy::Headroom][seed as usize % 2];
@@ -85,7 +85,7 @@
             let before: Vec<_> = topology
                 .zones
                 .keys()
-                .map(|to| worst_arrival(&recent, &plan, to))
+                .map(|to| max_arrival_rate(&recent, &plan, to))
                 .collect();
             recent.push_back(shares(&plan));
             if recent.len() as u64 * STEP_MS > settings.lookup_ttl.get() + STEP_MS {
@@ -97,16 +97,16 @@
                     planned_to(&plan, to) <= usable,
                     "seed {seed} step {step} {to}"
                 );
-                let after = worst_arrival(&recent, &plan, to);
+                let after = max_arrival_rate(&recent, &plan, to);
                 assert!(
                     after <= usable.max(before),
                     "seed {seed} step {step} {to}: {after}"
                 );
-                let may_rise = rps(200).permille(settings.failover_step_permille);
-                let rose = after.saturating_sub(before);
+                let max_rise = rps(200).permille(settings.failover_step_permille);
+                let rise = after.saturating_sub(before);
                 assert!(
-                    previous.is_none() || rose <= may_rise,
-                    "seed {seed} step {step} {to}: {rose}"
+                    previous.is_none() || rise <= max_rise,
+                    "seed {seed} step {step} {to}: {rise}"
                 );
             }
             previous = Some(plan);
@@ -118,13 +118,13 @@
 fn equal_input_gives_an_equal_plan() {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
-    all_report(&mut view, 1, 0, 190);
+    apply_all_reports(&mut view, 1, 0, 190);
     let first = planner.plan(&topology(), &view, None, at(0));
     let second = planner.plan(&topology(), &view, None, at(0));
     assert_eq!(first, second);
 }
 
-fn steady(
+fn plan_for_constant_demand(
     settings: planner::Settings,
     demand: &[(&str, u64)],
     topology: &damaskvane_steering::input::Topology,
@@ -141,7 +141,7 @@
     plan.unwrap()
 }
 
-const CALM: [(&str, u64); 6] = [
+const NORMAL_DEMAND: [(&str, u64); 6] = [
     ("ab-a", 100),
     ("ab-b", 100),
     ("mb-a", 100),
@@ -152,17 +152,17 @@
 
 #[test]
 fn clients_stay_in_their_zone_while_it_is_below_the_knee() {
-    let plan = steady(planner::Settings::default(), &CALM, &topology());
-    for (id, _) in CALM {
+    let plan = plan_for_constant_demand(planner::Settings::default(), &NORMAL_DEMAND, &topology());
+    for (id, _) in NORMAL_DEMAND {
         assert_eq!(flow(&plan, id, id), rps(100));
     }
 }
 
 #[test]
-fn what_a_zone_cannot_carry_goes_to_its_region_first() {
-    let mut demand = CALM;
+fn excess_demand_of_a_zone_goes_to_its_region_first() {
+    let mut demand = NORMAL_DEMAND;
     demand[0].1 = 220;
-    let plan = steady(planner::Settings::default(), &demand, &topology());
+    let plan = plan_for_constant_demand(planner::Settings::default(), &demand, &topology());
     let sent = |to: &str| flow(&plan, "ab-a", to).milli();
     assert!(sent("ab-a") >= 160_000, "{}", sent("ab-a"));
     assert!(sent("ab-b") >= 40_000, "{}", sent("ab-b"));
@@ -173,51 +173,51 @@
 }
 
 #[test]
-fn the_headroom_policy_levels_the_use_of_regions_to_one_level() {
-    let mut demand = CALM;
+fn the_headroom_policy_equalizes_the_utilization_of_regions() {
+    let mut demand = NORMAL_DEMAND;
     demand[0].1 = 190;
     demand[1].1 = 190;
-    let lowest = |policy| {
+    let free_in_ab = |policy| {
         let settings = planner::Settings {
             policy,
             ..planner::Settings::default()
         };
-        let plan = steady(settings, &demand, &topology());
+        let plan = plan_for_constant_demand(settings, &demand, &topology());
         let used = ["ab-a", "ab-b"].map(|id| planned_to(&plan, &zone(id)).milli());
         400_000 - used.iter().sum::<u64>()
     };
-    // 780 of 1,200 requests a second are 65%: level, a region of 400 has 140 free, and the levels
-    // are 5% (20) high.
-    let headroom = lowest(policy::Policy::Headroom);
+    // 780 of 1,200 requests a second are 65%. At equal utilization, a region with a capacity of 400 has
+    // 140 free; the planner fills in steps of 5% (20).
+    let headroom = free_in_ab(policy::Policy::Headroom);
     assert!((120_000..=140_000).contains(&headroom), "{headroom}");
-    let latency = lowest(policy::Policy::Latency);
+    let latency = free_in_ab(policy::Policy::Latency);
     assert!(latency < 80_000, "{latency}");
 }
 
 #[test]
-fn a_shortage_refuses_the_same_part_of_every_source() {
-    let mut demand = CALM.map(|(id, _)| (id, 200));
+fn a_shortage_refuses_the_same_share_of_every_source() {
+    let mut demand = NORMAL_DEMAND.map(|(id, _)| (id, 200));
     demand[0].1 = 600;
-    let plan = steady(planner::Settings::default(), &demand, &topology());
+    let plan = plan_for_constant_demand(planner::Settings::default(), &demand, &topology());
     let sources = plan.services[&service_id()].sources.values();
     let refused: Vec<_> = sources.map(plan::SourcePlan::refused_ppm).collect();
-    let (least, most) = (refused.iter().min().unwrap(), refused.iter().max().unwrap());
-    assert!(*least > 200_000 && most - least < 20_000, "{refused:?}");
+    let (min, max) = (refused.iter().min().unwrap(), refused.iter().max().unwrap());
+    assert!(*min > 200_000 && max - min < 20_000, "{refused:?}");
 }
 
-/// A link between regions carries every service's traffic. Steering that counts requests alone fills
-/// it, and users of all services see answers slow down.
+/// A link between regions carries the traffic of all services. If the planner counted only requests and
+/// not bytes, the link would saturate, and the responses of all services would slow down.
 #[test]
-fn flows_between_regions_keep_within_the_links_bytes() {
+fn flows_between_regions_stay_within_the_link_budget() {
     let mut topology = topology();
     let services = topology.services.values_mut();
     services.for_each(|service| service.typical_bytes = 125_000);
     for budget in topology.links.values_mut() {
         *budget = units::MegabitsPerSecond::new(20);
     }
-    let mut demand = CALM;
+    let mut demand = NORMAL_DEMAND;
     demand[0].1 = 600;
-    let plan = steady(planner::Settings::default(), &demand, &topology);
+    let plan = plan_for_constant_demand(planner::Settings::default(), &demand, &topology);
     for region in ["mb", "sask"] {
         let zones = ["a", "b"].map(|letter| format!("{region}-{letter}"));
         let sent: rate::Rate = zones.iter().map(|to| flow(&plan, "ab-a", to)).sum();
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_moved_part_goes_to_its_destination_while_there_is_room() {
+fn a_moved_share_goes_to_its_destination_within_capacity() {
     let mut topology = topology();
     topology
         .movements
@@ -236,16 +236,16 @@
             destination: zone("mb-a"),
             moved_permille: 300,
         });
-    let plan = steady(planner::Settings::default(), &CALM, &topology);
+    let plan = plan_for_constant_demand(planner::Settings::default(), &NORMAL_DEMAND, &topology);
     assert_eq!(flow(&plan, "ab-a", "mb-a"), rps(30));
-    let full = CALM.map(|(id, demand)| (id, if id == "mb-a" { 194 } else { demand }));
-    let plan = steady(planner::Settings::default(), &full, &topology);
+    let full = NORMAL_DEMAND.map(|(id, demand)| (id, if id == "mb-a" { 194 } else { demand }));
+    let plan = plan_for_constant_demand(planner::Settings::default(), &full, &topology);
     assert!(planned_to(&plan, &zone("mb-a")) <= rps(194));
     assert_eq!(plan.broken_invariants, 0);
 }
 
 #[test]
-fn small_zones_keep_a_larger_part_free() {
+fn small_zones_keep_a_larger_share_free() {
     let settings = planner::Settings::default();
     let free = |capacity| capacity - settings.usable(rps(capacity)).milli().div_ceil(1_000);
     assert_eq!([free(25), free(100), free(10_000)], [2, 6, 240]);
--- a/crates/damaskvane-steering/tests/planner_faults.rs
+++ b/crates/damaskvane-steering/tests/planner_faults.rs
@@ -1,21 +1,21 @@
-//! What plans keep to while zones shed, regions are lost and reports are wrong.
+//! Tests of plans while zones shed requests, regions are lost and reports are wrong.
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
-use common::{STEP_MS, all_report, at, planned_to, rps, service_id, topology, zone};
+use common::{STEP_MS, apply_all_reports, at, planned_to, rps, service_id, topology, zone};
 use damaskvane_core::units;
 use damaskvane_steering::{digest, plan, planner, rate};
 
-/// A service sheds but its load report says idle. Steering that believes load sends it more and more,
-/// and its users are refused while other zones are free.
+/// A zone sheds requests while its digest reports no running requests. Steering by the reported load would
+/// send the zone ever more clients, who would be refused while other zones have capacity.
 #[test]
-fn a_zone_that_sheds_loses_traffic_whatever_its_load_says() {
+fn a_zone_that_sheds_loses_traffic_despite_a_low_reported_load() {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
     let mut plan = None;
     for step in 1..30 {
-        all_report(&mut view, step, step * STEP_MS, 100);
+        apply_all_reports(&mut view, step, step * STEP_MS, 100);
         let mut report = common::report(&zone("ab-a"), step + 1_000, step * STEP_MS, 100);
         let service = report.services.get_mut(&service_id()).unwrap();
         service.running = units::Slots::ZERO;
@@ -37,9 +37,10 @@
     );
 }
 
-/// All zones report no capacity although they work. Believing it refuses everyone at once.
+/// All zones report zero capacity although they serve requests. A plan that trusted these reports would
+/// refuse all clients at once.
 #[test]
-fn reports_of_no_capacity_without_evidence_do_not_empty_the_system() {
+fn zero_capacity_reports_without_evidence_refuse_no_clients() {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
     for id in topology().zones.keys() {
@@ -56,10 +57,10 @@
     );
 }
 
-/// A region fails at peak. Its clients must find a place within what the others can carry; sending
-/// them all at once overloads the rest, and users of healthy regions are refused as well.
+/// A region fails at peak load. Its clients must be spread within the capacity of the other regions;
+/// otherwise these are overloaded, and their own clients are refused as well.
 #[test]
-fn a_lost_region_spreads_over_the_others_within_their_capacity() {
+fn clients_of_a_lost_region_spread_within_the_capacity_of_the_others() {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
     let mut plan = None;
@@ -87,9 +88,9 @@
     }
 }
 
-/// A lost region's last reports stay in the view. Counted together with what its clients send to the
-/// other zones by now, they double its demand, and far more is refused than capacity makes
-/// unavoidable.
+/// The last reports of a lost region stay in the view. If they were added to the requests that the
+/// region's clients now send to other zones, the region's demand would be counted twice, and far more
+/// clients would be refused than the capacity requires.
 #[test]
 fn the_last_reports_of_a_lost_region_are_not_counted_twice() {
     let planner = planner::Planner::new(planner::Settings::default());
@@ -120,18 +121,18 @@
     assert!(demand <= rps(105) && demand >= rps(95), "{demand}");
 }
 
-/// A region is lost and its clients are not yet seen elsewhere. Were their demand to fall with the
-/// reports, its place would be given away and its clients refused as they come.
+/// A region is lost, and its clients do not send requests to other zones yet. If the region's demand fell
+/// at once, its capacity would be planned for others, and its clients would be refused on arrival.
 #[test]
-fn the_demand_of_a_silent_region_is_kept_for_a_while() {
+fn the_demand_of_a_lost_region_is_retained_for_a_while() {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
     let mut plan = None;
     for step in 1..30 {
         for id in topology().zones.keys() {
-            let is_silent = step > 20 && topology().zones[id].as_str() == "ab";
-            view.set_unreachable(id, is_silent);
-            if !is_silent {
+            let is_lost = step > 20 && topology().zones[id].as_str() == "ab";
+            view.set_unreachable(id, is_lost);
+            if !is_lost {
                 view.apply_digest(common::report(id, step, step * STEP_MS, 100));
             }
         }
@@ -145,15 +146,15 @@
     assert!(demand >= rps(85), "{demand}");
 }
 
-/// One report in a run shows fifty times the demand. Believed at once, it refuses everyone's clients
-/// for seconds while capacity is free.
+/// One report shows fifty times the actual demand. If the estimate followed at once, clients of all zones
+/// would be refused for seconds while capacity is free.
 #[test]
-fn a_single_absurd_report_moves_the_estimate_by_chance_at_most_and_refuses_nobody() {
+fn a_single_outlier_report_barely_moves_the_estimate_and_refuses_no_clients() {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
     let mut plan = None;
     for step in 1..40 {
-        all_report(&mut view, step, step * STEP_MS, 100);
+        apply_all_reports(&mut view, step, step * STEP_MS, 100);
         if step == 20 {
             view.apply_digest(common::report(&zone("ab-a"), 10_000, step * STEP_MS, 5_000));
         }
@@ -163,8 +164,8 @@
         }
         let next = planner.plan(&topology(), &view, plan.as_ref(), at(step * STEP_MS));
         let sources = next.services[&service_id()].sources.values();
-        let most = sources.map(plan::SourcePlan::refused_ppm).max().unwrap();
-        assert!(most < 1_000, "step {step}: {most}");
+        let max_refused = sources.map(plan::SourcePlan::refused_ppm).max().unwrap();
+        assert!(max_refused < 1_000, "step {step}: {max_refused}");
         let demand = next.source(&service_id(), &zone("ab-a")).unwrap().demand;
         assert!(demand < rps(120), "step {step}: {demand}");
         plan = Some(next);
--- a/crates/damaskvane-steering/tests/shift.rs
+++ b/crates/damaskvane-steering/tests/shift.rs
@@ -1,4 +1,4 @@
-//! Shifts stay under their cap, freeze, and go back.
+//! Tests of the cap, the freezing and the step back of traffic shifts.
 #![allow(clippy::unwrap_used)]
 
 use damaskvane_core::time;
@@ -13,7 +13,7 @@
     shift::Stage::Ramping(shift::Shift::accept(order).start(at(0)))
 }
 
-/// Runs a shift with random signals and irregular steps and returns what it had moved, and when.
+/// Runs a shift with random signals at irregular intervals; returns each time with the share moved by then.
 fn random_run(seed: u64, order: shift::Order) -> Vec<(u64, u32)> {
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
     let mut stage = start(order);
@@ -34,10 +34,10 @@
     moved
 }
 
-/// A ticket promises that no more than its cap moves in any window. Were steps counted from the start
-/// of fixed windows, two of them could meet at a boundary, and caches would see double the promise.
+/// A ticket limits the share that moves in any window. If steps were counted in fixed windows, steps on
+/// both sides of a boundary could add up, and caches would receive twice the cap.
 #[test]
-fn in_no_window_more_than_the_cap_moves() {
+fn no_window_moves_more_than_the_cap() {
     for seed in 0..30 {
         let order = shift::Order {
             cap_permille: [150, 30, 7][seed as usize % 3],
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_calm_shift_completes() {
+fn a_shift_with_healthy_signals_completes() {
     let mut stage = start(shift::Order::default());
     for step in 0..2_000 {
         stage = stage.advance(at(step * 1_000), shift::Signal::Healthy);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn steps_wait_for_caches_to_warm_up_and_grow_with_what_is_warm() {
+fn steps_wait_for_caches_to_warm_up_and_grow_with_the_warm_share() {
     let order = shift::Order::default();
     let mut stage = start(order);
     let mut steps = Vec::new();
@@ -92,10 +92,10 @@
     assert!(steps.iter().all(|(_, moved)| *moved <= 50), "{steps:?}");
 }
 
-/// A big move meets cold caches and the destination is overloaded. A shift that goes on makes it
-/// worse; users of the destination, old and new, are refused.
+/// A large shift meets cold caches, and the destination is overloaded. If the shift continued, the old and
+/// the new clients of the destination would be refused.
 #[test]
-fn overload_freezes_and_takes_a_step_back() {
+fn overload_and_errors_freeze_a_shift_and_revert_a_step() {
     for signal in [shift::Signal::Overload, shift::Signal::Errors] {
         let mut stage = start(shift::Order::default());
         for now_ms in (0..100_000).step_by(1_000) {
@@ -110,7 +110,7 @@
         assert_eq!(
             stage.progress().phase,
             shift::Phase::Frozen,
-            "calm for less than 30 s"
+            "healthy for less than 30 s"
         );
         stage = stage.advance(at(130_000), shift::Signal::Healthy);
         assert_eq!(stage.progress().phase, shift::Phase::Ramping);
@@ -128,10 +128,10 @@
     assert_eq!(stage.progress().moved_permille, before);
 }
 
-/// The instance that runs a shift is replaced. One that began again at zero would send every moved
-/// client back in one step, far over the cap.
+/// The instance that runs a shift is replaced. If the shift restarted at zero, all moved clients would
+/// return in one step, which exceeds the cap by far.
 #[test]
-fn a_resumed_shift_keeps_what_moved_and_waits_a_window() {
+fn a_resumed_shift_keeps_its_moved_share_and_waits_a_window() {
     let shift = shift::Shift::accept(shift::Order::default()).resume(400, at(5_000));
     let mut stage = shift::Stage::Ramping(shift);
     for now_ms in (5_000..65_000).step_by(1_000) {
--- a/crates/damaskvane-steering/tests/staleness.rs
+++ b/crates/damaskvane-steering/tests/staleness.rs
@@ -1,9 +1,9 @@
-//! The table of `docs/operations/steering.md`, row by row: the decision and what the plan does.
+//! Tests of each row of the table in `docs/operations/steering.md`: the decision and its effect on the plan.
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
-use common::{all_report, at, planned_to, rps, topology, zone};
+use common::{apply_all_reports, at, planned_to, rps, topology, zone};
 use damaskvane_core::time;
 use damaskvane_steering::{digest, planner, rate, staleness};
 use staleness::{Age, Decision, Reachability};
@@ -18,7 +18,7 @@
 ];
 
 #[test]
-fn every_age_and_reach_has_its_decision() {
+fn every_age_and_reachability_has_its_decision() {
     for (age, reachability, decision) in TABLE {
         assert_eq!(
             staleness::decide(age, reachability),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn ages_turn_at_their_limits() {
+fn ages_change_at_their_limits() {
     let limits = staleness::Limits::default();
     let cases = [
         (Some(0), Age::Fresh),
@@ -46,30 +46,31 @@
     assert_eq!(limits.age(Some(at(200_000)), at(100_000)), Age::Fresh);
 }
 
-/// Plans one step after the report of `mb-a` reached an age, with 160 requests a second of its clients
-/// before and 190 wished for by a neighbour.
-fn planned_to_mb_a(silent_ms: u64, reachability: Reachability) -> (rate::Rate, rate::Rate) {
+/// Returns the planned rate to `mb-a` at its last report and `report_age_ms` later.
+///
+/// After the last report, the demand of its neighbour `mb-b` rises from 100 to 260 requests a second.
+fn planned_to_mb_a(report_age_ms: u64, reachability: Reachability) -> (rate::Rate, rate::Rate) {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
     let (mut before, mut plan) = (rate::Rate::ZERO, None);
-    let last_heard_ms = 20_000;
-    for now_ms in (1_000..=last_heard_ms + silent_ms).step_by(1_000) {
+    let last_report_ms = 20_000;
+    for now_ms in (1_000..=last_report_ms + report_age_ms).step_by(1_000) {
         let sequence = now_ms / 1_000;
-        let silent = now_ms > last_heard_ms;
+        let after_last_report = now_ms > last_report_ms;
         for id in topology().zones.keys() {
-            let demand = if silent && id.as_str() == "mb-b" {
+            let demand = if after_last_report && id.as_str() == "mb-b" {
                 260
             } else {
                 100
             };
-            if !silent || *id != zone("mb-a") {
+            if !after_last_report || *id != zone("mb-a") {
                 view.apply_digest(common::report(id, sequence, now_ms, demand));
             }
         }
-        let is_cut = silent && reachability == Reachability::Unreachable;
-        view.set_unreachable(&zone("mb-a"), is_cut);
+        let is_unreachable = after_last_report && reachability == Reachability::Unreachable;
+        view.set_unreachable(&zone("mb-a"), is_unreachable);
         let next = planner.plan(&topology(), &view, plan.as_ref(), at(now_ms));
-        if now_ms == last_heard_ms {
+        if now_ms == last_report_ms {
             before = planned_to(&next, &zone("mb-a"));
         }
         plan = Some(next);
@@ -78,22 +79,22 @@
 }
 
 #[test]
-fn a_fresh_report_is_steered_by() {
+fn a_fresh_report_is_used_for_the_plan() {
     let (before, after) = planned_to_mb_a(3_000, Reachability::Connected);
     assert!(
         after > before,
-        "{after} after {before}: the neighbour's clients come in"
+        "{after} after {before}: the neighbour's clients are planned here"
     );
 }
 
-/// The report of a zone stops while it still answers. Raising its load on numbers that are seconds old
-/// sends it every neighbour's overflow at once; its users are refused.
+/// A zone's reports stop while the zone still serves requests. If the planned rate rose on seconds-old
+/// reports, the zone would get the overflow of all neighbours at once, and its own clients would be refused.
 #[test]
-fn an_old_report_holds_what_was_planned() {
+fn an_old_report_holds_the_planned_rate() {
     let (_, at_old) = planned_to_mb_a(4_000, Reachability::Connected);
     let (_, later) = planned_to_mb_a(14_000, Reachability::Connected);
     assert!(later <= at_old, "{later} after {at_old}");
-    assert!(later >= rps(90), "its own clients stay: {later}");
+    assert!(later >= rps(90), "the zone keeps its own clients: {later}");
 }
 
 #[test]
@@ -110,23 +111,23 @@
 }
 
 #[test]
-fn a_zone_cut_off_gets_nothing_at_any_age() {
-    for silent_ms in [1_000, 10_000, 20_000] {
-        let (_, after) = planned_to_mb_a(silent_ms, Reachability::Unreachable);
-        assert_eq!(after, rate::Rate::ZERO, "{silent_ms} ms");
+fn an_unreachable_zone_gets_no_traffic_at_any_age() {
+    for report_age_ms in [1_000, 10_000, 20_000] {
+        let (_, after) = planned_to_mb_a(report_age_ms, Reachability::Unreachable);
+        assert_eq!(after, rate::Rate::ZERO, "{report_age_ms} ms");
     }
 }
 
-/// A zone is cut from everything and hears only itself. It must go on serving its own clients, up to
-/// what it can carry, without waiting for the others.
+/// A zone is partitioned from all others and receives only its own digests. The zone must keep serving its
+/// own clients up to its capacity, without waiting for the others.
 #[test]
-fn a_zone_alone_serves_its_own_clients_within_its_capacity() {
+fn a_partitioned_zone_serves_its_own_clients_within_its_capacity() {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
     let mut plan = None;
     for step in 1..40 {
         if step < 10 {
-            all_report(&mut view, step, step * 1_000, 100);
+            apply_all_reports(&mut view, step, step * 1_000, 100);
         }
         for id in topology().zones.keys() {
             view.set_unreachable(id, step >= 10 && *id != zone("ab-a"));
@@ -141,10 +142,10 @@
     assert_eq!(own.retry_after, time::SpanMs::new(2_000));
 }
 
-/// A reporter is stuck and sends the same report again and again. Were each arrival news, the zone
-/// would be steered by numbers that are minutes old.
+/// An aggregator is stuck and sends the same digest repeatedly. If each arrival counted as a new digest,
+/// the plan would use values that are minutes old.
 #[test]
-fn a_repeated_report_grows_old() {
+fn a_repeated_report_expires() {
     let mut view = digest::View::default();
     let limits = staleness::Limits::default();
     assert!(view.apply_digest(common::report(&zone("ab-a"), 7, 0, 100)));
