--- a/crates/damaskvane-routing/src/placement/choice.rs
+++ b/crates/damaskvane-routing/src/placement/choice.rs
@@ -75,7 +75,7 @@
     NoServer,
     /// All servers of the object are at the load limit for the request's priority.
     Overloaded,
-    /// Only cold servers have room, and they have received their limit of requests for this second.
+    /// Only cold servers have capacity, and they have received their limit of requests for this second.
     Cold,
     /// No answer is possible before the request's deadline.
     TooLate,
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -18,7 +18,7 @@
 /// Share of the `shift_most` setting by which the shifted share may rise in a window. The rest is reserved for
 /// changes in the number of callers.
 const SHIFT_STEP_SHARE: f64 = 0.5;
-/// Maximum number of candidates for a request without an object, or for one whose usual servers have no room
+/// Maximum number of candidates for a request without an object, or for one whose usual servers have no capacity
 /// because they are cold.
 const MAX_CANDIDATES: usize = 12;
 /// Assumed round trip to a zone that no connection has reached yet.
@@ -276,7 +276,7 @@
         Some(search)
     }
 
-    /// Returns the candidate with room that has the highest score, or why no candidate has room.
+    /// Returns the candidate with capacity that has the highest score, or why no candidate has capacity.
     ///
     /// `first_rank` is the rank of the first candidate in the object's order of servers.
     fn best_of(
--- a/crates/damaskvane-routing/src/placement/server_score.rs
+++ b/crates/damaskvane-routing/src/placement/server_score.rs
@@ -6,14 +6,14 @@
 use crate::placement::{PassedOver, Pick, PlacementRequest, PlacementSettings};
 use crate::pool::{Baseline, Server};
 
-/// Probability that the first server of an object is faster for the object although this instance has not sent the
-/// object to it recently: all instances use the first server of an object, so others may have.
-const FIRST_SERVER_HIT_PROBABILITY: f64 = 0.9;
+/// Probability that the first server of an object has cached an object that this instance has not sent to it: all
+/// instances use the first server of an object.
+const FIRST_SERVER_WARM_PROBABILITY: f64 = 0.9;
 /// The same probability for the object's other servers, which instances use only while the first server is busy or
 /// unhealthy.
-const OTHER_SERVER_HIT_PROBABILITY: f64 = 0.1;
-/// Probability that a server is still faster for an object that it has handled recently for this instance.
-const SENT_OBJECT_HIT_PROBABILITY: f64 = 0.97;
+const OTHER_SERVER_WARM_PROBABILITY: f64 = 0.1;
+/// Probability that a server still has an object cached that this instance has sent to it recently.
+const SENT_OBJECT_WARM_PROBABILITY: f64 = 0.97;
 /// Factor by which work takes longer on a cold server.
 const COLD_SLOWDOWN: f64 = 2.0;
 /// Share of the usual time that is a lower bound for nearly all requests of a route.
@@ -31,7 +31,7 @@
 /// Estimates of a request's run time and of the distance to one server.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Estimates {
-    /// Usual times of the route's requests on servers that have or haven't handled the object recently.
+    /// Usual times of the route's requests, with and without a cached object.
     pub(super) baseline: Baseline,
     /// Network round trip to the server's zone.
     pub(super) round_trip_ms: f64,
@@ -46,7 +46,7 @@
     pub(super) score: f64,
     /// Load of the server per slot.
     pub(super) load: f64,
-    hit_probability: f64,
+    warm_probability: f64,
     baseline: Baseline,
     round_trip_ms: f64,
     work_ms: f64,
@@ -69,12 +69,12 @@
             distance_cost,
         } = estimates;
         let objective_ms = request.route.objective_ms as f64;
-        let hit_probability = hit_probability_of(now, server, request, rank);
+        let warm_probability = warm_probability_of(now, server, request, rank);
         let mut slowness = server.slowness(now);
         if server.is_cold(now) {
             slowness *= COLD_SLOWDOWN;
         }
-        let work_ms = baseline.expected_ms(hit_probability) * slowness;
+        let work_ms = baseline.expected_ms(warm_probability) * slowness;
         let slots = f64::from(server.entry.slots.max(1));
         let load = server.load(now);
         let wait_ms = (load + 1.0 - slots).max(0.0) / slots * work_ms;
@@ -84,11 +84,12 @@
             remaining_ms: request.remaining_ms as f64,
             late_score: settings.late_worth,
         };
-        let warm_score = latency_score.at(delay_ms + baseline.warm_ms * slowness);
+        let cached_score = latency_score.at(delay_ms + baseline.warm_ms * slowness);
         let first_run_score = latency_score.at(delay_ms + baseline.first_ms * slowness);
         let busy = (load / slots).min(MAX_COSTED_LOAD);
         let slot_cost = settings.slot_cost + busy * busy * settings.busy_cost;
-        let mut score = hit_probability * warm_score + (1.0 - hit_probability) * first_run_score;
+        let mut score =
+            warm_probability * cached_score + (1.0 - warm_probability) * first_run_score;
         score -= slot_cost * work_ms / objective_ms.max(1.0);
         score -= settings.failure_cost * server.failure_share(now);
         score -= distance_cost;
@@ -98,7 +99,7 @@
         Self {
             score,
             load: load / slots,
-            hit_probability,
+            warm_probability,
             baseline,
             round_trip_ms,
             work_ms,
@@ -128,7 +129,7 @@
             expected_ms: self.work_ms + self.delay_ms,
             min_ms: min_work_ms + self.delay_ms,
             first_ms: self.baseline.first_ms + self.delay_ms,
-            is_warm: self.hit_probability >= FIRST_SERVER_HIT_PROBABILITY,
+            is_warm: self.warm_probability >= FIRST_SERVER_WARM_PROBABILITY,
             was_sent: request
                 .object
                 .is_some_and(|object| server.handled_recently(now, object)),
@@ -140,14 +141,14 @@
     }
 }
 
-/// Returns whether a server is expected to do at least as well as one that has not handled the object recently.
+/// Returns whether a server is expected to do at least as well as one that has not cached the object.
 pub(super) fn is_healthy(now: TimeMs, server: &Server) -> bool {
     !server.is_stalled(now)
         && server.failure_share(now) <= HIGH_FAILURE_SHARE
         && server.slowness(now) < MAX_HEALTHY_SLOWNESS
 }
 
-/// Returns the reason why another server is selected although this server has room.
+/// Returns the reason why another server is selected although this server has capacity.
 pub(super) fn passed_over_reason(now: TimeMs, server: &Server) -> PassedOver {
     let slots = f64::from(server.entry.slots.max(1));
     if server.is_stalled(now) {
@@ -163,7 +164,7 @@
     }
 }
 
-fn hit_probability_of(
+fn warm_probability_of(
     now: TimeMs,
     server: &Server,
     request: &PlacementRequest<'_>,
@@ -171,8 +172,8 @@
 ) -> f64 {
     match request.object {
         None => 0.0,
-        Some(object) if server.handled_recently(now, object) => SENT_OBJECT_HIT_PROBABILITY,
-        Some(_) if rank == 0 => FIRST_SERVER_HIT_PROBABILITY,
-        Some(_) => OTHER_SERVER_HIT_PROBABILITY,
+        Some(object) if server.handled_recently(now, object) => SENT_OBJECT_WARM_PROBABILITY,
+        Some(_) if rank == 0 => FIRST_SERVER_WARM_PROBABILITY,
+        Some(_) => OTHER_SERVER_WARM_PROBABILITY,
     }
 }
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -52,7 +52,7 @@
     peer_load: PeerLoad,
     /// Last load report from the server to this instance and its time, until the report is taken for the zone.
     last_report: Option<(TimeMs, LoadReport)>,
-    /// Last load per slot reported to this instance; without peers' reports, which cover busy servers only.
+    /// Last load per slot reported to this instance, for the region's load; excludes peers' reports of busy servers.
     load_sample: Option<(TimeMs, f64)>,
     /// Whether the last report to the zone reported a queue.
     is_reported_busy: bool,
