--- a/crates/damaskvane-gateway/src/store/feed.rs
+++ b/crates/damaskvane-gateway/src/store/feed.rs
@@ -1,7 +1,7 @@
 //! Relays the store's changes between instances, over one TCP connection per subscriber.
 //!
 //! The stream consists of length-prefixed frames. The relay sends the changes that the subscriber lacks, and
-//! four times a second the age of the store's last answer. A subscriber whose relay has stopped, is gone or
+//! four times a second the age of the store's last response. A subscriber whose relay has stopped, is gone or
 //! is cut off from the store detects this within a second and watches the store itself.
 
 mod frames;
@@ -25,7 +25,7 @@
 pub use serve::serve;
 pub use subscribe::{subscribe, watch_freshness};
 
-/// Interval at which a relay sends the age of the store's last answer.
+/// Interval at which a relay sends the age of the store's last response.
 const AGE_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a stream may be silent before the subscriber tries another relay. Also the timeout for connecting
 /// to a relay and for writing a frame.
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Records the age of the store's last answer that a relay reported.
+    /// Records the age of the store's last response that a relay reported.
     fn record_store_age(&self, now: TimeMs, store_age: SpanMs) {
         let mut freshness = self.freshness.get();
         freshness.record(now, store_age);
@@ -106,7 +106,7 @@
     }
 
     /// Returns the time since when the received data has been stale, or `None` if it is fresh. Data is stale
-    /// if the store's last answer is older than `stale_ms`, or if the relay is silent.
+    /// if the store's last response is older than `stale_ms`, or if the relay is silent.
     pub(super) fn stale_since(&self, now: TimeMs, stale_ms: u64) -> Option<TimeMs> {
         let mut freshness = self.freshness.get();
         let since = freshness.stale_since(now, stale_ms);
--- a/crates/damaskvane-gateway/src/store/feed/frames.rs
+++ b/crates/damaskvane-gateway/src/store/feed/frames.rs
@@ -31,7 +31,7 @@
 /// Message of a relay.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Frame {
-    /// Reports the time since the store's last answer, in milliseconds.
+    /// Reports the time since the store's last response, in milliseconds.
     Alive {
         store_age_ms: u64,
         /// Key of the instance's incarnation that the store answered; `None` if the store never answered.
--- a/crates/damaskvane-gateway/src/store/feed/serve.rs
+++ b/crates/damaskvane-gateway/src/store/feed/serve.rs
@@ -14,7 +14,7 @@
 use crate::store::feed::{AGE_INTERVAL, IDLE_TIMEOUT, POLL_INTERVAL};
 use crate::store::journal::JournalRead;
 
-/// Age of the store's last answer, in milliseconds, that an instance reports if it has missed changes. It
+/// Age of the store's last response, in milliseconds, that an instance reports if it has missed changes. It
 /// makes subscribers treat the instance as stale.
 const GAP_AGE_MS: u64 = 3_600_000;
 
@@ -62,7 +62,7 @@
             answered: answered.map(IncarnationKey::get),
         };
         send(node, &mut stream, &alive).await?;
-        // Changes, and answers of the store that end a gap, are sent at once. Otherwise the age is sent at
+        // Changes, and responses of the store that end a gap, are sent at once. Otherwise the age is sent at
         // each interval.
         tokio::select! {
             _ = additions.changed() => {}
--- a/crates/damaskvane-gateway/src/store/freshness.rs
+++ b/crates/damaskvane-gateway/src/store/freshness.rs
@@ -19,7 +19,7 @@
 
 /// A source that has sent nothing for this time, in milliseconds, is considered silent.
 const SILENT_MS: u64 = 900;
-/// Age of the store's last answer, in milliseconds, above which a source's data is stale.
+/// Age of the store's last response, in milliseconds, above which a source's data is stale.
 const STORE_STALE_MS: u64 = 1_100;
 /// The same for a subscriber behind a relay that itself receives from another instance.
 const STORE_STALE_BEHIND_RELAY_MS: u64 = 1_400;
@@ -163,7 +163,7 @@
 }
 
 impl FreshnessTracker {
-    /// Records the age of the store's last answer that a source reported.
+    /// Records the age of the store's last response that a source reported.
     pub(super) const fn record(&mut self, now: TimeMs, store_age: SpanMs) {
         self.received_at = Some(now);
         self.store_age = store_age;
@@ -177,7 +177,7 @@
     }
 
     /// Returns the time since when the data has been stale, or `None` if it is fresh. Data is fresh if the
-    /// last report is recent and the store's last answer is not older than `stale_ms`.
+    /// last report is recent and the store's last response is not older than `stale_ms`.
     pub(super) fn stale_since(&mut self, now: TimeMs, stale_ms: u64) -> Option<TimeMs> {
         if self.is_fresh(now, stale_ms) {
             self.stale_since = None;
--- a/crates/damaskvane-gateway/src/store/health.rs
+++ b/crates/damaskvane-gateway/src/store/health.rs
@@ -1,4 +1,4 @@
-//! State of the store as seen by this instance: whether it is up, and the age of its last answer.
+//! State of the store as seen by this instance: whether it is up, and the age of its last response.
 //!
 //! The health check detects within about a second that the store is down. Watches wait long, which saves
 //! calls, and are restarted after an outage, because a watch that was pending during an outage may never
@@ -27,7 +27,7 @@
     Down,
 }
 
-/// Time since the previous answer of the store, in milliseconds, from which an answer is reported to
+/// Time since the previous response of the store, in milliseconds, from which a response is reported to
 /// subscribers at once.
 const NOTIFY_GAP_MS: u64 = 100;
 
@@ -38,12 +38,12 @@
     source: watch::Sender<Source>,
     /// Incarnation of the instance, this one or another one, that the store answered last.
     answered_instance: Cell<Option<IncarnationKey>>,
-    /// Time of the store's last answer to any instance; `None` if there was none. A process that started
-    /// while the store is down must not pass for one that got an answer a moment ago.
+    /// Time of the store's last response to any instance; `None` if there was none. A process that started
+    /// while the store is down must not pass for one that got a response a moment ago.
     answered_at: Cell<Option<TimeMs>>,
-    /// Notifies waiting tasks of an answer of the store that came after a gap of `NOTIFY_GAP_MS` or more.
+    /// Notifies waiting tasks of a response of the store that came after a gap of `NOTIFY_GAP_MS` or more.
     answers: Notify,
-    /// Time of the store's last answer to this instance itself.
+    /// Time of the store's last response to this instance itself.
     directly_answered_at: Cell<Option<TimeMs>>,
     /// Number of calls of this instance that the store did not answer.
     failed_calls: watch::Sender<u64>,
@@ -121,7 +121,7 @@
         self.is_direct_access_lost.set(true);
     }
 
-    /// Returns the time of the store's last answer to this instance itself, or `None` if there was none.
+    /// Returns the time of the store's last response to this instance itself, or `None` if there was none.
     #[must_use]
     pub const fn directly_answered_at(&self) -> Option<TimeMs> {
         self.directly_answered_at.get()
@@ -140,7 +140,7 @@
         self.answered_instance.get()
     }
 
-    /// Returns the time since the store's last answer to this instance or to its relay, or the longest span
+    /// Returns the time since the store's last response to this instance or to its relay, or the longest span
     /// if there was none.
     #[must_use]
     pub fn age(&self, now: TimeMs) -> SpanMs {
@@ -176,7 +176,7 @@
         let _ = changes.wait_for(|current| *current != source).await;
     }
 
-    /// Waits for an answer of the store, to this instance or to its relay, that comes after a gap.
+    /// Waits for a response of the store, to this instance or to its relay, that comes after a gap.
     pub async fn until_answered(&self) {
         self.answers.notified().await;
     }
--- a/crates/damaskvane-gateway/src/store/health_check.rs
+++ b/crates/damaskvane-gateway/src/store/health_check.rs
@@ -39,7 +39,7 @@
             node.store.until_source_is_not(Source::Relay).await;
         }
         match client.call(&request, TIMEOUT).await {
-            // A record that is not written yet is an answer too.
+            // A record that is not written yet is a response too.
             Ok(_) | Err(CallError::Status(StatusCode::NOT_FOUND)) => handle_answer(&node),
             Err(error) => handle_failure(&node, &error),
         }
--- a/crates/damaskvane-gateway/src/store/journal.rs
+++ b/crates/damaskvane-gateway/src/store/journal.rs
@@ -77,7 +77,7 @@
     /// Records that changes of a collection were missed.
     ///
     /// Otherwise an instance that must read a collection again and can't would pass for a fresh source, as
-    /// long as its relay reports a recent answer of the store.
+    /// long as its relay reports a recent response of the store.
     pub fn mark_gap(&self, collection: Collection) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(&collection) {
             entry.is_complete = false;
