--- a/crates/damaskvane-routing/src/placement/candidates.rs
+++ b/crates/damaskvane-routing/src/placement/candidates.rs
@@ -1,9 +1,10 @@
 //! Finds the first servers of an object, in the object's order of servers.
 //!
 //! An object has a home region, usually the region of its callers, and one server there: each further server costs a
-//! slow first run and evicts another object from a server's cache. The object's second server is in another region,
-//! whose load peaks at other times. Popular objects have one server in each zone of their home region instead:
-//! callers use the server of their own zone, and the other servers take the requests beyond its capacity.
+//! slow first run and displaces another object from the few recent objects for which a server is faster. The object's
+//! second server is in another region, whose load peaks at other times. Popular objects have one server in each zone of
+//! their home region instead: callers use the server of their own zone, and the other servers take the requests beyond
+//! its capacity.
 
 use damaskvane_core::ids;
 
--- a/crates/damaskvane-routing/src/placement/server_score.rs
+++ b/crates/damaskvane-routing/src/placement/server_score.rs
@@ -6,13 +6,13 @@
 use crate::placement::{PassedOver, Pick, PlacementRequest, PlacementSettings};
 use crate::pool::{Baseline, Server};
 
-/// Probability that the first server of an object has cached an object that this instance has not sent to it: all
-/// instances use the first server of an object.
+/// Probability that the first server of an object is faster for the object although this instance has not sent the
+/// object to it recently: all instances use the first server of an object, so others may have.
 const FIRST_SERVER_WARM_PROBABILITY: f64 = 0.9;
 /// The same probability for the object's other servers, which instances use only while the first server is busy or
 /// unhealthy.
 const OTHER_SERVER_WARM_PROBABILITY: f64 = 0.1;
-/// Probability that a server still has an object cached that this instance has sent to it recently.
+/// Probability that a server is still faster for an object that it has handled recently for this instance.
 const SENT_OBJECT_WARM_PROBABILITY: f64 = 0.97;
 /// Factor by which work takes longer on a cold server.
 const COLD_SLOWDOWN: f64 = 2.0;
@@ -31,7 +31,7 @@
 /// Estimates of a request's run time and of the distance to one server.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Estimates {
-    /// Usual times of the route's requests, with and without a cached object.
+    /// Usual times of the route's requests on servers that have or haven't handled the object recently.
     pub(super) baseline: Baseline,
     /// Network round trip to the server's zone.
     pub(super) round_trip_ms: f64,
@@ -84,12 +84,11 @@
             remaining_ms: request.remaining_ms as f64,
             late_score: settings.late_worth,
         };
-        let cached_score = latency_score.at(delay_ms + baseline.warm_ms * slowness);
+        let warm_score = latency_score.at(delay_ms + baseline.warm_ms * slowness);
         let first_run_score = latency_score.at(delay_ms + baseline.first_ms * slowness);
         let busy = (load / slots).min(MAX_COSTED_LOAD);
         let slot_cost = settings.slot_cost + busy * busy * settings.busy_cost;
-        let mut score =
-            warm_probability * cached_score + (1.0 - warm_probability) * first_run_score;
+        let mut score = warm_probability * warm_score + (1.0 - warm_probability) * first_run_score;
         score -= slot_cost * work_ms / objective_ms.max(1.0);
         score -= settings.failure_cost * server.failure_share(now);
         score -= distance_cost;
@@ -141,7 +140,7 @@
     }
 }
 
-/// Returns whether a server is expected to do at least as well as one that has not cached the object.
+/// Returns whether a server is expected to do at least as well as one that has not handled the object recently.
 pub(super) fn is_healthy(now: TimeMs, server: &Server) -> bool {
     !server.is_stalled(now)
         && server.failure_share(now) <= HIGH_FAILURE_SHARE
