--- a/crates/damaskvane-ctl/tests/tickets.rs
+++ b/crates/damaskvane-ctl/tests/tickets.rs
@@ -65,7 +65,7 @@
         };
         let settings = BackoffSettings {
             first_ms: SpanMs::new(2),
-            most_ms: SpanMs::new(5),
+            max_ms: SpanMs::new(5),
         };
         command::submit(&self.api(who), request, &mut Backoff::new(settings, 7))
     }
--- a/crates/damaskvane-objects/src/backoff.rs
+++ b/crates/damaskvane-objects/src/backoff.rs
@@ -18,14 +18,14 @@
     /// The longest first pause.
     pub first_ms: time::SpanMs,
     /// The longest pause of all.
-    pub most_ms: time::SpanMs,
+    pub max_ms: time::SpanMs,
 }
 
 impl Default for BackoffSettings {
     fn default() -> Self {
         Self {
             first_ms: time::SpanMs::new(100),
-            most_ms: time::SpanMs::new(5_000),
+            max_ms: time::SpanMs::new(5_000),
         }
     }
 }
@@ -60,7 +60,7 @@
             .first_ms
             .get()
             .saturating_mul(1 << self.tries.min(30));
-        let longest = doubled.min(self.settings.most_ms.get());
+        let longest = doubled.min(self.settings.max_ms.get());
         self.tries = self.tries.saturating_add(1);
         time::SpanMs::new(self.rng.random_range(longest / 2..=longest))
     }
--- a/crates/damaskvane-objects/tests/faults.rs
+++ b/crates/damaskvane-objects/tests/faults.rs
@@ -43,7 +43,7 @@
 fn quick_backoff() -> Backoff {
     let settings = BackoffSettings {
         first_ms: SpanMs::new(2),
-        most_ms: SpanMs::new(5),
+        max_ms: SpanMs::new(5),
     };
     Backoff::new(settings, 7)
 }
