--- a/crates/damaskvane-ctl/src/store.rs
+++ b/crates/damaskvane-ctl/src/store.rs
@@ -163,7 +163,7 @@
     match api.put_if(&key(call), if_version, bytes, &WriteId::new(write_id)) {
         WriteResult::Applied { .. } => Answer::Applied,
         WriteResult::Conflict { .. } => Answer::Conflict,
-        WriteResult::NotApplied(reason) if reason.is_passing() => {
+        WriteResult::NotApplied(reason) if reason.is_transient() => {
             Answer::Failed(reason.to_string())
         }
         WriteResult::NotApplied(reason) => Answer::Refused(reason.to_string()),
--- a/crates/damaskvane-objects/src/api/write.rs
+++ b/crates/damaskvane-objects/src/api/write.rs
@@ -84,7 +84,7 @@
 
     /// Whether the same write can succeed later without anyone mending something first.
     #[must_use]
-    pub const fn is_passing(&self) -> bool {
+    pub const fn is_transient(&self) -> bool {
         matches!(
             self,
             Self::NoConnection(_) | Self::Outage | Self::RateLimited(_) | Self::BudgetSpent(_)
--- a/crates/damaskvane-objects/src/write.rs
+++ b/crates/damaskvane-objects/src/write.rs
@@ -58,7 +58,7 @@
                 }
                 return Outcome::Overtaken { current, doubted };
             }
-            WriteResult::NotApplied(reason) if !reason.is_passing() => {
+            WriteResult::NotApplied(reason) if !reason.is_transient() => {
                 return if doubted {
                     Outcome::Lost
                 } else {
