--- a/crates/damaskvane-ctl/src/command/submit.rs
+++ b/crates/damaskvane-ctl/src/command/submit.rs
@@ -108,7 +108,7 @@
     if request.reason.trim().is_empty() {
         return Err(CtlError::Usage("--reason is missing or empty".into()));
     }
-    let author = api.holder()?;
+    let author = api.token_holder()?;
     let head = store::read_head(api)?;
     let draft = draft(api, request, &author, &head)?;
     let objects = draft.changes.keys().cloned().collect();
--- a/crates/damaskvane-objects/src/api.rs
+++ b/crates/damaskvane-objects/src/api.rs
@@ -74,5 +74,5 @@
     /// # Errors
     ///
     /// When no answer or a refusal came.
-    fn holder(&self) -> Result<String, ReadError>;
+    fn token_holder(&self) -> Result<String, ReadError>;
 }
--- a/crates/damaskvane-objects/src/http/client.rs
+++ b/crates/damaskvane-objects/src/http/client.rs
@@ -225,7 +225,7 @@
         Ok(instances.instances)
     }
 
-    fn holder(&self) -> Result<String, ReadError> {
+    fn token_holder(&self) -> Result<String, ReadError> {
         let request = self.request(Method::GET, "objects/head");
         let answer = self.read("holder", request)?;
         header(&answer.headers, "token-holder")
--- a/crates/damaskvane-objects/src/http/counts.rs
+++ b/crates/damaskvane-objects/src/http/counts.rs
@@ -11,7 +11,7 @@
 /// Counts since the client was made.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Calls by what they do: `get`, `put`, `delete`, `list`, `watch`, `instances`, `holder`.
+    /// Calls by what they do: `get`, `put`, `delete`, `list`, `watch`, `instances`, `token_holder`.
     pub by_call: BTreeMap<&'static str, u64>,
     /// Calls that gave nothing or were refused, by reason.
     pub by_reason: BTreeMap<&'static str, u64>,
--- a/crates/damaskvane-objects/tests/faults.rs
+++ b/crates/damaskvane-objects/tests/faults.rs
@@ -133,7 +133,7 @@
     assert_eq!(put(&stranger, 0, "w"), refused);
     assert_eq!(stranger.get(&key()), Err(ReadError::Unauthorized));
     let ben = client(running.address(), "secret-ben", 5_000);
-    assert_eq!(ben.holder().as_deref(), Ok("ben"));
+    assert_eq!(ben.token_holder().as_deref(), Ok("ben"));
     let head = ObjectKey::new("head", "config");
     let as_anna = br#"{"author":"anna"}"#;
     let id = WriteId::new("w");
