--- a/crates/damaskvane-entry/src/store/worker.rs
+++ b/crates/damaskvane-entry/src/store/worker.rs
@@ -306,7 +306,7 @@
         record: &api::InstanceRecord,
     ) -> write::Outcome {
         let Ok(value) = serde_json::to_vec(record) else {
-            return write::Outcome::Lost;
+            return write::Outcome::Unknown;
         };
         let id = format!(
             "{}-{}-{}-{version}",
--- a/crates/damaskvane-objects/src/write.rs
+++ b/crates/damaskvane-objects/src/write.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_objects::write;
 //!
-//! assert_eq!(write::Outcome::Lost, write::Outcome::Lost);
+//! assert_eq!(write::Outcome::Unknown, write::Outcome::Unknown);
 //! ```
 
 use std::thread;
@@ -31,7 +31,7 @@
     /// It had no effect, and the tries are spent or would not help.
     Refused(NotAppliedReason),
     /// The tries are spent and it is still unknown.
-    Lost,
+    Unknown,
 }
 
 /// Writes an object, trying up to `tries` times.
@@ -60,7 +60,7 @@
             }
             WriteResult::NotApplied(reason) if !reason.is_transient() => {
                 return if doubted {
-                    Outcome::Lost
+                    Outcome::Unknown
                 } else {
                     Outcome::Refused(reason)
                 };
@@ -77,7 +77,7 @@
     }
     match last_refusal {
         Some(reason) if !doubted => Outcome::Refused(reason),
-        _ => Outcome::Lost,
+        _ => Outcome::Unknown,
     }
 }
 
