--- a/crates/damaskvane-entry/src/peers.rs
+++ b/crates/damaskvane-entry/src/peers.rs
@@ -49,7 +49,7 @@
 
     /// Replaces the addresses, and with them the instances that are listened to.
     pub fn set_book(&self, book: AddressBook) {
-        self.transport.set_allowed(book.instances());
+        self.transport.set_allowed_senders(book.instances());
         *self.book() = book;
     }
 
--- a/crates/damaskvane-peer/examples/measure_transport.rs
+++ b/crates/damaskvane-peer/examples/measure_transport.rs
@@ -41,7 +41,7 @@
         ..settings::PeerSettings::default()
     };
     let (transport, received) = transport::Transport::listen(settings).expect("a free port");
-    transport.set_allowed(all);
+    transport.set_allowed_senders(all);
     (transport, received)
 }
 
--- a/crates/damaskvane-peer/src/gate.rs
+++ b/crates/damaskvane-peer/src/gate.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(crate) fn set_allowed(
+    pub(crate) fn set_allowed_senders(
         &mut self,
         allowed: impl IntoIterator<Item = ids::InstanceId>,
         now: time::TimeMs,
--- a/crates/damaskvane-peer/src/inbound.rs
+++ b/crates/damaskvane-peer/src/inbound.rs
@@ -83,12 +83,12 @@
         &self.address
     }
 
-    pub(crate) fn set_allowed(&self, allowed: impl IntoIterator<Item = ids::InstanceId>) {
+    pub(crate) fn set_allowed_senders(&self, allowed: impl IntoIterator<Item = ids::InstanceId>) {
         let now = elapsed(self.started);
         self.gate
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .set_allowed(allowed, now);
+            .set_allowed_senders(allowed, now);
     }
 }
 
--- a/crates/damaskvane-peer/src/lib.rs
+++ b/crates/damaskvane-peer/src/lib.rs
@@ -27,7 +27,7 @@
 //! let settings = settings::PeerSettings::default();
 //! let own: damaskvane_core::ids::InstanceId = settings.instance.clone();
 //! let (transport, received) = transport::Transport::<Ping>::listen(settings)?;
-//! transport.set_allowed([own.clone()]);
+//! transport.set_allowed_senders([own.clone()]);
 //! transport.send(transport.local_address(), &Ping(7))?;
 //! assert_eq!(received.recv().map(|ping| ping.from), Ok(own));
 //! # Ok::<(), damaskvane_peer::error::PeerError>(())
--- a/crates/damaskvane-peer/src/transport.rs
+++ b/crates/damaskvane-peer/src/transport.rs
@@ -58,7 +58,7 @@
 
 /// Sends messages to peers and receives theirs.
 ///
-/// It needs no thread for each peer. Until [`Transport::set_allowed`] is called nothing is received.
+/// It needs no thread for each peer. Until [`Transport::set_allowed_senders`] is called nothing is received.
 #[derive(Debug)]
 pub struct Transport<M> {
     header: envelope::Header,
@@ -99,8 +99,8 @@
     }
 
     /// Replaces the list of instances that are listened to.
-    pub fn set_allowed(&self, allowed: impl IntoIterator<Item = ids::InstanceId>) {
-        self.inbound.set_allowed(allowed);
+    pub fn set_allowed_senders(&self, allowed: impl IntoIterator<Item = ids::InstanceId>) {
+        self.inbound.set_allowed_senders(allowed);
     }
 
     /// Queues a message for a peer and returns at once; it connects first if need be.
--- a/crates/damaskvane-peer/tests/transport.rs
+++ b/crates/damaskvane-peer/tests/transport.rs
@@ -69,7 +69,7 @@
 fn a_message_arrives_with_its_sender_and_is_counted_on_both_sides() {
     let (a, _) = listen::<Message>(settings("a"));
     let (b, from_a) = listen::<Message>(settings("b"));
-    b.set_allowed([instance("a")]);
+    b.set_allowed_senders([instance("a")]);
     assert!(!a.is_connected(b.local_address()));
     a.send(b.local_address(), &Message::Number { value: 7 })
         .unwrap();
@@ -89,7 +89,7 @@
 fn instances_that_are_not_listed_are_not_heard() {
     let (stranger, _) = listen::<Message>(settings("stranger"));
     let (b, received) = listen::<Message>(settings("b"));
-    b.set_allowed([instance("a")]);
+    b.set_allowed_senders([instance("a")]);
     stranger
         .send(b.local_address(), &Message::Text("obey".into()))
         .unwrap();
@@ -106,7 +106,7 @@
         max_messages_per_second: 1,
         ..settings("b")
     });
-    b.set_allowed([instance("a")]);
+    b.set_allowed_senders([instance("a")]);
     for value in 0..20 {
         let _ = a.send(b.local_address(), &Message::Number { value });
     }
@@ -133,7 +133,7 @@
 fn a_newer_version_is_understood_as_far_as_possible() {
     let (newer, _) = listen::<NewerMessage>(settings("a"));
     let (b, received) = listen::<Message>(settings("b"));
-    b.set_allowed([instance("a")]);
+    b.set_allowed_senders([instance("a")]);
     let number = NewerMessage::Number {
         value: 5,
         unit: "slots".into(),
@@ -171,7 +171,7 @@
 fn a_fresh_connection_is_made_on_demand() {
     let (a, _) = listen::<Message>(settings("a"));
     let (b, received) = listen::<Message>(settings("b"));
-    b.set_allowed([instance("a")]);
+    b.set_allowed_senders([instance("a")]);
     for value in 0..3 {
         a.send(b.local_address(), &Message::Number { value })
             .unwrap();
@@ -187,7 +187,7 @@
 fn a_restarted_peer_is_reached_again() {
     let (a, _) = listen::<Message>(settings("a"));
     let (b, received) = listen::<Message>(settings("b"));
-    b.set_allowed([instance("a")]);
+    b.set_allowed_senders([instance("a")]);
     a.send(b.local_address(), &Message::Number { value: 1 })
         .unwrap();
     received.recv_timeout(WAIT).unwrap();
@@ -198,7 +198,7 @@
         ..settings("b")
     };
     let (b, received) = listen::<Message>(again);
-    b.set_allowed([instance("a")]);
+    b.set_allowed_senders([instance("a")]);
     wait_until(|| {
         let _ = a.send(&listen_address, &Message::Number { value: 2 });
         !received.is_empty()
@@ -230,7 +230,7 @@
         connection_limit: 1,
         ..settings("b")
     });
-    b.set_allowed([instance("a"), instance("c")]);
+    b.set_allowed_senders([instance("a"), instance("c")]);
     let (a, _) = listen::<Message>(settings("a"));
     a.send(b.local_address(), &Message::Number { value: 1 })
         .unwrap();
