--- a/crates/damaskvane-core/src/hash.rs
+++ b/crates/damaskvane-core/src/hash.rs
@@ -1,4 +1,4 @@
-//! Content hashes.
+//! Content hashes of immutable chunks.
 //!
 //! ```
 //! use damaskvane_core::hash;
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The BLAKE3 hash of an immutable chunk; it names the chunk in the platform's object API.
+/// The BLAKE3 hash of an immutable chunk, used as the chunk's name in the platform's object API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ContentHash([u8; 32]);
@@ -22,13 +22,13 @@
 pub struct ParseHashError;
 
 impl ContentHash {
-    /// Hashes a chunk.
+    /// Returns the hash of the content of a chunk.
     #[must_use]
     pub fn of(content: &[u8]) -> Self {
         Self(*blake3::hash(content).as_bytes())
     }
 
-    /// The raw bytes of the hash.
+    /// Returns the 32 bytes of the hash.
     #[must_use]
     pub const fn as_bytes(&self) -> &[u8; 32] {
         &self.0
--- a/crates/damaskvane-core/src/ids.rs
+++ b/crates/damaskvane-core/src/ids.rs
@@ -1,7 +1,7 @@
-//! Names and numbers that identify things, each a type of its own.
+//! Text and number identifiers, a type of its own for each kind.
 //!
-//! Text identifiers hold 1 to 64 characters out of `a-z`, `0-9`, `-`, `_` and `.`, so that they can
-//! stand in a URL, a header, a file name and a metric name without escaping.
+//! A text identifier has 1 to 64 characters out of `a-z`, `0-9`, `-`, `_` and `.`, so that URLs,
+//! headers, file names and metric names can contain it without escaping.
 //!
 //! ```
 //! use damaskvane_core::ids;
--- a/crates/damaskvane-core/src/ids/error.rs
+++ b/crates/damaskvane-core/src/ids/error.rs
@@ -1,4 +1,4 @@
-//! The error of parsing an identifier.
+//! The error type of parsing an identifier.
 //!
 //! ```
 //! use damaskvane_core::ids;
@@ -7,28 +7,28 @@
 //! assert!(error.to_string().contains("1 to 64"));
 //! ```
 
-/// Why a text is no identifier.
+/// The reason why a text could not be parsed as an identifier.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ParseIdError {
     /// a {kind} has {length} characters; use 1 to 64
     Length {
-        /// What was parsed, for instance `service`.
+        /// The kind of identifier, for instance `service`.
         kind: &'static str,
-        /// How many bytes the text has.
+        /// The length of the text in bytes.
         length: usize,
     },
     /// a {kind} holds the character {character:?}; use only a-z, 0-9, '-', '_' and '.'
     Character {
-        /// What was parsed, for instance `service`.
+        /// The kind of identifier, for instance `service`.
         kind: &'static str,
         /// The first character that is not allowed.
         character: char,
     },
     /// {text:?} is no {kind}; write a whole number
     Number {
-        /// What was parsed, for instance `ticket number`.
+        /// The kind of identifier, for instance `ticket number`.
         kind: &'static str,
-        /// The text as given.
+        /// The text that could not be parsed.
         text: String,
     },
 }
--- a/crates/damaskvane-core/src/ids/number.rs
+++ b/crates/damaskvane-core/src/ids/number.rs
@@ -1,4 +1,4 @@
-//! Identifiers that are numbers.
+//! Number identifiers.
 //!
 //! ```
 //! use damaskvane_core::ids;
@@ -21,19 +21,19 @@
         pub struct $name(u64);
 
         impl $name {
-            /// Wraps a plain number.
+            /// Creates an identifier from a number.
             #[must_use]
             pub const fn new(value: u64) -> Self {
                 Self(value)
             }
 
-            /// The plain number.
+            /// Returns the identifier as a number.
             #[must_use]
             pub const fn get(self) -> u64 {
                 self.0
             }
 
-            /// The number that follows this one.
+            /// Returns the identifier that is higher by one.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -60,17 +60,17 @@
 }
 
 number_id!(
-    /// The version of the configuration head; it only ever rises.
+    /// The version of the configuration head; never decreases.
     ConfigVersion,
     "configuration version"
 );
 number_id!(
-    /// Which start of an instance this is; a restarted instance has a higher one.
+    /// The number of an incarnation of an instance; each restart of the instance raises it.
     Incarnation,
     "incarnation"
 );
 number_id!(
-    /// The number of a change ticket.
+    /// The number of a configuration change ticket.
     TicketNumber,
     "ticket number"
 );
--- a/crates/damaskvane-core/src/ids/text.rs
+++ b/crates/damaskvane-core/src/ids/text.rs
@@ -1,4 +1,4 @@
-//! Identifiers that are short texts.
+//! Text identifiers.
 //!
 //! ```
 //! use damaskvane_core::ids;
@@ -22,7 +22,7 @@
     matches!(character, 'a'..='z' | '0'..='9' | '-' | '_' | '.')
 }
 
-fn check(kind: &'static str, text: &str) -> Result<(), ParseIdError> {
+fn validate(kind: &'static str, text: &str) -> Result<(), ParseIdError> {
     if text.is_empty() || text.len() > MAX_LENGTH {
         return Err(ParseIdError::Length {
             kind,
@@ -43,7 +43,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The text of the identifier.
+            /// Returns the identifier as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -60,7 +60,7 @@
             type Err = ParseIdError;
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
-                check($kind, text)?;
+                validate($kind, text)?;
                 Ok(Self(text.into()))
             }
         }
@@ -82,47 +82,48 @@
 }
 
 text_id!(
-    /// An availability zone, for instance `sask-a`.
+    /// Identifies an availability zone, for instance `sask-a`.
     AvailabilityZoneId,
     "availability zone"
 );
 text_id!(
-    /// A backend server, for instance `rider-desk-sask-a-1`.
+    /// Identifies a backend server, for instance `rider-desk-sask-a-1`.
     BackendServerId,
     "backend server"
 );
 text_id!(
-    /// A block of clients that are steered alike.
+    /// Identifies a block of clients whose traffic is steered in the same way.
     ClientBlock,
     "client block"
 );
 text_id!(
-    /// The client's own name for one non-repeatable request, equal on every try.
+    /// Identifies a non-idempotent request; chosen by the client and the same on every try.
     IdempotencyKey,
     "idempotency key"
 );
 text_id!(
-    /// An entry instance, for instance `sask-a-1`.
+    /// Identifies an entry instance, for instance `sask-a-1`.
     InstanceId,
     "instance"
 );
 text_id!(
-    /// A region, for instance `sask`.
+    /// Identifies a region, for instance `sask`.
     RegionId,
     "region"
 );
 text_id!(
-    /// One try of one request, for logs and for matching an answer to its request.
+    /// Identifies one try of a request in logs and when a response is matched to its request.
     RequestId,
     "request"
 );
 text_id!(
-    /// A service, for instance `rider-desk`.
+    /// Identifies a service, for instance `rider-desk`.
     ServiceId,
     "service"
 );
 text_id!(
-    /// A site that look-ups steer to: the entry instances of one availability zone.
+    /// Identifies a site that lookups direct clients to: the entry instances of one availability
+    /// zone.
     SiteId,
     "site"
 );
--- a/crates/damaskvane-core/src/lib.rs
+++ b/crates/damaskvane-core/src/lib.rs
@@ -1,11 +1,11 @@
-//! Identifiers, units, time and hashes that every damaskvane crate shares.
+//! Identifiers, units, time and hashes shared by all damaskvane crates.
 //!
 //! # Crate guide
 //!
-//! - [`ids`]: names of instances, zones, services, backend servers, tickets and requests.
-//! - [`units`]: sizes, rates and counts as newtypes.
-//! - [`time`]: points in time that the caller passes in; nothing here reads a clock.
-//! - [`timer`]: the timer service that parts of a program subscribe to.
+//! - [`ids`]: identifiers of instances, zones, services, backend servers, tickets and requests.
+//! - [`units`]: newtypes for sizes, rates and counts.
+//! - [`time`]: points in time and spans, passed in by the caller; this crate reads no clock.
+//! - [`timer`]: periodic timers on a clock that the caller advances.
 //! - [`hash`]: content hashes of immutable chunks.
 //!
 //! ```
--- a/crates/damaskvane-core/src/time.rs
+++ b/crates/damaskvane-core/src/time.rs
@@ -1,7 +1,7 @@
 //! Points in time and spans, in milliseconds, always passed in by the caller.
 //!
-//! Decision code never reads a clock. The programs measure [`TimeMs`] with a monotonic clock from the
-//! start of the process; runs with virtual time count it up themselves.
+//! Decision code never reads a clock. The programs measure [`TimeMs`] from the start of the process
+//! with a monotonic clock; simulations in virtual time advance it themselves.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-core/src/time/point.rs
+++ b/crates/damaskvane-core/src/time/point.rs
@@ -1,4 +1,4 @@
-//! A point in time.
+//! Points in time on a process's monotonic clock.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -12,9 +12,9 @@
 
 use crate::time::span::SpanMs;
 
-/// A point in time, in milliseconds of one process's monotonic clock.
+/// A point in time, in milliseconds since the start of one process's monotonic clock.
 ///
-/// Two processes never compare their points in time: what travels between them is a [`SpanMs`].
+/// Points in time of two processes can't be compared, so messages between them carry a [`SpanMs`].
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,19 +25,19 @@
     /// The start of the clock.
     pub const ZERO: Self = Self(0);
 
-    /// The point so many milliseconds after the start of the clock.
+    /// Creates the point in time `ms` milliseconds after the start of the clock.
     #[must_use]
     pub const fn new(ms: u64) -> Self {
         Self(ms)
     }
 
-    /// Milliseconds since the start of the clock.
+    /// Returns the milliseconds since the start of the clock.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The span since an earlier point; no time where that point is not earlier.
+    /// Returns the span since `earlier`; zero if `earlier` is not before this point.
     #[must_use]
     pub const fn since(self, earlier: Self) -> SpanMs {
         SpanMs::new(self.0.saturating_sub(earlier.0))
--- a/crates/damaskvane-core/src/time/span.rs
+++ b/crates/damaskvane-core/src/time/span.rs
@@ -1,4 +1,4 @@
-//! A span of time.
+//! Spans of time.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -19,28 +19,28 @@
 pub struct SpanMs(u64);
 
 impl SpanMs {
-    /// No time at all.
+    /// The span of zero milliseconds.
     pub const ZERO: Self = Self(0);
 
-    /// A span of so many milliseconds.
+    /// Creates a span of `ms` milliseconds.
     #[must_use]
     pub const fn new(ms: u64) -> Self {
         Self(ms)
     }
 
-    /// The number of milliseconds.
+    /// Returns the number of milliseconds.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The same span as a standard duration.
+    /// Converts the span to a [`Duration`].
     #[must_use]
     pub const fn to_duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 
-    /// The difference, or no time where it would be negative.
+    /// Subtracts `other`; returns zero if `other` is longer.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
--- a/crates/damaskvane-core/src/timer.rs
+++ b/crates/damaskvane-core/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service: parts subscribe to a period, and the owner of the clock advances it.
+//! Periodic timers on a clock that the caller advances.
 //!
 //! ```
 //! use damaskvane_core::{time, timer};
@@ -11,7 +11,7 @@
 
 use crate::time::{SpanMs, TimeMs};
 
-/// Names one subscription.
+/// Identifies one subscription of a [`TimerService`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(usize);
 
@@ -21,10 +21,10 @@
     due: TimeMs,
 }
 
-/// Tells subscribers when their period has passed.
+/// Reports which periodic subscriptions are due whenever the caller advances the clock.
 ///
-/// After a pause of the process a subscription fires once, not once for each missed period: a burst
-/// of overdue heartbeats would tell neighbours nothing and cost them as many messages.
+/// After a pause of the process a subscription fires once, not once for each missed period. A burst
+/// of overdue heartbeats would carry no information and cost the neighbours as many messages.
 #[derive(Debug)]
 pub struct TimerService {
     now: TimeMs,
@@ -32,7 +32,7 @@
 }
 
 impl TimerService {
-    /// A service whose clock starts at `now`.
+    /// Creates a service without subscriptions whose clock starts at `now`.
     #[must_use]
     pub const fn new(now: TimeMs) -> Self {
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Subscribes to a period; the first firing is one period from now.
+    /// Adds a subscription that fires every `period`, for the first time one period from now.
     pub fn subscribe(&mut self, period: SpanMs) -> TimerId {
         self.subscriptions.push(Subscription {
             period,
@@ -50,9 +50,10 @@
         TimerId(self.subscriptions.len() - 1)
     }
 
-    /// Moves the clock and returns the subscriptions that are due, in order of subscription.
+    /// Advances the clock to `now` and returns the due subscriptions in the order of subscription.
     ///
-    /// A clock that steps back is ignored: nothing fires until it passes the latest point seen.
+    /// A `now` before the latest one is ignored: nothing fires until the clock passes that latest
+    /// time.
     pub fn advance(&mut self, now: TimeMs) -> Vec<TimerId> {
         self.now = self.now.max(now);
         let now = self.now;
@@ -66,7 +67,7 @@
         fired
     }
 
-    /// The earliest point at which a subscription is due.
+    /// Returns the earliest time at which a subscription is due; `None` without subscriptions.
     #[must_use]
     pub fn next_due(&self) -> Option<TimeMs> {
         self.subscriptions.iter().map(|entry| entry.due).min()
--- a/crates/damaskvane-core/src/units.rs
+++ b/crates/damaskvane-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and counts as newtypes, so that a slot is never added to a byte.
+//! Newtypes for sizes, rates and counts, so that amounts of different units are never added.
 //!
 //! ```
 //! use damaskvane_core::units;
--- a/crates/damaskvane-core/src/units/amount.rs
+++ b/crates/damaskvane-core/src/units/amount.rs
@@ -1,4 +1,4 @@
-//! Whole amounts of one unit each.
+//! Amounts in whole units, one type for each unit.
 //!
 //! ```
 //! use damaskvane_core::units;
@@ -23,22 +23,22 @@
         pub struct $name($inner);
 
         impl $name {
-            /// Nothing at all.
+            /// The amount zero.
             pub const ZERO: Self = Self(0);
 
-            /// Wraps a plain number.
+            /// Creates an amount from its number of units.
             #[must_use]
             pub const fn new(value: $inner) -> Self {
                 Self(value)
             }
 
-            /// The plain number.
+            /// Returns the number of units.
             #[must_use]
             pub const fn get(self) -> $inner {
                 self.0
             }
 
-            /// The difference, or zero where it would be negative.
+            /// Subtracts `other`; returns zero if `other` is larger.
             #[must_use]
             pub const fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
@@ -79,31 +79,31 @@
 }
 
 amount!(
-    /// A count of bytes.
+    /// A number of bytes.
     Bytes,
     u64,
     "bytes"
 );
 amount!(
-    /// A link's rate in megabits a second.
+    /// The data rate of a network link in megabits per second.
     MegabitsPerSecond,
     u32,
     "megabits a second"
 );
 amount!(
-    /// A share in thousandths; 1000 is the whole.
+    /// A share in thousandths; 1000 means the whole.
     Permille,
     u32,
     "thousandths"
 );
 amount!(
-    /// A rate of requests a second.
+    /// A request rate in requests per second.
     RequestsPerSecond,
     u32,
     "requests a second"
 );
 amount!(
-    /// Places for requests that run at the same time on a backend server.
+    /// A number of slots: requests that a backend server may run concurrently.
     Slots,
     u32,
     "slots"
--- a/crates/damaskvane-core/src/units/error.rs
+++ b/crates/damaskvane-core/src/units/error.rs
@@ -1,4 +1,4 @@
-//! The error of parsing an amount.
+//! The error type of parsing an amount.
 //!
 //! ```
 //! use damaskvane_core::units;
@@ -7,14 +7,14 @@
 //! assert!(error.to_string().contains("whole number"));
 //! ```
 
-/// Why a text is no amount.
+/// The reason why a text could not be parsed as an amount.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ParseUnitError {
     /// {text:?} is no amount of {unit}; write a whole number without a unit
     Number {
-        /// The unit that was expected.
+        /// The name of the expected unit, for instance `slots`.
         unit: &'static str,
-        /// The text as given.
+        /// The text that could not be parsed.
         text: String,
     },
 }
--- a/crates/damaskvane-core/tests/ids.rs
+++ b/crates/damaskvane-core/tests/ids.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn text_ids_accept_only_their_alphabet() {
+fn text_ids_accept_only_allowed_lengths_and_characters() {
     let cases = [
         ("rider-desk", true),
         ("a", true),
@@ -30,7 +30,7 @@
     }
 
     #[test]
-    fn hashes_survive_their_text_form(content in proptest::collection::vec(any::<u8>(), 0..64)) {
+    fn hashes_round_trip_through_text(content in proptest::collection::vec(any::<u8>(), 0..64)) {
         let hash = hash::ContentHash::of(&content);
         prop_assert_eq!(hash.to_string().parse(), Ok(hash));
     }
--- a/crates/damaskvane-core/tests/timer.rs
+++ b/crates/damaskvane-core/tests/timer.rs
@@ -1,9 +1,9 @@
-//! The timer service under pauses and clock steps.
+//! Timer service under process pauses and clock steps.
 
 use damaskvane_core::{time, timer};
 
-/// A process that is paused for an hour wakes up with every timer long overdue. If each missed period
-/// fired, its neighbours would see a flood of heartbeats; a user would notice slow answers.
+/// A process that resumes after a pause of an hour has overdue timers only. If each missed period
+/// fired, a flood of heartbeats would reach the neighbours and slow down responses to clients.
 #[test]
 fn a_pause_fires_each_subscription_once() {
     let mut service = timer::TimerService::new(time::TimeMs::ZERO);
@@ -15,7 +15,7 @@
     assert!(service.advance(time::TimeMs::new(3_600_001)).is_empty());
 }
 
-/// A clock that steps back must not make a subscription fire early or never again.
+/// A clock that steps back must make a subscription neither fire early nor stop firing.
 #[test]
 fn a_step_back_of_the_clock_fires_nothing() {
     let mut service = timer::TimerService::new(time::TimeMs::new(10_000));
