--- a/crates/damaskvane-objects/src/api.rs
+++ b/crates/damaskvane-objects/src/api.rs
@@ -1,4 +1,4 @@
-//! The object API as a trait, with results that tell what is known.
+//! The object API as a trait, with results that separate a failed write from an unknown one.
 //!
 //! ```
 //! use damaskvane_objects::api;
@@ -13,7 +13,7 @@
 mod write;
 
 pub use instance::InstanceRecord;
-pub use object::{Listed, Listing, Object, ObjectKey};
+pub use object::{ListedObject, Listing, Object, ObjectKey};
 pub use read::ReadError;
 pub use version::{ObjectVersion, Revision};
 pub use write::{NotAppliedReason, UnknownReason, WriteId, WriteResult};
@@ -22,16 +22,17 @@
 
 /// The platform's object API.
 ///
-/// Every call ends within the implementation's deadline; none is retried behind the caller's back.
+/// Every call ends within the timeout of the implementation. The implementation retries no call.
 pub trait ObjectApi {
-    /// Reads an object; `None` where it is absent.
+    /// Reads an object; returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// When no answer or a refusal came.
+    /// Returns a [`ReadError`] if no valid response was received or the call was refused.
     fn get(&self, key: &ObjectKey) -> Result<Option<Object>, ReadError>;
 
-    /// Writes an object if it has the given version; [`ObjectVersion::ABSENT`] if it must not exist.
+    /// Writes an object if its version is `if_version`; [`ObjectVersion::ABSENT`] means that it must not
+    /// exist.
     fn put_if(
         &self,
         key: &ObjectKey,
@@ -40,7 +41,7 @@
         write_id: &WriteId,
     ) -> WriteResult;
 
-    /// Deletes an object if it has the given version.
+    /// Deletes an object if its version is `if_version`.
     fn delete_if(
         &self,
         key: &ObjectKey,
@@ -48,31 +49,32 @@
         write_id: &WriteId,
     ) -> WriteResult;
 
-    /// The objects of a kind without their values.
+    /// Lists the objects of a kind without their values.
     ///
     /// # Errors
     ///
-    /// When no answer or a refusal came.
+    /// Returns a [`ReadError`] if no valid response was received or the call was refused.
     fn list(&self, kind: &str) -> Result<Listing, ReadError>;
 
-    /// Waits until the revision of a kind passes `after`, at most `wait`, then lists it.
+    /// Waits at most `wait` until the revision of a kind exceeds `after`, then lists the kind.
     ///
     /// # Errors
     ///
-    /// When no answer or a refusal came; a watch that went silent ends with a time-out.
+    /// Returns a [`ReadError`] if no valid response was received or the call was refused. A watch
+    /// without a response ends with a timeout.
     fn watch(&self, kind: &str, after: Revision, wait: time::SpanMs) -> Result<Listing, ReadError>;
 
-    /// The platform's lagging list of instances.
+    /// Returns the platform's list of instances, which lags behind the instance records.
     ///
     /// # Errors
     ///
-    /// When no answer or a refusal came.
+    /// Returns a [`ReadError`] if no valid response was received or the call was refused.
     fn instances(&self) -> Result<Vec<InstanceRecord>, ReadError>;
 
-    /// Whom the credential of these calls names.
+    /// Returns the name of the token's holder, an operator or an instance.
     ///
     /// # Errors
     ///
-    /// When no answer or a refusal came.
+    /// Returns a [`ReadError`] if no valid response was received or the call was refused.
     fn token_holder(&self) -> Result<String, ReadError>;
 }
--- a/crates/damaskvane-objects/src/api/instance.rs
+++ b/crates/damaskvane-objects/src/api/instance.rs
@@ -1,4 +1,4 @@
-//! An entry of the platform's list of instances.
+//! An instance's record in the platform.
 //!
 //! ```
 //! use damaskvane_objects::api;
@@ -15,30 +15,32 @@
 use damaskvane_core::ids;
 use serde::{Deserialize, Serialize};
 
-/// What an instance announces of itself under `instance/{id}`.
+/// The record that an instance writes to the platform under the key `instance/{id}`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// The instance.
+    /// The id of the instance.
     pub instance: ids::InstanceId,
-    /// The availability zone it stands in.
+    /// The availability zone in which the instance runs.
     pub availability_zone: ids::AvailabilityZoneId,
-    /// The region it stands in.
+    /// The region in which the instance runs.
     pub region: ids::RegionId,
-    /// Which start of it this is.
+    /// The incarnation of the instance that wrote the record.
     pub incarnation: ids::Incarnation,
-    /// Where it listens for clients.
+    /// The address at which the instance listens for clients.
     pub client_address: net::SocketAddr,
-    /// Where it listens for peers.
+    /// The address at which the instance listens for other instances.
     pub peer_address: net::SocketAddr,
-    /// Where it listens for operators.
+    /// The address at which the instance listens for operators.
     pub operator_address: net::SocketAddr,
-    /// Whether it is about to go.
+    /// Whether the instance is about to stop.
     #[serde(default)]
     pub leaving: bool,
-    /// Whether another instance took its authority away; the entry stays for a while as a sign of that.
+    /// Whether another instance fenced this incarnation and so took away its authority. The record
+    /// remains for a while as the fence record.
     #[serde(default)]
     pub fenced: bool,
-    /// Whether the fenced start may go on for longer, as the last of a zone that is cut off.
+    /// Whether the fenced incarnation may continue for longer, as the only instance left of a zone that
+    /// is cut off.
     #[serde(default)]
     pub goes_on_alone: bool,
 }
--- a/crates/damaskvane-objects/src/api/object.rs
+++ b/crates/damaskvane-objects/src/api/object.rs
@@ -1,4 +1,4 @@
-//! Objects and listings.
+//! Objects, their keys and listings.
 //!
 //! ```
 //! use damaskvane_objects::api;
@@ -13,7 +13,7 @@
 use crate::api::version::{ObjectVersion, Revision};
 use crate::api::write::WriteId;
 
-/// Names an object of the platform: its kind and its name.
+/// The key of an object of the platform: its kind and its name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ObjectKey {
     kind: String,
@@ -21,7 +21,7 @@
 }
 
 impl ObjectKey {
-    /// Names the object of a kind.
+    /// Creates the key of the object `name` of a kind.
     #[must_use]
     pub fn new(kind: impl Into<String>, name: impl Into<String>) -> Self {
         Self {
@@ -30,13 +30,13 @@
         }
     }
 
-    /// The kind.
+    /// Returns the kind of the object, for instance `head`.
     #[must_use]
     pub fn kind(&self) -> &str {
         &self.kind
     }
 
-    /// The name within the kind.
+    /// Returns the name, which is unique within the kind.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
@@ -49,35 +49,35 @@
     }
 }
 
-/// An object as it was read.
+/// An object with its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
-    /// Its version.
+    /// The version to which the value belongs.
     pub version: ObjectVersion,
-    /// Its value.
+    /// The value.
     pub value: Vec<u8>,
-    /// The identity of the write that made this version, where the platform tells it.
+    /// The id of the write that created this version; `None` if the platform did not send it.
     pub write_id: Option<WriteId>,
-    /// Who wrote it, where the platform tells it.
+    /// The author of this version; `None` if the platform did not send it.
     pub author: Option<String>,
 }
 
-/// An object of a listing.
+/// An object of a listing, without its value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
-    /// Its name.
+pub struct ListedObject {
+    /// The name of the object within its kind.
     pub name: String,
-    /// Its version.
+    /// The version of the object.
     pub version: ObjectVersion,
-    /// The identity of the write that made this version.
+    /// The id of the write that created this version.
     pub write_id: WriteId,
 }
 
 /// The objects of a kind at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The revision.
+    /// The revision of the kind at which the listing was made.
     pub revision: Revision,
-    /// The objects by name.
-    pub objects: Vec<Listed>,
+    /// All objects of the kind.
+    pub objects: Vec<ListedObject>,
 }
--- a/crates/damaskvane-objects/src/api/read.rs
+++ b/crates/damaskvane-objects/src/api/read.rs
@@ -1,4 +1,4 @@
-//! Why a read gave nothing.
+//! The error type of reads, listings and watches.
 //!
 //! ```
 //! use damaskvane_objects::api;
@@ -8,23 +8,23 @@
 
 use damaskvane_core::time;
 
-/// Why a read, a listing or a watch gave nothing.
+/// The reason why a read, a listing or a watch returned no data.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ReadError {
     /// the platform can't be reached ({0}); call again after a pause
     Unavailable(String),
-    /// the platform refuses by rate; call again after {0}
+    /// the platform limits the call rate; call again after {0}
     RateLimited(time::SpanMs),
-    /// this program's own rate budget is spent; call again after {0} or raise calls_per_second
+    /// this program has used up its rate budget; call again after {0} or raise calls_per_second
     BudgetSpent(time::SpanMs),
     /// the platform refuses the token; check the token file and its holder
     Unauthorized,
-    /// the platform's answer is not understood ({0}); check the address and the versions
+    /// the platform's response is invalid ({0}); check the address and the versions
     Protocol(String),
 }
 
 impl ReadError {
-    /// The word under which refusals of this kind are counted.
+    /// Returns the label under which errors of this kind are counted.
     #[must_use]
     pub const fn reason(&self) -> &'static str {
         match self {
--- a/crates/damaskvane-objects/src/api/version.rs
+++ b/crates/damaskvane-objects/src/api/version.rs
@@ -10,22 +10,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The version of one object in the platform; it rises with each write.
+/// The version of one object in the platform; each write raises it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ObjectVersion(u64);
 
 impl ObjectVersion {
-    /// The version of an object that doesn't exist.
+    /// The version of an object that does not exist.
     pub const ABSENT: Self = Self(0);
 
-    /// Wraps a plain number.
+    /// Creates a version from its number.
     #[must_use]
     pub const fn new(version: u64) -> Self {
         Self(version)
     }
 
-    /// The plain number.
+    /// Returns the number.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
@@ -38,22 +38,22 @@
     }
 }
 
-/// The revision of a kind; it rises with each write of any of its objects.
+/// The revision of a kind; each write of any object of the kind raises it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Revision(u64);
 
 impl Revision {
-    /// Before the first write.
+    /// The revision of a kind before the first write.
     pub const START: Self = Self(0);
 
-    /// Wraps a plain number.
+    /// Creates a revision from its number.
     #[must_use]
     pub const fn new(revision: u64) -> Self {
         Self(revision)
     }
 
-    /// The plain number.
+    /// Returns the number.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
--- a/crates/damaskvane-objects/src/api/write.rs
+++ b/crates/damaskvane-objects/src/api/write.rs
@@ -1,9 +1,9 @@
-//! What is known of a write.
+//! Write ids and the results of conditional writes.
 //!
 //! ```
 //! use damaskvane_objects::api;
 //!
-//! let unknown = api::WriteResult::Unknown(api::UnknownReason::NoAnswer("timed out".into()));
+//! let unknown = api::WriteResult::Unknown(api::UnknownReason::NoResponse("timed out".into()));
 //! assert_ne!(unknown, api::WriteResult::Conflict { current: api::ObjectVersion::ABSENT });
 //! ```
 
@@ -15,19 +15,19 @@
 
 use crate::api::version::ObjectVersion;
 
-/// The identity of a write: equal on every try of one write, never equal for two writes.
+/// The id of a write: the same on every try of the write, different for two writes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WriteId(String);
 
 impl WriteId {
-    /// Wraps a text; characters that can't stand in a header are dropped.
+    /// Creates an id from a text without the characters that a header can't contain.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(text.chars().filter(char::is_ascii_graphic).collect())
     }
 
-    /// The text.
+    /// Returns the id as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -48,27 +48,27 @@
     }
 }
 
-/// Why a write had no effect; proven, so that it may be tried again as if for the first time.
+/// The reason why a write certainly had no effect, so that a retry is as safe as the first try.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum NotAppliedReason {
     /// no connection to the platform ({0}); try again after a pause
     NoConnection(String),
     /// the platform has an outage; try again after a pause
     Outage,
-    /// the platform refuses by rate; try again after {0}
+    /// the platform limits the call rate; try again after {0}
     RateLimited(time::SpanMs),
-    /// this program's own rate budget is spent; try again after {0} or raise calls_per_second
+    /// this program has used up its rate budget; try again after {0} or raise calls_per_second
     BudgetSpent(time::SpanMs),
     /// the platform refuses the token or the author; check the token file and its holder
     Unauthorized,
-    /// the value is over one megabyte; split the object
+    /// the value is larger than one megabyte; split the object
     TooLarge,
     /// the platform refuses the write with status {0}; check the address and the versions
     Refused(u16),
 }
 
 impl NotAppliedReason {
-    /// The word under which refusals of this kind are counted.
+    /// Returns the label under which writes that failed for this reason are counted.
     #[must_use]
     pub const fn reason(&self) -> &'static str {
         match self {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether the same write can succeed later without anyone mending something first.
+    /// Returns whether the same write can succeed later without a fix by an operator.
     #[must_use]
     pub const fn is_transient(&self) -> bool {
         matches!(
@@ -92,30 +92,30 @@
     }
 }
 
-/// Why it is unknown whether a write had an effect.
+/// The reason why it is unknown whether a write took effect.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum UnknownReason {
-    /// no answer came ({0}); read the object back and compare the write's identity
-    NoAnswer(String),
-    /// the platform answered {0}, which does not tell; read the object back and compare the write's identity
+    /// no response was received ({0}); read the object back and compare its write id
+    NoResponse(String),
+    /// the platform's status {0} leaves open whether the write took effect; read the object back and compare its write id
     Status(u16),
 }
 
-/// What is known of a conditional write.
+/// The result of one try of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It took effect and made this version.
+    /// The write took effect.
     Applied {
-        /// The version it made.
+        /// The version that the write created.
         version: ObjectVersion,
     },
-    /// It had no effect, since the object has another version.
+    /// The write had no effect, since the object has another version.
     Conflict {
-        /// The object's version, where the platform told it.
+        /// The version of the object; [`ObjectVersion::ABSENT`] if the platform did not send one.
         current: ObjectVersion,
     },
-    /// It had no effect, for another reason.
+    /// The write had no effect, for another reason.
     NotApplied(NotAppliedReason),
-    /// It may have taken effect, or may yet.
+    /// The write may have taken effect, or may still take effect.
     Unknown(UnknownReason),
 }
--- a/crates/damaskvane-objects/src/backoff.rs
+++ b/crates/damaskvane-objects/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Growing pauses between tries, with jitter.
+//! Exponential backoff with jitter between tries.
 //!
 //! ```
 //! use damaskvane_objects::backoff;
@@ -12,12 +12,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// How pauses grow.
+/// Limits of the pauses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffSettings {
-    /// The longest first pause.
+    /// The upper limit of the first pause.
     pub first_ms: time::SpanMs,
-    /// The longest pause of all.
+    /// The upper limit of every pause.
     pub max_ms: time::SpanMs,
 }
 
@@ -30,10 +30,11 @@
     }
 }
 
-/// Pauses that double up to a limit, each drawn evenly between half of it and the whole.
+/// Pauses whose upper limit doubles with each try, up to a maximum.
 ///
-/// Without jitter every instance that lost the platform at one moment would call again at one
-/// moment, and the platform would see the whole fleet at once each time it recovers.
+/// Each pause is drawn evenly between half of the limit and the limit. Without jitter, all instances
+/// that lost the platform at the same moment would call again at the same moment, and the platform
+/// would receive calls of the whole fleet at once each time it recovers.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     settings: BackoffSettings,
@@ -42,7 +43,7 @@
 }
 
 impl Backoff {
-    /// Starts with the first pause; instances take different seeds.
+    /// Creates a backoff before its first pause; each instance passes a different seed.
     #[must_use]
     pub fn new(settings: BackoffSettings, seed: u64) -> Self {
         Self {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The next pause.
+    /// Returns the next pause and doubles the limit for the one after it.
     #[must_use]
     pub fn pause(&mut self) -> time::SpanMs {
         let doubled = self
@@ -60,12 +61,12 @@
             .first_ms
             .get()
             .saturating_mul(1 << self.tries.min(30));
-        let longest = doubled.min(self.settings.max_ms.get());
+        let limit = doubled.min(self.settings.max_ms.get());
         self.tries = self.tries.saturating_add(1);
-        time::SpanMs::new(self.rng.random_range(longest / 2..=longest))
+        time::SpanMs::new(self.rng.random_range(limit / 2..=limit))
     }
 
-    /// Starts over after a success.
+    /// Goes back to the first pause; called after a success.
     pub const fn reset(&mut self) {
         self.tries = 0;
     }
--- a/crates/damaskvane-objects/src/budget.rs
+++ b/crates/damaskvane-objects/src/budget.rs
@@ -1,4 +1,4 @@
-//! The rate budget of calls on the platform.
+//! A limit on the rate of calls to the platform.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -12,19 +12,21 @@
 
 use damaskvane_core::time;
 
-/// One call in thousandths, the unit in which the budget refills each millisecond.
-const CALL: u64 = 1_000;
+/// The tokens that one call costs; a rate of one call per second adds one token per millisecond.
+const TOKENS_PER_CALL: u64 = 1_000;
 
-/// A token bucket that holds one second's calls. Each call counts, a waiting watch as one.
+/// A token bucket that holds at most the calls of one second.
+///
+/// Every call costs the same; a waiting watch counts as one call.
 #[derive(Debug, Clone)]
 pub struct RateBudget {
     calls_per_second: u64,
-    left: u64,
+    tokens: u64,
     refilled_at: time::TimeMs,
 }
 
 impl RateBudget {
-    /// A full budget; 0 calls a second is taken as 1, since no call at all would never end.
+    /// Creates a full budget; a rate of 0 is raised to 1, since a caller would otherwise wait for ever.
     #[must_use]
     pub const fn new(calls_per_second: u32, now: time::TimeMs) -> Self {
         let calls_per_second = if calls_per_second == 0 {
@@ -34,27 +36,27 @@
         };
         Self {
             calls_per_second,
-            left: calls_per_second * CALL,
+            tokens: calls_per_second * TOKENS_PER_CALL,
             refilled_at: now,
         }
     }
 
-    /// Takes one call.
+    /// Takes one call out of the budget.
     ///
     /// # Errors
     ///
-    /// How long until there is one to take.
+    /// Returns the span until the budget has a call again, if none is left.
     pub fn take(&mut self, now: time::TimeMs) -> Result<(), time::SpanMs> {
-        let passed = now.since(self.refilled_at).get();
+        let elapsed_ms = now.since(self.refilled_at).get();
         self.refilled_at = self.refilled_at.max(now);
-        let refill = passed.saturating_mul(self.calls_per_second);
-        let most = self.calls_per_second * CALL;
-        self.left = self.left.saturating_add(refill).min(most);
-        if self.left < CALL {
-            let missing = CALL - self.left;
+        let refill = elapsed_ms.saturating_mul(self.calls_per_second);
+        let max_tokens = self.calls_per_second * TOKENS_PER_CALL;
+        self.tokens = self.tokens.saturating_add(refill).min(max_tokens);
+        if self.tokens < TOKENS_PER_CALL {
+            let missing = TOKENS_PER_CALL - self.tokens;
             return Err(time::SpanMs::new(missing.div_ceil(self.calls_per_second)));
         }
-        self.left -= CALL;
+        self.tokens -= TOKENS_PER_CALL;
         Ok(())
     }
 }
--- a/crates/damaskvane-objects/src/credential.rs
+++ b/crates/damaskvane-objects/src/credential.rs
@@ -1,4 +1,4 @@
-//! Tokens, which are never shown.
+//! Access tokens, hidden from debug output.
 //!
 //! ```
 //! use damaskvane_objects::credential;
@@ -10,22 +10,22 @@
 use core::fmt;
 use core::str;
 
-/// The credential of an operator or an instance.
+/// The access token of an operator or an instance.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Token(String);
 
-/// the token file holds no token; write the token alone on its first line
+/// the token file contains no valid token; write the token alone on its first line
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseTokenError;
 
 impl Token {
-    /// The token itself, for the one header that carries it.
+    /// Returns the token for the authorization header; no other output may contain it.
     pub(crate) fn reveal(&self) -> &str {
         &self.0
     }
 }
 
-/// Hides the token: whatever prints its owner would otherwise put it into a log.
+/// Hides the token, since debug output of a type that contains it may reach a log.
 impl fmt::Debug for Token {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Token(hidden)")
--- a/crates/damaskvane-objects/src/http.rs
+++ b/crates/damaskvane-objects/src/http.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP.
+//! Implementation of the object API over HTTP.
 //!
 //! ```
 //! use damaskvane_objects::http;
--- a/crates/damaskvane-objects/src/http/client.rs
+++ b/crates/damaskvane-objects/src/http/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP call for each call of the trait.
+//! The client, which sends one HTTP request for each call of the trait.
 
 use std::io::{self, Read};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -19,13 +19,13 @@
 use crate::http::counts::CallCounts;
 use crate::http::settings::PlatformSettings;
 
-/// The most of a body that is read; a listing may be larger than a value.
+/// The maximum size of a response body; a listing may be larger than a value.
 const MAX_BODY_BYTES: u64 = 16_000_000;
 
-/// How long to stay away where the platform refuses by rate and doesn't say.
+/// The pause to report if the platform limits the call rate without a `retry-after-ms` header.
 const DEFAULT_RETRY_AFTER: time::SpanMs = time::SpanMs::new(1_000);
 
-/// The object API over HTTP, one connection a call.
+/// The object API over HTTP, with a new connection for each call.
 #[derive(Debug)]
 pub struct HttpObjectApi {
     settings: PlatformSettings,
@@ -40,7 +40,7 @@
 }
 
 impl HttpObjectApi {
-    /// A client that has not called yet.
+    /// Creates a client with a full rate budget; no call is sent.
     #[must_use]
     pub fn new(settings: PlatformSettings) -> Self {
         let budget = RateBudget::new(settings.calls_per_second, time::TimeMs::ZERO);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The counts so far.
+    /// Returns a copy of the counters.
     #[must_use]
     pub fn counts(&self) -> CallCounts {
         self.lock_counts().clone()
@@ -70,9 +70,9 @@
             .bearer_auth(self.settings.token.reveal())
     }
 
-    /// Waits for the budget, at most as long as a call may take.
-    fn admit(&self, call: &'static str) -> Result<(), time::SpanMs> {
-        let until = self.now() + self.settings.timeout_ms;
+    /// Waits for the rate budget, at most for the timeout of a call, and counts the call.
+    fn wait_for_budget(&self, call: &'static str) -> Result<(), time::SpanMs> {
+        let deadline = self.now() + self.settings.timeout_ms;
         loop {
             let now = self.now();
             let taken = self
@@ -84,7 +84,7 @@
                 *self.lock_counts().by_call.entry(call).or_default() += 1;
                 return Ok(());
             };
-            if now + wait > until {
+            if now + wait > deadline {
                 return Err(wait);
             }
             thread::sleep(wait.to_duration());
@@ -96,7 +96,11 @@
         time::TimeMs::new(u64::try_from(ms).unwrap_or(u64::MAX))
     }
 
-    fn read(&self, call: &'static str, request: RequestBuilder) -> Result<Answer, ReadError> {
+    fn read(
+        &self,
+        call: &'static str,
+        request: RequestBuilder,
+    ) -> Result<BufferedResponse, ReadError> {
         let result = self.read_uncounted(call, request);
         if let Err(error) = &result {
             self.count_reason(error.reason());
@@ -108,8 +112,8 @@
         &self,
         call: &'static str,
         request: RequestBuilder,
-    ) -> Result<Answer, ReadError> {
-        self.admit(call).map_err(ReadError::BudgetSpent)?;
+    ) -> Result<BufferedResponse, ReadError> {
+        self.wait_for_budget(call).map_err(ReadError::BudgetSpent)?;
         let response = request
             .send()
             .map_err(|error| ReadError::Unavailable(error.to_string()))?;
@@ -120,9 +124,9 @@
             status @ 500.. => return Err(ReadError::Unavailable(format!("status {status}"))),
             status => return Err(ReadError::Protocol(format!("status {status}"))),
         }
-        let answer = Answer::read(response)?;
-        self.lock_counts().bytes_in += answer.body.len() as u64;
-        Ok(answer)
+        let response = BufferedResponse::read(response)?;
+        self.lock_counts().bytes_in += response.body.len() as u64;
+        Ok(response)
     }
 
     fn write(
@@ -133,7 +137,7 @@
         value: &[u8],
         write_id: &WriteId,
     ) -> WriteResult {
-        let result = match self.admit(call) {
+        let result = match self.wait_for_budget(call) {
             Err(wait) => WriteResult::NotApplied(NotAppliedReason::BudgetSpent(wait)),
             Ok(()) => {
                 self.lock_counts().bytes_out += value.len() as u64;
@@ -143,8 +147,8 @@
                     .bytes(value)
                     .send();
                 sent.map_or_else(
-                    |error| from_error(&error),
-                    |response| from_answer(&response),
+                    |error| write_result_from_error(&error),
+                    |response| write_result_from_response(&response),
                 )
             }
         };
@@ -168,17 +172,17 @@
 
 impl ObjectApi for HttpObjectApi {
     fn get(&self, key: &ObjectKey) -> Result<Option<Object>, ReadError> {
-        let answer = self.read("get", self.request(Method::GET, &object_path(key)))?;
-        if answer.status == 404 {
+        let response = self.read("get", self.request(Method::GET, &object_path(key)))?;
+        if response.status == 404 {
             return Ok(None);
         }
-        let version = version_of(&answer.headers)
-            .ok_or_else(|| ReadError::Protocol("no object-version".to_owned()))?;
+        let version = version_of(&response.headers)
+            .ok_or_else(|| ReadError::Protocol("no object-version header".to_owned()))?;
         Ok(Some(Object {
             version,
-            write_id: header(&answer.headers, "write-id").map(WriteId::new),
-            author: header(&answer.headers, "object-author").map(str::to_owned),
-            value: answer.body,
+            write_id: header(&response.headers, "write-id").map(WriteId::new),
+            author: header(&response.headers, "object-author").map(str::to_owned),
+            value: response.body,
         }))
     }
 
@@ -209,13 +213,13 @@
     }
 
     fn watch(&self, kind: &str, after: Revision, wait: time::SpanMs) -> Result<Listing, ReadError> {
-        // A watch that went silent would be waited for without end; its own time-out ends it.
-        let longest = wait.to_duration() + self.settings.timeout_ms.to_duration();
+        // The timeout ends a watch whose response never arrives.
+        let timeout = wait.to_duration() + self.settings.timeout_ms.to_duration();
         let path = format!("objects/{kind}?after={after}&wait_ms={}", wait.get());
         let request = self
             .request(Method::GET, &path)
-            .read_timeout(longest)
-            .timeout(longest);
+            .read_timeout(timeout)
+            .timeout(timeout);
         self.read("watch", request)?.json()
     }
 
@@ -227,34 +231,36 @@
 
     fn token_holder(&self) -> Result<String, ReadError> {
         let request = self.request(Method::GET, "objects/head");
-        let answer = self.read("holder", request)?;
-        header(&answer.headers, "token-holder")
+        let response = self.read("holder", request)?;
+        header(&response.headers, "token-holder")
             .map(str::to_owned)
-            .ok_or_else(|| ReadError::Protocol("no token-holder".to_owned()))
+            .ok_or_else(|| ReadError::Protocol("no token-holder header".to_owned()))
     }
 }
 
-/// A whole answer.
-struct Answer {
+/// A response whose body has been read to its end.
+struct BufferedResponse {
     status: u16,
     headers: HeaderMap,
     body: Vec<u8>,
 }
 
-impl Answer {
+impl BufferedResponse {
     fn read(response: Response) -> Result<Self, ReadError> {
         let (status, headers, reader) = response.split();
         let mut body = Vec::new();
         let read = reader.take(MAX_BODY_BYTES + 1).read_to_end(&mut body);
         read.map_err(|error| ReadError::Unavailable(error.to_string()))?;
         if body.len() as u64 > MAX_BODY_BYTES {
-            let text = format!("over {MAX_BODY_BYTES} bytes");
+            let text = format!("a body of over {MAX_BODY_BYTES} bytes");
             return Err(ReadError::Protocol(text));
         }
-        // A cut answer must not pass as a whole one: it would be taken for a shorter object.
-        let announced = header(&headers, "content-length").and_then(|text| text.parse().ok());
-        if announced.is_some_and(|length: usize| length != body.len()) {
-            return Err(ReadError::Unavailable("the answer was cut".to_owned()));
+        // A truncated body is an error: otherwise the caller would take it for a shorter object.
+        let expected_length = header(&headers, "content-length").and_then(|text| text.parse().ok());
+        if expected_length.is_some_and(|length: usize| length != body.len()) {
+            return Err(ReadError::Unavailable(
+                "the response body was truncated".to_owned(),
+            ));
         }
         Ok(Self {
             status: status.as_u16(),
@@ -287,17 +293,20 @@
         .map_or(DEFAULT_RETRY_AFTER, time::SpanMs::new)
 }
 
-/// Only a refused connection proves that nothing was sent; any other failure leaves doubt.
-fn from_error(error: &attohttpc::Error) -> WriteResult {
+/// Classifies a transport error of a write.
+///
+/// Only a refused connection proves that nothing was sent. After any other error the effect of the
+/// write is unknown.
+fn write_result_from_error(error: &attohttpc::Error) -> WriteResult {
     if let attohttpc::ErrorKind::Io(cause) = error.kind()
         && cause.kind() == io::ErrorKind::ConnectionRefused
     {
         return WriteResult::NotApplied(NotAppliedReason::NoConnection(cause.to_string()));
     }
-    WriteResult::Unknown(UnknownReason::NoAnswer(error.to_string()))
+    WriteResult::Unknown(UnknownReason::NoResponse(error.to_string()))
 }
 
-fn from_answer(response: &Response) -> WriteResult {
+fn write_result_from_response(response: &Response) -> WriteResult {
     let headers = response.headers();
     match response.status().as_u16() {
         200 => match version_of(headers) {
--- a/crates/damaskvane-objects/src/http/counts.rs
+++ b/crates/damaskvane-objects/src/http/counts.rs
@@ -1,4 +1,4 @@
-//! Counts of calls and of what went wrong with them.
+//! Counters of calls and of failed calls.
 //!
 //! ```
 //! use damaskvane_objects::http;
@@ -8,21 +8,21 @@
 
 use std::collections::BTreeMap;
 
-/// Counts since the client was made.
+/// Counters since the client was created.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Calls by what they do: `get`, `put`, `delete`, `list`, `watch`, `instances`, `token_holder`.
+    /// Calls sent, by label: `get`, `put`, `delete`, `list`, `watch`, `instances`, `holder`.
     pub by_call: BTreeMap<&'static str, u64>,
-    /// Calls that gave nothing or were refused, by reason.
+    /// Failed calls, by the label of the reason; includes conflicts and writes with an unknown effect.
     pub by_reason: BTreeMap<&'static str, u64>,
-    /// Bytes of values sent.
+    /// Bytes of values sent with writes.
     pub bytes_out: u64,
-    /// Bytes of bodies received.
+    /// Bytes of response bodies received by reads.
     pub bytes_in: u64,
 }
 
 impl CallCounts {
-    /// All calls.
+    /// Returns the number of calls sent, of all labels.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.by_call.values().sum()
--- a/crates/damaskvane-objects/src/http/settings.rs
+++ b/crates/damaskvane-objects/src/http/settings.rs
@@ -1,4 +1,4 @@
-//! Where the platform is and how hard to call it.
+//! Address of the platform and limits on the calls to it.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -15,21 +15,21 @@
 
 use crate::credential::Token;
 
-/// Settings of the client.
+/// Settings of an [`HttpObjectApi`](crate::http::HttpObjectApi).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// The platform's address, `host:port`.
+    /// The address of the platform, `host:port`.
     pub address: String,
-    /// The credential.
+    /// The access token of this program.
     pub token: Token,
-    /// The longest a call may take; a watch's wait comes on top.
+    /// The timeout of a call, and of waiting for the rate budget; a watch adds its own wait to it.
     pub timeout_ms: time::SpanMs,
-    /// The most calls in a second, a waiting watch as one.
+    /// The maximum rate of calls per second; a waiting watch counts as one call.
     pub calls_per_second: u32,
 }
 
 impl PlatformSettings {
-    /// Settings with the usual limits.
+    /// Creates settings with a timeout of 2 s and 20 calls per second.
     #[must_use]
     pub fn new(address: impl Into<String>, token: Token) -> Self {
         Self {
--- a/crates/damaskvane-objects/src/lib.rs
+++ b/crates/damaskvane-objects/src/lib.rs
@@ -1,13 +1,14 @@
-//! Client of the platform's object API: versions, conditional writes, watches and doubt.
+//! Client of the platform's object API: versions, conditional writes, watches and writes whose
+//! effect is unknown.
 //!
 //! # Crate guide
 //!
-//! - [`api`]: the trait that programs and fakes implement, with its typed results.
+//! - [`api`]: the trait of the object API, with its typed results.
 //! - [`http`]: the implementation over HTTP.
-//! - [`mod@write`]: a write whose lost answer is resolved by reading its own identity back.
-//! - [`backoff`]: growing pauses with jitter.
-//! - [`budget`]: the rate budget, which counts each call, a waiting watch as one.
-//! - [`credential`]: tokens, which are never shown.
+//! - [`mod@write`]: a write that resolves a lost response by reading the write id back.
+//! - [`backoff`]: exponential backoff with jitter.
+//! - [`budget`]: a limit on the rate of calls; a waiting watch counts as one call.
+//! - [`credential`]: access tokens, hidden from debug output.
 //!
 //! ```
 //! use damaskvane_objects::api;
--- a/crates/damaskvane-objects/src/write.rs
+++ b/crates/damaskvane-objects/src/write.rs
@@ -1,4 +1,4 @@
-//! A write whose lost answer is resolved by reading its own identity back.
+//! A write that resolves a lost response by reading the write id back.
 //!
 //! ```
 //! use damaskvane_objects::write;
@@ -13,31 +13,31 @@
 use crate::api::{NotAppliedReason, ObjectApi, ObjectKey, ObjectVersion, WriteId, WriteResult};
 use crate::backoff::Backoff;
 
-/// What became of a write after doubt was resolved.
+/// The final result of a write, after its tries and after lost responses were resolved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It took effect and made this version.
+    /// The write took effect and created this version.
     Applied(ObjectVersion),
-    /// The object has another version, made by another write.
+    /// The object has another version, created by another write.
     ///
-    /// Where an answer was lost before, this write may have taken effect and been followed by
-    /// others; only what the later versions say of their past can tell.
-    Overtaken {
+    /// If the response to an earlier try was lost, this write may have taken effect before the other
+    /// write. Only a history in the later versions can show that.
+    Conflict {
         /// The object's version.
         current: ObjectVersion,
-        /// Whether any try's answer was lost.
-        doubted: bool,
+        /// Whether the result of an earlier try is unknown, so that the try may have taken effect.
+        maybe_applied: bool,
     },
-    /// It had no effect, and the tries are spent or would not help.
+    /// The write had no effect, and no tries are left or another try would not help.
     Refused(NotAppliedReason),
-    /// The tries are spent and it is still unknown.
+    /// No tries are left, or another try would not help, and the effect is still unknown.
     Unknown,
 }
 
 /// Writes an object, trying up to `tries` times.
 ///
-/// Each try is the same conditional write, so at most one of them takes effect, and none can undo a
-/// later write: the version it asks for is gone by then.
+/// All tries are the same conditional write, so at most one of them takes effect. No try can undo a
+/// later write, since the object then no longer has the version `if_version`.
 pub fn put(
     api: &impl ObjectApi,
     key: &ObjectKey,
@@ -47,19 +47,22 @@
     backoff: &mut Backoff,
     tries: u32,
 ) -> Outcome {
-    let mut doubted = false;
+    let mut maybe_applied = false;
     let mut last_refusal = None;
     for _ in 0..tries {
         match api.put_if(key, if_version, value, write_id) {
             WriteResult::Applied { version } => return Outcome::Applied(version),
             WriteResult::Conflict { current } => {
-                if let Some(version) = own_version(api, key, write_id) {
+                if let Some(version) = version_created_by(api, key, write_id) {
                     return Outcome::Applied(version);
                 }
-                return Outcome::Overtaken { current, doubted };
+                return Outcome::Conflict {
+                    current,
+                    maybe_applied,
+                };
             }
             WriteResult::NotApplied(reason) if !reason.is_transient() => {
-                return if doubted {
+                return if maybe_applied {
                     Outcome::Unknown
                 } else {
                     Outcome::Refused(reason)
@@ -67,8 +70,8 @@
             }
             WriteResult::NotApplied(reason) => last_refusal = Some(reason),
             WriteResult::Unknown(_) => {
-                doubted = true;
-                if let Some(version) = own_version(api, key, write_id) {
+                maybe_applied = true;
+                if let Some(version) = version_created_by(api, key, write_id) {
                     return Outcome::Applied(version);
                 }
             }
@@ -76,13 +79,17 @@
         sleep(backoff.pause());
     }
     match last_refusal {
-        Some(reason) if !doubted => Outcome::Refused(reason),
+        Some(reason) if !maybe_applied => Outcome::Refused(reason),
         _ => Outcome::Unknown,
     }
 }
 
-/// The object's version, if this very write made it.
-fn own_version(api: &impl ObjectApi, key: &ObjectKey, write_id: &WriteId) -> Option<ObjectVersion> {
+/// Reads the object and returns its version if the write `write_id` created that version.
+fn version_created_by(
+    api: &impl ObjectApi,
+    key: &ObjectKey,
+    write_id: &WriteId,
+) -> Option<ObjectVersion> {
     let object = api.get(key).ok().flatten()?;
     (object.write_id.as_ref() == Some(write_id)).then_some(object.version)
 }
--- a/crates/damaskvane-objects/tests/faults.rs
+++ b/crates/damaskvane-objects/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What the client says of each fault of the platform.
+//! Results that the client returns for each fault of the platform.
 
 use damaskvane_core::time::SpanMs;
 use damaskvane_objects::api::{
@@ -48,8 +48,8 @@
     Backoff::new(settings, 7)
 }
 
-/// A first write of the object that is tried so many times.
-fn put_patiently(api: &HttpObjectApi, id: &WriteId, tries: u32) -> Outcome {
+/// Writes the object, which must not exist yet, with up to `tries` tries.
+fn put_with_retries(api: &HttpObjectApi, id: &WriteId, tries: u32) -> Outcome {
     let mut backoff = quick_backoff();
     let absent = ObjectVersion::ABSENT;
     write::put(api, &key(), absent, b"v", id, &mut backoff, tries)
@@ -62,7 +62,7 @@
     assert_eq!(put(&api, 0, "w1"), FIRST);
     let current = ObjectVersion::new(1);
     assert_eq!(put(&api, 0, "w2"), WriteResult::Conflict { current });
-    let object = api.get(&key()).expect("reads").expect("there");
+    let object = api.get(&key()).expect("reads").expect("exists");
     assert_eq!(object.value, b"value");
     assert_eq!(object.author.as_deref(), Some("anna"));
     assert_eq!(object.write_id, Some(WriteId::new("w1")));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn each_fault_of_a_write_is_told_apart() {
+fn each_fault_of_a_write_has_its_own_result() {
     type Check = fn(&WriteResult) -> bool;
     let cases: [(Faults, Check); 5] = [
         (
@@ -123,15 +123,15 @@
     }
 }
 
-/// Someone takes another's name in a ticket, or has no token that counts. The history would name a
-/// person who did nothing.
+/// A caller writes a ticket under another author's name, or has no valid token. If the platform
+/// accepted the write, the history would name an author who did not make the change.
 #[test]
-fn a_missing_wrong_or_borrowed_identity_is_refused() {
+fn an_invalid_token_or_a_foreign_author_is_refused() {
     let running = platform();
     let refused = WriteResult::NotApplied(NotAppliedReason::Unauthorized);
-    let stranger = client(running.address(), "guess", 5_000);
-    assert_eq!(put(&stranger, 0, "w"), refused);
-    assert_eq!(stranger.get(&key()), Err(ReadError::Unauthorized));
+    let unauthorized = client(running.address(), "guess", 5_000);
+    assert_eq!(put(&unauthorized, 0, "w"), refused);
+    assert_eq!(unauthorized.get(&key()), Err(ReadError::Unauthorized));
     let ben = client(running.address(), "secret-ben", 5_000);
     assert_eq!(ben.token_holder().as_deref(), Ok("ben"));
     let head = ObjectKey::new("head", "config");
@@ -147,26 +147,27 @@
     );
 }
 
-/// The platform takes the call and never answers. Whether the write took effect is not known.
+/// The platform accepts the call and sends no response in time, so it is unknown whether the write
+/// took effect. A refused connection proves that the write had no effect.
 #[test]
-fn no_answer_in_time_is_unknown_and_no_connection_is_not_applied() {
+fn a_timeout_is_unknown_and_a_refused_connection_is_not_applied() {
     let running = platform();
     running.api().switches().set(Faults {
         drop_answer_after_write: 1,
         drop_hang_ms: 1_500,
         ..Default::default()
     });
-    let hasty = client(running.address(), "secret-anna", 150);
-    let result = put(&hasty, 0, "w");
+    let short_timeout = client(running.address(), "secret-anna", 150);
+    let result = put(&short_timeout, 0, "w");
     assert!(
-        matches!(&result, WriteResult::Unknown(UnknownReason::NoAnswer(_))),
+        matches!(&result, WriteResult::Unknown(UnknownReason::NoResponse(_))),
         "{result:?}"
     );
-    let gone = {
+    let unused_address = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
         listener.local_addr().expect("bound").to_string()
     };
-    let result = put(&client(&gone, "secret-anna", 500), 0, "w");
+    let result = put(&client(&unused_address, "secret-anna", 500), 0, "w");
     let is_expected = matches!(
         &result,
         WriteResult::NotApplied(NotAppliedReason::NoConnection(_))
@@ -174,10 +175,10 @@
     assert!(is_expected, "{result:?}");
 }
 
-/// The answer is lost after the write took effect. A retry that counted as a new write would make a
-/// second version; one that gave up would leave the operator in doubt.
+/// The response is lost before or after the write took effect. A retry that was a new write would
+/// create a second version; without a retry, the operator would not learn whether it took effect.
 #[test]
-fn doubt_is_resolved_by_reading_the_writes_identity_back() {
+fn a_lost_response_is_resolved_by_reading_the_write_id_back() {
     let applied = Outcome::Applied(ObjectVersion::new(1));
     for faults in [
         Faults {
@@ -193,14 +194,14 @@
         running.api().switches().set(faults);
         let api = anna(&running);
         let id = WriteId::new("mine");
-        let outcome = put_patiently(&api, &id, 5);
+        let outcome = put_with_retries(&api, &id, 5);
         assert_eq!(outcome, applied);
-        let object = api.get(&key()).expect("reads").expect("there");
+        let object = api.get(&key()).expect("reads").expect("exists");
         assert_eq!(object.version.get(), 1);
     }
 }
 
-/// Between the lost write and its retry another one is made. The retry must not undo it.
+/// Another write takes effect between a write and its retry. The retry must not undo the later write.
 #[test]
 fn a_retry_never_undoes_a_later_write() {
     let running = platform();
@@ -208,21 +209,21 @@
     assert_eq!(put(&api, 0, "first"), FIRST);
     assert!(matches!(put(&api, 1, "later"), WriteResult::Applied { .. }));
     let id = WriteId::new("first");
-    let outcome = put_patiently(&api, &id, 5);
+    let outcome = put_with_retries(&api, &id, 5);
     let current = ObjectVersion::new(2);
     assert_eq!(
         outcome,
-        Outcome::Overtaken {
+        Outcome::Conflict {
             current,
-            doubted: false
+            maybe_applied: false
         }
     );
-    let object = api.get(&key()).expect("reads").expect("there");
+    let object = api.get(&key()).expect("reads").expect("exists");
     assert_eq!(object.write_id, Some(WriteId::new("later")));
 }
 
 #[test]
-fn an_outage_that_lasts_ends_as_refused_which_is_proven() {
+fn a_lasting_outage_ends_as_refused() {
     let running = platform();
     running.api().switches().set(Faults {
         down: true,
@@ -230,7 +231,7 @@
     });
     let id = WriteId::new("w");
     let api = anna(&running);
-    let outcome = put_patiently(&api, &id, 3);
+    let outcome = put_with_retries(&api, &id, 3);
     assert_eq!(outcome, Outcome::Refused(NotAppliedReason::Outage));
     assert_eq!(api.counts().by_reason["outage"], 3);
 }
@@ -257,7 +258,7 @@
 }
 
 #[test]
-fn the_clients_own_budget_counts_each_call_and_a_watch_as_one() {
+fn the_rate_budget_counts_each_call_and_a_watch_as_one() {
     let running = platform();
     let api = HttpObjectApi::new(PlatformSettings {
         timeout_ms: SpanMs::new(700),
@@ -265,42 +266,45 @@
         ..PlatformSettings::new(running.address(), "secret-anna".parse().expect("a token"))
     });
     assert!(api.watch("head", Revision::START, SpanMs::new(1)).is_ok());
-    let spent = api.list("head");
-    assert!(matches!(spent, Err(ReadError::BudgetSpent(_))), "{spent:?}");
+    let exhausted = api.list("head");
+    assert!(
+        matches!(exhausted, Err(ReadError::BudgetSpent(_))),
+        "{exhausted:?}"
+    );
     assert_eq!(api.counts().calls(), 1);
     assert_eq!(api.counts().by_reason["budget-spent"], 1);
 }
 
 #[test]
-fn a_watch_fires_when_its_kind_changes_and_not_before() {
+fn a_watch_returns_when_its_kind_changes_or_its_wait_ends() {
     let running = platform();
     let api = anna(&running);
-    let quiet = api
+    let unchanged = api
         .watch("chunk", Revision::START, SpanMs::new(30))
-        .expect("answers");
-    assert_eq!(quiet.revision, Revision::START);
-    let fired = std::thread::scope(|scope| {
+        .expect("a response");
+    assert_eq!(unchanged.revision, Revision::START);
+    let changed = std::thread::scope(|scope| {
         let watch = scope.spawn(|| api.watch("chunk", Revision::START, SpanMs::new(10_000)));
         assert_eq!(put(&api, 0, "w"), FIRST);
-        watch.join().expect("no panic").expect("answers")
+        watch.join().expect("no panic").expect("a response")
     });
-    assert_eq!(fired.revision, Revision::new(1));
-    assert_eq!(fired.objects[0].write_id, WriteId::new("w"));
+    assert_eq!(changed.revision, Revision::new(1));
+    assert_eq!(changed.objects[0].write_id, WriteId::new("w"));
 }
 
-/// A watch hangs though its wait is over, is answered as if nothing had happened, or fires for
-/// nothing. An instance that trusted it alone would keep an old head.
+/// The platform keeps a watch open after its wait, misses a change, reports a change twice or
+/// responds late. Every watch must end, or an instance would keep an old configuration head.
 #[test]
-fn a_watch_that_is_silent_skipped_or_repeated_ends_all_the_same() {
+fn a_watch_ends_though_the_platform_hangs_skips_or_repeats_it() {
     let running = platform();
     let api = anna(&running);
-    let hasty = client(running.address(), "secret-anna", 150);
+    let short_timeout = client(running.address(), "secret-anna", 150);
     assert_eq!(put(&api, 0, "w"), FIRST);
     running.api().switches().set(Faults {
         watch_silent_ms: 1_500,
         ..Default::default()
     });
-    let silent = hasty.watch("chunk", Revision::START, SpanMs::new(20));
+    let silent = short_timeout.watch("chunk", Revision::START, SpanMs::new(20));
     assert!(
         matches!(silent, Err(ReadError::Unavailable(_))),
         "{silent:?}"
@@ -313,22 +317,22 @@
         watch_skip: 1,
         ..Default::default()
     });
-    assert_eq!(skipped.expect("answers").revision, Revision::START);
+    assert_eq!(skipped.expect("a response").revision, Revision::START);
     running.api().switches().set(Faults {
         watch_repeat: 1,
         ..Default::default()
     });
     let repeated = api.watch("chunk", Revision::new(1), SpanMs::new(60_000));
-    assert_eq!(repeated.expect("answers").revision, Revision::new(1));
+    assert_eq!(repeated.expect("a response").revision, Revision::new(1));
     let late = watch(Faults {
         watch_late_ms: 20,
         ..Default::default()
     });
-    assert_eq!(late.expect("answers").revision, Revision::new(1));
+    assert_eq!(late.expect("a response").revision, Revision::new(1));
 }
 
 #[test]
-fn a_stale_read_gives_the_version_before() {
+fn a_stale_read_returns_the_previous_version() {
     let running = platform();
     let api = anna(&running);
     put(&api, 0, "a");
@@ -340,7 +344,7 @@
     let versions = [(); 2].map(|()| {
         api.get(&key())
             .expect("reads")
-            .expect("there")
+            .expect("exists")
             .version
             .get()
     });
@@ -348,32 +352,43 @@
 }
 
 #[test]
-fn the_list_of_instances_lags_and_then_shows_what_was_announced() {
+fn the_list_of_instances_lags_behind_new_and_removed_records() {
     let running = platform();
     let api = anna(&running);
-    let announced = br#"{"instance":"z-1","availability_zone":"z","region":"r","incarnation":1,
+    let record = br#"{"instance":"z-1","availability_zone":"z","region":"r","incarnation":1,
         "client_address":"127.0.0.1:1","peer_address":"127.0.0.1:2",
         "operator_address":"127.0.0.1:3","leaving":false}"#;
-    let own = ObjectKey::new("instance", "z-1");
-    let result = api.put_if(&own, ObjectVersion::ABSENT, announced, &WriteId::new("w"));
+    let record_key = ObjectKey::new("instance", "z-1");
+    let result = api.put_if(
+        &record_key,
+        ObjectVersion::ABSENT,
+        record,
+        &WriteId::new("w"),
+    );
     assert_eq!(result, FIRST);
     let listed = (0..200).find_map(|_| {
         std::thread::sleep(std::time::Duration::from_millis(10));
-        api.instances().expect("answers").into_iter().next()
+        api.instances().expect("a response").into_iter().next()
     });
-    assert_eq!(listed.expect("shown in the end").instance.as_str(), "z-1");
+    assert_eq!(
+        listed
+            .expect("listed before the tries end")
+            .instance
+            .as_str(),
+        "z-1"
+    );
     running.api().forget_instance("z-1");
-    let is_gone = (0..200).any(|_| {
+    let is_removed = (0..200).any(|_| {
         std::thread::sleep(std::time::Duration::from_millis(10));
-        api.instances().expect("answers").is_empty()
+        api.instances().expect("a response").is_empty()
     });
-    assert!(is_gone);
+    assert!(is_removed);
 }
 
 #[test]
-fn a_token_is_never_shown() {
+fn a_token_is_never_printed() {
     let settings = PlatformSettings::new("127.0.0.1:1", "secret-anna".parse().expect("a token"));
     let api = HttpObjectApi::new(settings.clone());
-    let shown = format!("{settings:?} {api:?} {:?}", api.get(&key()));
-    assert!(!shown.contains("secret"), "{shown}");
+    let printed = format!("{settings:?} {api:?} {:?}", api.get(&key()));
+    assert!(!printed.contains("secret"), "{printed}");
 }
--- a/crates/damaskvane-objects/tests/limits.rs
+++ b/crates/damaskvane-objects/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Pauses between tries and the rate budget.
+//! Limits of the backoff and of the rate budget.
 
 use damaskvane_core::time::TimeMs;
 use damaskvane_objects::backoff::{Backoff, BackoffSettings};
@@ -20,16 +20,16 @@
 }
 
 #[test]
-fn no_second_holds_more_calls_than_the_budget_and_one_burst() {
+fn calls_per_second_stay_within_the_rate_and_one_burst() {
     let mut budget = RateBudget::new(10, TimeMs::ZERO);
     let taken = (0..5_000).filter(|ms| budget.take(TimeMs::new(*ms)).is_ok());
     let taken: Vec<u64> = taken.collect();
     assert_eq!(taken.len(), 10 + 49);
     for (index, ms) in taken.iter().enumerate() {
-        let within = taken[index..]
+        let calls_within_1_s = taken[index..]
             .iter()
             .take_while(|other| **other < ms + 1_000);
-        assert!(within.count() <= 20);
+        assert!(calls_within_1_s.count() <= 20);
     }
     assert!(
         budget.take(TimeMs::new(1)).is_err(),
