--- a/crates/damaskvane-peer/examples/measure_transport.rs
+++ b/crates/damaskvane-peer/examples/measure_transport.rs
@@ -1,4 +1,4 @@
-//! Measures the transport over loopback: round trip, messages a second, memory for each connected peer.
+//! Measures the transport over loopback: round trip, messages per second and memory per connected peer.
 //!
 //! `cargo run --release -p damaskvane-peer --example measure_transport`
 
@@ -25,23 +25,23 @@
     }
 }
 
-type Node = (
+type Endpoint = (
     transport::Transport<Ping>,
     flume::Receiver<transport::Received<Ping>>,
 );
 
-fn node(name: &str) -> Node {
+fn listen(name: &str) -> Endpoint {
     let instance: ids::InstanceId = name.parse().expect("a valid name");
-    let all = ["a", "b"].map(|name| name.parse().expect("a valid name"));
+    let allowed = ["a", "b"].map(|name| name.parse().expect("a valid name"));
     let settings = settings::PeerSettings {
         instance,
         max_messages_per_second: u32::MAX,
-        received_messages: 1_000_000,
-        queue_messages: 8_000,
+        receive_queue_messages: 1_000_000,
+        send_queue_messages: 8_000,
         ..settings::PeerSettings::default()
     };
     let (transport, received) = transport::Transport::listen(settings).expect("a free port");
-    transport.set_allowed_senders(all);
+    transport.set_allowed_senders(allowed);
     (transport, received)
 }
 
@@ -54,35 +54,39 @@
         * PAGE_KB
 }
 
-fn round_trips(a: &Node, b: &Node) {
+fn round_trips(a: &Endpoint, b: &Endpoint) {
     let mut nanos = Vec::with_capacity(ROUND_TRIPS);
     for number in 0..WARM_UP + ROUND_TRIPS {
         let started = Instant::now();
         let ping = Ping { number: 1 };
         a.0.send(b.0.local_address(), &ping)
-            .expect("room in the queue");
+            .expect("capacity in the queue");
         b.1.recv().expect("arrives");
         b.0.send(a.0.local_address(), &ping)
-            .expect("room in the queue");
+            .expect("capacity in the queue");
         a.1.recv().expect("arrives");
         if number >= WARM_UP {
             nanos.push(started.elapsed().as_nanos());
         }
     }
     nanos.sort_unstable();
-    let at = |permille: usize| nanos[nanos.len() * permille / 1_000] / 1_000;
-    println!("round trip: p50 {} us, p99 {} us", at(500), at(990));
+    let percentile_us = |permille: usize| nanos[nanos.len() * permille / 1_000] / 1_000;
+    println!(
+        "round trip: p50 {} us, p99 {} us",
+        percentile_us(500),
+        percentile_us(990)
+    );
 }
 
-fn throughput(a: &Node, b: &Node) {
+fn throughput(a: &Endpoint, b: &Endpoint) {
     let started = Instant::now();
-    let mut refused = 0_u32;
+    let mut queue_full = 0_u32;
     let mut number = 0;
     while number < MESSAGES {
         match a.0.send(b.0.local_address(), &Ping { number }) {
             Ok(()) => number += 1,
             Err(_) => {
-                refused += 1;
+                queue_full += 1;
                 std::thread::sleep(Duration::from_micros(50));
             }
         }
@@ -92,27 +96,27 @@
     }
     let seconds = started.elapsed().as_secs_f64();
     println!(
-        "{:.0} messages a second, queue full {refused} times",
+        "{:.0} messages a second, queue full {queue_full} times",
         f64::from(MESSAGES) / seconds
     );
 }
 
 fn memory() {
-    let (hub, _received) = node("a");
-    let peers: Vec<Node> = (0..PEERS).map(|_| node("b")).collect();
+    let (hub, _received) = listen("a");
+    let peers: Vec<Endpoint> = (0..PEERS).map(|_| listen("b")).collect();
     std::thread::sleep(Duration::from_millis(500));
     let before = resident_kb();
     for (peer, _) in &peers {
         hub.send(peer.local_address(), &Ping { number: 1 })
-            .expect("room");
+            .expect("capacity in the queue");
         peer.send(hub.local_address(), &Ping { number: 1 })
-            .expect("room");
+            .expect("capacity in the queue");
     }
     std::thread::sleep(Duration::from_millis(1_000));
     let after = resident_kb();
-    // Both ends of both connections are in this process: four ends for each peer.
-    let each = after.saturating_sub(before) / PEERS;
-    println!("{each} KB for each peer connected both ways, both ends included");
+    // This process holds both sockets of both connections: four sockets for each peer.
+    let kb_per_peer = after.saturating_sub(before) / PEERS;
+    println!("{kb_per_peer} KB for each peer connected both ways, both ends included");
 }
 
 fn main() {
@@ -124,7 +128,7 @@
         .expect("encodes")
         .len();
     println!("a ping has {size} bytes");
-    let (a, b) = (node("a"), node("b"));
+    let (a, b) = (listen("a"), listen("b"));
     round_trips(&a, &b);
     throughput(&a, &b);
     memory();
--- a/crates/damaskvane-peer/src/address.rs
+++ b/crates/damaskvane-peer/src/address.rs
@@ -1,4 +1,4 @@
-//! Where an instance listens for its peers: an IP address and a TCP port.
+//! The address at which an instance listens for its peers: an IP address and a TCP port.
 //!
 //! ```
 //! use damaskvane_peer::address;
@@ -14,26 +14,26 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The address at which an instance listens for its peers.
+/// The IP address and TCP port at which an instance listens for its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct PeerAddress(net::SocketAddr);
 
-/// {text:?} is no peer address; write an IP number and a port, for instance 10.0.0.7:7101
+/// {text:?} is not a peer address; write an IP address and a port, for instance 10.0.0.7:7101
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseAddressError {
-    /// The text as given.
+    /// The text that could not be parsed.
     pub text: String,
 }
 
 impl PeerAddress {
-    /// Wraps a socket address.
+    /// Creates a peer address from a socket address.
     #[must_use]
     pub const fn new(address: net::SocketAddr) -> Self {
         Self(address)
     }
 
-    /// The plain socket address.
+    /// Returns the socket address.
     #[must_use]
     pub const fn get(self) -> net::SocketAddr {
         self.0
--- a/crates/damaskvane-peer/src/counters.rs
+++ b/crates/damaskvane-peer/src/counters.rs
@@ -1,4 +1,4 @@
-//! Messages and bytes by kind, both ways, and drops by reason.
+//! Counters of sent and received messages and bytes by kind, and of drops by reason.
 //!
 //! ```
 //! use damaskvane_peer::counters;
@@ -14,26 +14,27 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
 
-/// Why a message was dropped.
+/// The reason why a message was dropped, or a connection was closed for the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// The sender is not on the list of instances.
+    /// The sender of a received message is not on the list of allowed senders.
     Unlisted,
-    /// The sender sent more than its rate.
+    /// The sender exceeded the maximum rate of messages.
     RateExceeded,
-    /// The envelope could not be decoded.
+    /// The envelope of a received message could not be decoded.
     Malformed,
-    /// The envelope is sound, its message is not known: most likely a newer version of the program.
+    /// The envelope was decoded but its message was not; most likely the sender is a newer version of
+    /// the program.
     UnknownMessage,
-    /// The program did not take received messages fast enough.
+    /// The queue of received messages was full, since the program did not process them fast enough.
     ReceiverFull,
-    /// The queue to a peer was full.
+    /// The send queue to a peer was full.
     QueueFull,
-    /// Messages waited too long for a connection.
+    /// No connection to the peer came up in time, or it was closed with messages in its queue.
     NotConnected,
-    /// There were too many connections.
+    /// The limit of outgoing or incoming connections was reached.
     ConnectionLimit,
-    /// The message was larger than allowed.
+    /// The message to send was larger than the limit.
     TooLarge,
 }
 
@@ -51,7 +52,7 @@
         Self::TooLarge,
     ];
 
-    /// The word for metrics and status.
+    /// Returns the label in metrics and in the status.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -74,23 +75,23 @@
     }
 }
 
-/// How much of one kind went one way.
+/// The messages of one kind that were sent, or that were received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct KindCount {
-    /// Messages.
+    /// The number of messages.
     pub messages: u64,
-    /// Encoded bytes, envelopes included, TCP and IP headers not.
+    /// The encoded bytes, with envelopes, without TCP and IP headers.
     pub bytes: u64,
 }
 
-/// All counts at one moment.
+/// A copy of all counters.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CounterSnapshot {
-    /// What was handed to connections, by kind.
+    /// The messages that were queued on connections, by kind.
     pub sent: BTreeMap<&'static str, KindCount>,
-    /// What was handed to the program, by kind.
+    /// The received messages that were queued for the program, by kind.
     pub received: BTreeMap<&'static str, KindCount>,
-    /// What was dropped, by reason; reasons that never occurred are left out.
+    /// The drops by reason; reasons without drops are left out.
     pub dropped: BTreeMap<&'static str, u64>,
 }
 
@@ -128,7 +129,7 @@
         self.dropped[reason as usize].fetch_add(messages, Ordering::Relaxed);
     }
 
-    /// How many messages were dropped for a reason.
+    /// Returns the number of messages dropped for a reason.
     #[must_use]
     pub fn dropped(&self, reason: DropReason) -> u64 {
         self.dropped[reason as usize].load(Ordering::Relaxed)
@@ -142,7 +143,7 @@
         add(&self.received, kind, bytes);
     }
 
-    /// A copy of all counts.
+    /// Returns a copy of all counters.
     #[must_use]
     pub fn snapshot(&self) -> CounterSnapshot {
         CounterSnapshot {
--- a/crates/damaskvane-peer/src/envelope.rs
+++ b/crates/damaskvane-peer/src/envelope.rs
@@ -1,8 +1,8 @@
 //! The encoding on the wire: a CBOR header that names the sender, then the message in CBOR.
 //!
-//! The header is decoded and checked first, so that nothing of a message is looked at before its sender
-//! is known to be on the list. Fields that are not known are skipped, and a message that is not known is
-//! told apart from a broken one: during an upgrade old and new versions of the program talk.
+//! The receiver decodes and checks the header first, so that it decodes only messages of allowed
+//! senders. During an upgrade old and new versions of the program exchange messages: unknown fields
+//! are skipped, and an unknown message is distinguished from a malformed envelope.
 //!
 //! ```
 //! use damaskvane_peer::envelope;
@@ -24,23 +24,24 @@
 
 use crate::error::PeerError;
 
-/// Who sent a message; the names are one letter each, as they travel with every message.
+/// The sender of a message; the field names on the wire have one letter, since every message contains
+/// them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The sending instance.
+    /// The instance that sent the message.
     #[serde(rename = "f")]
     pub from: ids::InstanceId,
-    /// Which start of that instance it is.
+    /// The incarnation of the instance that sent the message.
     #[serde(rename = "i")]
     pub incarnation: ids::Incarnation,
 }
 
-/// the bytes are no envelope or no message of this version; nothing is to be done if it is one of many
+/// the bytes are not a valid envelope or not a message of this version; a single error needs no action
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct DecodeError;
 
 impl Header {
-    /// The header of a sender.
+    /// Creates the header for messages of a sender.
     #[must_use]
     pub const fn new(from: ids::InstanceId, incarnation: ids::Incarnation) -> Self {
         Self { from, incarnation }
@@ -51,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// [`PeerError::Encode`] if a type of the message refuses to be serialised.
+/// Returns [`PeerError::Encode`] if the message can't be serialized.
 pub fn encode(header: &Header, message: &impl Serialize) -> Result<Vec<u8>, PeerError> {
     let mut bytes = Vec::with_capacity(64);
     into_cbor(header, &mut bytes)?;
@@ -65,21 +66,21 @@
     })
 }
 
-/// Decodes the header and returns the bytes of the message behind it.
+/// Decodes the header; returns it with the bytes of the message that follows.
 ///
 /// # Errors
 ///
-/// [`DecodeError`] if the bytes do not begin with a header.
+/// Returns [`DecodeError`] if the bytes do not begin with a header.
 pub fn split(mut bytes: &[u8]) -> Result<(Header, &[u8]), DecodeError> {
     let header = ciborium::from_reader(&mut bytes).map_err(|_| DecodeError)?;
     Ok((header, bytes))
 }
 
-/// Decodes the message behind a header.
+/// Decodes the message that follows a header.
 ///
 /// # Errors
 ///
-/// [`DecodeError`] if the message is broken or not known to this version of the program.
+/// Returns [`DecodeError`] if the message is malformed or unknown to this version of the program.
 pub fn decode<M: DeserializeOwned>(bytes: &[u8]) -> Result<M, DecodeError> {
     ciborium::from_reader(bytes).map_err(|_| DecodeError)
 }
--- a/crates/damaskvane-peer/src/inbound.rs
+++ b/crates/damaskvane-peer/src/inbound.rs
@@ -1,4 +1,4 @@
-//! The listener: decodes, checks and hands on what peers send.
+//! The listener, which decodes, checks and queues the messages of peers.
 
 use core::marker::PhantomData;
 use core::sync::atomic::{AtomicUsize, Ordering};
@@ -13,27 +13,27 @@
 use crate::counters::{DropReason, PeerCounters};
 use crate::envelope;
 use crate::error::PeerError;
-use crate::gate::Gate;
+use crate::sender_filter::SenderFilter;
 use crate::settings::PeerSettings;
 use crate::transport::{MessageKind, Received};
 
-/// How often another free port is tried when the one just found is taken by somebody else.
-const PORT_TRIES: usize = 8;
+/// The maximum number of free ports to try, since another process may take a port before it is bound.
+const MAX_PORT_TRIES: usize = 8;
 
-/// The listening socket; dropping it ends reception.
+/// The listening socket; dropping it stops the reception of messages.
 #[derive(Debug)]
 pub(crate) struct Inbound {
     socket: nng::Socket,
     _receive: nng::Aio,
-    gate: Arc<Mutex<Gate>>,
+    filter: Arc<Mutex<SenderFilter>>,
     started: Instant,
     address: PeerAddress,
 }
 
-/// What the callback of the library needs for each message.
+/// The state of the callback that the transport library invokes for each received message.
 struct Receiver<M> {
     socket: nng::Socket,
-    gate: Arc<Mutex<Gate>>,
+    filter: Arc<Mutex<SenderFilter>>,
     counters: Arc<PeerCounters>,
     messages: flume::Sender<Received<M>>,
     started: Instant,
@@ -46,34 +46,36 @@
         counters: Arc<PeerCounters>,
         messages: flume::Sender<Received<M>>,
     ) -> Result<Self, PeerError> {
-        let refuse = |error: nng::Error| PeerError::Listen {
+        let listen_error = |error: nng::Error| PeerError::Listen {
             address: settings.listen_address,
             cause: error.to_string(),
         };
-        let socket = nng::Socket::new(nng::Protocol::Pull0).map_err(refuse)?;
+        let socket = nng::Socket::new(nng::Protocol::Pull0).map_err(listen_error)?;
         socket
             .set_opt::<options::RecvMaxSize>(settings.max_message_bytes)
-            .map_err(refuse)?;
+            .map_err(listen_error)?;
         limit_connections(&socket, settings.connection_limit, Arc::clone(&counters))
-            .map_err(refuse)?;
-        let address = bind(&socket, settings.listen_address).map_err(refuse)?;
-        let gate = Arc::new(Mutex::new(Gate::new(settings.max_messages_per_second)));
+            .map_err(listen_error)?;
+        let address = bind(&socket, settings.listen_address).map_err(listen_error)?;
+        let filter = Arc::new(Mutex::new(SenderFilter::new(
+            settings.max_messages_per_second,
+        )));
         let started = Instant::now();
         let receiver = Receiver {
             socket: socket.clone(),
-            gate: Arc::clone(&gate),
+            filter: Arc::clone(&filter),
             counters,
             messages,
             started,
             message: PhantomData,
         };
-        let receive =
-            nng::Aio::new(move |aio, result| receiver.on_event(&aio, result)).map_err(refuse)?;
-        socket.recv_async(&receive).map_err(refuse)?;
+        let receive = nng::Aio::new(move |aio, result| receiver.on_event(&aio, result))
+            .map_err(listen_error)?;
+        socket.recv_async(&receive).map_err(listen_error)?;
         Ok(Self {
             socket,
             _receive: receive,
-            gate,
+            filter,
             started,
             address,
         })
@@ -85,7 +87,7 @@
 
     pub(crate) fn set_allowed_senders(&self, allowed: impl IntoIterator<Item = ids::InstanceId>) {
         let now = elapsed(self.started);
-        self.gate
+        self.filter
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .set_allowed_senders(allowed, now);
@@ -94,7 +96,8 @@
 
 impl Drop for Inbound {
     fn drop(&mut self) {
-        // The receiver's callback holds a handle of the socket: without this it would listen for ever.
+        // The callback holds a handle of the socket, so that without a close the socket would listen
+        // for ever.
         self.socket.close();
     }
 }
@@ -106,20 +109,20 @@
             nng::AioResult::Recv(Err(nng::Error::Closed)) => return,
             _ => {}
         }
-        // Fails only on a socket that has been closed meanwhile, and then there is nothing to receive.
+        // Fails only if the socket has been closed meanwhile; then there is nothing to receive.
         let _ = self.socket.recv_async(aio);
     }
 
     fn on_message(&self, bytes: &[u8]) {
         match self.accept(bytes) {
-            Ok(received) => self.hand_on(received, bytes.len()),
+            Ok(received) => self.enqueue(received, bytes.len()),
             Err(reason) => self.counters.count_drop(reason),
         }
     }
 
     fn accept(&self, bytes: &[u8]) -> Result<Received<M>, DropReason> {
         let (header, body) = envelope::split(bytes).map_err(|_| DropReason::Malformed)?;
-        self.gate
+        self.filter
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .admit(&header.from, elapsed(self.started))?;
@@ -132,9 +135,10 @@
         })
     }
 
-    fn hand_on(&self, received: Received<M>, bytes: usize) {
+    fn enqueue(&self, received: Received<M>, bytes: usize) {
         let kind = received.message.kind();
-        // Waiting here would stop reception from every peer, heartbeats too, for one slow consumer.
+        // Waiting for a slow consumer here would stop the reception of all messages from all peers,
+        // heartbeats included.
         match self.messages.try_send(received) {
             Ok(()) => self.counters.count_received(kind, bytes),
             Err(_) => self.counters.count_drop(DropReason::ReceiverFull),
@@ -146,12 +150,13 @@
     time::TimeMs::new(u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Closes incoming connections above the limit before they come up.
+/// Closes incoming connections above the limit before they are established.
 ///
-/// Every connection that was announced before it came up is told to be gone later; one that a stranger broke
-/// while it came up can be told to be gone before it is told to be up. Counting those that are up ran below
-/// zero then: every later connection counted as one too many, and closing one that was gone already ended
-/// the process.
+/// The count of open connections goes up with the `AddPre` event and not with `AddPost`. Each `AddPre`
+/// is followed by one `RemovePost`, but for a connection that the remote side breaks while it is being
+/// established, `RemovePost` can come before `AddPost`. A count of `AddPost` events fell below zero in
+/// that case: every later connection exceeded the limit, and closing a connection that was already
+/// removed ended the process.
 fn limit_connections(
     socket: &nng::Socket,
     limit: usize,
@@ -159,25 +164,29 @@
 ) -> nng::Result<()> {
     let open = AtomicUsize::new(0);
     socket.pipe_notify(move |pipe, event| {
-        let before = match event {
+        let open_before = match event {
             nng::PipeEvent::AddPre => open.fetch_add(1, Ordering::Relaxed),
             nng::PipeEvent::RemovePost => open.fetch_sub(1, Ordering::Relaxed),
             _ => return,
         };
-        if event == nng::PipeEvent::AddPre && before >= limit {
+        if event == nng::PipeEvent::AddPre && open_before >= limit {
             counters.count_drop(DropReason::ConnectionLimit);
             pipe.close();
         }
     })
 }
 
-/// Listens on the address; port 0 is replaced by a free port, which the library would not tell.
-fn bind(socket: &nng::Socket, wanted: PeerAddress) -> nng::Result<PeerAddress> {
+/// Listens on the address and returns it.
+///
+/// Port 0 is replaced by a free port first, since the library does not report the port that it selects.
+fn bind(socket: &nng::Socket, requested: PeerAddress) -> nng::Result<PeerAddress> {
     let mut tries = 1;
     loop {
-        let address = with_port(wanted)?;
+        let address = with_port(requested)?;
         match socket.listen(&address.to_url()) {
-            Err(nng::Error::AddressInUse) if wanted.get().port() == 0 && tries < PORT_TRIES => {
+            Err(nng::Error::AddressInUse)
+                if requested.get().port() == 0 && tries < MAX_PORT_TRIES =>
+            {
                 tries += 1;
             }
             Err(error) => return Err(error),
@@ -186,11 +195,11 @@
     }
 }
 
-fn with_port(wanted: PeerAddress) -> nng::Result<PeerAddress> {
-    if wanted.get().port() != 0 {
-        return Ok(wanted);
+fn with_port(requested: PeerAddress) -> nng::Result<PeerAddress> {
+    if requested.get().port() != 0 {
+        return Ok(requested);
     }
-    net::TcpListener::bind(wanted.get())
+    net::TcpListener::bind(requested.get())
         .and_then(|probe| probe.local_addr())
         .map(PeerAddress::new)
         .map_err(|_| nng::Error::AddressInvalid)
--- a/crates/damaskvane-peer/src/lib.rs
+++ b/crates/damaskvane-peer/src/lib.rs
@@ -2,15 +2,15 @@
 //!
 //! # Crate guide
 //!
-//! - [`address`]: where an instance listens for its peers.
-//! - [`transport`]: one listener for all that comes in, one connection for each peer that is sent to.
-//! - [`settings`]: bounds on size, rate, queues and connections.
-//! - [`counters`]: messages and bytes by kind, both ways, and drops by reason.
-//! - [`envelope`]: the encoding on the wire: CBOR, so that versions of the program can be mixed.
-//! - [`error`]: why a message was not taken for sending.
+//! - [`address`]: the address at which an instance listens for its peers.
+//! - [`transport`]: one listener for all peers, and one connection to each peer that receives messages.
+//! - [`settings`]: limits on message size, rate, queues and connections.
+//! - [`counters`]: sent and received messages and bytes by kind, and drops by reason.
+//! - [`envelope`]: the encoding of messages in CBOR, which lets versions of the program run side by side.
+//! - [`error`]: errors of listening and sending.
 //!
-//! The transport promises no delivery: a message is sent at most once and may be lost. What must arrive
-//! is repeated by the caller until it is answered.
+//! The transport does not guarantee delivery: a message is sent at most once and may be lost. A caller
+//! that needs delivery repeats the message until a response arrives.
 //!
 //! ```
 //! use damaskvane_peer::{settings, transport};
@@ -37,8 +37,8 @@
 pub mod counters;
 pub mod envelope;
 pub mod error;
-mod gate;
 mod inbound;
 mod outbound;
+mod sender_filter;
 pub mod settings;
 pub mod transport;
--- a/crates/damaskvane-peer/src/outbound.rs
+++ b/crates/damaskvane-peer/src/outbound.rs
@@ -1,4 +1,4 @@
-//! One connection for each peer that is sent to, made on demand.
+//! Outgoing connections, one for each peer, opened with the first message to the peer.
 
 use core::sync::atomic::{AtomicBool, Ordering};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 const REDIAL_MIN: Duration = Duration::from_millis(50);
 const REDIAL_MAX: Duration = Duration::from_millis(1_000);
 
-/// A socket that dials one peer.
+/// A connection to one peer, up or being dialled.
 #[derive(Debug)]
 struct Connection {
     socket: nng::Socket,
@@ -25,20 +25,20 @@
     unsent: u64,
 }
 
-/// All outgoing connections.
+/// The outgoing connections to all peers.
 #[derive(Debug)]
 pub(crate) struct Outbound {
     connections: BTreeMap<PeerAddress, Connection>,
     connection_limit: usize,
-    queue_messages: i32,
+    send_queue_messages: i32,
     idle: Duration,
     connect_grace: Duration,
 }
 
-/// Messages and sockets that were given up; dropping it closes the sockets.
+/// Sockets of removed connections, and the number of their unsent messages.
 ///
-/// Closing a socket may take a moment. It is returned so that the caller closes it after the lock on
-/// the connections is released.
+/// Dropping this value closes the sockets, which may take a moment. Functions return it to the caller,
+/// so that the sockets are closed after the lock on the connections is released.
 #[derive(Debug, Default)]
 pub(crate) struct Discarded {
     pub(crate) unsent: u64,
@@ -46,13 +46,18 @@
 }
 
 impl Connection {
-    fn dial(address: PeerAddress, queue_messages: i32, now: Instant) -> Result<Self, PeerError> {
+    fn dial(
+        address: PeerAddress,
+        send_queue_messages: i32,
+        now: Instant,
+    ) -> Result<Self, PeerError> {
         let is_up = Arc::new(AtomicBool::new(false));
-        let socket =
-            dial(address, queue_messages, Arc::clone(&is_up)).map_err(|error| PeerError::Dial {
+        let socket = dial(address, send_queue_messages, Arc::clone(&is_up)).map_err(|error| {
+            PeerError::Dial {
                 address,
                 cause: error.to_string(),
-            })?;
+            }
+        })?;
         Ok(Self {
             socket,
             is_up,
@@ -62,7 +67,8 @@
         })
     }
 
-    /// Notes whether the connection is up, and returns whether it has been down past the grace.
+    /// Updates the time at which the connection was last up; returns whether it has been down for longer
+    /// than `grace`.
     fn is_stale(&mut self, now: Instant, grace: Duration) -> bool {
         if self.is_up.load(Ordering::Relaxed) {
             self.last_up = now;
@@ -74,11 +80,11 @@
 
 fn dial(
     address: PeerAddress,
-    queue_messages: i32,
+    send_queue_messages: i32,
     is_up: Arc<AtomicBool>,
 ) -> nng::Result<nng::Socket> {
     let socket = nng::Socket::new(nng::Protocol::Push0)?;
-    socket.set_opt::<options::SendBufferSize>(queue_messages)?;
+    socket.set_opt::<options::SendBufferSize>(send_queue_messages)?;
     socket.set_opt::<options::ReconnectMinTime>(Some(REDIAL_MIN))?;
     socket.set_opt::<options::ReconnectMaxTime>(Some(REDIAL_MAX))?;
     socket.pipe_notify(move |_, event| match event {
@@ -102,13 +108,13 @@
         Self {
             connections: BTreeMap::new(),
             connection_limit: settings.connection_limit,
-            queue_messages: i32::from(settings.queue_messages),
+            send_queue_messages: i32::from(settings.send_queue_messages),
             idle: settings.idle_ms.to_duration(),
             connect_grace: settings.connect_grace_ms.to_duration(),
         }
     }
 
-    /// Queues a message without waiting.
+    /// Queues a message without waiting; opens a connection if there is none.
     pub(crate) fn send(
         &mut self,
         to: PeerAddress,
@@ -129,10 +135,10 @@
         Ok(())
     }
 
-    /// Gives up a connection that has been down for longer than the grace, with what it has queued.
+    /// Removes a connection that has been down for longer than the grace, with its queued messages.
     ///
-    /// Heartbeats that waited out a cut and then arrived all at once would make a dead sender look
-    /// alive. Readers would see an instance come back that is long gone.
+    /// Heartbeats that arrive all at once after a network partition would make a dead sender appear
+    /// alive, so that other instances would count an instance that stopped long ago as running.
     fn drop_if_stale(&mut self, to: PeerAddress, now: Instant, discarded: &mut Discarded) {
         let grace = self.connect_grace;
         let stale = self
@@ -160,7 +166,7 @@
                 ))
             }
             std::collections::btree_map::Entry::Vacant(entry) => {
-                let connection = Connection::dial(to, self.queue_messages, now)
+                let connection = Connection::dial(to, self.send_queue_messages, now)
                     .map_err(|error| (DropReason::NotConnected, error))?;
                 Ok(entry.insert(connection))
             }
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Gives up connections that are idle, or down past the grace.
+    /// Removes connections that are idle, or that have been down for longer than the grace.
     pub(crate) fn maintain(&mut self, now: Instant) -> Discarded {
         let (idle, grace) = (self.idle, self.connect_grace);
         let mut discarded = Discarded::default();
--- a/crates/damaskvane-peer/src/gate.rs
+++ b/crates/damaskvane-peer/src/sender_filter.rs
@@ -1,6 +1,6 @@
-//! Which senders are listened to, and how often.
+//! The filter of received messages by sender and rate.
 //!
-//! The gate is driven with the time passed in; the transport measures it.
+//! The caller passes the time in; this module reads no clock.
 
 use std::collections::BTreeMap;
 
@@ -8,45 +8,45 @@
 
 use crate::counters::DropReason;
 
-const MS_PER_SECOND: u64 = 1_000;
+/// The tokens that one message costs; a rate of one message per second adds one token per millisecond.
+const TOKENS_PER_MESSAGE: u64 = 1_000;
 
-/// Thousandths of a message that one sender may still send; a second's worth at most.
+/// The rate limit of one sender: a message costs 1,000 tokens, and a bucket holds at most the messages
+/// of one second.
 #[derive(Debug, Clone, Copy)]
 struct TokenBucket {
-    tokens_milli: u64,
-    filled_at: time::TimeMs,
+    tokens: u64,
+    refilled_at: time::TimeMs,
 }
 
 impl TokenBucket {
     fn take(&mut self, now: time::TimeMs, per_second: u32) -> bool {
-        let burst_milli = u64::from(per_second) * MS_PER_SECOND;
-        let gained_milli = now
-            .since(self.filled_at)
+        let max_tokens = u64::from(per_second) * TOKENS_PER_MESSAGE;
+        let added_tokens = now
+            .since(self.refilled_at)
             .get()
             .saturating_mul(u64::from(per_second));
-        self.tokens_milli = self
-            .tokens_milli
-            .saturating_add(gained_milli)
-            .min(burst_milli);
-        self.filled_at = self.filled_at.max(now);
-        if self.tokens_milli < MS_PER_SECOND {
+        self.tokens = self.tokens.saturating_add(added_tokens).min(max_tokens);
+        self.refilled_at = self.refilled_at.max(now);
+        if self.tokens < TOKENS_PER_MESSAGE {
             return false;
         }
-        self.tokens_milli -= MS_PER_SECOND;
+        self.tokens -= TOKENS_PER_MESSAGE;
         true
     }
 }
 
-/// Admits messages of listed instances within their rate.
+/// Admits messages of allowed senders up to their maximum rate.
 ///
-/// It keeps state for listed instances only, so that a stranger who makes up names can't fill memory.
+/// The filter has state for allowed senders only, so that messages under invented names can't fill the
+/// memory.
 #[derive(Debug)]
-pub(crate) struct Gate {
+pub(crate) struct SenderFilter {
     per_second: u32,
     buckets: BTreeMap<ids::InstanceId, TokenBucket>,
 }
 
-impl Gate {
+impl SenderFilter {
     pub(crate) const fn new(per_second: u32) -> Self {
         Self {
             per_second,
@@ -60,14 +60,14 @@
         now: time::TimeMs,
     ) {
         let full = TokenBucket {
-            tokens_milli: u64::from(self.per_second) * MS_PER_SECOND,
-            filled_at: now,
+            tokens: u64::from(self.per_second) * TOKENS_PER_MESSAGE,
+            refilled_at: now,
         };
-        let kept = core::mem::take(&mut self.buckets);
+        let previous = core::mem::take(&mut self.buckets);
         self.buckets = allowed
             .into_iter()
             .map(|instance| {
-                let bucket = kept.get(&instance).copied().unwrap_or(full);
+                let bucket = previous.get(&instance).copied().unwrap_or(full);
                 (instance, bucket)
             })
             .collect();
--- a/crates/damaskvane-peer/src/settings.rs
+++ b/crates/damaskvane-peer/src/settings.rs
@@ -1,4 +1,4 @@
-//! Bounds of the transport.
+//! Settings of the transport.
 //!
 //! ```
 //! use damaskvane_peer::settings;
@@ -16,32 +16,32 @@
 
 use crate::address;
 
-/// The largest message that is sent or received by default: a chunk of the configuration (1 MB) and
-/// its envelope.
+/// The default maximum size of an encoded message: a chunk of the configuration (1 MB) and its envelope.
 pub const DEFAULT_MAX_MESSAGE_BYTES: usize = 1_100_000;
 
-/// Who the transport speaks for, and its bounds.
+/// The identity of the sending instance, and the limits of its transport.
 #[derive(Debug, Clone)]
 pub struct PeerSettings {
-    /// Where to listen; port 0 picks a free one.
+    /// The address to listen at; port 0 selects a free port.
     pub listen_address: address::PeerAddress,
-    /// The instance that sends.
+    /// The instance that sends the messages.
     pub instance: ids::InstanceId,
-    /// Which start of that instance this is.
+    /// The incarnation of the sending instance.
     pub incarnation: ids::Incarnation,
-    /// The largest encoded message, both ways; a larger one that comes in ends its connection.
+    /// The maximum size of an encoded message, sent or received; receiving a larger one closes its
+    /// connection.
     pub max_message_bytes: usize,
-    /// How many messages a second are taken from one sender.
+    /// The maximum rate of messages per second accepted from one sender.
     pub max_messages_per_second: u32,
-    /// How many messages wait for one peer before more are dropped.
-    pub queue_messages: u16,
-    /// How many received messages wait for the program before more are dropped.
-    pub received_messages: usize,
-    /// How many connections are kept, outgoing and incoming each.
+    /// The length of the send queue to one peer, in messages; further messages are dropped.
+    pub send_queue_messages: u16,
+    /// The length of the queue of received messages; further messages are dropped.
+    pub receive_queue_messages: usize,
+    /// The maximum number of outgoing connections, and of incoming connections.
     pub connection_limit: usize,
-    /// A connection over which nothing was sent for this long is closed.
+    /// The idle time after which an outgoing connection is closed.
     pub idle_ms: time::SpanMs,
-    /// How long messages wait for a connection that is not yet, or no longer, there.
+    /// The maximum time for which messages wait for a connection that is down.
     pub connect_grace_ms: time::SpanMs,
 }
 
@@ -53,8 +53,8 @@
             incarnation: ids::Incarnation::default(),
             max_message_bytes: DEFAULT_MAX_MESSAGE_BYTES,
             max_messages_per_second: 1_000,
-            queue_messages: 128,
-            received_messages: 4_096,
+            send_queue_messages: 128,
+            receive_queue_messages: 4_096,
             connection_limit: 512,
             idle_ms: time::SpanMs::new(60_000),
             connect_grace_ms: time::SpanMs::new(1_000),
--- a/crates/damaskvane-peer/src/transport.rs
+++ b/crates/damaskvane-peer/src/transport.rs
@@ -1,8 +1,8 @@
-//! The transport: one listener for all that comes in, one connection for each peer that is sent to.
+//! The transport: one listener for all peers, and one connection to each peer that receives messages.
 //!
-//! A connection can go silent for good while new ones work. TCP notices that after many minutes, so the
-//! program notices it by its own heartbeats and calls [`Transport::reconnect`], which dials with a fresh
-//! socket.
+//! A connection can stop delivering for good while new connections to the same peer work. TCP detects
+//! this after many minutes. The program detects it by missing heartbeats and calls
+//! [`Transport::reconnect`], which dials with a new socket.
 //!
 //! ```
 //! use damaskvane_peer::{settings, transport};
@@ -39,26 +39,26 @@
 
 /// A message that can be counted by its kind.
 pub trait MessageKind: Serialize + DeserializeOwned + Send + 'static {
-    /// The word under which the message is counted.
+    /// Returns the label under which the message is counted.
     fn kind(&self) -> &'static str;
 }
 
-/// A message that came in from a listed instance, within its rate.
+/// A message received from an allowed sender within its rate.
 #[derive(Debug)]
 pub struct Received<M> {
-    /// The instance that says it sent it.
+    /// The sending instance according to the header; the transport does not authenticate it.
     pub from: ids::InstanceId,
-    /// Which start of that instance it says it is.
+    /// The incarnation of the sending instance according to the header.
     pub incarnation: ids::Incarnation,
-    /// The encoded size, envelope included.
+    /// The encoded size, with the envelope.
     pub bytes: units::Bytes,
-    /// The message.
+    /// The decoded message.
     pub message: M,
 }
 
-/// Sends messages to peers and receives theirs.
+/// Sends messages to peers and receives messages from them, without a thread for each peer.
 ///
-/// It needs no thread for each peer. Until [`Transport::set_allowed_senders`] is called nothing is received.
+/// All received messages are dropped until [`Transport::set_allowed_senders`] is called.
 #[derive(Debug)]
 pub struct Transport<M> {
     header: envelope::Header,
@@ -70,16 +70,16 @@
 }
 
 impl<M: MessageKind> Transport<M> {
-    /// Listens at the address of the settings; received messages come out of the second value.
+    /// Starts to listen; the returned channel yields the received messages.
     ///
     /// # Errors
     ///
-    /// [`PeerError::Listen`] if the address is in use or not one of this machine.
+    /// Returns [`PeerError::Listen`] if the address is in use or does not belong to this machine.
     pub fn listen(
         settings: PeerSettings,
     ) -> Result<(Self, flume::Receiver<Received<M>>), PeerError> {
         let counters = Arc::new(PeerCounters::default());
-        let (sender, receiver) = flume::bounded(settings.received_messages);
+        let (sender, receiver) = flume::bounded(settings.receive_queue_messages);
         let inbound = Inbound::listen(&settings, Arc::clone(&counters), sender)?;
         let transport = Self {
             outbound: Mutex::new(Outbound::new(&settings)),
@@ -92,24 +92,24 @@
         Ok((transport, receiver))
     }
 
-    /// Where this transport listens, with the port that was found for port 0.
+    /// Returns the listen address; a port 0 in the settings is replaced by the selected port.
     #[must_use]
     pub const fn local_address(&self) -> &PeerAddress {
         self.inbound.address()
     }
 
-    /// Replaces the list of instances that are listened to.
+    /// Replaces the list of instances whose messages are accepted.
     pub fn set_allowed_senders(&self, allowed: impl IntoIterator<Item = ids::InstanceId>) {
         self.inbound.set_allowed_senders(allowed);
     }
 
-    /// Queues a message for a peer and returns at once; it connects first if need be.
+    /// Queues a message for a peer and returns at once; opens a connection if there is none.
     ///
     /// # Errors
     ///
-    /// [`PeerError::QueueFull`] if the peer does not keep up or can't be reached,
+    /// Returns [`PeerError::QueueFull`] if the peer is too slow or can't be reached, or
     /// [`PeerError::TooLarge`], [`PeerError::ConnectionLimit`], [`PeerError::Dial`] or
-    /// [`PeerError::Encode`]. The message is dropped and the reason counted.
+    /// [`PeerError::Encode`]. The message is dropped; every reason but `Encode` is counted.
     pub fn send(&self, to: &PeerAddress, message: &M) -> Result<(), PeerError> {
         let bytes = envelope::encode(&self.header, message)?;
         if bytes.len() > self.max_message_bytes {
@@ -136,34 +136,34 @@
         }
     }
 
-    /// Drops the connection to a peer with what is queued on it; the next message dials anew.
+    /// Closes the connection to a peer and drops its queued messages; the next message dials again.
     ///
-    /// Call it when a peer that should send heartbeats has been silent, before it is judged dead.
+    /// Called when expected heartbeats of a peer are missing, before the peer is declared dead.
     pub fn reconnect(&self, to: &PeerAddress) {
         let mut discarded = Discarded::default();
         self.outbound().remove(*to, &mut discarded);
         self.count_unsent(&discarded);
     }
 
-    /// Closes idle connections, and those that can't be made; call it about once a second.
+    /// Closes connections that are idle or can't be established; called about once per second.
     pub fn maintain(&self) {
         let discarded = self.outbound().maintain(Instant::now());
         self.count_unsent(&discarded);
     }
 
-    /// How many outgoing connections there are, up or being made.
+    /// Returns the number of outgoing connections, established or being dialled.
     #[must_use]
     pub fn connections(&self) -> usize {
         self.outbound().len()
     }
 
-    /// Whether the connection to a peer is up as far as TCP knows.
+    /// Returns whether TCP considers the connection to a peer established.
     #[must_use]
     pub fn is_connected(&self, to: &PeerAddress) -> bool {
         self.outbound().is_up(*to)
     }
 
-    /// A copy of all counts.
+    /// Returns a copy of all counters.
     #[must_use]
     pub fn counters(&self) -> CounterSnapshot {
         self.counters.snapshot()
--- a/crates/damaskvane-peer/tests/transport.rs
+++ b/crates/damaskvane-peer/tests/transport.rs
@@ -56,7 +56,7 @@
     transport::Transport::listen(settings).expect("a free port")
 }
 
-/// Sends until the other side has it, as callers do: the transport itself promises no delivery.
+/// Polls the check until it holds, and panics after 10 s.
 fn wait_until(mut check: impl FnMut() -> bool) {
     let deadline = std::time::Instant::now() + WAIT;
     while !check() {
@@ -79,28 +79,28 @@
     assert_eq!(received.message, Message::Number { value: 7 });
     assert_eq!(a.counters().sent["number"].bytes, received.bytes.get());
     wait_until(|| b.counters().received.contains_key("number"));
-    // The word that the connection is up comes from another thread than the message, and may come after it.
+    // Another thread reports the connection as up, possibly after the message has arrived.
     wait_until(|| a.is_connected(b.local_address()));
 }
 
-/// A machine that is not one of ours, or one that was taken off the list, sends messages that look right.
-/// If they were believed, a stranger could move traffic; users would see errors from nowhere.
+/// A machine outside the fleet, or an instance that was removed from the list, sends valid messages. If
+/// they were accepted, an unknown sender could redirect traffic and cause errors for clients.
 #[test]
-fn instances_that_are_not_listed_are_not_heard() {
-    let (stranger, _) = listen::<Message>(settings("stranger"));
+fn messages_of_unlisted_senders_are_dropped() {
+    let (unlisted, _) = listen::<Message>(settings("unlisted"));
     let (b, received) = listen::<Message>(settings("b"));
     b.set_allowed_senders([instance("a")]);
-    stranger
+    unlisted
         .send(b.local_address(), &Message::Text("obey".into()))
         .unwrap();
     wait_until(|| b.counters().dropped.get("unlisted") == Some(&1));
     assert!(received.is_empty());
 }
 
-/// A peer with a fault sends in a tight loop. Without a bound it would take the processor from requests,
-/// and users would see slow answers everywhere.
+/// A faulty peer sends in a tight loop. Without a limit, its messages would take processor time from
+/// requests and slow down the responses to all clients.
 #[test]
-fn a_sender_over_its_rate_is_cut_to_it() {
+fn a_sender_over_its_rate_is_limited() {
     let (a, _) = listen::<Message>(settings("a"));
     let (b, received) = listen::<Message>(settings::PeerSettings {
         max_messages_per_second: 1,
@@ -115,7 +115,7 @@
     assert!(received.len() < 20);
 }
 
-/// An oversized message would take memory on every receiver. The sender refuses it and says what to do.
+/// An oversized message would take memory on every receiver, so the sender rejects it.
 #[test]
 fn a_message_over_the_limit_is_refused() {
     let (a, _) = listen::<Message>(settings::PeerSettings {
@@ -127,10 +127,10 @@
     assert_eq!(a.counters().dropped["too-large"], 1);
 }
 
-/// During an upgrade a newer version sends fields and messages that this one does not know. The fields
-/// are skipped and the messages counted; neither may break the connection for the rest.
+/// During an upgrade a newer version sends fields and messages that this version does not know. The
+/// fields are skipped and the messages counted; neither may close the connection for other messages.
 #[test]
-fn a_newer_version_is_understood_as_far_as_possible() {
+fn unknown_fields_and_messages_of_a_newer_version_are_skipped() {
     let (newer, _) = listen::<NewerMessage>(settings("a"));
     let (b, received) = listen::<Message>(settings("b"));
     b.set_allowed_senders([instance("a")]);
@@ -145,17 +145,17 @@
     assert_eq!(b.counters().dropped["unknown-message"], 1);
 }
 
-/// A peer is down. Sending to it must not wait, and what waited for it is given up after the grace: old
-/// heartbeats that arrive after a cut would make a dead instance look alive.
+/// A peer is down. Sending to it must not wait, and its queued messages are dropped after the grace:
+/// old heartbeats that arrive after a network partition would make a dead instance appear alive.
 #[test]
-fn messages_for_a_peer_that_is_down_are_given_up() {
+fn messages_for_a_peer_that_is_down_are_dropped() {
     let (a, _) = listen::<Message>(settings::PeerSettings {
         connect_grace_ms: time::SpanMs::new(50),
         ..settings("a")
     });
-    let (gone, _) = listen::<Message>(settings("gone"));
-    let address: address::PeerAddress = *gone.local_address();
-    drop(gone);
+    let (stopped, _) = listen::<Message>(settings("stopped"));
+    let address: address::PeerAddress = *stopped.local_address();
+    drop(stopped);
     a.send(&address, &Message::Number { value: 1 }).unwrap();
     assert!(!a.is_connected(&address));
     wait_until(|| {
@@ -165,10 +165,10 @@
     assert_eq!(a.counters().dropped["not-connected"], 1);
 }
 
-/// A connection goes silent for good while new ones work. The caller notices by its heartbeats and asks
-/// for a fresh one; the next message must then arrive.
+/// A connection stops delivering for good while new ones work. The caller detects this by missing
+/// heartbeats and calls `reconnect`; the next message must then arrive.
 #[test]
-fn a_fresh_connection_is_made_on_demand() {
+fn a_message_after_reconnect_arrives_over_a_new_connection() {
     let (a, _) = listen::<Message>(settings("a"));
     let (b, received) = listen::<Message>(settings("b"));
     b.set_allowed_senders([instance("a")]);
@@ -182,7 +182,7 @@
     }
 }
 
-/// A restarted peer listens at its old address again. Messages must reach it without anyone's help.
+/// A restarted peer listens at its old address again. Messages must reach it without a `reconnect`.
 #[test]
 fn a_restarted_peer_is_reached_again() {
     let (a, _) = listen::<Message>(settings("a"));
@@ -193,11 +193,11 @@
     received.recv_timeout(WAIT).unwrap();
     let listen_address = *b.local_address();
     drop((b, received));
-    let again = settings::PeerSettings {
+    let restarted = settings::PeerSettings {
         listen_address,
         ..settings("b")
     };
-    let (b, received) = listen::<Message>(again);
+    let (b, received) = listen::<Message>(restarted);
     b.set_allowed_senders([instance("a")]);
     wait_until(|| {
         let _ = a.send(&listen_address, &Message::Number { value: 2 });
@@ -205,9 +205,9 @@
     });
 }
 
-/// Too many peers, or a fault that dials without end, must not use up sockets and memory.
+/// Too many peers, or a fault that opens connections without end, must not exhaust sockets and memory.
 #[test]
-fn connections_are_limited() {
+fn outgoing_connections_are_limited() {
     let (a, _) = listen::<Message>(settings::PeerSettings {
         connection_limit: 1,
         ..settings("a")
@@ -222,8 +222,8 @@
     ));
 }
 
-/// More instances connect than are let in. Those above the limit are closed and counted, and those that are
-/// in are heard.
+/// More instances connect than the limit allows. Connections above the limit are closed and counted, and
+/// messages over the other connections still arrive.
 #[test]
 fn incoming_connections_are_limited() {
     let (b, received) = listen::<Message>(settings::PeerSettings {
@@ -241,6 +241,6 @@
     wait_until(|| b.counters().dropped.contains_key("connection-limit"));
     a.send(b.local_address(), &Message::Number { value: 3 })
         .unwrap();
-    let heard = received.recv_timeout(WAIT).unwrap();
-    assert_eq!(heard.message, Message::Number { value: 3 });
+    let received_again = received.recv_timeout(WAIT).unwrap();
+    assert_eq!(received_again.message, Message::Number { value: 3 });
 }
