--- a/crates/damaskvane-objects/src/api/read.rs
+++ b/crates/damaskvane-objects/src/api/read.rs
@@ -16,7 +16,7 @@
     /// the platform limits the call rate; call again after {0}
     RateLimited(time::SpanMs),
     /// this program has used up its rate budget; call again after {0} or raise calls_per_second
-    BudgetSpent(time::SpanMs),
+    BudgetExhausted(time::SpanMs),
     /// the platform refuses the token; check the token file and its holder
     Unauthorized,
     /// the platform's response is invalid ({0}); check the address and the versions
@@ -30,7 +30,7 @@
         match self {
             Self::Unavailable(_) => "unavailable",
             Self::RateLimited(_) => "rate-limited",
-            Self::BudgetSpent(_) => "budget-spent",
+            Self::BudgetExhausted(_) => "budget-spent",
             Self::Unauthorized => "unauthorized",
             Self::Protocol(_) => "protocol",
         }
--- a/crates/damaskvane-objects/src/api/write.rs
+++ b/crates/damaskvane-objects/src/api/write.rs
@@ -58,7 +58,7 @@
     /// the platform limits the call rate; try again after {0}
     RateLimited(time::SpanMs),
     /// this program has used up its rate budget; try again after {0} or raise calls_per_second
-    BudgetSpent(time::SpanMs),
+    BudgetExhausted(time::SpanMs),
     /// the platform refuses the token or the author; check the token file and its holder
     Unauthorized,
     /// the value is larger than one megabyte; split the object
@@ -75,7 +75,7 @@
             Self::NoConnection(_) => "no-connection",
             Self::Outage => "outage",
             Self::RateLimited(_) => "rate-limited",
-            Self::BudgetSpent(_) => "budget-spent",
+            Self::BudgetExhausted(_) => "budget-spent",
             Self::Unauthorized => "unauthorized",
             Self::TooLarge => "too-large",
             Self::Refused(_) => "refused",
@@ -87,7 +87,7 @@
     pub const fn is_transient(&self) -> bool {
         matches!(
             self,
-            Self::NoConnection(_) | Self::Outage | Self::RateLimited(_) | Self::BudgetSpent(_)
+            Self::NoConnection(_) | Self::Outage | Self::RateLimited(_) | Self::BudgetExhausted(_)
         )
     }
 }
--- a/crates/damaskvane-objects/src/http/client.rs
+++ b/crates/damaskvane-objects/src/http/client.rs
@@ -113,7 +113,8 @@
         call: &'static str,
         request: RequestBuilder,
     ) -> Result<BufferedResponse, ReadError> {
-        self.wait_for_budget(call).map_err(ReadError::BudgetSpent)?;
+        self.wait_for_budget(call)
+            .map_err(ReadError::BudgetExhausted)?;
         let response = request
             .send()
             .map_err(|error| ReadError::Unavailable(error.to_string()))?;
@@ -138,7 +139,7 @@
         write_id: &WriteId,
     ) -> WriteResult {
         let result = match self.wait_for_budget(call) {
-            Err(wait) => WriteResult::NotApplied(NotAppliedReason::BudgetSpent(wait)),
+            Err(wait) => WriteResult::NotApplied(NotAppliedReason::BudgetExhausted(wait)),
             Ok(()) => {
                 self.lock_counts().bytes_out += value.len() as u64;
                 let sent = request
@@ -213,7 +214,7 @@
     }
 
     fn watch(&self, kind: &str, after: Revision, wait: time::SpanMs) -> Result<Listing, ReadError> {
-        // The timeout ends a watch whose response never arrives.
+        // Without a timeout, a watch whose response never arrives would block the caller for ever.
         let timeout = wait.to_duration() + self.settings.timeout_ms.to_duration();
         let path = format!("objects/{kind}?after={after}&wait_ms={}", wait.get());
         let request = self
--- a/crates/damaskvane-objects/tests/faults.rs
+++ b/crates/damaskvane-objects/tests/faults.rs
@@ -268,7 +268,7 @@
     assert!(api.watch("head", Revision::START, SpanMs::new(1)).is_ok());
     let exhausted = api.list("head");
     assert!(
-        matches!(exhausted, Err(ReadError::BudgetSpent(_))),
+        matches!(exhausted, Err(ReadError::BudgetExhausted(_))),
         "{exhausted:?}"
     );
     assert_eq!(api.counts().calls(), 1);
