--- a/crates/damaskvane-entry/src/control.rs
+++ b/crates/damaskvane-entry/src/control.rs
@@ -1,9 +1,9 @@
 //! The control thread: configuration, membership and steering of this instance.
 //!
-//! It owns every slow decision and publishes the results: a serving state for look-ups, a directory
-//! for the engine, an address book for the peers. `configuration` drives the relay of the
-//! configuration, `fleet` the membership, `steering` the plan; each turns actions of pure decision code
-//! into calls and messages, and their ends back into events.
+//! The control thread makes the decisions that do not concern a single request, and publishes the results:
+//! a serving state for lookups, a directory for the engine, an address book for the transport to peers.
+//! `configuration` drives the relay of the configuration, `fleet` the membership, `steering` the plan. Each
+//! module turns the actions of pure decision code into calls and messages, and their results into events.
 //!
 //! ```
 //! use damaskvane_entry::control;
@@ -48,7 +48,7 @@
 const PLAN_PERIOD: time::SpanMs = time::SpanMs::new(500);
 const MAINTENANCE_PERIOD: time::SpanMs = time::SpanMs::new(1_000);
 
-/// What the control thread works with.
+/// State of the control thread, which [`Control::run`] runs.
 pub struct Control {
     record: api::InstanceRecord,
     serving: Arc<serving::Serving>,
@@ -56,42 +56,42 @@
     peers: Arc<peers::Peers>,
     store: store::Store,
     status: status::Source,
-    health: flume::Sender<Vec<health_reports::Asked>>,
+    health: flume::Sender<Vec<health_reports::PolledServer>>,
     stop: flume::Sender<()>,
     own_inbox: flume::Sender<ControlInput>,
     logger: slog::Logger,
     relay: relay::Relay,
     watch: configuration::Watch,
     membership: view::Membership,
-    list: fleet::ListReads,
+    instance_list: fleet::InstanceListState,
     steering: steering::Steering,
 }
 
-/// The parts that a control thread is made of.
+/// Arguments of [`Control::new`].
 pub struct ControlParts {
-    /// What this instance announces of itself.
+    /// Record of this instance that is written to the platform's list of instances.
     pub record: api::InstanceRecord,
-    /// The settings.
+    /// Contents of the settings file.
     pub settings: settings::EntrySettings,
-    /// Instances to ask while the platform is down.
+    /// Peers that receive a request for the list of instances until the platform or a peer sends one.
     pub seeds: peers::Seeds,
-    /// What look-ups are answered from.
+    /// State that the client API serves lookups from, with the counters and the clock.
     pub serving: Arc<serving::Serving>,
-    /// The engine's inbox.
+    /// Sender to the engine's thread.
     pub engine: flume::Sender<inbox::Input>,
-    /// Other instances.
+    /// Transport to the other instances.
     pub peers: Arc<peers::Peers>,
-    /// The platform.
+    /// Threads that call the platform's object API.
     pub store: store::Store,
-    /// Where details for operators are published.
+    /// Values that the operator API shows.
     pub status: status::Source,
-    /// Which backend servers are asked for their health.
-    pub health: flume::Sender<Vec<health_reports::Asked>>,
-    /// Asks the process to stop as if an operator had.
+    /// Sender of the backend servers to poll for their health.
+    pub health: flume::Sender<Vec<health_reports::PolledServer>>,
+    /// Sender of requests to stop the process, with the same effect as SIGTERM.
     pub stop: flume::Sender<()>,
-    /// The control thread's own inbox, for the ends of what it starts.
+    /// Sender to the control thread itself, for the results of probes.
     pub own_inbox: flume::Sender<ControlInput>,
-    /// The log.
+    /// Logger with the instance and the availability zone as fields.
     pub logger: slog::Logger,
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl Control {
-    /// A control thread's worth of state, not yet running.
+    /// Creates the state of the control thread; the caller starts the thread with [`Self::run`].
     #[must_use]
     pub fn new(parts: ControlParts) -> Self {
         let me = relay::Member {
@@ -118,7 +118,7 @@
         );
         let seed = parts.record.incarnation.get();
         let now = parts.serving.clock.now();
-        let memberships = membership_settings::MembershipSettings {
+        let view_settings = membership_settings::MembershipSettings {
             min_period_ms: time::SpanMs::new(parts.settings.heartbeat_ms),
             ..membership_settings::MembershipSettings::default()
         };
@@ -135,13 +135,13 @@
             logger: parts.logger,
             relay: relay::Relay::new(me, relay::RelaySettings::default(), seed),
             watch: configuration::Watch::default(),
-            membership: view::Membership::new(own, memberships, now),
-            list: fleet::ListReads::new(seed, parts.seeds),
+            membership: view::Membership::new(own, view_settings, now),
+            instance_list: fleet::InstanceListState::new(seed, parts.seeds),
             steering: steering::Steering::default(),
         }
     }
 
-    /// Runs until every sender of the inbox is gone.
+    /// Runs until every sender of `inbox` is dropped.
     pub fn run(mut self, inbox: &flume::Receiver<ControlInput>) {
         let mut service = timer::TimerService::new(self.now());
         let timers = Timers {
@@ -151,8 +151,8 @@
             maintenance: service.subscribe(MAINTENANCE_PERIOD),
         };
         self.announce();
-        self.ask_seeds();
-        self.tell_relay(relay::Event::Tick);
+        self.request_list_from_seeds();
+        self.drive_relay(relay::Event::Tick);
         loop {
             let due = service.next_due().unwrap_or_else(|| self.now());
             match inbox.recv_timeout(due.since(self.now()).to_duration()) {
@@ -161,7 +161,7 @@
                 Err(flume::RecvTimeoutError::Disconnected) => return,
             }
             for fired in service.advance(self.now()) {
-                self.fire(fired, timers);
+                self.handle_timer(fired, timers);
             }
         }
     }
@@ -170,16 +170,16 @@
         self.serving.clock.now()
     }
 
-    fn fire(&mut self, fired: timer::TimerId, timers: Timers) {
+    fn handle_timer(&mut self, fired: timer::TimerId, timers: Timers) {
         if fired == timers.relay {
-            self.tell_relay(relay::Event::Tick);
-            self.watch_if_due();
+            self.drive_relay(relay::Event::Tick);
+            self.start_watch_if_due();
         } else if fired == timers.membership {
-            self.tell_membership(view::Event::Tick);
+            self.drive_membership(view::Event::Tick);
             self.read_list_if_due();
         } else if fired == timers.plan {
-            self.report();
-            self.steer();
+            self.update_heartbeat_report();
+            self.update_plan();
         } else if fired == timers.maintenance {
             self.maintain();
         }
@@ -193,7 +193,7 @@
                 instance,
                 incarnation,
                 outcome,
-            } => self.tell_membership(view::Event::Probed {
+            } => self.drive_membership(view::Event::Probed {
                 instance,
                 incarnation,
                 outcome,
@@ -206,12 +206,12 @@
         let from = received.from;
         match received.message {
             wire::WireMessage::Heartbeat(heartbeat) => {
-                self.heartbeat(from, received.incarnation, heartbeat);
+                self.handle_heartbeat(from, received.incarnation, heartbeat);
             }
-            wire::WireMessage::Fleet(message) => self.fleet(message),
-            wire::WireMessage::Load(load) => self.take_load(from, load),
-            wire::WireMessage::Digests(bundle) => self.take_digests(&from, bundle),
-            wire::WireMessage::Configuration(message) => self.configuration(from, message),
+            wire::WireMessage::Fleet(message) => self.handle_fleet(message),
+            wire::WireMessage::Load(load) => self.handle_load(from, load),
+            wire::WireMessage::Digests(bundle) => self.handle_digests(&from, bundle),
+            wire::WireMessage::Configuration(message) => self.handle_configuration(from, message),
             wire::WireMessage::Engine(message) => {
                 let from = home::Home::new(from, received.incarnation);
                 let _ = self
@@ -223,22 +223,23 @@
 
     fn maintain(&mut self) {
         self.peers.maintain();
-        self.measure();
+        self.measure_load();
         self.publish_status();
         self.publish_steering();
     }
 
-    /// A planned stop: look-up answers of all instances leave this one out from now on.
+    /// Begins a planned stop: announces to the platform, to the peers and to the engine that this instance
+    /// leaves, so that no instance names it in lookup responses any more.
     fn leave(&mut self) {
         if self.record.leaving {
             return;
         }
-        info!(self.logger, "leaving look-up answers");
+        info!(self.logger, "removing this instance from lookup responses");
         self.record.leaving = true;
         self.status.leaving.store(1, Ordering::Release);
         self.announce();
-        self.tell_membership(view::Event::Leave);
-        self.tell_leave();
+        self.drive_membership(view::Event::Leave);
+        self.send_leave_notice();
         self.publish();
         let _ = self.engine.send(inbox::Input::Event(event::Event::Leave));
     }
--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -1,7 +1,7 @@
-//! Drives the membership: its actions become heartbeats, probes, and marks in the platform.
+//! Drives the membership: turns its actions into heartbeats, probes, and fence records in the platform.
 //!
 //! ```text
-//! platform's list + heartbeats -> who lives, who leaves, who is proven gone
+//! platform's list + heartbeats -> instances that are live, leaving, dead or gone
 //! ```
 
 use core::time::Duration;
@@ -26,79 +26,81 @@
 use crate::store;
 use crate::wire;
 
-/// Reads of the list that the whole fleet makes in a second, whatever its size.
+/// Reads of the platform's list per second by all instances together, whatever their number.
 const FLEET_LIST_READS_PER_SECOND: u64 = 60;
-const SHORTEST_LIST_PERIOD_MS: u64 = 1_000;
+const MIN_LIST_PERIOD_MS: u64 = 1_000;
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-const SEED_PERIOD: time::SpanMs = time::SpanMs::new(500);
-const ANNOUNCE_PAUSE: time::SpanMs = time::SpanMs::new(1_000);
+const SEED_REQUEST_PERIOD: time::SpanMs = time::SpanMs::new(500);
+const ANNOUNCE_RETRY_DELAY: time::SpanMs = time::SpanMs::new(1_000);
 
-/// What the address book and the directory take from the list.
+/// Fields of a list entry that the address book and the directory use.
 #[derive(Debug, PartialEq, Eq)]
-struct Listed {
+struct ListedInstance {
     instance: ids::InstanceId,
     incarnation: ids::Incarnation,
     peer_address: net::SocketAddr,
 }
 
-/// When the list is read next.
+/// State of reading the platform's list of instances, of announcing this instance, and of the seeds.
 #[derive(Debug)]
-pub(super) struct ListReads {
+pub(super) struct InstanceListState {
     rng: Pcg64Mcg,
-    is_out: bool,
-    next_at: time::TimeMs,
-    announce_at: Option<time::TimeMs>,
-    known: usize,
-    listed: Vec<Listed>,
+    is_pending: bool,
+    next_read_at: time::TimeMs,
+    announce_retry_at: Option<time::TimeMs>,
+    instance_count: usize,
+    listed: Vec<ListedInstance>,
     pub(super) seeds: peers::Seeds,
-    pub(super) seeds_asked_at: time::TimeMs,
-    pub(super) has_told_start: bool,
+    pub(super) seeds_requested_at: time::TimeMs,
+    pub(super) start_notice_sent: bool,
 }
 
-impl ListReads {
+impl InstanceListState {
     pub(super) fn new(seed: u64, seeds: peers::Seeds) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            is_out: false,
-            next_at: time::TimeMs::ZERO,
-            announce_at: None,
-            known: 0,
+            is_pending: false,
+            next_read_at: time::TimeMs::ZERO,
+            announce_retry_at: None,
+            instance_count: 0,
             listed: Vec::new(),
             seeds,
-            seeds_asked_at: time::TimeMs::ZERO,
-            has_told_start: false,
+            seeds_requested_at: time::TimeMs::ZERO,
+            start_notice_sent: false,
         }
     }
 
-    /// The period grows with the fleet, so that the calls on the platform do not; the jitter keeps
-    /// instances that saw the same outage end from asking all at once.
-    fn plan_next(&mut self, now: time::TimeMs) {
-        let by_size_ms = self.known as u64 * 1_000 / FLEET_LIST_READS_PER_SECOND;
-        let period_ms = by_size_ms.max(SHORTEST_LIST_PERIOD_MS);
+    /// Schedules the next read of the list.
+    ///
+    /// The period grows with the number of instances, so that the rate of calls on the platform stays the
+    /// same. Jitter prevents all instances from reading the list at once after an outage of the platform.
+    fn schedule_next_read(&mut self, now: time::TimeMs) {
+        let by_size_ms = self.instance_count as u64 * 1_000 / FLEET_LIST_READS_PER_SECOND;
+        let period_ms = by_size_ms.max(MIN_LIST_PERIOD_MS);
         let jittered_ms = self.rng.random_range(period_ms / 2..=period_ms * 3 / 2);
-        self.next_at = now + time::SpanMs::new(jittered_ms);
+        self.next_read_at = now + time::SpanMs::new(jittered_ms);
     }
 }
 
 impl Control {
-    pub(super) fn tell_membership(&mut self, event: view::Event) {
+    pub(super) fn drive_membership(&mut self, event: view::Event) {
         let now = self.now();
         let mut changed = false;
         for action in self.membership.handle(now, event) {
-            changed |= self.membership_action(action);
+            changed |= self.apply_membership_action(action);
         }
         let roster = Box::new(self.membership.roster());
         let _ = self
             .engine
             .send(inbox::Input::Event(event::Event::Roster(roster)));
         if changed {
-            self.fleet_changed();
-            self.tell_start();
+            self.publish_membership();
+            self.send_start_notice();
         }
     }
 
-    /// Carries an action out; true if it changes who takes work.
-    fn membership_action(&mut self, action: view::Action) -> bool {
+    /// Carries out an action. Returns whether the address book and the directory have to be published again.
+    fn apply_membership_action(&mut self, action: view::Action) -> bool {
         match action {
             view::Action::Send { to, heartbeat, .. } => {
                 self.peers
@@ -133,9 +135,9 @@
                 instance,
                 incarnation,
             }),
-            view::Action::AllowPeers(_) => return self.listing_changed(),
+            view::Action::AllowPeers(_) => return self.update_listed_instances(),
             view::Action::Changed { instance, state } => {
-                info!(self.logger, "an instance changed"; "peer" => %instance,
+                info!(self.logger, "instance state changed"; "peer" => %instance,
                     "state" => state.map_or("forgotten", |state| state.as_str()));
                 return true;
             }
@@ -144,7 +146,7 @@
                 self.serving.counters.increment("membership", "woke");
             }
             view::Action::OwnFenced => {
-                error!(self.logger, "this instance was replaced or fenced; it stops"; "reason" => "fenced");
+                error!(self.logger, "this instance was replaced or fenced; stopping"; "reason" => "fenced");
                 let _ = self.stop.send(());
                 return true;
             }
@@ -152,23 +154,24 @@
         false
     }
 
-    /// Whether the list names another start or address than before; most reads of it change nothing.
-    fn listing_changed(&mut self) -> bool {
-        let listed: Vec<Listed> = self
+    /// Stores the listed instances. Returns whether an instance, an incarnation or an address changed, which
+    /// few reads of the list show.
+    fn update_listed_instances(&mut self) -> bool {
+        let listed: Vec<ListedInstance> = self
             .membership
             .instances()
-            .map(|instance| Listed {
+            .map(|instance| ListedInstance {
                 instance: instance.record.instance.clone(),
                 incarnation: instance.incarnation,
                 peer_address: instance.record.peer_address,
             })
             .collect();
-        let is_changed = listed != self.list.listed;
-        self.list.listed = listed;
+        let is_changed = listed != self.instance_list.listed;
+        self.instance_list.listed = listed;
         is_changed
     }
 
-    fn fleet_changed(&mut self) {
+    fn publish_membership(&mut self) {
         let mut book = peers::AddressBook::default();
         let mut members = Vec::new();
         for instance in self.membership.instances() {
@@ -182,39 +185,41 @@
             }
         }
         self.peers.set_book(book);
-        self.tell_relay(relay::Event::Membership(relay::View { members }));
+        self.drive_relay(relay::Event::Membership(relay::View { members }));
         self.publish();
     }
 
-    pub(super) fn heartbeat(
+    pub(super) fn handle_heartbeat(
         &mut self,
         from: ids::InstanceId,
         incarnation: ids::Incarnation,
         heartbeat: heartbeat::Heartbeat,
     ) {
-        let heard = relay::Event::Heard {
+        let version_received = relay::Event::Heard {
             from: from.clone(),
             version: heartbeat.config_version,
             state_hash: None,
         };
-        self.tell_membership(view::Event::Heartbeat {
+        self.drive_membership(view::Event::Heartbeat {
             from,
             incarnation,
             heartbeat,
         });
-        self.tell_relay(heard);
+        self.drive_relay(version_received);
     }
 
-    /// What heartbeats say of this instance from now on.
-    pub(super) fn report(&mut self) {
+    /// Updates the configuration version that heartbeats of this instance report.
+    pub(super) fn update_heartbeat_report(&mut self) {
         let config_version = self.relay.adopter().version();
-        self.tell_membership(view::Event::Report {
+        self.drive_membership(view::Event::Report {
             config_version,
             load: heartbeat::LoadSummary::default(),
         });
     }
 
-    /// A refused connection proves that the process is gone; silence proves nothing.
+    /// Probes an instance with a TCP connection, on a thread of its own.
+    ///
+    /// A refused connection proves that the process has ended; a timeout proves nothing.
     fn probe(
         &self,
         instance: ids::InstanceId,
@@ -242,74 +247,78 @@
 
     pub(super) fn read_list_if_due(&mut self) {
         let now = self.now();
-        if self.list.announce_at.is_some_and(|at| at <= now) {
+        if self
+            .instance_list
+            .announce_retry_at
+            .is_some_and(|at| at <= now)
+        {
             self.announce();
         }
-        if now.since(self.list.seeds_asked_at) >= SEED_PERIOD {
-            self.ask_seeds();
+        if now.since(self.instance_list.seeds_requested_at) >= SEED_REQUEST_PERIOD {
+            self.request_list_from_seeds();
         }
-        if self.list.is_out || self.list.next_at > now {
+        if self.instance_list.is_pending || self.instance_list.next_read_at > now {
             return;
         }
-        self.list.is_out = true;
+        self.instance_list.is_pending = true;
         self.store
             .submit(store::StoreJob::ListInstances { asked_at: now });
     }
 
-    pub(super) fn take_list(&mut self, records: Vec<api::InstanceRecord>, asked_at: time::TimeMs) {
+    pub(super) fn apply_list(&mut self, records: Vec<api::InstanceRecord>, asked_at: time::TimeMs) {
         let now = self.now();
-        self.list.is_out = false;
-        self.list.known = records.len();
-        self.list.plan_next(now);
-        let records = records.into_iter().map(listed).collect();
-        self.tell_membership(view::Event::List {
+        self.instance_list.is_pending = false;
+        self.instance_list.instance_count = records.len();
+        self.instance_list.schedule_next_read(now);
+        let records = records.into_iter().map(to_membership_record).collect();
+        self.drive_membership(view::Event::List {
             records,
             age: now.since(asked_at),
             source: view::ListSource::Platform,
         });
     }
 
-    pub(super) fn list_failed(&mut self) {
+    pub(super) fn handle_list_failure(&mut self) {
         let now = self.now();
-        self.list.is_out = false;
-        self.list.plan_next(now);
+        self.instance_list.is_pending = false;
+        self.instance_list.schedule_next_read(now);
     }
 
     pub(super) fn announce(&mut self) {
-        self.list.announce_at = None;
+        self.instance_list.announce_retry_at = None;
         let record = self.record.clone();
         self.store.submit(store::StoreJob::Announce(record));
     }
 
-    pub(super) fn announced(&mut self) {
-        info!(self.logger, "announced to the platform"; "leaving" => self.record.leaving);
-        self.list.next_at = self.now();
+    pub(super) fn handle_announced(&mut self) {
+        info!(self.logger, "instance record written to the platform"; "leaving" => self.record.leaving);
+        self.instance_list.next_read_at = self.now();
     }
 
-    pub(super) fn announce_failed(&mut self) {
-        self.list.announce_at = Some(self.now() + ANNOUNCE_PAUSE);
+    pub(super) fn handle_announce_failure(&mut self) {
+        self.instance_list.announce_retry_at = Some(self.now() + ANNOUNCE_RETRY_DELAY);
     }
 
-    pub(super) fn fenced(
+    pub(super) fn handle_fence_outcome(
         &mut self,
         instance: ids::InstanceId,
         incarnation: ids::Incarnation,
         outcome: store::FenceOutcome,
     ) {
         match outcome {
-            store::FenceOutcome::Taken => self.tell_membership(view::Event::Fenced {
+            store::FenceOutcome::Taken => self.drive_membership(view::Event::Fenced {
                 instance,
                 incarnation,
             }),
             store::FenceOutcome::NotTaken => {
-                self.tell_membership(view::Event::FenceFailed { instance });
+                self.drive_membership(view::Event::FenceFailed { instance });
             }
             store::FenceOutcome::Unknown => {}
         }
     }
 }
 
-pub(super) fn listed(record: api::InstanceRecord) -> record::InstanceRecord {
+pub(super) fn to_membership_record(record: api::InstanceRecord) -> record::InstanceRecord {
     record::InstanceRecord {
         instance: record.instance,
         zone: record.availability_zone,
--- a/crates/damaskvane-entry/src/control/input.rs
+++ b/crates/damaskvane-entry/src/control/input.rs
@@ -1,4 +1,4 @@
-//! What the control thread receives.
+//! The messages that the control thread receives.
 //!
 //! ```
 //! use damaskvane_entry::control;
@@ -13,22 +13,22 @@
 use crate::store;
 use crate::wire;
 
-/// One message to the control thread.
+/// Message to the control thread.
 #[derive(Debug)]
 pub enum ControlInput {
-    /// A call on the platform ended.
+    /// Result of a call on the platform.
     Store(store::StoreReport),
-    /// Another instance sent a message.
+    /// Message from another instance.
     Peer(Box<transport::Received<wire::WireMessage>>),
-    /// A probe of an instance that was silent ended.
+    /// Result of a probe of an instance whose heartbeats stopped.
     Probed {
-        /// The instance.
+        /// Probed instance.
         instance: ids::InstanceId,
-        /// The start that was asked about.
+        /// Incarnation that the membership suspects to have stopped.
         incarnation: ids::Incarnation,
-        /// What was found at its address.
+        /// Result of the connection attempt to the instance's address.
         outcome: view::ProbeOutcome,
     },
-    /// A planned stop has begun.
+    /// Begin a planned stop of this instance.
     Leave,
 }
--- a/crates/damaskvane-entry/src/control/notices.rs
+++ b/crates/damaskvane-entry/src/control/notices.rs
@@ -1,4 +1,4 @@
-//! What instances of other zones are told at once: that this one has started, or leaves.
+//! Notices to instances of other zones that this instance has started or leaves.
 //!
 //! ```text
 //! first list -> start notice to other zones; planned stop -> leave notice
@@ -10,33 +10,36 @@
 use crate::control::Control;
 use crate::wire;
 
-/// A notice stands alone; the next heartbeat, if there is one, says when to expect more.
+/// Heartbeat period that a notice states. A notice is a single message; a regular heartbeat, if one follows,
+/// states its own period.
 const NOTICE_PERIOD: time::SpanMs = time::SpanMs::new(2_500);
-/// Sequences of the only two heartbeats that other zones get.
+/// Sequence numbers of the two notices, the only heartbeats that go to other zones.
 const START_NOTICE: u64 = 0;
 const LEAVE_NOTICE: u64 = 1;
 
 impl Control {
-    /// Tells every instance of this start, once the first list names them.
+    /// Sends the start notice to all instances of other zones, once, after the first list of instances.
     ///
-    /// Instances of other zones learn of a start from the platform's list alone. During an outage they
-    /// would name the earlier start in look-up answers, and a client that followed one would get outcome
-    /// unknown from this process.
-    pub(super) fn tell_start(&mut self) {
-        if self.list.has_told_start || self.membership.list_age().is_none() {
+    /// Without the notice, instances of other zones learn this incarnation from the platform's list only.
+    /// During an outage of the platform they would name the previous incarnation in lookup responses, and a
+    /// client that used such a response would get outcome *unknown* from this process.
+    pub(super) fn send_start_notice(&mut self) {
+        if self.instance_list.start_notice_sent || self.membership.list_age().is_none() {
             return;
         }
-        self.list.has_told_start = true;
-        self.tell_other_zones(START_NOTICE, false);
+        self.instance_list.start_notice_sent = true;
+        self.send_notice_to_other_zones(START_NOTICE, false);
     }
 
-    /// Tells every instance that this one leaves. The list would tell those of other zones seconds later,
-    /// and their look-ups would send clients here until after the stop.
-    pub(super) fn tell_leave(&self) {
-        self.tell_other_zones(LEAVE_NOTICE, true);
+    /// Sends the leave notice to all instances of other zones.
+    ///
+    /// The platform's list shows the leave only seconds later, and until then lookup responses of other zones
+    /// would send clients to this instance, even after its stop.
+    pub(super) fn send_leave_notice(&self) {
+        self.send_notice_to_other_zones(LEAVE_NOTICE, true);
     }
 
-    fn tell_other_zones(&self, sequence: u64, leaving: bool) {
+    fn send_notice_to_other_zones(&self, sequence: u64, leaving: bool) {
         let message = wire::WireMessage::Heartbeat(heartbeat::Heartbeat {
             sequence,
             echo: None,
--- a/crates/damaskvane-entry/src/control/publishing.rs
+++ b/crates/damaskvane-entry/src/control/publishing.rs
@@ -1,7 +1,7 @@
-//! Publishes what the control thread knows: to look-ups, to the engine, to operators.
+//! Publishes the results of the control thread to lookups, to the engine and to operators.
 //!
 //! ```text
-//! configuration in force + membership -> serving state, directory, status
+//! active configuration + membership -> serving state, directory, status
 //! ```
 
 use std::collections::BTreeMap;
@@ -21,13 +21,14 @@
 use crate::translate;
 
 impl Control {
-    /// Sends the engine a new directory and look-ups a new state.
+    /// Sends the list of polled backend servers and a new directory, and replaces the plan and the serving
+    /// state. Does nothing while no configuration is active.
     pub(super) fn publish(&mut self) {
-        let Some(in_force) = self.relay.adopter().in_force().cloned() else {
+        let Some(active) = self.relay.adopter().in_force().cloned() else {
             return;
         };
-        let config = in_force.state();
-        let _ = self.health.send(self.asked(&config));
+        let config = active.state();
+        let _ = self.health.send(self.polled_servers(&config));
         let directory = translate::directory(
             &config,
             &self.record.availability_zone,
@@ -38,7 +39,7 @@
             .send(inbox::Input::Event(event::Event::Directory(Arc::new(
                 directory,
             ))));
-        self.steer();
+        self.update_plan();
     }
 
     pub(super) fn publish_serving(
@@ -99,8 +100,8 @@
         points
     }
 
-    /// The backend servers that this instance owns; it alone asks them for their health.
-    fn asked(&self, config: &state::ConfigState) -> Vec<health_reports::Asked> {
+    /// Returns the backend servers that this instance owns. Only their owner polls them for their health.
+    fn polled_servers(&self, config: &state::ConfigState) -> Vec<health_reports::PolledServer> {
         let roster = self.membership.roster();
         let owners: Vec<&ids::InstanceId> = roster
             .members
@@ -116,7 +117,7 @@
                 let owner = ownership::owner(id.as_str(), owners.iter().copied());
                 owner.as_ref() == Some(&self.record.instance)
             })
-            .map(|(id, server)| health_reports::Asked {
+            .map(|(id, server)| health_reports::PolledServer {
                 backend_server: id.clone(),
                 address: server.address,
             })
@@ -142,7 +143,7 @@
         let instances: Vec<_> = self
             .membership
             .instances()
-            .map(|instance| described(&instance))
+            .map(|instance| describe_instance(&instance))
             .collect();
         self.status.publish("instances", json!(instances));
         self.status
@@ -151,7 +152,7 @@
             .relay
             .adopter()
             .in_force()
-            .map(|in_force| in_force.state_hash().to_string());
+            .map(|active| active.state_hash().to_string());
         self.status.publish("state_hash", json!(state_hash));
     }
 }
@@ -168,7 +169,7 @@
     }
 }
 
-fn described(instance: &view::InstanceView<'_>) -> serde_json::Value {
+fn describe_instance(instance: &view::InstanceView<'_>) -> serde_json::Value {
     json!({
         "instance": instance.record.instance,
         "availability_zone": instance.record.zone,
--- a/crates/damaskvane-entry/src/control/seeding.rs
+++ b/crates/damaskvane-entry/src/control/seeding.rs
@@ -1,7 +1,7 @@
-//! The list of instances from peers, for one that starts while the platform is down.
+//! Fetches the list of instances from peers when this instance starts during an outage of the platform.
 //!
 //! ```text
-//! start without a list -> ask the seeds -> list, heartbeats, configuration from peers
+//! start without a list -> request to the seeds -> list, heartbeats, configuration from peers
 //! ```
 
 use damaskvane_core::ids;
@@ -12,31 +12,31 @@
 use crate::wire;
 
 impl Control {
-    /// Asks the seeds for the list while the platform has not given one.
+    /// Requests the list of instances from the seeds, as long as this instance has none.
     ///
-    /// An instance that is replaced during an outage would know nobody: it could take neither the
-    /// configuration nor heartbeats, and its clients would be refused until the platform is back.
-    pub(super) fn ask_seeds(&mut self) {
-        self.list.seeds_asked_at = self.now();
+    /// Otherwise an instance that is replaced during an outage of the platform would have no peers: it could
+    /// receive neither the configuration nor heartbeats, and would refuse clients until the outage ends.
+    pub(super) fn request_list_from_seeds(&mut self) {
+        self.instance_list.seeds_requested_at = self.now();
         if self.membership.list_age().is_some() {
             return;
         }
-        let book = self.list.seeds.book();
+        let book = self.instance_list.seeds.book();
         let seeds: Vec<ids::InstanceId> = book.instances().collect();
         self.peers.set_book(book);
         let reply_to = *self.peers.local_address();
         for seed in seeds {
-            let ask = wire::FleetMessage::AskList { reply_to };
-            self.peers.send(&seed, &wire::WireMessage::Fleet(ask));
+            let request = wire::FleetMessage::AskList { reply_to };
+            self.peers.send(&seed, &wire::WireMessage::Fleet(request));
         }
     }
 
-    pub(super) fn fleet(&mut self, message: wire::FleetMessage) {
+    pub(super) fn handle_fleet(&mut self, message: wire::FleetMessage) {
         match message {
-            wire::FleetMessage::AskList { reply_to } => self.answer_list(&reply_to),
+            wire::FleetMessage::AskList { reply_to } => self.send_list(&reply_to),
             wire::FleetMessage::List { records, age_ms } => {
                 if self.membership.list_age().is_none() {
-                    self.tell_membership(view::Event::List {
+                    self.drive_membership(view::Event::List {
                         records,
                         age: age_ms,
                         source: view::ListSource::Peer,
@@ -46,7 +46,7 @@
         }
     }
 
-    fn answer_list(&self, reply_to: &address::PeerAddress) {
+    fn send_list(&self, reply_to: &address::PeerAddress) {
         let Some(age_ms) = self.membership.list_age() else {
             return;
         };
@@ -58,7 +58,7 @@
                 ..instance.record.clone()
             })
             .collect();
-        records.push(fleet::listed(self.record.clone()));
+        records.push(fleet::to_membership_record(self.record.clone()));
         let list = wire::FleetMessage::List { records, age_ms };
         self.peers
             .send_to(reply_to, &wire::WireMessage::Fleet(list));
--- a/crates/damaskvane-entry/src/control/shifts.rs
+++ b/crates/damaskvane-entry/src/control/shifts.rs
@@ -1,7 +1,7 @@
-//! Moves of traffic that tickets order, as this instance carries them out.
+//! Progress of the declared traffic shifts, which move clients from one zone to another.
 //!
 //! ```text
-//! declared shift -> steps under its cap while the destination is recovery_time -> share of clients moved
+//! declared shift -> steps under its cap while the destination is healthy -> share of clients moved
 //! ```
 
 use std::collections::BTreeMap;
@@ -11,28 +11,31 @@
 use damaskvane_steering::{digest, input, shift, staleness};
 use serde_json::json;
 
-/// A ramp is walked in about so many steps.
-const STEPS: u64 = 8;
-const SHORTEST_STEP: time::SpanMs = time::SpanMs::new(200);
-const SHORTEST_CALM_MS: u64 = 5_000;
-/// Failed exchanges above this share of arrivals turn a shift back, in thousandths.
+/// Approximate number of steps of a ramp.
+const RAMP_STEPS: u64 = 8;
+const MIN_STEP_INTERVAL: time::SpanMs = time::SpanMs::new(200);
+const MIN_RECOVERY_MS: u64 = 5_000;
+/// Share of failed exchanges among arrivals, in thousandths, above which a shift steps back.
 const ERRORS_PERMILLE: u64 = 50;
 
 #[derive(Debug)]
-struct Running {
+struct RunningShift {
     declared: declaration::Shift,
     stage: Option<shift::Stage>,
 }
 
-/// Every declared shift with how far it is.
+/// Declared shifts with their progress.
 #[derive(Debug, Default)]
 pub(super) struct Shifts {
-    running: BTreeMap<String, Running>,
+    running: BTreeMap<String, RunningShift>,
 }
 
 impl Shifts {
-    /// Follows the declarations; `moved` is how far other zones have brought a shift that is new here.
-    pub(super) fn follow(
+    /// Adds and removes shifts as `config` declares them. A shift with a changed declaration is added anew.
+    ///
+    /// `moved` holds the progress of shifts in other zones, in thousandths by name; a shift that is new to
+    /// this instance resumes from there.
+    pub(super) fn apply_declarations(
         &mut self,
         config: &state::ConfigState,
         moved: &BTreeMap<String, u32>,
@@ -52,7 +55,7 @@
                     Some(moved) if *moved > 0 => accepted.resume(*moved, now),
                     _ => accepted.start(now),
                 };
-                Running {
+                RunningShift {
                     declared: declared.clone(),
                     stage: Some(shift::Stage::Ramping(ramping)),
                 }
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Goes on with each shift by what its destination shows.
+    /// Advances each shift according to the state of its destination zone.
     pub(super) fn advance(
         &mut self,
         view: &digest::View,
@@ -73,16 +76,16 @@
         }
     }
 
-    /// How far each shift is, in thousandths.
-    pub(super) fn moved(&self) -> BTreeMap<String, u32> {
-        self.progresses()
+    /// Returns the moved share of each shift by name, in thousandths.
+    pub(super) fn moved_permille(&self) -> BTreeMap<String, u32> {
+        self.progress()
             .map(|(name, _, progress)| (name.clone(), progress.moved_permille))
             .collect()
     }
 
-    /// The shifts as the planner applies them.
+    /// Returns the shifts in the planner's form.
     pub(super) fn movements(&self) -> Vec<input::Movement> {
-        self.progresses()
+        self.progress()
             .map(|(_, declared, progress)| input::Movement {
                 service: declared.service.clone(),
                 source: declared.from.clone(),
@@ -92,8 +95,8 @@
             .collect()
     }
 
-    pub(super) fn described(&self) -> Vec<serde_json::Value> {
-        self.progresses()
+    pub(super) fn progress_report(&self) -> Vec<serde_json::Value> {
+        self.progress()
             .map(|(name, declared, progress)| {
                 json!({
                     "shift": name,
@@ -106,7 +109,7 @@
             .collect()
     }
 
-    fn progresses(&self) -> impl Iterator<Item = (&String, &declaration::Shift, shift::Progress)> {
+    fn progress(&self) -> impl Iterator<Item = (&String, &declaration::Shift, shift::Progress)> {
         self.running.iter().filter_map(|(name, running)| {
             let progress = running.stage.as_ref()?.progress();
             Some((name, &running.declared, progress))
@@ -116,20 +119,22 @@
 
 fn order(declared: &declaration::Shift) -> shift::Order {
     let target_permille = declared.permille.get();
-    let step = time::SpanMs::new(declared.ramp_ms.get() / STEPS);
-    let steps = u32::try_from(STEPS).unwrap_or(1);
+    let step = time::SpanMs::new(declared.ramp_ms.get() / RAMP_STEPS);
+    let steps = u32::try_from(RAMP_STEPS).unwrap_or(1);
     shift::Order {
         target_permille,
         cap_permille: declared.cap_permille_per_window.get(),
         window: declared.window_ms,
         first_step_permille: (target_permille / steps).max(1),
-        warm_up: step.max(SHORTEST_STEP),
-        recovery_time: time::SpanMs::new(declared.ramp_ms.get().max(SHORTEST_CALM_MS)),
+        warm_up: step.max(MIN_STEP_INTERVAL),
+        recovery_time: time::SpanMs::new(declared.ramp_ms.get().max(MIN_RECOVERY_MS)),
     }
 }
 
-/// What the destination shows. The planner raises nothing on an old report; a shift that went on
-/// meanwhile would be placed all at once with the next fresh one, above its cap.
+/// Returns the state of the destination zone, and [`shift::Signal::Unknown`] without a fresh digest of the zone.
+///
+/// The planner raises no zone's share on an old digest. A shift that advanced meanwhile would take effect all
+/// at once with the next fresh digest, above its cap.
 fn signal(
     view: &digest::View,
     limits: staleness::Limits,
--- a/crates/damaskvane-entry/src/control/steering.rs
+++ b/crates/damaskvane-entry/src/control/steering.rs
@@ -1,7 +1,7 @@
-//! Makes the plan that look-ups follow, out of the digests of all zones.
+//! Computes the plan for lookups from the load digests of all zones.
 //!
 //! ```text
-//! own load -> aggregator of the zone -> digest -> all zones -> view -> plan
+//! local load -> aggregator of the zone -> digest -> all zones -> view -> plan
 //! ```
 
 use std::collections::BTreeMap;
@@ -20,23 +20,24 @@
 use crate::translate;
 use crate::wire;
 
-const SHORTEST_WORLD_PERIOD: time::SpanMs = time::SpanMs::new(1_000);
-const LONGEST_WORLD_PERIOD: time::SpanMs = time::SpanMs::new(10_000);
+const MIN_INTER_REGION_PERIOD: time::SpanMs = time::SpanMs::new(1_000);
+const MAX_INTER_REGION_PERIOD: time::SpanMs = time::SpanMs::new(10_000);
 
-/// With so many zones the longest period keeps control within its budget.
-const ZONES_AT_LONGEST: u64 = 23;
+/// Number of zones from which on the maximum period applies. With this many zones, that period keeps the
+/// traffic of control messages within its budget.
+const ZONES_AT_MAX_PERIOD: u64 = 23;
 
-/// What steering remembers between two plans.
+/// State of steering that is kept between two plans.
 #[derive(Debug)]
 pub(super) struct Steering {
     view: digest::View,
     plan: Option<plan::Plan>,
     exchange: digests::DigestExchange<load::ZoneReport>,
-    world_period: time::SpanMs,
-    zone: load::ZoneLoad,
+    inter_region_period: time::SpanMs,
+    zone_load: load::ZoneLoad,
     measured_at: time::TimeMs,
-    clients: Arc<serving::ClientZones>,
-    clients_version: ids::ConfigVersion,
+    client_zones: Arc<serving::ClientZones>,
+    client_zones_version: ids::ConfigVersion,
     pub(super) shifts: shifts::Shifts,
 }
 
@@ -46,30 +47,32 @@
             view: digest::View::default(),
             plan: None,
             exchange: digests::DigestExchange::new(digests::DigestSettings::default()),
-            world_period: LONGEST_WORLD_PERIOD,
-            zone: load::ZoneLoad::default(),
+            inter_region_period: MAX_INTER_REGION_PERIOD,
+            zone_load: load::ZoneLoad::default(),
             measured_at: time::TimeMs::ZERO,
-            clients: Arc::default(),
-            clients_version: ids::ConfigVersion::default(),
+            client_zones: Arc::default(),
+            client_zones_version: ids::ConfigVersion::default(),
             shifts: shifts::Shifts::default(),
         }
     }
 }
 
 impl Control {
-    /// Plans anew from what is known now.
-    pub(super) fn steer(&mut self) {
-        let Some(in_force) = self.relay.adopter().in_force().cloned() else {
+    /// Computes and publishes a new plan. Does nothing while no configuration is active.
+    pub(super) fn update_plan(&mut self) {
+        let Some(active) = self.relay.adopter().in_force().cloned() else {
             return;
         };
         let now = self.now();
-        let config = in_force.state();
-        if self.steering.clients_version != config.version() {
-            self.steering.clients = Arc::new(self.steering.clients.follow(&config));
-            self.steering.clients_version = config.version();
+        let config = active.state();
+        if self.steering.client_zones_version != config.version() {
+            self.steering.client_zones = Arc::new(self.steering.client_zones.follow(&config));
+            self.steering.client_zones_version = config.version();
         }
-        let moved = self.moved_elsewhere(now);
-        self.steering.shifts.follow(&config, &moved, now);
+        let moved = self.max_moved_permille(now);
+        self.steering
+            .shifts
+            .apply_declarations(&config, &moved, now);
         let limits = self.limits();
         self.steering
             .shifts
@@ -90,21 +93,22 @@
             now,
         );
         self.steering.plan = Some(plan.clone());
-        let clients = Arc::clone(&self.steering.clients);
-        self.publish_serving(config, clients, plan);
+        let client_zones = Arc::clone(&self.steering.client_zones);
+        self.publish_serving(config, client_zones, plan);
     }
 
-    /// Measures the own load, tells the aggregator, and sends the zone's digest if this is the one.
-    pub(super) fn measure(&mut self) {
+    /// Measures this instance's load and reports it to the aggregator of the zone. On the aggregator, sends the
+    /// zone's digest if it is due.
+    pub(super) fn measure_load(&mut self) {
         let now = self.now();
         let period = now.since(self.steering.measured_at);
         self.steering.measured_at = now;
         let load = load::InstanceLoad::measure(&self.serving.meter, period);
         let topology = self.digest_topology();
-        self.steering.world_period = world_period(topology.zones.len());
+        self.steering.inter_region_period = inter_region_period(topology.zones.len());
         self.steering
             .exchange
-            .set_inter_region_period(self.steering.world_period);
+            .set_inter_region_period(self.steering.inter_region_period);
         match topology.aggregator() {
             Some(aggregator) if *aggregator != self.record.instance => {
                 let message = wire::WireMessage::Load(load);
@@ -112,7 +116,7 @@
             }
             _ => self
                 .steering
-                .zone
+                .zone_load
                 .take(now, self.record.instance.clone(), load),
         }
         if self.steering.exchange.is_due(now, &topology) {
@@ -120,13 +124,13 @@
             let sends = self.steering.exchange.publish(now, &topology, report);
             self.send_digests(sends);
         }
-        self.adopt_digests();
+        self.apply_digests();
     }
 
-    /// A report counts as fresh for as long as the next one may take to arrive; beyond three periods it
-    /// means nothing.
+    /// Returns the age limits of digests. A digest is fresh for as long as the next one may take to arrive.
+    /// A digest older than three periods (never less than the default limit) is too old to use.
     fn limits(&self) -> staleness::Limits {
-        let period_ms = self.steering.world_period.get();
+        let period_ms = self.steering.inter_region_period.get();
         let defaults = staleness::Limits::default();
         staleness::Limits {
             fresh: time::SpanMs::new(period_ms + defaults.fresh.get()),
@@ -135,28 +139,24 @@
     }
 
     fn zone_report(&self, now: time::TimeMs) -> load::ZoneReport {
-        let config = self
-            .relay
-            .adopter()
-            .in_force()
-            .map(|in_force| in_force.state());
+        let config = self.relay.adopter().in_force().map(|active| active.state());
         let typical = |service: &ids::ServiceId| {
             config
                 .as_ref()
                 .and_then(|config| config.services().get(service))
                 .map_or(time::SpanMs::new(1), |service| service.typical_request_ms)
         };
-        let mut report = self.steering.zone.report(now, typical);
-        report.moved_permille = self.steering.shifts.moved();
+        let mut report = self.steering.zone_load.report(now, typical);
+        report.moved_permille = self.steering.shifts.moved_permille();
         report
     }
 
-    pub(super) fn take_load(&mut self, from: ids::InstanceId, load: load::InstanceLoad) {
+    pub(super) fn handle_load(&mut self, from: ids::InstanceId, load: load::InstanceLoad) {
         let now = self.now();
-        self.steering.zone.take(now, from, load);
+        self.steering.zone_load.take(now, from, load);
     }
 
-    pub(super) fn take_digests(
+    pub(super) fn handle_digests(
         &mut self,
         from: &ids::InstanceId,
         bundle: digests::DigestBundle<load::ZoneReport>,
@@ -165,7 +165,7 @@
         let topology = self.digest_topology();
         let sends = self.steering.exchange.receive(now, &topology, from, bundle);
         self.send_digests(sends);
-        self.adopt_digests();
+        self.apply_digests();
     }
 
     fn send_digests(&self, sends: Vec<digests::DigestSend<load::ZoneReport>>) {
@@ -175,7 +175,7 @@
         }
     }
 
-    fn adopt_digests(&mut self) {
+    fn apply_digests(&mut self) {
         let now = self.now();
         for held in self.steering.exchange.digests(now) {
             let taken_at = time::TimeMs::new(now.get().saturating_sub(held.age.get()));
@@ -184,13 +184,14 @@
         }
     }
 
-    /// How far each shift is in the zones that told so, for an instance that has just started.
-    fn moved_elsewhere(&self, now: time::TimeMs) -> BTreeMap<String, u32> {
+    /// Returns the largest moved share of each shift that any zone reports, in thousandths. An instance that has
+    /// just started resumes its shifts from there.
+    fn max_moved_permille(&self, now: time::TimeMs) -> BTreeMap<String, u32> {
         let mut moved = BTreeMap::new();
         for held in self.steering.exchange.digests(now) {
             for (shift, permille) in &held.body.moved_permille {
-                let most: &mut u32 = moved.entry(shift.clone()).or_default();
-                *most = (*most).max(*permille);
+                let max_permille: &mut u32 = moved.entry(shift.clone()).or_default();
+                *max_permille = (*max_permille).max(*permille);
             }
         }
         moved
@@ -240,27 +241,28 @@
             .collect();
         self.status.publish("digest_age_ms", json!(ages));
         self.status
-            .publish("shifts", json!(self.steering.shifts.described()));
+            .publish("shifts", json!(self.steering.shifts.progress_report()));
     }
 }
 
-/// The time between two reports to other regions. It grows with the zones, so that what each instance
-/// receives does not.
-fn world_period(zones: usize) -> time::SpanMs {
-    let period_ms = LONGEST_WORLD_PERIOD.get() * zones as u64 / ZONES_AT_LONGEST;
+/// Returns the time between two digests to other regions. The time grows with the number of zones, so that
+/// the rate of digests that each instance receives does not.
+fn inter_region_period(zones: usize) -> time::SpanMs {
+    let period_ms = MAX_INTER_REGION_PERIOD.get() * zones as u64 / ZONES_AT_MAX_PERIOD;
     time::SpanMs::new(period_ms)
-        .max(SHORTEST_WORLD_PERIOD)
-        .min(LONGEST_WORLD_PERIOD)
+        .max(MIN_INTER_REGION_PERIOD)
+        .min(MAX_INTER_REGION_PERIOD)
 }
 
-/// One planner serves all services: it weighs headroom if any service asks for it, and counts answers
-/// in caches for the longest time that any service allows.
+/// Returns the settings of the planner, which plans for all services together.
+///
+/// The policy is headroom if any service declares that policy. The lookup TTL is the longest of all services.
 fn settings(config: &state::ConfigState) -> planner::Settings {
     let services = || config.services().values();
-    let wants_headroom = services().any(|service| service.policy == declaration::Policy::Headroom);
+    let uses_headroom = services().any(|service| service.policy == declaration::Policy::Headroom);
     let defaults = planner::Settings::default();
     planner::Settings {
-        policy: if wants_headroom {
+        policy: if uses_headroom {
             policy::Policy::Headroom
         } else {
             policy::Policy::Latency
--- a/crates/damaskvane-entry/src/health_reports.rs
+++ b/crates/damaskvane-entry/src/health_reports.rs
@@ -1,8 +1,8 @@
-//! Asks backend servers for their own report of their health.
+//! Polls backend servers for reports of their own health.
 //!
-//! Only the owner of a backend server asks it, so that a server is asked once per period whatever the
-//! size of the zone. What comes back is evidence among others: reports lag and mislead, and the
-//! decision code bounds what they can do.
+//! Only the instance that owns a backend server polls it, so that a server is polled once per period whatever
+//! the size of the zone. Reports can be late or wrong; the engine weighs them with other evidence and bounds
+//! their effect.
 //!
 //! ```
 //! use damaskvane_entry::health_reports;
@@ -22,17 +22,17 @@
 
 use crate::inbox;
 
-/// The time between two rounds.
+/// Time between the starts of two polling rounds.
 pub const PERIOD: Duration = Duration::from_secs(2);
-/// The longest that one report may take.
+/// Timeout of one poll.
 pub const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A backend server to ask.
+/// Backend server to poll.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asked {
-    /// The backend server.
+pub struct PolledServer {
+    /// Name of the backend server in the configuration.
     pub backend_server: ids::BackendServerId,
-    /// Where it listens.
+    /// Address that the server listens on for HTTP requests.
     pub address: net::SocketAddr,
 }
 
@@ -41,36 +41,38 @@
     healthy: bool,
 }
 
-/// Starts the thread; each list that is sent replaces the one before.
+/// Starts the polling thread, which sends its results to `reports`.
+///
+/// Each list sent to the returned sender replaces the previous one.
 ///
 /// # Errors
 ///
-/// Fails if no thread can be started.
-pub fn start(reports: flume::Sender<inbox::Input>) -> io::Result<flume::Sender<Vec<Asked>>> {
-    let (sender, lists) = flume::unbounded();
+/// Fails if the thread can't be started.
+pub fn start(reports: flume::Sender<inbox::Input>) -> io::Result<flume::Sender<Vec<PolledServer>>> {
+    let (sender, server_lists) = flume::unbounded();
     thread::Builder::new()
         .name("health-reports".to_owned())
-        .spawn(move || run(&lists, &reports))?;
+        .spawn(move || run(&server_lists, &reports))?;
     Ok(sender)
 }
 
-fn run(lists: &flume::Receiver<Vec<Asked>>, reports: &flume::Sender<inbox::Input>) {
-    let mut asked = Vec::new();
+fn run(server_lists: &flume::Receiver<Vec<PolledServer>>, reports: &flume::Sender<inbox::Input>) {
+    let mut servers = Vec::new();
     let mut next_round = Instant::now() + PERIOD;
     loop {
-        match lists.recv_deadline(next_round) {
+        match server_lists.recv_deadline(next_round) {
             Ok(list) => {
-                asked = list;
+                servers = list;
                 continue;
             }
             Err(flume::RecvTimeoutError::Timeout) => {}
             Err(flume::RecvTimeoutError::Disconnected) => return,
         }
         next_round = Instant::now() + PERIOD;
-        for server in &asked {
+        for server in &servers {
             let report = inbox::Input::Event(event::Event::HealthReported {
                 backend_server: server.backend_server.clone(),
-                healthy: ask(server.address),
+                healthy: poll_health(server.address),
             });
             if reports.send(report).is_err() {
                 return;
@@ -79,14 +81,14 @@
     }
 }
 
-/// A server that does not answer counts as one that says it is ill.
-fn ask(address: net::SocketAddr) -> bool {
-    let answer = attohttpc::get(format!("http://{address}/health"))
+/// Returns whether the server reports itself healthy; no response counts as unhealthy.
+fn poll_health(address: net::SocketAddr) -> bool {
+    let response = attohttpc::get(format!("http://{address}/health"))
         .proxy_settings(attohttpc::ProxySettings::builder().build())
         .timeout(TIMEOUT)
         .send()
         .and_then(attohttpc::Response::text);
-    answer
+    response
         .ok()
         .and_then(|text| serde_json::from_str::<Health>(&text).ok())
         .is_some_and(|health| health.healthy)
