--- a/crates/damaskvane-entry/src/clock.rs
+++ b/crates/damaskvane-entry/src/clock.rs
@@ -11,14 +11,14 @@
 
 use damaskvane_core::{ids, time};
 
-/// Counts milliseconds from the start of the process; it never steps back.
+/// Clock that counts milliseconds from its creation and never goes back.
 #[derive(Debug, Clone, Copy)]
 pub struct MonotonicClock {
     start: Instant,
 }
 
 impl MonotonicClock {
-    /// Starts counting.
+    /// Creates a clock that starts at zero.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The present point in time.
+    /// Returns the time since the clock's creation.
     #[must_use]
     pub fn now(self) -> time::TimeMs {
         let elapsed = self.start.elapsed().as_millis();
@@ -34,11 +34,11 @@
     }
 }
 
-/// The incarnation of a process that starts now: milliseconds of the wall clock.
+/// Returns the incarnation of a process that starts now: milliseconds of the wall clock since 1970.
 ///
-/// An instance keeps nothing, so that its number has to come from outside. Where the wall clock has
-/// stepped back, the platform's list or a peer shows a higher incarnation of the same name, and the
-/// caller goes above that one.
+/// An instance stores nothing between two starts, so its incarnation can't be counted up locally. If the wall
+/// clock was set back, the platform's list or a peer shows a higher incarnation of the same instance name, and
+/// the caller uses a number above that one.
 #[must_use]
 pub fn incarnation() -> ids::Incarnation {
     let since_epoch = SystemTime::now()
--- a/crates/damaskvane-entry/src/engine_thread.rs
+++ b/crates/damaskvane-entry/src/engine_thread.rs
@@ -1,4 +1,4 @@
-//! Drives the engine: one thread turns its inbox into events and carries out the actions.
+//! The engine's thread: turns messages of its inbox into engine events and carries out the engine's actions.
 //!
 //! ```
 //! use damaskvane_entry::engine_thread;
@@ -22,15 +22,16 @@
 use crate::peers;
 use crate::serving;
 
-/// How often the engine is told that time has passed while requests are under way.
+/// Time between two tick events to the engine while requests or exchanges are in progress.
 pub const TICK: Duration = Duration::from_millis(10);
 
-/// The same while there are none: only leases and heartbeats of slots need it then.
+/// Time between two tick events while the engine is idle; only leases and heartbeats of slots need the ticks
+/// then.
 const IDLE_TICK: Duration = Duration::from_millis(50);
 
 const LOAD_PERIOD: time::SpanMs = time::SpanMs::new(1_000);
 
-/// What the engine's thread works with.
+/// State of the engine's thread, which [`EngineThread::run`] runs.
 pub struct EngineThread {
     engine: engine::Engine,
     serving: Arc<serving::Serving>,
@@ -43,7 +44,7 @@
 }
 
 impl EngineThread {
-    /// A thread's worth of state, not yet running.
+    /// Creates the state of the thread; the caller starts the thread with [`Self::run`].
     #[must_use]
     pub fn new(
         me: home::Home,
@@ -66,15 +67,15 @@
         }
     }
 
-    /// Runs until it is told to stop.
+    /// Runs until [`inbox::Input::Stop`] arrives or every sender of the inbox is dropped.
     pub fn run(mut self) {
         let mut next_tick = self.serving.clock.now();
         let mut next_load = next_tick;
         loop {
-            let tick = self.tick();
-            let event = match self.inbox.recv_timeout(tick) {
+            let tick_period = self.tick_period();
+            let event = match self.inbox.recv_timeout(tick_period) {
                 Ok(inbox::Input::Stop) | Err(flume::RecvTimeoutError::Disconnected) => return,
-                Ok(input) => Some(self.event(input)),
+                Ok(input) => Some(self.input_event(input)),
                 Err(flume::RecvTimeoutError::Timeout) => None,
             };
             if let Some(event) = event {
@@ -87,13 +88,13 @@
                 self.publish(now);
             }
             if now >= next_tick {
-                next_tick = now + time::SpanMs::new(tick.as_millis() as u64);
+                next_tick = now + time::SpanMs::new(tick_period.as_millis() as u64);
                 self.handle(event::Event::Tick);
             }
         }
     }
 
-    fn tick(&self) -> Duration {
+    fn tick_period(&self) -> Duration {
         if self.engine.is_idle() {
             IDLE_TICK
         } else {
@@ -106,12 +107,12 @@
             .engine
             .quarantined(now)
             .into_iter()
-            .map(|listed| {
+            .map(|entry| {
                 json!({
-                    "fingerprint": listed.fingerprint,
-                    "incidents": listed.incidents,
-                    "refused": listed.is_refused,
-                    "time_left_ms": listed.time_left,
+                    "fingerprint": entry.fingerprint,
+                    "incidents": entry.incidents,
+                    "refused": entry.is_refused,
+                    "time_left_ms": entry.time_left,
                 })
             })
             .collect();
@@ -158,7 +159,7 @@
             .publish("stop", json!(self.engine.shutdown_progress(now)));
     }
 
-    fn event(&mut self, input: inbox::Input) -> event::Event {
+    fn input_event(&mut self, input: inbox::Input) -> event::Event {
         match input {
             inbox::Input::Submit {
                 number,
@@ -181,7 +182,7 @@
     fn handle(&mut self, event: event::Event) {
         let now = self.serving.clock.now();
         for action in self.engine.handle(now, event) {
-            self.carry_out(action);
+            self.apply_action(action);
         }
         self.serving.set_ready(self.engine.is_ready(now));
         self.serving.set_busy(!self.engine.is_idle());
@@ -190,7 +191,7 @@
         }
     }
 
-    fn carry_out(&mut self, action: event::Action) {
+    fn apply_action(&mut self, action: event::Action) {
         match action {
             event::Action::Respond { number, outcome } => {
                 if let Some(reply) = self.replies.remove(&number) {
@@ -208,7 +209,7 @@
                 }
             }
             event::Action::HomeRenewed { home } => {
-                warn!(self.logger, "an instance takes keys under a new incarnation"; "peer" => %home);
+                warn!(self.logger, "an instance accepts idempotency keys under a new incarnation"; "peer" => %home);
                 self.serving.homes.note(home);
             }
             event::Action::CountRefusal(reason) => {
@@ -224,7 +225,7 @@
                 self.serving
                     .counters
                     .increment("invariant_broken", invariant);
-                error!(self.logger, "an invariant was broken and the action refused"; "reason" => invariant);
+                error!(self.logger, "invariant broken; action refused"; "reason" => invariant);
             }
         }
     }
--- a/crates/damaskvane-entry/src/inbox.rs
+++ b/crates/damaskvane-entry/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What the engine's thread receives.
+//! The messages that the engine's thread receives.
 //!
 //! ```
 //! use damaskvane_engine::event;
--- a/crates/damaskvane-entry/src/inbox/client_guard.rs
+++ b/crates/damaskvane-entry/src/inbox/client_guard.rs
@@ -1,4 +1,4 @@
-//! Tells the engine when a client goes away before its answer.
+//! A guard that notifies the engine when a client disconnects before its response.
 //!
 //! ```
 //! use damaskvane_entry::inbox;
@@ -12,7 +12,7 @@
 
 use crate::inbox::input;
 
-/// Sends a message when dropped, unless disarmed.
+/// Sends [`event::Event::ClientDisconnected`] to the engine when dropped, unless disarmed.
 #[derive(Debug)]
 pub struct ClientGuard {
     inbox: Option<flume::Sender<input::Input>>,
@@ -20,7 +20,7 @@
 }
 
 impl ClientGuard {
-    /// Guards one request.
+    /// Creates the guard of the request `number`.
     #[must_use]
     pub const fn new(inbox: flume::Sender<input::Input>, number: event::RequestNumber) -> Self {
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The answer arrived; nothing is sent.
+    /// Drops the guard without a message, because the response has arrived.
     pub fn disarm(mut self) {
         self.inbox = None;
     }
--- a/crates/damaskvane-entry/src/inbox/input.rs
+++ b/crates/damaskvane-entry/src/inbox/input.rs
@@ -1,4 +1,4 @@
-//! One message to the engine's thread.
+//! The message type of the engine's inbox.
 //!
 //! ```
 //! use damaskvane_engine::event;
@@ -13,24 +13,24 @@
 use damaskvane_dispatch::outcome;
 use damaskvane_engine::{event, message};
 
-/// Where a client's handler waits for its answer.
+/// Sender of a request's outcome to the handler of the client's connection.
 pub type Reply = flume::Sender<outcome::Outcome<Arc<message::BackendResponse>>>;
 
-/// One message to the engine's thread.
+/// Message to the engine's thread.
 #[derive(Debug)]
 pub enum Input {
-    /// A client's request, with where its answer goes.
+    /// New request of a client.
     Submit {
-        /// Its number.
+        /// Number of the request, unique in this process.
         number: event::RequestNumber,
-        /// The request.
+        /// Contents of the request.
         request: Box<message::ServiceRequest>,
-        /// Where its answer goes.
+        /// Sender of the request's outcome.
         reply: Reply,
     },
-    /// Whatever else the engine is told.
+    /// Any other event for the engine.
     Event(event::Event),
-    /// The engine's thread ends.
+    /// End the engine's thread.
     Stop,
 }
 
--- a/crates/damaskvane-entry/src/peers.rs
+++ b/crates/damaskvane-entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Sends to other entry instances by name, and hands what they send to the right thread.
+//! The transport to the other entry instances, addressed by instance name.
 //!
 //! ```
 //! use damaskvane_entry::peers;
@@ -21,14 +21,14 @@
 
 use crate::wire;
 
-/// The transport with the addresses of all known instances.
+/// Transport with the peer addresses of all known instances.
 pub struct Peers {
     transport: transport::Transport<wire::WireMessage>,
     book: Mutex<AddressBook>,
 }
 
 impl Peers {
-    /// Wraps a transport; nobody is known yet.
+    /// Wraps a transport, with an empty address book.
     #[must_use]
     pub fn new(transport: transport::Transport<wire::WireMessage>) -> Self {
         Self {
@@ -41,35 +41,36 @@
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where this instance listens.
+    /// Returns the address that this instance listens on for its peers.
     #[must_use]
     pub const fn local_address(&self) -> &address::PeerAddress {
         self.transport.local_address()
     }
 
-    /// Replaces the addresses, and with them the instances that are listened to.
+    /// Replaces the address book. Messages are accepted from the instances in the book only.
     pub fn set_book(&self, book: AddressBook) {
         self.transport.set_allowed_senders(book.instances());
         *self.book() = book;
     }
 
-    /// Sends a message; false if it was dropped, which the transport counts by reason.
+    /// Sends a message. Returns false if the instance is not in the address book or the transport dropped the
+    /// message; the transport counts its drops by reason.
     pub fn send(&self, to: &ids::InstanceId, message: &wire::WireMessage) -> bool {
         let address = self.book().get(to);
         address.is_some_and(|address| self.transport.send(&address, message).is_ok())
     }
 
-    /// Sends a message to an address that is not in the book yet.
+    /// Sends a message to an address that need not be in the address book.
     pub fn send_to(&self, to: &address::PeerAddress, message: &wire::WireMessage) -> bool {
         self.transport.send(to, message).is_ok()
     }
 
-    /// Sends a message of the engine.
+    /// Sends a message of the engine; the result is that of [`Self::send`].
     pub fn send_engine(&self, to: &ids::InstanceId, message: peer::PeerMessage) -> bool {
         self.send(to, &wire::WireMessage::Engine(Box::new(message)))
     }
 
-    /// Replaces the connection to an instance that has been silent.
+    /// Replaces the connection to an instance whose messages stopped arriving.
     pub fn reconnect(&self, to: &ids::InstanceId) {
         let address = self.book().get(to);
         if let Some(address) = address {
@@ -77,12 +78,12 @@
         }
     }
 
-    /// Closes connections that are idle or can't be made; about once a second.
+    /// Closes connections that are idle or can't be established. Expects a call about once a second.
     pub fn maintain(&self) {
         self.transport.maintain();
     }
 
-    /// Messages and bytes by kind, both ways.
+    /// Returns the numbers of messages and bytes sent and received, by kind of message.
     #[must_use]
     pub fn counters(&self) -> counters::CounterSnapshot {
         self.transport.counters()
--- a/crates/damaskvane-entry/src/peers/address_book.rs
+++ b/crates/damaskvane-entry/src/peers/address_book.rs
@@ -1,4 +1,4 @@
-//! Where each known instance listens for its peers.
+//! The addresses that the known instances listen on for their peers.
 //!
 //! ```
 //! use damaskvane_entry::peers;
@@ -19,18 +19,18 @@
 pub struct AddressBook(BTreeMap<ids::InstanceId, address::PeerAddress>);
 
 impl AddressBook {
-    /// Notes where an instance listens.
+    /// Adds an instance's peer address, replacing an earlier one.
     pub fn insert(&mut self, instance: ids::InstanceId, address: address::PeerAddress) {
         self.0.insert(instance, address);
     }
 
-    /// Where an instance listens.
+    /// Returns an instance's peer address, or `None` if the instance is not in the book.
     #[must_use]
     pub fn get(&self, instance: &ids::InstanceId) -> Option<address::PeerAddress> {
         self.0.get(instance).copied()
     }
 
-    /// Every instance in the book.
+    /// Returns the names of all instances in the book.
     pub fn instances(&self) -> impl Iterator<Item = ids::InstanceId> + '_ {
         self.0.keys().cloned()
     }
--- a/crates/damaskvane-entry/src/peers/seed.rs
+++ b/crates/damaskvane-entry/src/peers/seed.rs
@@ -1,4 +1,4 @@
-//! Instances that a starting one asks while the platform is down.
+//! The seeds: peers that send the list of instances to an instance that starts during an outage of the platform.
 //!
 //! ```
 //! use damaskvane_entry::peers;
@@ -14,30 +14,30 @@
 
 use crate::peers::address_book::AddressBook;
 
-/// {0:?} is no seed; write instance@address, several with commas between them
+/// {0:?} is not a valid seed; write instance@address, with commas between several seeds
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseSeedError(String);
 
-/// Instances that a starting one asks for the list of instances.
+/// Seeds with their peer addresses, in the order of the setting.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Seeds(Vec<(ids::InstanceId, address::PeerAddress)>);
 
 impl Seeds {
-    /// Reads the settings key `seed_peers`; an empty text names none.
+    /// Parses the value of the settings key `seed_peers`. An empty text gives no seeds.
     ///
     /// # Errors
     ///
-    /// Names the entry that can't be read.
+    /// Fails on an entry that is not `instance@address`; the error names the first such entry.
     pub fn parse(text: &str) -> Result<Self, ParseSeedError> {
         text.split(',')
             .map(str::trim)
             .filter(|entry| !entry.is_empty())
-            .map(parse_one)
+            .map(parse_entry)
             .collect::<Result<_, _>>()
             .map(Self)
     }
 
-    /// The seeds as an address book.
+    /// Returns the seeds as an address book.
     #[must_use]
     pub fn book(&self) -> AddressBook {
         let mut book = AddressBook::default();
@@ -48,7 +48,7 @@
     }
 }
 
-fn parse_one(entry: &str) -> Result<(ids::InstanceId, address::PeerAddress), ParseSeedError> {
+fn parse_entry(entry: &str) -> Result<(ids::InstanceId, address::PeerAddress), ParseSeedError> {
     let error = || ParseSeedError(entry.to_owned());
     let (instance, address) = entry.split_once('@').ok_or_else(error)?;
     let instance = instance.parse().map_err(|_| error())?;
