--- a/crates/damaskvane-entry/src/main.rs
+++ b/crates/damaskvane-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The entry instance; see `--help`.
+//! The program `damaskvane-entry`, which runs one entry instance; see `--help`.
 
 use std::env;
 use std::process;
--- a/crates/damaskvane-entry/src/process.rs
+++ b/crates/damaskvane-entry/src/process.rs
@@ -1,4 +1,4 @@
-//! Puts the threads of an entry instance together and runs them until it is stopped.
+//! Starts the threads of an entry instance, runs until a request to stop, and stops gracefully.
 //!
 //! ```no_run
 //! use damaskvane_entry::{process, settings};
@@ -41,11 +41,13 @@
 use crate::settings;
 use crate::store;
 
-/// Runs an entry instance until SIGTERM or SIGINT, then stops it gracefully.
+/// Runs an entry instance until SIGTERM or SIGINT, or until it is fenced or can't accept clients. Then stops
+/// it gracefully.
 ///
 /// # Errors
 ///
-/// Fails if an address can't be listened on, or the platform's settings are wrong.
+/// Fails if an address can't be bound, the credential file or `seed_peers` is invalid, or the system refuses
+/// a thread or a socket.
 pub fn run(settings: &settings::EntrySettings) -> Result<(), StartError> {
     let logger = logging::logger("damaskvane-entry", settings.log_level).new(o!(
         logging::field::INSTANCE => settings.instance.to_string(),
@@ -53,7 +55,7 @@
     ));
     let (stop_sender, stop_requests) = flume::unbounded();
     stop::register(stop_sender.clone())?;
-    let stop_for_clients = stop_sender.clone();
+    let listener_stop = stop_sender.clone();
     let me = home::Home::new(settings.instance.clone(), clock::incarnation());
     let serving = Arc::new(serving::Serving::new(
         counters(settings)?,
@@ -72,7 +74,7 @@
         published: status::Published::default(),
     };
     let (engine, engine_inbox) = flume::unbounded();
-    let operators = operator_api::start(
+    let operator_listener = operator_api::start(
         settings,
         Arc::clone(&serving),
         status.clone(),
@@ -90,7 +92,7 @@
         incarnation: me.incarnation,
         client_address,
         peer_address: peers.local_address().get(),
-        operator_address: operators,
+        operator_address: operator_listener,
         leaving: false,
         fenced: false,
         goes_on_alone: false,
@@ -123,14 +125,7 @@
         control_inbox,
     )?;
     forward_peer_messages(received, control.clone())?;
-    start_clients(
-        clients,
-        settings,
-        &serving,
-        &engine,
-        stop_for_clients,
-        &logger,
-    )?;
+    start_client_listener(clients, settings, &serving, &engine, listener_stop, &logger)?;
     ready::announce(&record);
     info!(logger, "serving"; "client_address" => client_address.to_string());
     stop::wait_and_stop(
@@ -148,7 +143,7 @@
     if settings.statsd_address.is_empty() {
         return Ok(counters::Counters::local());
     }
-    let wrong = |error: String| StartError::Listen {
+    let listen_error = |error: String| StartError::Listen {
         key: "statsd_address",
         address: settings.statsd_address.clone(),
         error,
@@ -156,8 +151,8 @@
     let address: net::SocketAddr = settings
         .statsd_address
         .parse()
-        .map_err(|error: net::AddrParseError| wrong(error.to_string()))?;
-    counters::Counters::to_statsd(address).map_err(|error| wrong(error.to_string()))
+        .map_err(|error: net::AddrParseError| listen_error(error.to_string()))?;
+    counters::Counters::to_statsd(address).map_err(|error| listen_error(error.to_string()))
 }
 
 fn bind(address: &str) -> Result<binding::BoundAddress, StartError> {
@@ -178,29 +173,28 @@
     ),
     StartError,
 > {
-    let wrong = |error: String| StartError::Listen {
+    let listen_error = |error: String| StartError::Listen {
         key: "peer_address",
         address: settings.peer_address.clone(),
         error,
     };
-    let listen_address = settings
-        .peer_address
-        .parse()
-        .map_err(|error: damaskvane_peer::address::ParseAddressError| wrong(error.to_string()))?;
+    let listen_address = settings.peer_address.parse().map_err(
+        |error: damaskvane_peer::address::ParseAddressError| listen_error(error.to_string()),
+    )?;
     transport::Transport::listen(peer_settings::PeerSettings {
         listen_address,
         instance: me.instance.clone(),
         incarnation: me.incarnation,
         ..peer_settings::PeerSettings::default()
     })
-    .map_err(|error| wrong(error.to_string()))
+    .map_err(|error| listen_error(error.to_string()))
 }
 
 fn start_engine(
     settings: &settings::EntrySettings,
     status: &status::Source,
     serving: &Arc<serving::Serving>,
-    ended: &flume::Sender<inbox::Input>,
+    exchange_results: &flume::Sender<inbox::Input>,
     inbox: flume::Receiver<inbox::Input>,
     peers: &Arc<peers::Peers>,
     logger: &slog::Logger,
@@ -213,7 +207,7 @@
         settings.exchange_limit,
         limits,
         serving.clock,
-        ended.clone(),
+        exchange_results.clone(),
         logger.clone(),
     );
     let engine = engine_thread::EngineThread::new(
@@ -244,14 +238,16 @@
 }
 
 fn read_token(path: &str) -> Result<damaskvane_objects::credential::Token, StartError> {
-    let wrong = |error: String| StartError::Token {
+    let token_error = |error: String| StartError::Token {
         path: path.to_owned(),
         error,
     };
-    let text = fs::read_to_string(path).map_err(|error| wrong(error.to_string()))?;
+    let text = fs::read_to_string(path).map_err(|error| token_error(error.to_string()))?;
     text.trim()
         .parse()
-        .map_err(|error: damaskvane_objects::credential::ParseTokenError| wrong(error.to_string()))
+        .map_err(|error: damaskvane_objects::credential::ParseTokenError| {
+            token_error(error.to_string())
+        })
 }
 
 fn start_control(
@@ -273,7 +269,7 @@
     })
 }
 
-fn start_clients(
+fn start_client_listener(
     clients: binding::BoundAddress,
     settings: &settings::EntrySettings,
     serving: &Arc<serving::Serving>,
@@ -281,7 +277,7 @@
     stop: flume::Sender<()>,
     logger: &slog::Logger,
 ) -> Result<(), StartError> {
-    let deaf = logger.clone();
+    let listener_logger = logger.clone();
     let api = Arc::new(listener::ClientApi {
         serving: Arc::clone(serving),
         inbox: inbox.clone(),
@@ -302,16 +298,16 @@
             .listen()
             .and_then(|listener| runtime.block_on(serve_until_closed(listener, api, &serving)));
         if let Err(error) = served {
-            // Two processes can bind one address while neither listens. The second would announce itself
-            // and never hear a client; it stops instead.
-            error!(deaf, "clients can't be let in; the process stops"; "reason" => error.to_string());
+            // Two processes can bind one address while neither listens. The second one would announce its
+            // address and never receive a client's connection, so it stops.
+            error!(listener_logger, "client listener failed; stopping"; "reason" => error.to_string());
             let _ = stop.send(());
         }
     })
 }
 
-/// Serves until no more clients are to be let in, and then goes on for those that are connected: the
-/// process ends soon after. A client that came in at the very end would have its request cut.
+/// Accepts clients until the last phase of the stop, then serves only those already connected, until the
+/// process ends. The request of a client that was accepted later would be interrupted by the end of the process.
 async fn serve_until_closed(
     listener: net::TcpListener,
     api: Arc<listener::ClientApi>,
@@ -324,10 +320,10 @@
     future::pending().await
 }
 
-fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
+fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
     thread::Builder::new()
         .name(name.to_owned())
-        .spawn(work)
+        .spawn(run)
         .map(|_| ())
         .map_err(StartError::Thread)
 }
--- a/crates/damaskvane-entry/src/process/error.rs
+++ b/crates/damaskvane-entry/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Why an entry instance does not start.
+//! Errors that prevent the start of an entry instance.
 //!
 //! ```
 //! use damaskvane_entry::process;
@@ -11,27 +11,27 @@
 
 use crate::peers;
 
-/// Why an entry instance does not start.
+/// Error that prevents the start of an entry instance.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum StartError {
     /// {key} = {address:?} can't be used ({error}); choose a free address of this machine
     Listen {
-        /// The settings key.
+        /// Settings key of the address.
         key: &'static str,
-        /// Its value.
+        /// Value of the key.
         address: String,
-        /// What the system said.
+        /// Cause: an invalid address, or an error of the operating system.
         error: String,
     },
     /// token_file = {path:?} can't be used ({error}); name a file that holds the credential
     Token {
-        /// The file.
+        /// Value of the settings key `token_file`.
         path: String,
-        /// What is wrong with it.
+        /// Cause: the file can't be read, or its text is not a credential.
         error: String,
     },
     /// seed_peers: {0}
     Seeds(peers::ParseSeedError),
-    /// the system refuses a thread or a socket ({0}); raise the limits of this process
+    /// the operating system refused a thread or a socket ({0}); raise the resource limits of this process
     Thread(io::Error),
 }
--- a/crates/damaskvane-entry/src/process/ready.rs
+++ b/crates/damaskvane-entry/src/process/ready.rs
@@ -1,4 +1,4 @@
-//! Tells whoever started the process where it listens.
+//! Prints the addresses that the process listens on, for the program that started it.
 //!
 //! ```text
 //! {"client":"127.0.0.1:40001","operator":"127.0.0.1:40002","peer":"127.0.0.1:40003"}
@@ -14,7 +14,7 @@
     peer: String,
 }
 
-/// Prints one JSON line on standard output.
+/// Prints the client, operator and peer address as one JSON line on standard output.
 pub(super) fn announce(record: &api::InstanceRecord) {
     let ready = Ready {
         client: record.client_address.to_string(),
--- a/crates/damaskvane-entry/src/process/settle.rs
+++ b/crates/damaskvane-entry/src/process/settle.rs
@@ -1,7 +1,7 @@
-//! Waits until clients can be let in.
+//! Waits after the start until clients can be accepted.
 //!
 //! ```text
-//! start -> older look-up answers have lapsed -> a slot can be found, or the longest wait is over
+//! start -> cached lookup responses have expired -> requests can get a slot, or the maximum wait is over
 //! ```
 
 use core::time::Duration;
@@ -10,23 +10,24 @@
 
 use crate::serving;
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// An instance that never finds a slot lets clients in all the same: they then get a reason.
-const LONGEST_WAIT: Duration = Duration::from_secs(15);
+/// Maximum wait for a slot. After it clients are accepted without slots, and get a refusal with a reason.
+const MAX_SLOT_WAIT: Duration = Duration::from_secs(15);
 
-/// Blocks for `settle`, then until a slot can be found; no time at all lets clients in at once.
+/// Blocks for `settle`, then until requests can get a slot, for at most [`MAX_SLOT_WAIT`]. Returns at once if
+/// `settle` is zero.
 ///
-/// The only instance of a zone waits after its start until whatever its predecessor lent has lapsed.
-/// Clients that it let in before would wait in its queue for nothing, while a refused connection sends
-/// them to another instance at once.
+/// After a restart, the only instance of a zone has no slots until the grants of its predecessor have expired.
+/// Requests accepted before that would wait in its queue in vain, while a refused connection sends a client to
+/// another instance at once.
 pub(super) fn wait(serving: &serving::Serving, settle: Duration) {
     if settle.is_zero() {
         return;
     }
     thread::sleep(settle);
-    let began = Instant::now();
-    while !serving.is_ready() && began.elapsed() < LONGEST_WAIT {
-        thread::sleep(POLL);
+    let wait_start = Instant::now();
+    while !serving.is_ready() && wait_start.elapsed() < MAX_SLOT_WAIT {
+        thread::sleep(POLL_PERIOD);
     }
 }
--- a/crates/damaskvane-entry/src/process/stop.rs
+++ b/crates/damaskvane-entry/src/process/stop.rs
@@ -1,7 +1,7 @@
-//! Waits for the signal to stop, then stops without cutting work.
+//! Waits for a request to stop, then stops without interrupting requests.
 //!
 //! ```text
-//! SIGTERM -> out of look-up answers -> one look-up TTL -> what runs ends -> exit
+//! SIGTERM -> out of lookup responses -> one lookup TTL -> running requests end -> exit
 //! ```
 
 use core::time::Duration;
@@ -18,19 +18,19 @@
 use crate::serving;
 use crate::settings;
 
-const POLL: Duration = Duration::from_millis(50);
+const POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// How long clients that are still connected are answered after no more are let in.
-const LAST_ANSWERS: Duration = Duration::from_millis(250);
+/// Time for which clients that are still connected are served after no new ones are accepted.
+const LAST_RESPONSES_PERIOD: Duration = Duration::from_millis(250);
 
-/// How long what they asked for may still run, here or at the successor.
-const LAST_WORK: Duration = Duration::from_secs(2);
+/// Maximum time after [`LAST_RESPONSES_PERIOD`] for running requests to end, here or at the successor instance.
+const LAST_REQUESTS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Turns SIGTERM and SIGINT into requests to stop.
+/// Starts a thread that turns SIGTERM and SIGINT into requests to stop.
 ///
 /// # Errors
 ///
-/// Fails if the system refuses.
+/// Fails if the signal handlers can't be registered or the thread can't be started.
 pub(super) fn register(stop: flume::Sender<()>) -> Result<(), StartError> {
     let mut signals = iterator::Signals::new([SIGTERM, SIGINT]).map_err(StartError::Thread)?;
     thread::Builder::new()
@@ -44,7 +44,7 @@
         .map_err(StartError::Thread)
 }
 
-/// Blocks until a request to stop, then leaves and waits until nothing runs or the time is over.
+/// Blocks until a request to stop, then leaves and waits until no request runs or `stop_timeout_ms` is over.
 pub(super) fn wait_and_stop(
     stop: &flume::Receiver<()>,
     control: &flume::Sender<control::ControlInput>,
@@ -54,25 +54,26 @@
     logger: &slog::Logger,
 ) {
     let _ = stop.recv();
-    info!(logger, "leaving");
-    let began = Instant::now();
+    info!(logger, "stop requested; leaving");
+    let leave_start = Instant::now();
     let _ = control.send(control::ControlInput::Leave);
-    let longest = Duration::from_millis(settings.stop_timeout_ms);
+    let stop_timeout = Duration::from_millis(settings.stop_timeout_ms);
     while !serving.is_drained() {
-        if began.elapsed() >= longest {
-            warn!(logger, "stopped with work unfinished"; "reason" => "stop_timeout");
+        if leave_start.elapsed() >= stop_timeout {
+            warn!(logger, "stop timeout passed with requests unfinished"; "reason" => "stop_timeout");
             break;
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_PERIOD);
     }
-    // The engine goes on for a moment: who came in last is answered, by this instance or the successor.
+    // The engine continues for a moment, so that the last clients get a response from this instance or its
+    // successor.
     serving.close_clients();
-    thread::sleep(LAST_ANSWERS);
-    let closed = Instant::now();
-    while serving.is_busy() && closed.elapsed() < LAST_WORK {
-        thread::sleep(POLL);
+    thread::sleep(LAST_RESPONSES_PERIOD);
+    let close_time = Instant::now();
+    while serving.is_busy() && close_time.elapsed() < LAST_REQUESTS_TIMEOUT {
+        thread::sleep(POLL_PERIOD);
     }
     let _ = engine.send(inbox::Input::Stop);
-    info!(logger, "stopped"; "drain_ms" => u64::try_from(began.elapsed().as_millis()).unwrap_or(u64::MAX));
-    thread::sleep(POLL);
+    info!(logger, "stopped"; "drain_ms" => u64::try_from(leave_start.elapsed().as_millis()).unwrap_or(u64::MAX));
+    thread::sleep(POLL_PERIOD);
 }
--- a/crates/damaskvane-entry/src/settings.rs
+++ b/crates/damaskvane-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of an entry instance.
+//! The settings of an entry instance, with their defaults and ranges.
 //!
 //! ```
 //! use damaskvane_entry::settings;
@@ -15,51 +15,54 @@
 
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Everything that an entry instance learns from its settings file.
+/// Contents of the settings file of an entry instance.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct EntrySettings {
-    /// The name of this instance.
+    /// Name of this instance, under which the platform and the peers list it.
     pub instance: ids::InstanceId,
-    /// The availability zone it stands in.
+    /// Availability zone of this instance.
     pub availability_zone: ids::AvailabilityZoneId,
-    /// The region it stands in.
+    /// Region of this instance's availability zone.
     pub region: ids::RegionId,
-    /// Where clients reach it.
+    /// Listen address for clients, as `address:port`; port 0 selects a free port.
     pub client_address: String,
-    /// Where operators reach it.
+    /// Listen address for operators, as `address:port`; port 0 selects a free port.
     pub operator_address: String,
-    /// Where other entry instances reach it.
+    /// Listen address for other entry instances, as `address:port`; port 0 selects a free port.
     pub peer_address: String,
-    /// Instances to ask while the platform is down, as `instance@address`.
+    /// Peers that send the list of instances while the platform is down: `instance@address`, with commas
+    /// between several; empty for none.
     pub seed_peers: String,
-    /// The platform's object API.
+    /// Address of the platform's object API, as `host:port`.
     pub platform_address: String,
-    /// A file that holds the credential for the object API.
+    /// Path of the file that holds the credential for the object API.
     pub token_file: String,
-    /// A statsd server for metrics; empty for none.
+    /// Address of the statsd server for metrics, as `address:port`; empty for none.
     pub statsd_address: String,
-    /// How much is logged.
+    /// Lowest level that is logged.
     pub log_level: logging::Level,
-    /// Most client connections at a time.
+    /// Maximum number of concurrent client connections.
     pub connection_limit: usize,
-    /// Longest time for a client to send a request's head.
+    /// Timeout for a client to send the head of a request, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest time for a client to send a request's body.
+    /// Timeout for a client to send the body of a request, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Longest time that sent bytes stay unacknowledged before a client's connection is closed.
+    /// Maximum time in milliseconds that sent bytes may stay unacknowledged before the client's connection is
+    /// closed.
     pub write_timeout_ms: u64,
-    /// Largest head of a request.
+    /// Maximum size of a request's head, in bytes.
     pub head_limit_bytes: usize,
-    /// Largest body of a request, and of an answer of a backend server.
+    /// Maximum size of the body of a request and of a backend server's response, in bytes.
     pub body_limit_bytes: usize,
-    /// Most exchanges with backend servers at a time.
+    /// Maximum number of concurrent exchanges with backend servers.
     pub exchange_limit: usize,
-    /// Period of heartbeats to other entry instances.
+    /// Minimum period of heartbeats to other entry instances, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Time from the start until clients are let in, so that older look-up answers lapse.
+    /// Time in milliseconds from the start until clients are accepted, in which cached lookup responses expire.
+    /// Zero also skips the wait for slots.
     pub settle_ms: u64,
-    /// Longest time for a planned stop.
+    /// Timeout of a planned stop, in milliseconds.
     pub stop_timeout_ms: u64,
 }
 
