--- a/crates/damaskvane-config/src/adopt.rs
+++ b/crates/damaskvane-config/src/adopt.rs
@@ -3,17 +3,17 @@
 //! ```
 //! use damaskvane_config::{adopt, manifest};
 //!
-//! let mut adopter = adopt::Adopter::default();
-//! let verdict = adopter.offer_head(&manifest::Head::default().encode());
+//! let mut applier = adopt::Applier::default();
+//! let verdict = applier.offer_head(&manifest::Head::default().encode());
 //! assert_eq!(verdict, adopt::Verdict::Ignored(adopt::IgnoreReason::NotNewer));
 //! ```
 
-mod adopter;
+mod applier;
 mod counts;
 mod in_force;
 mod verdict;
 
-pub use adopter::Adopter;
+pub use applier::Applier;
 pub use counts::AdoptCounts;
 pub use in_force::InForce;
 pub use verdict::{IgnoreReason, Verdict};
--- a/crates/damaskvane-config/src/adopt/adopter.rs
+++ b/crates/damaskvane-config/src/adopt/applier.rs
@@ -3,8 +3,8 @@
 //! ```
 //! use damaskvane_config::adopt;
 //!
-//! let mut adopter = adopt::Adopter::default();
-//! let verdict = adopter.offer_chunks([b"stray".as_slice()]);
+//! let mut applier = adopt::Applier::default();
+//! let verdict = applier.offer_chunks([b"stray".as_slice()]);
 //! assert_eq!(verdict, adopt::Verdict::Ignored(adopt::IgnoreReason::NothingWanted));
 //! ```
 
@@ -37,14 +37,14 @@
 
 /// Takes heads into force, from whatever source, never backwards.
 #[derive(Debug, Clone, Default)]
-pub struct Adopter {
+pub struct Applier {
     in_force: Option<Arc<InForce>>,
     waiting: BTreeMap<ids::ConfigVersion, Waiting>,
     refused: VecDeque<ContentHash>,
     counts: AdoptCounts,
 }
 
-impl Adopter {
+impl Applier {
     /// What is in force; `None` on an instance that has not adopted anything yet.
     #[must_use]
     pub const fn in_force(&self) -> Option<&Arc<InForce>> {
--- a/crates/damaskvane-config/src/adopt/in_force.rs
+++ b/crates/damaskvane-config/src/adopt/in_force.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_config::adopt;
 //!
-//! assert!(adopt::Adopter::default().in_force().is_none());
+//! assert!(adopt::Applier::default().in_force().is_none());
 //! ```
 
 use std::sync::Arc;
--- a/crates/damaskvane-config/src/relay/action.rs
+++ b/crates/damaskvane-config/src/relay/action.rs
@@ -57,9 +57,9 @@
     WatchStore,
     /// End the watch: others are relays now.
     StopWatching,
-    /// A version came into force; read it from [`Relay::adopter`].
+    /// A version came into force; read it from [`Relay::applier`].
     ///
-    /// [`Relay::adopter`]: super::Relay::adopter
+    /// [`Relay::applier`]: super::Relay::adopter
     InForce {
         /// The version.
         version: ids::ConfigVersion,
--- a/crates/damaskvane-config/src/relay/machine.rs
+++ b/crates/damaskvane-config/src/relay/machine.rs
@@ -22,7 +22,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::adopt::{Adopter, IgnoreReason, Verdict};
+use crate::adopt::{Applier, IgnoreReason, Verdict};
 use crate::relay::action::{Action, Source};
 use crate::relay::event::Event;
 use crate::relay::fetch::Fetch;
@@ -39,7 +39,7 @@
     me: Member,
     settings: RelaySettings,
     rng: Pcg64Mcg,
-    adopter: Adopter,
+    applier: Applier,
     view: View,
     heard: BTreeMap<ids::InstanceId, ids::ConfigVersion>,
     fetch: Fetch,
@@ -60,7 +60,7 @@
             me,
             settings,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            adopter: Adopter::default(),
+            applier: Applier::default(),
             view: View::default(),
             heard: BTreeMap::new(),
             fetch: Fetch::default(),
@@ -76,8 +76,8 @@
 
     /// What is in force here.
     #[must_use]
-    pub const fn adopter(&self) -> &Adopter {
-        &self.adopter
+    pub const fn applier(&self) -> &Applier {
+        &self.applier
     }
 
     /// Whether this instance is to watch the store.
@@ -148,10 +148,10 @@
             self.zone_heard_at = now;
         }
         if let Some(hash) = state_hash {
-            self.adopter.agrees_with(version, &hash);
+            self.applier.agrees_with(version, &hash);
         }
         self.heard.insert(from.clone(), version);
-        let mine = self.adopter.version();
+        let mine = self.applier.version();
         if version >= mine {
             self.telling.stop(from);
         } else if !self.telling.is_telling(from) {
@@ -169,7 +169,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.fetch.end(from);
-        let verdict = self.adopter.offer_head(bytes);
+        let verdict = self.applier.offer_head(bytes);
         if let Verdict::Ignored(reason) = verdict {
             self.note_useless_head(now, from, reason);
         }
@@ -204,7 +204,7 @@
     ) {
         self.fetch.end(from);
         let chunks = chunks.iter().map(AsRef::as_ref);
-        let verdict = self.adopter.offer_chunks(chunks);
+        let verdict = self.applier.offer_chunks(chunks);
         if let Verdict::Wanting(missing) = &verdict
             && missing.len() >= self.wanted_chunks
         {
@@ -259,7 +259,7 @@
                 targets.extend(self.zone_peers());
             }
         }
-        let mine = self.adopter.version();
+        let mine = self.applier.version();
         for target in targets {
             let known = self.heard.get(&target).copied().unwrap_or_default();
             if known < mine {
@@ -271,7 +271,7 @@
     }
 
     fn tell(&mut self, now: time::TimeMs, actions: &mut Vec<Action>) {
-        let Some(in_force) = self.adopter.in_force() else {
+        let Some(in_force) = self.applier.in_force() else {
             return;
         };
         let (version, state_hash) = (in_force.version(), in_force.state_hash());
@@ -310,7 +310,7 @@
     }
 
     fn next_source(&mut self, now: time::TimeMs) -> Option<Source> {
-        let mine = self.adopter.version();
+        let mine = self.applier.version();
         if self.fetch.is_open_to_peers()
             && let Some(peer) = self.fetch.best_peer(&self.heard, mine, now)
         {
@@ -333,7 +333,7 @@
     fn may_read_store(&self, now: time::TimeMs) -> bool {
         let started_at = self.started_at.unwrap_or(now);
         let has_peers = !self.view.members.is_empty();
-        if self.adopter.in_force().is_none() {
+        if self.applier.in_force().is_none() {
             let graced = now.since(started_at) >= self.settings.boot_grace_ms;
             return graced || !has_peers;
         }
--- a/crates/damaskvane-config/tests/adopt.rs
+++ b/crates/damaskvane-config/tests/adopt.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use damaskvane_config::adopt::{Adopter, IgnoreReason, Verdict};
+use damaskvane_config::adopt::{Applier, IgnoreReason, Verdict};
 use damaskvane_config::manifest::{self, Head};
 use damaskvane_config::state;
 use damaskvane_core::hash;
@@ -11,9 +11,9 @@
 
 const QUEUE: &str = "[service.rider-desk]\nqueue_limit = 7\n";
 
-fn adopt(adopter: &mut Adopter, store: &Store) -> Verdict {
-    adopter.offer_head(&store.head().encode());
-    adopter.offer_chunks(store.chunks().iter().map(AsRef::as_ref))
+fn adopt(applier: &mut Applier, store: &Store) -> Verdict {
+    applier.offer_head(&store.head().encode());
+    applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref))
 }
 
 fn adopted(version: u64) -> Verdict {
@@ -26,14 +26,14 @@
 fn an_old_head_is_never_taken_back() {
     let mut store = Store::default();
     let old = store.accept(ZONES).encode();
-    let mut adopter = Adopter::default();
-    assert_eq!(adopt(&mut adopter, &store), adopted(1));
+    let mut applier = Applier::default();
+    assert_eq!(adopt(&mut applier, &store), adopted(1));
     store.accept(QUEUE);
-    assert_eq!(adopt(&mut adopter, &store), adopted(2));
-    let verdict = adopter.offer_head(&old);
+    assert_eq!(adopt(&mut applier, &store), adopted(2));
+    let verdict = applier.offer_head(&old);
     assert_eq!(verdict, Verdict::Ignored(IgnoreReason::NotNewer));
-    assert_eq!(adopter.version().get(), 2);
-    assert_eq!(adopter.counts().unsafe_switches, 0);
+    assert_eq!(applier.version().get(), 2);
+    assert_eq!(applier.counts().unsafe_switches, 0);
 }
 
 /// Chunks arrive one by one. Until the last one is there the old state must serve whole; a state
@@ -42,19 +42,19 @@
 fn the_old_state_serves_until_the_new_one_is_whole() {
     let mut store = Store::default();
     store.accept(ZONES);
-    let mut adopter = Adopter::default();
-    adopt(&mut adopter, &store);
-    let before = adopter.in_force().expect("in force").state_hash();
+    let mut applier = Applier::default();
+    adopt(&mut applier, &store);
+    let before = applier.in_force().expect("in force").state_hash();
     let more = "[service.a]\n[service.b]\n[service.c]\n";
     store.accept(&format!("{QUEUE}{more}"));
-    let Verdict::Wanting(missing) = adopter.offer_head(&store.head().encode()) else {
+    let Verdict::Wanting(missing) = applier.offer_head(&store.head().encode()) else {
         panic!("chunks are missing");
     };
     assert_eq!(missing.len(), 4, "only what changed is fetched");
     for (index, hash) in missing.iter().enumerate() {
-        assert_eq!(adopter.in_force().expect("in force").state_hash(), before);
+        assert_eq!(applier.in_force().expect("in force").state_hash(), before);
         let chunk = store.chunk(&hash.to_string()).expect("stored");
-        let verdict = adopter.offer_chunks([chunk.as_ref()]);
+        let verdict = applier.offer_chunks([chunk.as_ref()]);
         assert_eq!(verdict == adopted(2), index == 3);
     }
 }
@@ -65,17 +65,17 @@
 fn a_corrupted_chunk_is_dropped_and_still_wanted() {
     let mut store = Store::default();
     store.accept(ZONES);
-    let mut adopter = Adopter::default();
-    adopter.offer_head(&store.head().encode());
+    let mut applier = Applier::default();
+    applier.offer_head(&store.head().encode());
     let mut chunks: Vec<Vec<u8>> = store.chunks().iter().map(|chunk| chunk.to_vec()).collect();
     chunks[0][3] ^= 1;
-    let verdict = adopter.offer_chunks(chunks.iter().map(AsRef::as_ref));
+    let verdict = applier.offer_chunks(chunks.iter().map(AsRef::as_ref));
     assert!(
         matches!(&verdict, Verdict::Wanting(hashes) if hashes.len() == 1),
         "{verdict:?}"
     );
-    assert_eq!(adopter.counts().stray_chunks, 1);
-    assert_eq!(adopt(&mut adopter, &store), adopted(1));
+    assert_eq!(applier.counts().stray_chunks, 1);
+    assert_eq!(adopt(&mut applier, &store), adopted(1));
 }
 
 /// A head with a high version can't be completed, because whoever offered it is gone. It must not
@@ -88,12 +88,12 @@
     for _ in 0..9 {
         lost.accept(&format!("[service.s{}]\n", lost.head().ticket));
     }
-    let mut adopter = Adopter::default();
+    let mut applier = Applier::default();
     assert!(matches!(
-        adopter.offer_head(&lost.head().encode()),
+        applier.offer_head(&lost.head().encode()),
         Verdict::Wanting(_)
     ));
-    assert_eq!(adopt(&mut adopter, &store), adopted(1));
+    assert_eq!(adopt(&mut applier, &store), adopted(1));
 }
 
 /// A head names objects that don't fit each other. Its version is higher, but in force it would
@@ -102,20 +102,20 @@
 fn a_head_that_is_not_valid_is_refused_once_and_for_all() {
     let mut store = Store::default();
     store.accept(ZONES);
-    let mut adopter = Adopter::default();
-    adopt(&mut adopter, &store);
+    let mut applier = Applier::default();
+    adopt(&mut applier, &store);
     let mut head = store.head();
     head.version = head.version.next();
     head.ticket = head.ticket.next();
     let region = "region/mb".parse().expect("an id");
     head.objects.remove(&region);
     assert!(matches!(
-        adopter.offer_head(&head.encode()),
+        applier.offer_head(&head.encode()),
         Verdict::Refused(_)
     ));
-    let again = adopter.offer_head(&head.encode());
+    let again = applier.offer_head(&head.encode());
     assert_eq!(again, Verdict::Ignored(IgnoreReason::RefusedBefore));
-    assert_eq!(adopter.version().get(), 1);
+    assert_eq!(applier.version().get(), 1);
 }
 
 /// During an upgrade a newer program declares an object of a kind that this one doesn't know. If this
@@ -130,12 +130,12 @@
         ticket: head.ticket,
     };
     head.foreign.insert("quota/x".into(), entry);
-    let mut adopter = Adopter::default();
-    adopter.offer_head(&head.encode());
-    let verdict = adopter.offer_chunks(store.chunks().iter().map(AsRef::as_ref));
+    let mut applier = Applier::default();
+    applier.offer_head(&head.encode());
+    let verdict = applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref));
     assert_eq!(verdict, Verdict::Wanting(vec![entry.hash]));
-    assert_eq!(adopter.offer_chunks([chunk]), adopted(1));
-    let in_force = adopter.in_force().expect("in force");
+    assert_eq!(applier.offer_chunks([chunk]), adopted(1));
+    let in_force = applier.in_force().expect("in force");
     assert_eq!(in_force.chunk(&entry.hash).as_deref(), Some(chunk));
     assert_eq!(Head::decode(&in_force.head_bytes()), Ok(head));
 }
@@ -145,7 +145,7 @@
 #[test]
 fn a_state_after_many_changes_is_the_one_read_afresh() {
     let mut store = Store::default();
-    let mut adopter = Adopter::default();
+    let mut applier = Applier::default();
     let texts = [
         ZONES,
         QUEUE,
@@ -156,9 +156,9 @@
     ];
     for text in texts {
         store.accept(text);
-        adopt(&mut adopter, &store);
+        adopt(&mut applier, &store);
         let afresh = state::assemble(&store.head(), &support::chunks_of(&store));
-        let in_force = adopter.in_force().expect("in force").state();
+        let in_force = applier.in_force().expect("in force").state();
         assert_eq!(afresh.as_ref(), Ok(in_force.as_ref()));
     }
     let mut head = store.head();
@@ -168,8 +168,8 @@
     let id = "client_blocks/c".parse().expect("an id");
     head.objects.insert(id, entry);
     (head.version, head.ticket) = (head.version.next(), ticket);
-    adopter.offer_head(&head.encode());
-    let verdict = adopter.offer_chunks([chunk.as_slice()]);
+    applier.offer_head(&head.encode());
+    let verdict = applier.offer_chunks([chunk.as_slice()]);
     assert!(
         matches!(verdict, Verdict::Refused(_)),
         "x is in two sets: {verdict:?}"
@@ -182,21 +182,21 @@
 fn another_state_under_the_same_version_is_counted() {
     let mut store = Store::default();
     let head = store.accept(ZONES);
-    let mut adopter = Adopter::default();
-    adopt(&mut adopter, &store);
-    assert!(adopter.agrees_with(head.version, &head.state_hash()));
-    assert!(!adopter.agrees_with(head.version, &Head::default().state_hash()));
-    assert_eq!(adopter.counts().split_states, 1);
+    let mut applier = Applier::default();
+    adopt(&mut applier, &store);
+    assert!(applier.agrees_with(head.version, &head.state_hash()));
+    assert!(!applier.agrees_with(head.version, &Head::default().state_hash()));
+    assert_eq!(applier.counts().split_states, 1);
 }
 
 proptest! {
     /// What peers send is outside input: no bytes may end the process or come into force.
     #[test]
     fn arbitrary_bytes_are_never_adopted(bytes: Vec<u8>, chunk: Vec<u8>) {
-        let mut adopter = Adopter::default();
-        adopter.offer_head(&bytes);
-        adopter.offer_chunks([chunk.as_slice()]);
-        assert!(adopter.in_force().is_none());
+        let mut applier = Applier::default();
+        applier.offer_head(&bytes);
+        applier.offer_chunks([chunk.as_slice()]);
+        assert!(applier.in_force().is_none());
     }
 
     /// A head that is changed in one place is refused, ignored or wants chunks that nobody has.
@@ -206,10 +206,10 @@
         let mut bytes = store.accept(ZONES).encode();
         let index = index.index(bytes.len());
         bytes[index] ^= 1 << bit;
-        let mut adopter = Adopter::default();
-        adopter.offer_head(&bytes);
-        adopter.offer_chunks(store.chunks().iter().map(AsRef::as_ref));
-        if let Some(in_force) = adopter.in_force() {
+        let mut applier = Applier::default();
+        applier.offer_head(&bytes);
+        applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref));
+        if let Some(in_force) = applier.in_force() {
             assert_eq!(in_force.state_hash(), in_force.head().state_hash());
         }
     }
--- a/crates/damaskvane-config/tests/relay.rs
+++ b/crates/damaskvane-config/tests/relay.rs
@@ -191,7 +191,7 @@
     let from = peer("mb-a-1");
     assert!(actions.contains(&Action::FetchHead { from }));
     adopt_from(&mut relay, &store, 5, &peer("mb-a-1"));
-    assert_eq!(relay.adopter().version().get(), 2);
+    assert_eq!(relay.applier().version().get(), 2);
 }
 
 /// The store takes seconds for each answer. A head that a peer already holds must not wait for it.
@@ -223,7 +223,7 @@
     let is_tried = (1..=5).any(|step| relay.handle(at(step * 100), Event::Tick).contains(&next));
     assert!(is_tried);
     adopt_from(&mut relay, &store, 600, &peer("sask-a-3"));
-    assert_eq!(relay.adopter().version().get(), 1);
+    assert_eq!(relay.applier().version().get(), 1);
 }
 
 /// All chunks together are larger than one message, so a peer sends some of them. If that counted as a
@@ -246,7 +246,7 @@
         asked_on += usize::from(actions.iter().any(is_on));
     }
     assert_eq!(asked_on, all.len() - 1);
-    assert_eq!(relay.adopter().version().get(), 1);
+    assert_eq!(relay.applier().version().get(), 1);
     let chunks = vec![all[0].clone(), all[0].clone()];
     let from = peer("sask-a-2");
     let actions = relay.handle(at(4), Event::Chunks { from, chunks });
--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -31,9 +31,9 @@
 impl Control {
     pub(super) fn drive_relay(&mut self, event: relay::Event) {
         let now = self.now();
-        let before = self.relay.adopter().counts();
+        let before = self.relay.applier().counts();
         let actions = self.relay.handle(now, event);
-        let counts = self.relay.adopter().counts();
+        let counts = self.relay.applier().counts();
         for (label, increase) in counts.risen_since(before) {
             warn!(self.logger, "configuration rejected"; "reason" => label);
             self.serving.counters.add("config", label, increase);
@@ -185,14 +185,14 @@
     }
 
     fn send_head(&self, to: &ids::InstanceId) {
-        if let Some(active) = self.relay.adopter().in_force() {
+        if let Some(active) = self.relay.applier().in_force() {
             let bytes = active.head_bytes().to_vec();
             self.send_configuration(to, wire::ConfigurationMessage::Head { bytes });
         }
     }
 
     fn send_chunks(&self, to: &ids::InstanceId, hashes: &[hash::ContentHash]) {
-        let Some(active) = self.relay.adopter().in_force() else {
+        let Some(active) = self.relay.applier().in_force() else {
             return;
         };
         let mut chunks = Vec::new();
--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -210,7 +210,7 @@
 
     /// Updates the configuration version that heartbeats of this instance report.
     pub(super) fn update_heartbeat_report(&mut self) {
-        let config_version = self.relay.adopter().version();
+        let config_version = self.relay.applier().version();
         self.drive_membership(view::Event::Report {
             config_version,
             load: heartbeat::LoadSummary::default(),
--- a/crates/damaskvane-entry/src/control/notices.rs
+++ b/crates/damaskvane-entry/src/control/notices.rs
@@ -44,7 +44,7 @@
             sequence,
             echo: None,
             period_ms: NOTICE_PERIOD,
-            config_version: self.relay.adopter().version(),
+            config_version: self.relay.applier().version(),
             leaving,
             platform_age_ms: None,
             load: heartbeat::LoadSummary::default(),
--- a/crates/damaskvane-entry/src/control/publishing.rs
+++ b/crates/damaskvane-entry/src/control/publishing.rs
@@ -24,7 +24,7 @@
     /// Sends the list of polled backend servers and a new directory, and replaces the plan and the serving
     /// state. Does nothing while no configuration is active.
     pub(super) fn publish(&mut self) {
-        let Some(active) = self.relay.adopter().in_force().cloned() else {
+        let Some(active) = self.relay.applier().in_force().cloned() else {
             return;
         };
         let config = active.state();
@@ -150,7 +150,7 @@
             .publish("relay", json!(self.relay.is_watching()));
         let state_hash = self
             .relay
-            .adopter()
+            .applier()
             .in_force()
             .map(|active| active.state_hash().to_string());
         self.status.publish("state_hash", json!(state_hash));
--- a/crates/damaskvane-standins/src/config_run/exchange.rs
+++ b/crates/damaskvane-standins/src/config_run/exchange.rs
@@ -87,7 +87,7 @@
         if self.now < instance.paused_until {
             return;
         }
-        let Some(in_force) = instance.relay.adopter().in_force().cloned() else {
+        let Some(in_force) = instance.relay.applier().in_force().cloned() else {
             return;
         };
         let all: Vec<_> = self.fleet.instances.keys().cloned().collect();
@@ -106,7 +106,7 @@
             return;
         };
         let from_peer = Source::Peer(from.clone());
-        let event = match instance.relay.adopter().in_force() {
+        let event = match instance.relay.applier().in_force() {
             Some(in_force) if self.now >= instance.paused_until => Event::Head {
                 from: from_peer,
                 bytes: in_force.head_bytes(),
@@ -126,7 +126,7 @@
         let Some(instance) = self.fleet.instances.get(from) else {
             return;
         };
-        let Some(in_force) = instance.relay.adopter().in_force().cloned() else {
+        let Some(in_force) = instance.relay.applier().in_force().cloned() else {
             return;
         };
         let chunks = hashes.iter().filter_map(|hash| in_force.chunk(hash));
--- a/crates/damaskvane-standins/src/config_run/fleet.rs
+++ b/crates/damaskvane-standins/src/config_run/fleet.rs
@@ -104,7 +104,7 @@
     pub(super) fn versions(&self) -> Vec<ids::ConfigVersion> {
         let instances = self.instances.values();
         let mut versions: Vec<_> = instances
-            .map(|instance| instance.relay.adopter().version())
+            .map(|instance| instance.relay.applier().version())
             .collect();
         versions.sort_unstable();
         versions
--- a/crates/damaskvane-standins/src/config_run/world.rs
+++ b/crates/damaskvane-standins/src/config_run/world.rs
@@ -200,7 +200,7 @@
             return Ok(());
         }
         let actions = instance.relay.handle(now, event);
-        let version = instance.relay.adopter().version();
+        let version = instance.relay.applier().version();
         if version < instance.highest {
             return Err(format!("{id} fell from {} to {version}", instance.highest));
         }
@@ -209,11 +209,11 @@
             self.spans.adopt(instance.highest, version, now);
         }
         instance.highest = version;
-        let counts = instance.relay.adopter().counts();
+        let counts = instance.relay.applier().counts();
         if counts.unsafe_switches + counts.split_states > 0 {
             return Err(format!("{id} counts {counts:?}"));
         }
-        if let Some(in_force) = instance.relay.adopter().in_force() {
+        if let Some(in_force) = instance.relay.applier().in_force() {
             self.truth.check_in_force(in_force)?;
         }
         for action in actions {
@@ -287,7 +287,7 @@
     fn agrees(&self) -> bool {
         let newest = self.truth.newest().version;
         let mut instances = self.fleet.instances.values();
-        instances.all(|instance| instance.relay.adopter().version() == newest)
+        instances.all(|instance| instance.relay.applier().version() == newest)
     }
 
     fn change_views(&mut self) {
