--- a/crates/damaskvane-config/src/adopt.rs
+++ b/crates/damaskvane-config/src/apply.rs
@@ -1,11 +1,11 @@
 //! How an instance takes a head into force, from whatever source, never backwards.
 //!
 //! ```
-//! use damaskvane_config::{adopt, manifest};
+//! use damaskvane_config::{apply, manifest};
 //!
-//! let mut applier = adopt::Applier::default();
+//! let mut applier = apply::Applier::default();
 //! let verdict = applier.offer_head(&manifest::Head::default().encode());
-//! assert_eq!(verdict, adopt::Verdict::Ignored(adopt::IgnoreReason::NotNewer));
+//! assert_eq!(verdict, apply::Verdict::Ignored(apply::IgnoreReason::NotNewer));
 //! ```
 
 mod applier;
--- a/crates/damaskvane-config/src/adopt/applier.rs
+++ b/crates/damaskvane-config/src/apply/applier.rs
@@ -1,11 +1,11 @@
 //! The adopter of one instance.
 //!
 //! ```
-//! use damaskvane_config::adopt;
+//! use damaskvane_config::apply;
 //!
-//! let mut applier = adopt::Applier::default();
+//! let mut applier = apply::Applier::default();
 //! let verdict = applier.offer_chunks([b"stray".as_slice()]);
-//! assert_eq!(verdict, adopt::Verdict::Ignored(adopt::IgnoreReason::NothingWanted));
+//! assert_eq!(verdict, apply::Verdict::Ignored(apply::IgnoreReason::NothingWanted));
 //! ```
 
 use std::collections::{BTreeMap, VecDeque};
@@ -14,9 +14,9 @@
 use damaskvane_core::hash::ContentHash;
 use damaskvane_core::ids;
 
-use crate::adopt::counts::AdoptCounts;
-use crate::adopt::in_force::InForce;
-use crate::adopt::verdict::{IgnoreReason, Verdict};
+use crate::apply::counts::AdoptCounts;
+use crate::apply::in_force::InForce;
+use crate::apply::verdict::{IgnoreReason, Verdict};
 use crate::chunk::{Chunk, MAX_CHUNK_BYTES};
 use crate::manifest::Head;
 use crate::state::{Before, Chunks, assemble_after};
--- a/crates/damaskvane-config/src/adopt/counts.rs
+++ b/crates/damaskvane-config/src/apply/counts.rs
@@ -1,10 +1,10 @@
 //! Counts of what an adopter met.
 //!
 //! ```
-//! use damaskvane_config::adopt;
+//! use damaskvane_config::apply;
 //!
-//! let before = adopt::AdoptCounts::default();
-//! let after = adopt::AdoptCounts { stray_chunks: 2, ..before };
+//! let before = apply::AdoptCounts::default();
+//! let after = apply::AdoptCounts { stray_chunks: 2, ..before };
 //! assert!(after.risen_since(before).eq([("stray_chunk", 2)]));
 //! ```
 
--- a/crates/damaskvane-config/src/adopt/in_force.rs
+++ b/crates/damaskvane-config/src/apply/in_force.rs
@@ -1,9 +1,9 @@
 //! What is in force on an instance.
 //!
 //! ```
-//! use damaskvane_config::adopt;
+//! use damaskvane_config::apply;
 //!
-//! assert!(adopt::Applier::default().in_force().is_none());
+//! assert!(apply::Applier::default().in_force().is_none());
 //! ```
 
 use std::sync::Arc;
--- a/crates/damaskvane-config/src/adopt/verdict.rs
+++ b/crates/damaskvane-config/src/apply/verdict.rs
@@ -1,9 +1,9 @@
 //! What became of an offered head or of offered chunks.
 //!
 //! ```
-//! use damaskvane_config::adopt;
+//! use damaskvane_config::apply;
 //!
-//! assert_eq!(adopt::IgnoreReason::NotNewer.as_str(), "not-newer");
+//! assert_eq!(apply::IgnoreReason::NotNewer.as_str(), "not-newer");
 //! ```
 
 use damaskvane_core::hash::ContentHash;
--- a/crates/damaskvane-config/src/lib.rs
+++ b/crates/damaskvane-config/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`document`]: declarations as operators write them, in TOML.
 //! - [`state`]: everything in force at one version, and how it is assembled from chunks.
 //! - [`submit`]: how a ticket gets into the store, step by step.
-//! - [`adopt`]: how an instance takes a head into force, from whatever source, never backwards.
+//! - [`apply`]: how an instance takes a head into force, from whatever source, never backwards.
 //! - [`relay`]: who watches the store and who tells whom.
 //! - [`problem`]: what is wrong with a declaration, where, and the remedy.
 //!
@@ -22,7 +22,7 @@
 //! assert_eq!(document.changes().count(), 2);
 //! ```
 
-pub mod adopt;
+pub mod apply;
 pub mod chunk;
 pub mod declaration;
 pub mod document;
--- a/crates/damaskvane-config/src/relay/machine.rs
+++ b/crates/damaskvane-config/src/relay/machine.rs
@@ -22,7 +22,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::adopt::{Applier, IgnoreReason, Verdict};
+use crate::apply::{Applier, IgnoreReason, Verdict};
 use crate::relay::action::{Action, Source};
 use crate::relay::event::Event;
 use crate::relay::fetch::Fetch;
--- a/crates/damaskvane-config/tests/adopt.rs
+++ b/crates/damaskvane-config/tests/adopt.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use damaskvane_config::adopt::{Applier, IgnoreReason, Verdict};
+use damaskvane_config::apply::{Applier, IgnoreReason, Verdict};
 use damaskvane_config::manifest::{self, Head};
 use damaskvane_config::state;
 use damaskvane_core::hash;
--- a/crates/damaskvane-standins/src/config_run/truth.rs
+++ b/crates/damaskvane-standins/src/config_run/truth.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use damaskvane_config::adopt::InForce;
+use damaskvane_config::apply::InForce;
 use damaskvane_config::manifest::Head;
 use damaskvane_config::submit::Outcome;
 use damaskvane_config::ticket::{Overlap, Ticket};
