--- a/crates/damaskvane-config/src/apply.rs
+++ b/crates/damaskvane-config/src/apply.rs
@@ -15,5 +15,5 @@
 
 pub use applier::Applier;
 pub use counts::AdoptCounts;
-pub use in_force::InForce;
+pub use in_force::ActiveConfig;
 pub use verdict::{IgnoreReason, Verdict};
--- a/crates/damaskvane-config/src/apply/applier.rs
+++ b/crates/damaskvane-config/src/apply/applier.rs
@@ -15,7 +15,7 @@
 use damaskvane_core::ids;
 
 use crate::apply::counts::AdoptCounts;
-use crate::apply::in_force::InForce;
+use crate::apply::in_force::ActiveConfig;
 use crate::apply::verdict::{IgnoreReason, Verdict};
 use crate::chunk::{Chunk, MAX_CHUNK_BYTES};
 use crate::manifest::Head;
@@ -38,7 +38,7 @@
 /// Takes heads into force, from whatever source, never backwards.
 #[derive(Debug, Clone, Default)]
 pub struct Applier {
-    in_force: Option<Arc<InForce>>,
+    in_force: Option<Arc<ActiveConfig>>,
     waiting: BTreeMap<ids::ConfigVersion, Waiting>,
     refused: VecDeque<ContentHash>,
     counts: AdoptCounts,
@@ -47,7 +47,7 @@
 impl Applier {
     /// What is in force; `None` on an instance that has not adopted anything yet.
     #[must_use]
-    pub const fn in_force(&self) -> Option<&Arc<InForce>> {
+    pub const fn in_force(&self) -> Option<&Arc<ActiveConfig>> {
         self.in_force.as_ref()
     }
 
@@ -182,7 +182,7 @@
         });
         match assemble_after(before, &waiting.head, &waiting.chunks) {
             Ok(state) => {
-                let next = InForce {
+                let next = ActiveConfig {
                     head: waiting.head.clone(),
                     head_bytes: Arc::clone(&waiting.bytes),
                     state_hash: waiting.head.state_hash(),
@@ -213,7 +213,7 @@
     /// A version that falls would bring back what a later ticket took away, on one instance only;
     /// operators would see it as an instance that reverted. The check stands here, at the only
     /// place that switches, whatever the callers above checked.
-    fn switch(&mut self, next: InForce) -> Verdict {
+    fn switch(&mut self, next: ActiveConfig) -> Verdict {
         let version = next.version();
         if version <= self.version() {
             self.counts.unsafe_switches += 1;
--- a/crates/damaskvane-config/src/apply/in_force.rs
+++ b/crates/damaskvane-config/src/apply/in_force.rs
@@ -17,7 +17,7 @@
 
 /// A head in force, with everything a peer may ask for.
 #[derive(Debug, Clone)]
-pub struct InForce {
+pub struct ActiveConfig {
     pub(super) head: Head,
     pub(super) head_bytes: Arc<[u8]>,
     pub(super) state_hash: ContentHash,
@@ -25,7 +25,7 @@
     pub(super) chunks: Chunks,
 }
 
-impl InForce {
+impl ActiveConfig {
     /// The version.
     #[must_use]
     pub const fn version(&self) -> ids::ConfigVersion {
--- a/crates/damaskvane-standins/src/config_run/truth.rs
+++ b/crates/damaskvane-standins/src/config_run/truth.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use damaskvane_config::apply::InForce;
+use damaskvane_config::apply::ActiveConfig;
 use damaskvane_config::manifest::Head;
 use damaskvane_config::submit::Outcome;
 use damaskvane_config::ticket::{Overlap, Ticket};
@@ -87,7 +87,7 @@
     }
 
     /// What an instance has in force must be what was accepted under that version.
-    pub(super) fn check_in_force(&self, in_force: &InForce) -> Result<(), String> {
+    pub(super) fn check_in_force(&self, in_force: &ActiveConfig) -> Result<(), String> {
         let version = in_force.version();
         match self.state_hash(version) {
             Some(hash) if hash == in_force.state_hash() => Ok(()),
