--- a/crates/damaskvane-config/src/relay/action.rs
+++ b/crates/damaskvane-config/src/relay/action.rs
@@ -60,7 +60,7 @@
     /// A version came into force; read it from [`Relay::applier`].
     ///
     /// [`Relay::applier`]: super::Relay::adopter
-    InForce {
+    Activated {
         /// The version.
         version: ids::ConfigVersion,
     },
--- a/crates/damaskvane-config/src/relay/machine.rs
+++ b/crates/damaskvane-config/src/relay/machine.rs
@@ -233,7 +233,7 @@
             }
             Verdict::Adopted(version) => {
                 self.rereads_left = 0;
-                actions.push(Action::InForce { version });
+                actions.push(Action::Activated { version });
                 self.start_telling(now, from);
             }
         }
--- a/crates/damaskvane-standins/src/config_run/exchange.rs
+++ b/crates/damaskvane-standins/src/config_run/exchange.rs
@@ -30,7 +30,7 @@
             ),
             Action::FetchHead { .. } => self.ask_store(id, None),
             Action::FetchChunks { hashes, .. } => self.ask_store(id, Some(hashes)),
-            Action::WatchStore | Action::StopWatching | Action::InForce { .. } => {}
+            Action::WatchStore | Action::StopWatching | Action::Activated { .. } => {}
         }
     }
 
