--- a/crates/damaskvane-config/src/apply.rs
+++ b/crates/damaskvane-config/src/apply.rs
@@ -8,12 +8,12 @@
 //! assert_eq!(verdict, apply::Verdict::Ignored(apply::IgnoreReason::NotNewer));
 //! ```
 
+mod active_config;
 mod applier;
 mod counts;
-mod in_force;
 mod verdict;
 
+pub use active_config::ActiveConfig;
 pub use applier::Applier;
 pub use counts::AdoptCounts;
-pub use in_force::ActiveConfig;
 pub use verdict::{IgnoreReason, Verdict};
--- a/crates/damaskvane-config/src/apply/in_force.rs
+++ b/crates/damaskvane-config/src/apply/active_config.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_config::apply;
 //!
-//! assert!(apply::Applier::default().in_force().is_none());
+//! assert!(apply::Applier::default().active_config().is_none());
 //! ```
 
 use std::sync::Arc;
--- a/crates/damaskvane-config/src/apply/applier.rs
+++ b/crates/damaskvane-config/src/apply/applier.rs
@@ -14,8 +14,8 @@
 use damaskvane_core::hash::ContentHash;
 use damaskvane_core::ids;
 
+use crate::apply::active_config::ActiveConfig;
 use crate::apply::counts::AdoptCounts;
-use crate::apply::in_force::ActiveConfig;
 use crate::apply::verdict::{IgnoreReason, Verdict};
 use crate::chunk::{Chunk, MAX_CHUNK_BYTES};
 use crate::manifest::Head;
@@ -38,7 +38,7 @@
 /// Takes heads into force, from whatever source, never backwards.
 #[derive(Debug, Clone, Default)]
 pub struct Applier {
-    in_force: Option<Arc<ActiveConfig>>,
+    active_config: Option<Arc<ActiveConfig>>,
     waiting: BTreeMap<ids::ConfigVersion, Waiting>,
     refused: VecDeque<ContentHash>,
     counts: AdoptCounts,
@@ -47,16 +47,18 @@
 impl Applier {
     /// What is in force; `None` on an instance that has not adopted anything yet.
     #[must_use]
-    pub const fn in_force(&self) -> Option<&Arc<ActiveConfig>> {
-        self.in_force.as_ref()
+    pub const fn active_config(&self) -> Option<&Arc<ActiveConfig>> {
+        self.active_config.as_ref()
     }
 
     /// The version in force; 0 where there is none.
     #[must_use]
     pub fn version(&self) -> ids::ConfigVersion {
-        self.in_force
+        self.active_config
             .as_ref()
-            .map_or(ids::ConfigVersion::new(0), |in_force| in_force.version())
+            .map_or(ids::ConfigVersion::new(0), |active_config| {
+                active_config.version()
+            })
     }
 
     /// The counts so far.
@@ -113,10 +115,10 @@
     /// The head's conditional update gives each version one content. If two differ all the same, a
     /// chunk, a store or a program is wrong, and callers get answers that depend on whom they ask.
     pub fn agrees_with(&mut self, version: ids::ConfigVersion, state_hash: &ContentHash) -> bool {
-        let Some(in_force) = &self.in_force else {
+        let Some(active_config) = &self.active_config else {
             return true;
         };
-        let agrees = in_force.version() != version || in_force.state_hash == *state_hash;
+        let agrees = active_config.version() != version || active_config.state_hash == *state_hash;
         if !agrees {
             self.counts.split_states += 1;
         }
@@ -127,9 +129,9 @@
         let mut chunks = Chunks::new();
         for entry in head.entries() {
             let held = self
-                .in_force
+                .active_config
                 .as_ref()
-                .and_then(|in_force| in_force.chunks.get(&entry.hash));
+                .and_then(|active_config| active_config.chunks.get(&entry.hash));
             let held = held.or_else(|| self.waiting_chunk(&entry.hash));
             if let Some(chunk) = held {
                 chunks.insert(entry.hash, chunk.clone());
@@ -176,9 +178,9 @@
             return Verdict::Wanting(missing);
         }
         // The old state serves until the new one is whole and valid.
-        let before = self.in_force.as_ref().map(|in_force| Before {
-            head: &in_force.head,
-            state: &in_force.state,
+        let before = self.active_config.as_ref().map(|active_config| Before {
+            head: &active_config.head,
+            state: &active_config.state,
         });
         match assemble_after(before, &waiting.head, &waiting.chunks) {
             Ok(state) => {
@@ -220,7 +222,7 @@
             debug_assert!(false, "the version in force must never fall");
             return Verdict::Ignored(IgnoreReason::NotNewer);
         }
-        self.in_force = Some(Arc::new(next));
+        self.active_config = Some(Arc::new(next));
         self.counts.adopted += 1;
         self.waiting.retain(|waiting, _| *waiting > version);
         Verdict::Adopted(version)
--- a/crates/damaskvane-config/src/relay/machine.rs
+++ b/crates/damaskvane-config/src/relay/machine.rs
@@ -271,10 +271,10 @@
     }
 
     fn tell(&mut self, now: time::TimeMs, actions: &mut Vec<Action>) {
-        let Some(in_force) = self.applier.in_force() else {
+        let Some(active_config) = self.applier.active_config() else {
             return;
         };
-        let (version, state_hash) = (in_force.version(), in_force.state_hash());
+        let (version, state_hash) = (active_config.version(), active_config.state_hash());
         for to in self.telling.due(now) {
             actions.push(Action::Announce {
                 to,
@@ -333,7 +333,7 @@
     fn may_read_store(&self, now: time::TimeMs) -> bool {
         let started_at = self.started_at.unwrap_or(now);
         let has_peers = !self.view.members.is_empty();
-        if self.applier.in_force().is_none() {
+        if self.applier.active_config().is_none() {
             let graced = now.since(started_at) >= self.settings.boot_grace_ms;
             return graced || !has_peers;
         }
--- a/crates/damaskvane-config/tests/adopt.rs
+++ b/crates/damaskvane-config/tests/adopt.rs
@@ -44,7 +44,7 @@
     store.accept(ZONES);
     let mut applier = Applier::default();
     adopt(&mut applier, &store);
-    let before = applier.in_force().expect("in force").state_hash();
+    let before = applier.active_config().expect("in force").state_hash();
     let more = "[service.a]\n[service.b]\n[service.c]\n";
     store.accept(&format!("{QUEUE}{more}"));
     let Verdict::Wanting(missing) = applier.offer_head(&store.head().encode()) else {
@@ -52,7 +52,10 @@
     };
     assert_eq!(missing.len(), 4, "only what changed is fetched");
     for (index, hash) in missing.iter().enumerate() {
-        assert_eq!(applier.in_force().expect("in force").state_hash(), before);
+        assert_eq!(
+            applier.active_config().expect("in force").state_hash(),
+            before
+        );
         let chunk = store.chunk(&hash.to_string()).expect("stored");
         let verdict = applier.offer_chunks([chunk.as_ref()]);
         assert_eq!(verdict == adopted(2), index == 3);
@@ -135,9 +138,9 @@
     let verdict = applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref));
     assert_eq!(verdict, Verdict::Wanting(vec![entry.hash]));
     assert_eq!(applier.offer_chunks([chunk]), adopted(1));
-    let in_force = applier.in_force().expect("in force");
-    assert_eq!(in_force.chunk(&entry.hash).as_deref(), Some(chunk));
-    assert_eq!(Head::decode(&in_force.head_bytes()), Ok(head));
+    let active_config = applier.active_config().expect("in force");
+    assert_eq!(active_config.chunk(&entry.hash).as_deref(), Some(chunk));
+    assert_eq!(Head::decode(&active_config.head_bytes()), Ok(head));
 }
 
 /// Objects that a ticket does not change are taken over from the state in force. If one were taken over
@@ -158,8 +161,8 @@
         store.accept(text);
         adopt(&mut applier, &store);
         let afresh = state::assemble(&store.head(), &support::chunks_of(&store));
-        let in_force = applier.in_force().expect("in force").state();
-        assert_eq!(afresh.as_ref(), Ok(in_force.as_ref()));
+        let active_config = applier.active_config().expect("in force").state();
+        assert_eq!(afresh.as_ref(), Ok(active_config.as_ref()));
     }
     let mut head = store.head();
     let chunk = b"{\"name\":\"c\",\"kind\":\"client_blocks\",\"near\":\"mb-a\",\"names\":[\"x\"]}";
@@ -196,7 +199,7 @@
         let mut applier = Applier::default();
         applier.offer_head(&bytes);
         applier.offer_chunks([chunk.as_slice()]);
-        assert!(applier.in_force().is_none());
+        assert!(applier.active_config().is_none());
     }
 
     /// A head that is changed in one place is refused, ignored or wants chunks that nobody has.
@@ -209,8 +212,8 @@
         let mut applier = Applier::default();
         applier.offer_head(&bytes);
         applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref));
-        if let Some(in_force) = applier.in_force() {
-            assert_eq!(in_force.state_hash(), in_force.head().state_hash());
+        if let Some(active_config) = applier.active_config() {
+            assert_eq!(active_config.state_hash(), active_config.head().state_hash());
         }
     }
 }
--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -185,14 +185,14 @@
     }
 
     fn send_head(&self, to: &ids::InstanceId) {
-        if let Some(active) = self.relay.applier().in_force() {
+        if let Some(active) = self.relay.applier().active_config() {
             let bytes = active.head_bytes().to_vec();
             self.send_configuration(to, wire::ConfigurationMessage::Head { bytes });
         }
     }
 
     fn send_chunks(&self, to: &ids::InstanceId, hashes: &[hash::ContentHash]) {
-        let Some(active) = self.relay.applier().in_force() else {
+        let Some(active) = self.relay.applier().active_config() else {
             return;
         };
         let mut chunks = Vec::new();
--- a/crates/damaskvane-entry/src/control/publishing.rs
+++ b/crates/damaskvane-entry/src/control/publishing.rs
@@ -24,7 +24,7 @@
     /// Sends the list of polled backend servers and a new directory, and replaces the plan and the serving
     /// state. Does nothing while no configuration is active.
     pub(super) fn publish(&mut self) {
-        let Some(active) = self.relay.applier().in_force().cloned() else {
+        let Some(active) = self.relay.applier().active_config().cloned() else {
             return;
         };
         let config = active.state();
@@ -151,7 +151,7 @@
         let state_hash = self
             .relay
             .applier()
-            .in_force()
+            .active_config()
             .map(|active| active.state_hash().to_string());
         self.status.publish("state_hash", json!(state_hash));
     }
--- a/crates/damaskvane-entry/src/control/steering.rs
+++ b/crates/damaskvane-entry/src/control/steering.rs
@@ -60,7 +60,7 @@
 impl Control {
     /// Computes and publishes a new plan. Does nothing while no configuration is active.
     pub(super) fn update_plan(&mut self) {
-        let Some(active) = self.relay.applier().in_force().cloned() else {
+        let Some(active) = self.relay.applier().active_config().cloned() else {
             return;
         };
         let now = self.now();
@@ -139,7 +139,7 @@
     }
 
     fn zone_report(&self, now: time::TimeMs) -> load::ZoneReport {
-        let config = self.relay.applier().in_force().map(|active| active.state());
+        let config = self.relay.applier().active_config().map(|active| active.state());
         let typical = |service: &ids::ServiceId| {
             config
                 .as_ref()
--- a/crates/damaskvane-standins/src/config_run/exchange.rs
+++ b/crates/damaskvane-standins/src/config_run/exchange.rs
@@ -87,7 +87,7 @@
         if self.now < instance.paused_until {
             return;
         }
-        let Some(in_force) = instance.relay.applier().in_force().cloned() else {
+        let Some(active_config) = instance.relay.applier().active_config().cloned() else {
             return;
         };
         let all: Vec<_> = self.fleet.instances.keys().cloned().collect();
@@ -96,7 +96,7 @@
         for (index, to) in all.iter().enumerate() {
             let near = self.fleet.zone_of(to) == zone.as_ref();
             if to != id && (near || index == stranger) {
-                self.send_version(id, to, in_force.version(), in_force.state_hash());
+                self.send_version(id, to, active_config.version(), active_config.state_hash());
             }
         }
     }
@@ -106,10 +106,10 @@
             return;
         };
         let from_peer = Source::Peer(from.clone());
-        let event = match instance.relay.applier().in_force() {
-            Some(in_force) if self.now >= instance.paused_until => Event::Head {
+        let event = match instance.relay.applier().active_config() {
+            Some(active_config) if self.now >= instance.paused_until => Event::Head {
                 from: from_peer,
-                bytes: in_force.head_bytes(),
+                bytes: active_config.head_bytes(),
             },
             Some(_) => return,
             None => Event::FetchFailed { from: from_peer },
@@ -126,10 +126,10 @@
         let Some(instance) = self.fleet.instances.get(from) else {
             return;
         };
-        let Some(in_force) = instance.relay.applier().in_force().cloned() else {
+        let Some(active_config) = instance.relay.applier().active_config().cloned() else {
             return;
         };
-        let chunks = hashes.iter().filter_map(|hash| in_force.chunk(hash));
+        let chunks = hashes.iter().filter_map(|hash| active_config.chunk(hash));
         let chunks: Vec<_> = chunks.collect();
         let chunks = chunks.into_iter().map(|chunk| self.corrupted(chunk));
         let event = Event::Chunks {
--- a/crates/damaskvane-standins/src/config_run/truth.rs
+++ b/crates/damaskvane-standins/src/config_run/truth.rs
@@ -87,10 +87,10 @@
     }
 
     /// What an instance has in force must be what was accepted under that version.
-    pub(super) fn check_in_force(&self, in_force: &ActiveConfig) -> Result<(), String> {
-        let version = in_force.version();
+    pub(super) fn check_in_force(&self, active_config: &ActiveConfig) -> Result<(), String> {
+        let version = active_config.version();
         match self.state_hash(version) {
-            Some(hash) if hash == in_force.state_hash() => Ok(()),
+            Some(hash) if hash == active_config.state_hash() => Ok(()),
             Some(_) => Err(format!("another state is in force under version {version}")),
             None => Err(format!("version {version} is in force but not accepted")),
         }
--- a/crates/damaskvane-standins/src/config_run/world.rs
+++ b/crates/damaskvane-standins/src/config_run/world.rs
@@ -213,8 +213,8 @@
         if counts.unsafe_switches + counts.split_states > 0 {
             return Err(format!("{id} counts {counts:?}"));
         }
-        if let Some(in_force) = instance.relay.applier().in_force() {
-            self.truth.check_in_force(in_force)?;
+        if let Some(active_config) = instance.relay.applier().active_config() {
+            self.truth.check_in_force(active_config)?;
         }
         for action in actions {
             self.act(id, action);
