--- a/crates/damaskvane-config/src/relay/action.rs
+++ b/crates/damaskvane-config/src/relay/action.rs
@@ -21,9 +21,9 @@
 /// Something to do; each is answered by an event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Tell an instance the version in force here. It passes this to [`Event::Heard`].
+    /// Tell an instance the version in force here. It passes this to [`Event::VersionReported`].
     ///
-    /// [`Event::Heard`]: super::Event::Heard
+    /// [`Event::VersionReported`]: super::Event::Heard
     Announce {
         /// Whom to tell.
         to: ids::InstanceId,
--- a/crates/damaskvane-config/src/relay/event.rs
+++ b/crates/damaskvane-config/src/relay/event.rs
@@ -22,7 +22,7 @@
     /// The live instances changed.
     Membership(View),
     /// A peer told the version in force there, by announcement or heartbeat.
-    Heard {
+    VersionReported {
         /// The peer.
         from: ids::InstanceId,
         /// The version in force there.
--- a/crates/damaskvane-config/src/relay/machine.rs
+++ b/crates/damaskvane-config/src/relay/machine.rs
@@ -95,7 +95,7 @@
         match event {
             Event::Tick => self.expire(now),
             Event::Membership(view) => self.change_view(now, view, &mut actions),
-            Event::Heard {
+            Event::VersionReported {
                 from,
                 version,
                 state_hash,
--- a/crates/damaskvane-config/tests/relay.rs
+++ b/crates/damaskvane-config/tests/relay.rs
@@ -34,7 +34,7 @@
 }
 
 fn heard(from: &str, version: u64) -> Event {
-    Event::Heard {
+    Event::VersionReported {
         from: id(from),
         version: damaskvane_core::ids::ConfigVersion::new(version),
         state_hash: None,
--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -160,7 +160,7 @@
             wire::ConfigurationMessage::InForce {
                 version,
                 state_hash,
-            } => self.drive_relay(relay::Event::Heard {
+            } => self.drive_relay(relay::Event::VersionReported {
                 from,
                 version,
                 state_hash: Some(state_hash),
--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -195,7 +195,7 @@
         incarnation: ids::Incarnation,
         heartbeat: heartbeat::Heartbeat,
     ) {
-        let version_received = relay::Event::Heard {
+        let version_received = relay::Event::VersionReported {
             from: from.clone(),
             version: heartbeat.config_version,
             state_hash: None,
--- a/crates/damaskvane-standins/src/config_run/exchange.rs
+++ b/crates/damaskvane-standins/src/config_run/exchange.rs
@@ -41,7 +41,7 @@
         version: ids::ConfigVersion,
         state_hash: ContentHash,
     ) {
-        let event = Event::Heard {
+        let event = Event::VersionReported {
             from: from.clone(),
             version,
             state_hash: Some(state_hash),
