--- a/crates/damaskvane-config/src/apply/counts.rs
+++ b/crates/damaskvane-config/src/apply/counts.rs
@@ -5,7 +5,7 @@
 //!
 //! let before = apply::AdoptCounts::default();
 //! let after = apply::AdoptCounts { stray_chunks: 2, ..before };
-//! assert!(after.risen_since(before).eq([("stray_chunk", 2)]));
+//! assert!(after.increases_since(before).eq([("stray_chunk", 2)]));
 //! ```
 
 /// Counts of what the adopter met.
@@ -28,7 +28,7 @@
 impl AdoptCounts {
     /// The counts that rose, each by its word for the counters page. Heads that came into force are
     /// left out: who acts on them counts them.
-    pub fn risen_since(self, before: Self) -> impl Iterator<Item = (&'static str, u64)> {
+    pub fn increases_since(self, before: Self) -> impl Iterator<Item = (&'static str, u64)> {
         [
             ("refused_head", self.refused - before.refused),
             ("malformed_head", self.malformed - before.malformed),
--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -34,7 +34,7 @@
         let before = self.relay.applier().counts();
         let actions = self.relay.handle(now, event);
         let counts = self.relay.applier().counts();
-        for (label, increase) in counts.risen_since(before) {
+        for (label, increase) in counts.increases_since(before) {
             warn!(self.logger, "configuration rejected"; "reason" => label);
             self.serving.counters.add("config", label, increase);
         }
