--- a/crates/damaskvane-config/src/apply/applier.rs
+++ b/crates/damaskvane-config/src/apply/applier.rs
@@ -120,7 +120,7 @@
         };
         let agrees = active_config.version() != version || active_config.state_hash == *state_hash;
         if !agrees {
-            self.counts.split_states += 1;
+            self.counts.state_mismatches += 1;
         }
         agrees
     }
--- a/crates/damaskvane-config/src/apply/counts.rs
+++ b/crates/damaskvane-config/src/apply/counts.rs
@@ -22,7 +22,7 @@
     /// Switches that would have made the version fall; always 0 unless the program is wrong.
     pub unsafe_switches: u64,
     /// Peers with the same version and another state; always 0 unless a store or program is wrong.
-    pub split_states: u64,
+    pub state_mismatches: u64,
 }
 
 impl AdoptCounts {
@@ -37,7 +37,10 @@
                 "unsafe_switch",
                 self.unsafe_switches - before.unsafe_switches,
             ),
-            ("split_state", self.split_states - before.split_states),
+            (
+                "split_state",
+                self.state_mismatches - before.state_mismatches,
+            ),
         ]
         .into_iter()
         .filter(|(_, risen)| *risen > 0)
--- a/crates/damaskvane-config/tests/adopt.rs
+++ b/crates/damaskvane-config/tests/adopt.rs
@@ -189,7 +189,7 @@
     adopt(&mut applier, &store);
     assert!(applier.agrees_with(head.version, &head.state_hash()));
     assert!(!applier.agrees_with(head.version, &Head::default().state_hash()));
-    assert_eq!(applier.counts().split_states, 1);
+    assert_eq!(applier.counts().state_mismatches, 1);
 }
 
 proptest! {
--- a/crates/damaskvane-standins/src/config_run/world.rs
+++ b/crates/damaskvane-standins/src/config_run/world.rs
@@ -210,7 +210,7 @@
         }
         instance.highest = version;
         let counts = instance.relay.applier().counts();
-        if counts.unsafe_switches + counts.split_states > 0 {
+        if counts.unsafe_switches + counts.state_mismatches > 0 {
             return Err(format!("{id} counts {counts:?}"));
         }
         if let Some(active_config) = instance.relay.applier().active_config() {
