--- a/crates/damaskvane-config/src/submit.rs
+++ b/crates/damaskvane-config/src/submit.rs
@@ -16,6 +16,6 @@
 mod outcome;
 mod submission;
 
-pub use call::{Answer, Call};
+pub use call::{Call, StoreResponse};
 pub use outcome::{Outcome, Step};
 pub use submission::Submission;
--- a/crates/damaskvane-config/src/submit/call.rs
+++ b/crates/damaskvane-config/src/submit/call.rs
@@ -44,7 +44,7 @@
 
 /// What the store answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Answer {
+pub enum StoreResponse {
     /// The object that was read.
     Found {
         /// Its version in the store.
--- a/crates/damaskvane-config/src/submit/submission.rs
+++ b/crates/damaskvane-config/src/submit/submission.rs
@@ -5,7 +5,7 @@
 //! use damaskvane_config::{submit, ticket};
 //!
 //! let mut submission = submit::Submission::new(ticket::Draft::default());
-//! submission.answer(&submit::Call::ReadHead, submit::Answer::Failed("down".into()));
+//! submission.answer(&submit::Call::ReadHead, submit::StoreResponse::Failed("down".into()));
 //! assert_eq!(submission.next_step(), submit::Step::Pause);
 //! ```
 
@@ -18,7 +18,7 @@
 use crate::manifest::Head;
 use crate::problem::Problem;
 use crate::state::{Chunks, assemble};
-use crate::submit::call::{Answer, Call};
+use crate::submit::call::{Call, StoreResponse};
 use crate::submit::outcome::{Outcome, Step};
 use crate::ticket::{Draft, Ticket};
 
@@ -226,18 +226,18 @@
     }
 
     /// Takes in the answer to a call.
-    pub fn answer(&mut self, call: &Call, answer: Answer) {
+    pub fn answer(&mut self, call: &Call, answer: StoreResponse) {
         match answer {
-            Answer::Refused(reason) => self.give_up(&reason),
-            Answer::Failed(reason) => self.fail(&reason),
-            Answer::Unknown(reason) => {
+            StoreResponse::Refused(reason) => self.give_up(&reason),
+            StoreResponse::Failed(reason) => self.fail(&reason),
+            StoreResponse::Unknown(reason) => {
                 self.note_doubt(call);
                 self.fail(&reason);
             }
-            Answer::Found { version, bytes } => self.found(call, version, &bytes),
-            Answer::Absent => self.absent(call),
-            Answer::Applied => self.written(call, true),
-            Answer::Conflict => self.written(call, false),
+            StoreResponse::Found { version, bytes } => self.found(call, version, &bytes),
+            StoreResponse::Absent => self.absent(call),
+            StoreResponse::Applied => self.written(call, true),
+            StoreResponse::Conflict => self.written(call, false),
         }
     }
 
--- a/crates/damaskvane-config/tests/submit.rs
+++ b/crates/damaskvane-config/tests/submit.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use damaskvane_config::state;
-use damaskvane_config::submit::{Answer, Call, Outcome, Submission};
+use damaskvane_config::submit::{Call, Outcome, StoreResponse, Submission};
 use damaskvane_config::ticket::Ticket;
 use damaskvane_core::ids::TicketNumber;
 use support::{Store, ZONES, draft, run};
@@ -12,8 +12,8 @@
 const TTL: &str = "[service.rider-desk]\nlookup_ttl_ms = 900\n";
 const OTHER: &str = "[service.logbook]\n";
 
-fn lost() -> Option<Answer> {
-    Some(Answer::Unknown("lost".into()))
+fn lost() -> Option<StoreResponse> {
+    Some(StoreResponse::Unknown("lost".into()))
 }
 
 fn accepted(number: u64) -> Outcome {
@@ -96,14 +96,14 @@
         let mut is_down = false;
         let outcome = run(&mut store, &mut submission, |_, call| {
             if is_down {
-                return Some(Answer::Failed("outage".into()));
+                return Some(StoreResponse::Failed("outage".into()));
             }
             is_down = matches!(call, Call::WriteHead { .. });
             is_down.then(|| {
                 if lose_first {
-                    Answer::Unknown("lost".into())
+                    StoreResponse::Unknown("lost".into())
                 } else {
-                    Answer::Failed("outage".into())
+                    StoreResponse::Failed("outage".into())
                 }
             })
         });
--- a/crates/damaskvane-config/tests/support/mod.rs
+++ b/crates/damaskvane-config/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use damaskvane_config::document::Document;
 use damaskvane_config::manifest::Head;
 use damaskvane_config::state::Chunks;
-use damaskvane_config::submit::{Answer, Call, Outcome, Step, Submission};
+use damaskvane_config::submit::{Call, Outcome, Step, StoreResponse, Submission};
 use damaskvane_config::ticket::Draft;
 
 pub const ZONES: &str = "[region.sask]\n[region.mb]\n\
@@ -25,14 +25,13 @@
 type Versioned = (u64, Arc<[u8]>);
 
 impl Store {
-    pub fn make(&mut self, call: &Call) -> Answer {
+    pub fn make(&mut self, call: &Call) -> StoreResponse {
         let key = call.key();
         let present = self.objects.get(&key).cloned();
         let (if_version, bytes) = match call {
             Call::ReadHead | Call::ReadChunk(_) => {
-                return present.map_or(Answer::Absent, |(version, bytes)| Answer::Found {
-                    version,
-                    bytes,
+                return present.map_or(StoreResponse::Absent, |(version, bytes)| {
+                    StoreResponse::Found { version, bytes }
                 });
             }
             Call::WriteChunk(chunk) | Call::FileTicket(_, chunk) => (0, chunk.shared_bytes()),
@@ -43,10 +42,10 @@
         };
         let version = present.map_or(0, |(version, _)| version);
         if version != if_version {
-            return Answer::Conflict;
+            return StoreResponse::Conflict;
         }
         self.objects.insert(key, (version + 1, bytes));
-        Answer::Applied
+        StoreResponse::Applied
     }
 
     pub fn corrupt(&mut self, kind: &'static str, name: &str) {
@@ -110,7 +109,7 @@
 pub fn run(
     store: &mut Store,
     submission: &mut Submission,
-    mut fault: impl FnMut(&mut Store, &Call) -> Option<Answer>,
+    mut fault: impl FnMut(&mut Store, &Call) -> Option<StoreResponse>,
 ) -> Outcome {
     for _ in 0..500 {
         match submission.next_step() {
--- a/crates/damaskvane-ctl/src/store.rs
+++ b/crates/damaskvane-ctl/src/store.rs
@@ -11,7 +11,7 @@
 
 use damaskvane_config::manifest::Head;
 use damaskvane_config::state::{self, Chunks, ConfigState};
-use damaskvane_config::submit::{Answer, Call, Outcome, Step, Submission};
+use damaskvane_config::submit::{Call, Outcome, Step, StoreResponse, Submission};
 use damaskvane_config::{chunk, ticket};
 use damaskvane_core::hash::ContentHash;
 use damaskvane_objects::api::{ObjectApi, ObjectKey, ObjectVersion, WriteId, WriteResult};
@@ -118,7 +118,7 @@
 }
 
 /// Makes one call of a submission.
-pub fn make(api: &impl ObjectApi, call: &Call) -> Answer {
+pub fn make(api: &impl ObjectApi, call: &Call) -> StoreResponse {
     match call {
         Call::ReadHead | Call::ReadChunk(_) => read(api, call),
         Call::WriteChunk(chunk) => write(api, call, 0, chunk.bytes(), &chunk.hash().to_string()),
@@ -137,18 +137,18 @@
     }
 }
 
-fn read(api: &impl ObjectApi, call: &Call) -> Answer {
+fn read(api: &impl ObjectApi, call: &Call) -> StoreResponse {
     use damaskvane_objects::api::ReadError;
     match api.get(&key(call)) {
-        Ok(None) => Answer::Absent,
-        Ok(Some(object)) => Answer::Found {
+        Ok(None) => StoreResponse::Absent,
+        Ok(Some(object)) => StoreResponse::Found {
             version: object.version.get(),
             bytes: object.value.into(),
         },
         Err(error @ (ReadError::Unauthorized | ReadError::Protocol(_))) => {
-            Answer::Refused(error.to_string())
+            StoreResponse::Refused(error.to_string())
         }
-        Err(error) => Answer::Failed(error.to_string()),
+        Err(error) => StoreResponse::Failed(error.to_string()),
     }
 }
 
@@ -158,15 +158,15 @@
     if_version: u64,
     bytes: &[u8],
     write_id: &str,
-) -> Answer {
+) -> StoreResponse {
     let if_version = ObjectVersion::new(if_version);
     match api.put_if(&key(call), if_version, bytes, &WriteId::new(write_id)) {
-        WriteResult::Applied { .. } => Answer::Applied,
-        WriteResult::Conflict { .. } => Answer::Conflict,
+        WriteResult::Applied { .. } => StoreResponse::Applied,
+        WriteResult::Conflict { .. } => StoreResponse::Conflict,
         WriteResult::NotApplied(reason) if reason.is_transient() => {
-            Answer::Failed(reason.to_string())
+            StoreResponse::Failed(reason.to_string())
         }
-        WriteResult::NotApplied(reason) => Answer::Refused(reason.to_string()),
-        WriteResult::Unknown(reason) => Answer::Unknown(reason.to_string()),
+        WriteResult::NotApplied(reason) => StoreResponse::Refused(reason.to_string()),
+        WriteResult::Unknown(reason) => StoreResponse::Unknown(reason.to_string()),
     }
 }
--- a/crates/damaskvane-standins/src/config_run/calls.rs
+++ b/crates/damaskvane-standins/src/config_run/calls.rs
@@ -2,7 +2,7 @@
 
 use damaskvane_config::manifest::Head;
 use damaskvane_config::relay::Event;
-use damaskvane_config::submit::{Answer, Call, Outcome};
+use damaskvane_config::submit::{Call, Outcome, StoreResponse};
 use damaskvane_config::ticket::Ticket;
 use rand::RngExt;
 
@@ -42,42 +42,42 @@
         *count += 1;
     }
 
-    pub(super) fn store_call(&mut self, call: &Call) -> Result<Answer, String> {
+    pub(super) fn store_call(&mut self, call: &Call) -> Result<StoreResponse, String> {
         if self.is_store_down() {
-            return Ok(Answer::Failed("outage".to_owned()));
+            return Ok(StoreResponse::Failed("outage".to_owned()));
         }
         if matches!(call, Call::ReadHead | Call::ReadChunk(_)) {
             return Ok(self.store_read(call));
         }
         if self.chance(self.settings.lost_before_permille) {
-            return Ok(Answer::Unknown("lost before".to_owned()));
+            return Ok(StoreResponse::Unknown("lost before".to_owned()));
         }
         if self.chance(self.settings.late_write_permille) {
             let delay_ms = self.rng.random_range(100..5_000);
             self.later(delay_ms, Delivery::LateWrite(call.clone()));
-            return Ok(Answer::Unknown("late".to_owned()));
+            return Ok(StoreResponse::Unknown("late".to_owned()));
         }
         let answer = self.apply(call)?;
         if self.chance(self.settings.lost_after_permille) {
             self.report.lost_after += 1;
-            return Ok(Answer::Unknown("lost after".to_owned()));
+            return Ok(StoreResponse::Unknown("lost after".to_owned()));
         }
         Ok(answer)
     }
 
-    pub(super) fn store_read(&mut self, call: &Call) -> Answer {
+    pub(super) fn store_read(&mut self, call: &Call) -> StoreResponse {
         let stale = self.chance(self.settings.stale_permille);
         let (kind, name) = call.key();
         match self.store.read(kind, &name, stale) {
-            Some(object) => Answer::Found {
+            Some(object) => StoreResponse::Found {
                 version: object.version,
                 bytes: object.value.unwrap_or_default(),
             },
-            None => Answer::Absent,
+            None => StoreResponse::Absent,
         }
     }
 
-    pub(super) fn apply(&mut self, call: &Call) -> Result<Answer, String> {
+    pub(super) fn apply(&mut self, call: &Call) -> Result<StoreResponse, String> {
         let (kind, name) = call.key();
         let write = |if_version, bytes: &[u8], write_id: &str| {
             self.store
@@ -91,18 +91,18 @@
                 bytes,
                 write_id,
             } => write(*if_version, bytes, write_id),
-            Call::ReadHead | Call::ReadChunk(_) => return Ok(Answer::Absent),
+            Call::ReadHead | Call::ReadChunk(_) => return Ok(StoreResponse::Absent),
         };
         match (outcome, call) {
-            (WriteOutcome::Conflict(_), _) => Ok(Answer::Conflict),
+            (WriteOutcome::Conflict(_), _) => Ok(StoreResponse::Conflict),
             (WriteOutcome::Applied(_), Call::WriteHead { bytes, .. }) => {
                 let ticket = self.ticket_of(bytes)?;
                 self.truth.note_head(bytes, &ticket)?;
                 self.spans.accept(self.now);
                 self.fire_watches();
-                Ok(Answer::Applied)
+                Ok(StoreResponse::Applied)
             }
-            (WriteOutcome::Applied(_), _) => Ok(Answer::Applied),
+            (WriteOutcome::Applied(_), _) => Ok(StoreResponse::Applied),
         }
     }
 
--- a/crates/damaskvane-standins/src/config_run/operators.rs
+++ b/crates/damaskvane-standins/src/config_run/operators.rs
@@ -1,7 +1,7 @@
 //! Operators who submit drafts one after the other.
 
 use damaskvane_config::manifest::Head;
-use damaskvane_config::submit::{Answer, Call, Outcome, Step, Submission};
+use damaskvane_config::submit::{Call, Outcome, Step, StoreResponse, Submission};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
@@ -39,7 +39,7 @@
         self.submission.is_none()
     }
 
-    pub(super) fn answer(&mut self, call: &Call, answer: Answer) {
+    pub(super) fn answer(&mut self, call: &Call, answer: StoreResponse) {
         if let Some((_, submission)) = &mut self.submission {
             submission.answer(call, answer);
         }
--- a/crates/damaskvane-standins/src/config_run/world.rs
+++ b/crates/damaskvane-standins/src/config_run/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use damaskvane_config::relay::Event;
-use damaskvane_config::submit::{Answer, Call};
+use damaskvane_config::submit::{Call, StoreResponse};
 use damaskvane_core::hash::ContentHash;
 use damaskvane_core::{ids, time};
 use rand::{RngExt, SeedableRng};
@@ -36,7 +36,7 @@
     AskStore(ids::InstanceId, Option<Vec<ContentHash>>),
     OperatorTurn(usize),
     OperatorCall(usize, Call),
-    OperatorAnswer(usize, Call, Answer),
+    OperatorAnswer(usize, Call, StoreResponse),
     LateWrite(Call),
 }
 
