--- a/crates/damaskvane-config/src/submit/submission.rs
+++ b/crates/damaskvane-config/src/submit/submission.rs
@@ -5,7 +5,7 @@
 //! use damaskvane_config::{submit, ticket};
 //!
 //! let mut submission = submit::Submission::new(ticket::Draft::default());
-//! submission.answer(&submit::Call::ReadHead, submit::StoreResponse::Failed("down".into()));
+//! submission.handle_response(&submit::Call::ReadHead, submit::StoreResponse::Failed("down".into()));
 //! assert_eq!(submission.next_step(), submit::Step::Pause);
 //! ```
 
@@ -226,7 +226,7 @@
     }
 
     /// Takes in the answer to a call.
-    pub fn answer(&mut self, call: &Call, answer: StoreResponse) {
+    pub fn handle_response(&mut self, call: &Call, answer: StoreResponse) {
         match answer {
             StoreResponse::Refused(reason) => self.give_up(&reason),
             StoreResponse::Failed(reason) => self.fail(&reason),
--- a/crates/damaskvane-config/tests/support/mod.rs
+++ b/crates/damaskvane-config/tests/support/mod.rs
@@ -115,7 +115,7 @@
         match submission.next_step() {
             Step::Call(call) => {
                 let answer = fault(store, &call).unwrap_or_else(|| store.make(&call));
-                submission.answer(&call, answer);
+                submission.handle_response(&call, answer);
             }
             Step::Pause => {}
             Step::Done(outcome) => return outcome,
--- a/crates/damaskvane-ctl/src/store.rs
+++ b/crates/damaskvane-ctl/src/store.rs
@@ -110,7 +110,7 @@
     let mut submission = Submission::new(draft);
     loop {
         match submission.next_step() {
-            Step::Call(call) => submission.answer(&call, make(api, &call)),
+            Step::Call(call) => submission.handle_response(&call, make(api, &call)),
             Step::Pause => thread::sleep(backoff.pause().to_duration()),
             Step::Done(outcome) => return outcome,
         }
--- a/crates/damaskvane-standins/src/config_run/operators.rs
+++ b/crates/damaskvane-standins/src/config_run/operators.rs
@@ -41,7 +41,7 @@
 
     pub(super) fn answer(&mut self, call: &Call, answer: StoreResponse) {
         if let Some((_, submission)) = &mut self.submission {
-            submission.answer(call, answer);
+            submission.handle_response(call, answer);
         }
     }
 
