--- a/crates/damaskvane-config/src/state/config_state.rs
+++ b/crates/damaskvane-config/src/state/config_state.rs
@@ -140,7 +140,10 @@
 
     /// The set that a client block belongs to, with its name.
     #[must_use]
-    pub fn blocks_of(&self, client: &ids::ClientBlock) -> Option<(&ObjectName, &ClientBlocks)> {
+    pub fn find_client_blocks(
+        &self,
+        client: &ids::ClientBlock,
+    ) -> Option<(&ObjectName, &ClientBlocks)> {
         self.client_blocks
             .iter()
             .find(|(_, blocks)| blocks.contains(client))
--- a/crates/damaskvane-ctl/src/command/explain.rs
+++ b/crates/damaskvane-ctl/src/command/explain.rs
@@ -84,7 +84,7 @@
         declared_service.policy
     );
     involved.add(ObjectKind::Service, service.as_str(), policy)?;
-    if let Some((name, blocks)) = state.blocks_of(&client) {
+    if let Some((name, blocks)) = state.find_client_blocks(&client) {
         let part = format!("holds the client, nearest to {}", blocks.near);
         involved.add(ObjectKind::ClientBlocks, name.as_str(), part)?;
     }
