--- a/crates/damaskvane-config/src/submit/submission.rs
+++ b/crates/damaskvane-config/src/submit/submission.rs
@@ -113,7 +113,7 @@
         if let Some(hash) = self.missing_chunk(&known.head) {
             return Ok(Call::ReadChunk(hash));
         }
-        let ticket = self.draft.on(&known.head);
+        let ticket = self.draft.ticket_after(&known.head);
         let head = ticket.head_after(&known.head);
         self.validate(&ticket, &head)?;
         if let Some(call) = self.unfiled_ticket(&known.head) {
--- a/crates/damaskvane-config/src/ticket.rs
+++ b/crates/damaskvane-config/src/ticket.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_config::{manifest, ticket};
 //!
 //! let draft = ticket::Draft { reason: "first zone".into(), ..Default::default() };
-//! let ticket = draft.on(&manifest::Head::default());
+//! let ticket = draft.ticket_after(&manifest::Head::default());
 //! assert_eq!(ticket.number.get(), 1);
 //! ```
 
@@ -110,7 +110,7 @@
 
     /// The ticket that follows a head.
     #[must_use]
-    pub fn on(&self, head: &Head) -> Ticket {
+    pub fn ticket_after(&self, head: &Head) -> Ticket {
         Ticket {
             number: head.ticket.next(),
             author: self.author.clone(),
--- a/crates/damaskvane-config/tests/document.rs
+++ b/crates/damaskvane-config/tests/document.rs
@@ -17,7 +17,9 @@
         Err(problems) => return problems.iter().map(ToString::to_string).collect(),
     };
     let draft = draft(&Head::default(), text, "w");
-    let head = draft.on(&Head::default()).head_after(&Head::default());
+    let head = draft
+        .ticket_after(&Head::default())
+        .head_after(&Head::default());
     let chunks = draft.object_chunks().into_values();
     let chunks = chunks.map(|chunk: Chunk| (chunk.hash(), chunk)).collect();
     match state::assemble(&head, &chunks) {
--- a/crates/damaskvane-ctl/src/store.rs
+++ b/crates/damaskvane-ctl/src/store.rs
@@ -44,7 +44,7 @@
     ///
     /// Every problem of it.
     pub fn state_with(&self, draft: &ticket::Draft) -> Result<ConfigState, CtlError> {
-        let head = draft.on(&self.head).head_after(&self.head);
+        let head = draft.ticket_after(&self.head).head_after(&self.head);
         let mut chunks = self.chunks.clone();
         let new = draft.object_chunks().into_values();
         chunks.extend(new.map(|chunk| (chunk.hash(), chunk)));
