--- a/crates/damaskvane-config/src/apply.rs
+++ b/crates/damaskvane-config/src/apply.rs
@@ -1,19 +1,19 @@
-//! How an instance takes a head into force, from whatever source, never backwards.
+//! Applies heads on an instance, from any source, and never goes back to an older version.
 //!
 //! ```
 //! use damaskvane_config::{apply, manifest};
 //!
 //! let mut applier = apply::Applier::default();
-//! let verdict = applier.offer_head(&manifest::Head::default().encode());
-//! assert_eq!(verdict, apply::Verdict::Ignored(apply::IgnoreReason::NotNewer));
+//! let outcome = applier.offer_head(&manifest::Head::default().encode());
+//! assert_eq!(outcome, apply::ApplyOutcome::Ignored(apply::IgnoreReason::NotNewer));
 //! ```
 
 mod active_config;
 mod applier;
 mod counts;
-mod verdict;
+mod outcome;
 
 pub use active_config::ActiveConfig;
 pub use applier::Applier;
-pub use counts::AdoptCounts;
-pub use verdict::{IgnoreReason, Verdict};
+pub use counts::ApplyCounts;
+pub use outcome::{ApplyOutcome, IgnoreReason};
--- a/crates/damaskvane-config/src/apply/active_config.rs
+++ b/crates/damaskvane-config/src/apply/active_config.rs
@@ -1,4 +1,4 @@
-//! What is in force on an instance.
+//! The active configuration of an instance.
 //!
 //! ```
 //! use damaskvane_config::apply;
@@ -15,7 +15,7 @@
 use crate::manifest::Head;
 use crate::state::{Chunks, ConfigState};
 
-/// A head in force, with everything a peer may ask for.
+/// An active head with its decoded state, and the bytes that peers may fetch.
 #[derive(Debug, Clone)]
 pub struct ActiveConfig {
     pub(super) head: Head,
@@ -26,37 +26,37 @@
 }
 
 impl ActiveConfig {
-    /// The version.
+    /// Returns the version of the active head.
     #[must_use]
     pub const fn version(&self) -> ids::ConfigVersion {
         self.head.version
     }
 
-    /// The head.
+    /// Returns the decoded head.
     #[must_use]
     pub const fn head(&self) -> &Head {
         &self.head
     }
 
-    /// The head as it was received, for peers.
+    /// Returns the bytes of the head as received, to be sent to peers.
     #[must_use]
     pub fn head_bytes(&self) -> Arc<[u8]> {
         Arc::clone(&self.head_bytes)
     }
 
-    /// The hash over everything in force; instances at one version compare it.
+    /// Returns the hash over all declared objects; instances with the same version compare it.
     #[must_use]
     pub const fn state_hash(&self) -> ContentHash {
         self.state_hash
     }
 
-    /// The typed state.
+    /// Returns the decoded declarations.
     #[must_use]
     pub fn state(&self) -> Arc<ConfigState> {
         Arc::clone(&self.state)
     }
 
-    /// A chunk of the version in force, for peers.
+    /// Returns the bytes of a chunk of the active version, to be sent to peers.
     #[must_use]
     pub fn chunk(&self, hash: &ContentHash) -> Option<Arc<[u8]>> {
         self.chunks.get(hash).map(Chunk::shared_bytes)
--- a/crates/damaskvane-config/src/apply/applier.rs
+++ b/crates/damaskvane-config/src/apply/applier.rs
@@ -1,11 +1,11 @@
-//! The adopter of one instance.
+//! The applier, which holds an instance's active configuration and switches it to newer heads.
 //!
 //! ```
 //! use damaskvane_config::apply;
 //!
 //! let mut applier = apply::Applier::default();
-//! let verdict = applier.offer_chunks([b"stray".as_slice()]);
-//! assert_eq!(verdict, apply::Verdict::Ignored(apply::IgnoreReason::NothingWanted));
+//! let outcome = applier.offer_chunks([b"stray".as_slice()]);
+//! assert_eq!(outcome, apply::ApplyOutcome::Ignored(apply::IgnoreReason::NoHeadWaiting));
 //! ```
 
 use std::collections::{BTreeMap, VecDeque};
@@ -15,43 +15,43 @@
 use damaskvane_core::ids;
 
 use crate::apply::active_config::ActiveConfig;
-use crate::apply::counts::AdoptCounts;
-use crate::apply::verdict::{IgnoreReason, Verdict};
+use crate::apply::counts::ApplyCounts;
+use crate::apply::outcome::{ApplyOutcome, IgnoreReason};
 use crate::chunk::{Chunk, MAX_CHUNK_BYTES};
 use crate::manifest::Head;
-use crate::state::{Before, Chunks, assemble_after};
+use crate::state::{Chunks, PreviousState, assemble_after};
 
-/// How many heads may wait for chunks at a time; the lowest versions give way.
-const MAX_WAITING: usize = 3;
+/// How many heads may wait for chunks at a time; beyond it the lowest version is dropped.
+const MAX_PENDING_HEADS: usize = 3;
 
-/// How many refused heads are remembered, so that they aren't fetched again and again.
-const MAX_REFUSED: usize = 16;
+/// How many rejected heads are remembered, so that they aren't fetched again and again.
+const MAX_REJECTED: usize = 16;
 
-/// A head that waits for chunks.
+/// A newer head whose chunks are not all here yet.
 #[derive(Debug, Clone)]
-struct Waiting {
+struct PendingHead {
     head: Head,
     bytes: Arc<[u8]>,
     chunks: Chunks,
 }
 
-/// Takes heads into force, from whatever source, never backwards.
+/// Switches an instance to newer heads, from any source, and never back to an older version.
 #[derive(Debug, Clone, Default)]
 pub struct Applier {
     active_config: Option<Arc<ActiveConfig>>,
-    waiting: BTreeMap<ids::ConfigVersion, Waiting>,
-    refused: VecDeque<ContentHash>,
-    counts: AdoptCounts,
+    pending: BTreeMap<ids::ConfigVersion, PendingHead>,
+    rejected: VecDeque<ContentHash>,
+    counts: ApplyCounts,
 }
 
 impl Applier {
-    /// What is in force; `None` on an instance that has not adopted anything yet.
+    /// Returns the active configuration, or `None` if this instance has not applied a head yet.
     #[must_use]
     pub const fn active_config(&self) -> Option<&Arc<ActiveConfig>> {
         self.active_config.as_ref()
     }
 
-    /// The version in force; 0 where there is none.
+    /// Returns the active version, or 0 if this instance has not applied a head yet.
     #[must_use]
     pub fn version(&self) -> ids::ConfigVersion {
         self.active_config
@@ -61,60 +61,67 @@
             })
     }
 
-    /// The counts so far.
+    /// Returns the counters since this instance started.
     #[must_use]
-    pub const fn counts(&self) -> AdoptCounts {
+    pub const fn counts(&self) -> ApplyCounts {
         self.counts
     }
 
-    /// Offers a head.
-    pub fn offer_head(&mut self, bytes: &[u8]) -> Verdict {
-        if self.refused.contains(&ContentHash::of(bytes)) {
-            return Verdict::Ignored(IgnoreReason::RefusedBefore);
+    /// Handles the encoded head `bytes`, and applies the head if it is newer and all chunks are here.
+    pub fn offer_head(&mut self, bytes: &[u8]) -> ApplyOutcome {
+        if self.rejected.contains(&ContentHash::of(bytes)) {
+            return ApplyOutcome::Ignored(IgnoreReason::RejectedBefore);
         }
         let Ok(head) = Head::decode(bytes) else {
             self.counts.malformed += 1;
-            return Verdict::Ignored(IgnoreReason::Malformed);
+            return ApplyOutcome::Ignored(IgnoreReason::Malformed);
         };
         if head.version <= self.version() {
-            return Verdict::Ignored(IgnoreReason::NotNewer);
+            return ApplyOutcome::Ignored(IgnoreReason::NotNewer);
         }
         let version = head.version;
-        let known = self
-            .waiting
+        let is_pending = self
+            .pending
             .get(&version)
-            .is_some_and(|waiting| *waiting.bytes == *bytes);
-        if !known {
-            let waiting = self.start_waiting(head, bytes);
-            self.waiting.insert(version, waiting);
-            self.drop_lowest_waiting();
+            .is_some_and(|pending| *pending.bytes == *bytes);
+        if !is_pending {
+            let pending = self.new_pending_head(head, bytes);
+            self.pending.insert(version, pending);
+            self.drop_lowest_pending();
         }
         self.try_switch(version)
     }
 
-    /// Offers chunks, whole or corrupted; each is hashed here and kept only if a head wants it.
-    pub fn offer_chunks<'a>(&mut self, chunks: impl IntoIterator<Item = &'a [u8]>) -> Verdict {
+    /// Handles received chunks, and applies the newest pending head that is now complete.
+    ///
+    /// Chunks may be corrupted: each is hashed here and stored only if a pending head names the hash.
+    pub fn offer_chunks<'a>(&mut self, chunks: impl IntoIterator<Item = &'a [u8]>) -> ApplyOutcome {
         for bytes in chunks {
-            if bytes.len() > MAX_CHUNK_BYTES || !self.keep(&Chunk::from_bytes(bytes)) {
+            if bytes.len() > MAX_CHUNK_BYTES || !self.store_chunk(&Chunk::from_bytes(bytes)) {
                 self.counts.stray_chunks += 1;
             }
         }
-        let versions: Vec<_> = self.waiting.keys().rev().copied().collect();
-        let mut last = Verdict::Ignored(IgnoreReason::NothingWanted);
+        let versions: Vec<_> = self.pending.keys().rev().copied().collect();
+        let mut last = ApplyOutcome::Ignored(IgnoreReason::NoHeadWaiting);
         for version in versions {
             last = self.try_switch(version);
-            if matches!(last, Verdict::Adopted(_)) {
+            if matches!(last, ApplyOutcome::Applied(_)) {
                 return last;
             }
         }
         last
     }
 
-    /// Compares a peer's state with this one; false where both have one version but not one state.
+    /// Returns `false` and counts a mismatch if a peer has the same version with another state hash.
     ///
-    /// The head's conditional update gives each version one content. If two differ all the same, a
-    /// chunk, a store or a program is wrong, and callers get answers that depend on whom they ask.
-    pub fn agrees_with(&mut self, version: ids::ConfigVersion, state_hash: &ContentHash) -> bool {
+    /// The head's conditional update gives each version exactly one state. If two instances differ all
+    /// the same, a chunk, the store or the program is faulty, and the response that a client gets
+    /// depends on the instance that serves it.
+    pub fn check_peer_state(
+        &mut self,
+        version: ids::ConfigVersion,
+        state_hash: &ContentHash,
+    ) -> bool {
         let Some(active_config) = &self.active_config else {
             return true;
         };
@@ -125,116 +132,119 @@
         agrees
     }
 
-    fn start_waiting(&self, head: Head, bytes: &[u8]) -> Waiting {
+    fn new_pending_head(&self, head: Head, bytes: &[u8]) -> PendingHead {
         let mut chunks = Chunks::new();
         for entry in head.entries() {
-            let held = self
+            let found = self
                 .active_config
                 .as_ref()
                 .and_then(|active_config| active_config.chunks.get(&entry.hash));
-            let held = held.or_else(|| self.waiting_chunk(&entry.hash));
-            if let Some(chunk) = held {
+            let found = found.or_else(|| self.find_pending_chunk(&entry.hash));
+            if let Some(chunk) = found {
                 chunks.insert(entry.hash, chunk.clone());
             }
         }
-        Waiting {
+        PendingHead {
             head,
             bytes: bytes.into(),
             chunks,
         }
     }
 
-    fn waiting_chunk(&self, hash: &ContentHash) -> Option<&Chunk> {
-        self.waiting
+    fn find_pending_chunk(&self, hash: &ContentHash) -> Option<&Chunk> {
+        self.pending
             .values()
-            .find_map(|waiting| waiting.chunks.get(hash))
+            .find_map(|pending| pending.chunks.get(hash))
     }
 
-    /// Keeps a chunk for every waiting head that names it; whether one did.
-    fn keep(&mut self, chunk: &Chunk) -> bool {
-        let mut wanted = false;
-        for waiting in self.waiting.values_mut() {
-            let mut entries = waiting.head.entries();
+    /// Stores a chunk for every pending head that names it, and returns whether any head did.
+    fn store_chunk(&mut self, chunk: &Chunk) -> bool {
+        let mut is_needed = false;
+        for pending in self.pending.values_mut() {
+            let mut entries = pending.head.entries();
             if entries.any(|entry| entry.hash == chunk.hash()) {
-                waiting.chunks.insert(chunk.hash(), chunk.clone());
-                wanted = true;
+                pending.chunks.insert(chunk.hash(), chunk.clone());
+                is_needed = true;
             }
         }
-        wanted
+        is_needed
     }
 
-    fn drop_lowest_waiting(&mut self) {
-        while self.waiting.len() > MAX_WAITING {
-            self.waiting.pop_first();
+    fn drop_lowest_pending(&mut self) {
+        while self.pending.len() > MAX_PENDING_HEADS {
+            self.pending.pop_first();
         }
     }
 
-    fn try_switch(&mut self, version: ids::ConfigVersion) -> Verdict {
-        let Some(waiting) = self.waiting.get(&version) else {
-            return Verdict::Ignored(IgnoreReason::NothingWanted);
+    fn try_switch(&mut self, version: ids::ConfigVersion) -> ApplyOutcome {
+        let Some(pending) = self.pending.get(&version) else {
+            return ApplyOutcome::Ignored(IgnoreReason::NoHeadWaiting);
         };
-        let missing = missing_chunks(waiting);
+        let missing = missing_chunks(pending);
         if !missing.is_empty() {
-            return Verdict::Wanting(missing);
+            return ApplyOutcome::MissingChunks(missing);
         }
-        // The old state serves until the new one is whole and valid.
-        let before = self.active_config.as_ref().map(|active_config| Before {
-            head: &active_config.head,
-            state: &active_config.state,
-        });
-        match assemble_after(before, &waiting.head, &waiting.chunks) {
+        // The old state stays active until the new one is complete and valid.
+        let previous = self
+            .active_config
+            .as_ref()
+            .map(|active_config| PreviousState {
+                head: &active_config.head,
+                state: &active_config.state,
+            });
+        match assemble_after(previous, &pending.head, &pending.chunks) {
             Ok(state) => {
                 let next = ActiveConfig {
-                    head: waiting.head.clone(),
-                    head_bytes: Arc::clone(&waiting.bytes),
-                    state_hash: waiting.head.state_hash(),
+                    head: pending.head.clone(),
+                    head_bytes: Arc::clone(&pending.bytes),
+                    state_hash: pending.head.state_hash(),
                     state: Arc::new(state),
-                    chunks: waiting.chunks.clone(),
+                    chunks: pending.chunks.clone(),
                 };
                 self.switch(next)
             }
             Err(problems) => {
-                self.refuse(version);
-                Verdict::Refused(problems)
+                self.reject(version);
+                ApplyOutcome::Rejected(problems)
             }
         }
     }
 
-    fn refuse(&mut self, version: ids::ConfigVersion) {
-        self.counts.refused += 1;
-        if let Some(waiting) = self.waiting.remove(&version) {
-            self.refused.push_back(ContentHash::of(&waiting.bytes));
+    fn reject(&mut self, version: ids::ConfigVersion) {
+        self.counts.rejected += 1;
+        if let Some(pending) = self.pending.remove(&version) {
+            self.rejected.push_back(ContentHash::of(&pending.bytes));
         }
-        while self.refused.len() > MAX_REFUSED {
-            self.refused.pop_front();
+        while self.rejected.len() > MAX_REJECTED {
+            self.rejected.pop_front();
         }
     }
 
-    /// Puts a whole and valid head in force.
+    /// Makes a complete and valid head the active configuration.
     ///
-    /// A version that falls would bring back what a later ticket took away, on one instance only;
-    /// operators would see it as an instance that reverted. The check stands here, at the only
-    /// place that switches, whatever the callers above checked.
-    fn switch(&mut self, next: ActiveConfig) -> Verdict {
+    /// A lower version would bring back, on this instance only, what a later ticket removed; to
+    /// operators the instance would seem to have reverted. The version is checked here again, since
+    /// this is the only place that switches, whatever the callers have checked.
+    fn switch(&mut self, next: ActiveConfig) -> ApplyOutcome {
         let version = next.version();
         if version <= self.version() {
             self.counts.unsafe_switches += 1;
-            debug_assert!(false, "the version in force must never fall");
-            return Verdict::Ignored(IgnoreReason::NotNewer);
+            debug_assert!(false, "the active version must never decrease");
+            return ApplyOutcome::Ignored(IgnoreReason::NotNewer);
         }
         self.active_config = Some(Arc::new(next));
-        self.counts.adopted += 1;
-        self.waiting.retain(|waiting, _| *waiting > version);
-        Verdict::Adopted(version)
+        self.counts.applied += 1;
+        self.pending.retain(|pending, _| *pending > version);
+        ApplyOutcome::Applied(version)
     }
 }
 
-fn missing_chunks(waiting: &Waiting) -> Vec<ContentHash> {
-    let mut missing: Vec<ContentHash> = waiting
+fn missing_chunks(pending: &PendingHead) -> Vec<ContentHash> {
+    let mut missing: Vec<ContentHash> = pending
         .head
         .entries()
         .map(|entry| entry.hash)
-        .filter(|hash| !waiting.chunks.contains_key(hash))
+        .filter(|hash| !pending.chunks.contains_key(hash))
         .collect();
     missing.sort_unstable();
     missing.dedup();
--- a/crates/damaskvane-config/src/apply/counts.rs
+++ b/crates/damaskvane-config/src/apply/counts.rs
@@ -1,36 +1,39 @@
-//! Counts of what an adopter met.
+//! Counters of applied, rejected and faulty heads and chunks.
 //!
 //! ```
 //! use damaskvane_config::apply;
 //!
-//! let before = apply::AdoptCounts::default();
-//! let after = apply::AdoptCounts { stray_chunks: 2, ..before };
+//! let before = apply::ApplyCounts::default();
+//! let after = apply::ApplyCounts { stray_chunks: 2, ..before };
 //! assert!(after.increases_since(before).eq([("stray_chunk", 2)]));
 //! ```
 
-/// Counts of what the adopter met.
+/// Counters of one applier since its instance started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct AdoptCounts {
-    /// Heads that came into force.
-    pub adopted: u64,
-    /// Heads that were whole but not valid.
-    pub refused: u64,
-    /// Bytes that were no head.
+pub struct ApplyCounts {
+    /// Heads that became active.
+    pub applied: u64,
+    /// Heads that were complete but failed validation.
+    pub rejected: u64,
+    /// Received bytes that could not be decoded as a head.
     pub malformed: u64,
-    /// Chunks that no waiting head names; a corrupted chunk is one of these.
+    /// Received chunks that no pending head names, corrupted and oversized ones included.
     pub stray_chunks: u64,
-    /// Switches that would have made the version fall; always 0 unless the program is wrong.
+    /// Switches to a version that is not higher, all prevented; above 0 only by a fault in the program.
     pub unsafe_switches: u64,
-    /// Peers with the same version and another state; always 0 unless a store or program is wrong.
+    /// Reports of peers with the same version and another state hash; above 0 only by a fault in a
+    /// chunk, the store or the program.
     pub state_mismatches: u64,
 }
 
-impl AdoptCounts {
-    /// The counts that rose, each by its word for the counters page. Heads that came into force are
-    /// left out: who acts on them counts them.
+impl ApplyCounts {
+    /// Returns the label and the increase of each counter that increased since `before`.
+    ///
+    /// The counter of applied heads is left out: the caller counts those itself, on
+    /// [`relay::Action::Activated`](crate::relay::Action::Activated).
     pub fn increases_since(self, before: Self) -> impl Iterator<Item = (&'static str, u64)> {
         [
-            ("refused_head", self.refused - before.refused),
+            ("refused_head", self.rejected - before.rejected),
             ("malformed_head", self.malformed - before.malformed),
             ("stray_chunk", self.stray_chunks - before.stray_chunks),
             (
@@ -43,6 +46,6 @@
             ),
         ]
         .into_iter()
-        .filter(|(_, risen)| *risen > 0)
+        .filter(|(_, increase)| *increase > 0)
     }
 }
--- a/crates/damaskvane-config/src/relay/machine.rs
+++ b/crates/damaskvane-config/src/relay/machine.rs
@@ -22,7 +22,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::apply::{Applier, IgnoreReason, Verdict};
+use crate::apply::{Applier, ApplyOutcome, IgnoreReason};
 use crate::relay::action::{Action, Source};
 use crate::relay::event::Event;
 use crate::relay::fetch::Fetch;
@@ -148,7 +148,7 @@
             self.zone_heard_at = now;
         }
         if let Some(hash) = state_hash {
-            self.applier.agrees_with(version, &hash);
+            self.applier.check_peer_state(version, &hash);
         }
         self.heard.insert(from.clone(), version);
         let mine = self.applier.version();
@@ -169,11 +169,11 @@
         actions: &mut Vec<Action>,
     ) {
         self.fetch.end(from);
-        let verdict = self.applier.offer_head(bytes);
-        if let Verdict::Ignored(reason) = verdict {
+        let outcome = self.applier.offer_head(bytes);
+        if let ApplyOutcome::Ignored(reason) = outcome {
             self.note_useless_head(now, from, reason);
         }
-        self.conclude(now, from, verdict, actions);
+        self.conclude(now, from, outcome, actions);
     }
 
     fn note_useless_head(&mut self, now: time::TimeMs, from: &Source, reason: IgnoreReason) {
@@ -204,34 +204,34 @@
     ) {
         self.fetch.end(from);
         let chunks = chunks.iter().map(AsRef::as_ref);
-        let verdict = self.applier.offer_chunks(chunks);
-        if let Verdict::Wanting(missing) = &verdict
+        let outcome = self.applier.offer_chunks(chunks);
+        if let ApplyOutcome::MissingChunks(missing) = &outcome
             && missing.len() >= self.wanted_chunks
         {
             // Absent or corrupted there: another source may have them.
             self.fail(now, from);
             return;
         }
-        self.conclude(now, from, verdict, actions);
+        self.conclude(now, from, outcome, actions);
     }
 
     fn conclude(
         &mut self,
         now: time::TimeMs,
         from: &Source,
-        verdict: Verdict,
+        outcome: ApplyOutcome,
         actions: &mut Vec<Action>,
     ) {
-        match verdict {
-            Verdict::Ignored(_) => {}
-            Verdict::Refused(_) => self.fail(now, from),
-            Verdict::Wanting(hashes) => {
+        match outcome {
+            ApplyOutcome::Ignored(_) => {}
+            ApplyOutcome::Rejected(_) => self.fail(now, from),
+            ApplyOutcome::MissingChunks(hashes) => {
                 self.wanted_chunks = hashes.len();
                 self.fetch.start(from.clone(), self.deadline(now, from));
                 let from = from.clone();
                 actions.push(Action::FetchChunks { from, hashes });
             }
-            Verdict::Adopted(version) => {
+            ApplyOutcome::Applied(version) => {
                 self.rereads_left = 0;
                 actions.push(Action::Activated { version });
                 self.start_telling(now, from);
--- a/crates/damaskvane-config/src/state.rs
+++ b/crates/damaskvane-config/src/state.rs
@@ -11,5 +11,5 @@
 mod config_state;
 mod validate;
 
-pub use assemble::{Before, Chunks, assemble, assemble_after};
+pub use assemble::{Chunks, PreviousState, assemble, assemble_after};
 pub use config_state::ConfigState;
--- a/crates/damaskvane-config/src/state/assemble.rs
+++ b/crates/damaskvane-config/src/state/assemble.rs
@@ -23,7 +23,7 @@
 
 /// What was assembled and validated before.
 #[derive(Debug, Clone, Copy)]
-pub struct Before<'a> {
+pub struct PreviousState<'a> {
     /// Its head.
     pub head: &'a Head,
     /// Its state.
@@ -49,7 +49,7 @@
 ///
 /// As [`assemble`].
 pub fn assemble_after(
-    before: Option<Before<'_>>,
+    before: Option<PreviousState<'_>>,
     head: &Head,
     chunks: &Chunks,
 ) -> Result<ConfigState, Vec<Problem>> {
@@ -75,7 +75,11 @@
     }
 }
 
-fn unchanged(before: &Before<'_>, id: &ObjectId, entry: &ObjectEntry) -> Option<Declaration> {
+fn unchanged(
+    before: &PreviousState<'_>,
+    id: &ObjectId,
+    entry: &ObjectEntry,
+) -> Option<Declaration> {
     let same = before.head.objects.get(id)?.hash == entry.hash;
     same.then(|| before.state.declaration(id)).flatten()
 }
--- a/crates/damaskvane-config/tests/adopt.rs
+++ b/crates/damaskvane-config/tests/adopt.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use damaskvane_config::apply::{Applier, IgnoreReason, Verdict};
+use damaskvane_config::apply::{Applier, ApplyOutcome, IgnoreReason};
 use damaskvane_config::manifest::{self, Head};
 use damaskvane_config::state;
 use damaskvane_core::hash;
@@ -11,13 +11,13 @@
 
 const QUEUE: &str = "[service.rider-desk]\nqueue_limit = 7\n";
 
-fn adopt(applier: &mut Applier, store: &Store) -> Verdict {
+fn adopt(applier: &mut Applier, store: &Store) -> ApplyOutcome {
     applier.offer_head(&store.head().encode());
     applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref))
 }
 
-fn adopted(version: u64) -> Verdict {
-    Verdict::Adopted(damaskvane_core::ids::ConfigVersion::new(version))
+fn adopted(version: u64) -> ApplyOutcome {
+    ApplyOutcome::Applied(damaskvane_core::ids::ConfigVersion::new(version))
 }
 
 /// A peer that was paused or cut off comes back and offers the head it had. If it were taken,
@@ -31,7 +31,7 @@
     store.accept(QUEUE);
     assert_eq!(adopt(&mut applier, &store), adopted(2));
     let verdict = applier.offer_head(&old);
-    assert_eq!(verdict, Verdict::Ignored(IgnoreReason::NotNewer));
+    assert_eq!(verdict, ApplyOutcome::Ignored(IgnoreReason::NotNewer));
     assert_eq!(applier.version().get(), 2);
     assert_eq!(applier.counts().unsafe_switches, 0);
 }
@@ -47,7 +47,7 @@
     let before = applier.active_config().expect("in force").state_hash();
     let more = "[service.a]\n[service.b]\n[service.c]\n";
     store.accept(&format!("{QUEUE}{more}"));
-    let Verdict::Wanting(missing) = applier.offer_head(&store.head().encode()) else {
+    let ApplyOutcome::MissingChunks(missing) = applier.offer_head(&store.head().encode()) else {
         panic!("chunks are missing");
     };
     assert_eq!(missing.len(), 4, "only what changed is fetched");
@@ -74,7 +74,7 @@
     chunks[0][3] ^= 1;
     let verdict = applier.offer_chunks(chunks.iter().map(AsRef::as_ref));
     assert!(
-        matches!(&verdict, Verdict::Wanting(hashes) if hashes.len() == 1),
+        matches!(&verdict, ApplyOutcome::MissingChunks(hashes) if hashes.len() == 1),
         "{verdict:?}"
     );
     assert_eq!(applier.counts().stray_chunks, 1);
@@ -94,7 +94,7 @@
     let mut applier = Applier::default();
     assert!(matches!(
         applier.offer_head(&lost.head().encode()),
-        Verdict::Wanting(_)
+        ApplyOutcome::MissingChunks(_)
     ));
     assert_eq!(adopt(&mut applier, &store), adopted(1));
 }
@@ -114,10 +114,10 @@
     head.objects.remove(&region);
     assert!(matches!(
         applier.offer_head(&head.encode()),
-        Verdict::Refused(_)
+        ApplyOutcome::Rejected(_)
     ));
     let again = applier.offer_head(&head.encode());
-    assert_eq!(again, Verdict::Ignored(IgnoreReason::RefusedBefore));
+    assert_eq!(again, ApplyOutcome::Ignored(IgnoreReason::RejectedBefore));
     assert_eq!(applier.version().get(), 1);
 }
 
@@ -136,7 +136,7 @@
     let mut applier = Applier::default();
     applier.offer_head(&head.encode());
     let verdict = applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref));
-    assert_eq!(verdict, Verdict::Wanting(vec![entry.hash]));
+    assert_eq!(verdict, ApplyOutcome::MissingChunks(vec![entry.hash]));
     assert_eq!(applier.offer_chunks([chunk]), adopted(1));
     let active_config = applier.active_config().expect("in force");
     assert_eq!(active_config.chunk(&entry.hash).as_deref(), Some(chunk));
@@ -174,7 +174,7 @@
     applier.offer_head(&head.encode());
     let verdict = applier.offer_chunks([chunk.as_slice()]);
     assert!(
-        matches!(verdict, Verdict::Refused(_)),
+        matches!(verdict, ApplyOutcome::Rejected(_)),
         "x is in two sets: {verdict:?}"
     );
 }
@@ -187,8 +187,8 @@
     let head = store.accept(ZONES);
     let mut applier = Applier::default();
     adopt(&mut applier, &store);
-    assert!(applier.agrees_with(head.version, &head.state_hash()));
-    assert!(!applier.agrees_with(head.version, &Head::default().state_hash()));
+    assert!(applier.check_peer_state(head.version, &head.state_hash()));
+    assert!(!applier.check_peer_state(head.version, &Head::default().state_hash()));
     assert_eq!(applier.counts().state_mismatches, 1);
 }
 
