--- a/crates/damaskvane-config/src/apply/applier.rs
+++ b/crates/damaskvane-config/src/apply/applier.rs
@@ -21,10 +21,10 @@
 use crate::manifest::Head;
 use crate::state::{Chunks, PreviousState, assemble_after};
 
-/// How many heads may wait for chunks at a time; beyond it the lowest version is dropped.
+/// Maximum number of heads that wait for chunks; beyond it the lowest version is dropped.
 const MAX_PENDING_HEADS: usize = 3;
 
-/// How many rejected heads are remembered, so that they aren't fetched again and again.
+/// Maximum number of rejected heads that are remembered, so that they aren't fetched again and again.
 const MAX_REJECTED: usize = 16;
 
 /// A newer head whose chunks are not all here yet.
@@ -67,7 +67,7 @@
         self.counts
     }
 
-    /// Handles the encoded head `bytes`, and applies the head if it is newer and all chunks are here.
+    /// Handles an encoded head, and applies it if it is newer and all its chunks are here.
     pub fn offer_head(&mut self, bytes: &[u8]) -> ApplyOutcome {
         if self.rejected.contains(&ContentHash::of(bytes)) {
             return ApplyOutcome::Ignored(IgnoreReason::RejectedBefore);
@@ -94,7 +94,8 @@
 
     /// Handles received chunks, and applies the newest pending head that is now complete.
     ///
-    /// Chunks may be corrupted: each is hashed here and stored only if a pending head names the hash.
+    /// Chunks may be corrupted: each is hashed here and stored only if a pending head names the
+    /// hash.
     pub fn offer_chunks<'a>(&mut self, chunks: impl IntoIterator<Item = &'a [u8]>) -> ApplyOutcome {
         for bytes in chunks {
             if bytes.len() > MAX_CHUNK_BYTES || !self.store_chunk(&Chunk::from_bytes(bytes)) {
@@ -112,11 +113,11 @@
         last
     }
 
-    /// Returns `false` and counts a mismatch if a peer has the same version with another state hash.
+    /// Returns `false` and counts a mismatch if a peer has the same version but another state.
     ///
-    /// The head's conditional update gives each version exactly one state. If two instances differ all
-    /// the same, a chunk, the store or the program is faulty, and the response that a client gets
-    /// depends on the instance that serves it.
+    /// The head's conditional update gives each version exactly one state. If two instances differ
+    /// all the same, a chunk, the store or the program is faulty, and the response that a client
+    /// gets depends on the instance that serves it.
     pub fn check_peer_state(
         &mut self,
         version: ids::ConfigVersion,
--- a/crates/damaskvane-config/src/apply/counts.rs
+++ b/crates/damaskvane-config/src/apply/counts.rs
@@ -19,10 +19,11 @@
     pub malformed: u64,
     /// Received chunks that no pending head names, corrupted and oversized ones included.
     pub stray_chunks: u64,
-    /// Switches to a version that is not higher, all prevented; above 0 only by a fault in the program.
+    /// Prevented switches to a version that is not higher; above 0 only by a program fault.
     pub unsafe_switches: u64,
-    /// Reports of peers with the same version and another state hash; above 0 only by a fault in a
-    /// chunk, the store or the program.
+    /// Reports of peers with the same version and another state hash.
+    ///
+    /// Above 0 only by a fault in a chunk, the store or the program.
     pub state_mismatches: u64,
 }
 
--- a/crates/damaskvane-config/src/relay/action.rs
+++ b/crates/damaskvane-config/src/relay/action.rs
@@ -1,4 +1,4 @@
-//! What an instance is to do about the head.
+//! Actions that a relay returns to the instance that runs it.
 //!
 //! ```
 //! use damaskvane_config::relay;
@@ -9,7 +9,7 @@
 use damaskvane_core::hash::ContentHash;
 use damaskvane_core::ids;
 
-/// Where a head or chunks come from.
+/// The source of a head or of chunks.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// The platform's object API.
@@ -18,50 +18,52 @@
     Peer(ids::InstanceId),
 }
 
-/// Something to do; each is answered by an event.
+/// A request to the instance to send, fetch, watch or publish something.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Tell an instance the version in force here. It passes this to [`Event::VersionReported`].
+    /// Send the local active version to a peer, which passes it on as [`Event::VersionReported`].
     ///
-    /// [`Event::VersionReported`]: super::Event::Heard
+    /// [`Event::VersionReported`]: super::Event::VersionReported
     Announce {
-        /// Whom to tell.
+        /// The peer.
         to: ids::InstanceId,
-        /// The version in force.
+        /// The local active version.
         version: ids::ConfigVersion,
-        /// The hash over its state.
+        /// The hash over all declared objects of that version.
         state_hash: ContentHash,
     },
-    /// Get the head; the answer is [`Event::Head`] or [`Event::FetchFailed`].
+    /// Fetch the head; the result is reported as [`Event::Head`] or [`Event::FetchFailed`].
     ///
     /// [`Event::Head`]: super::Event::Head
     /// [`Event::FetchFailed`]: super::Event::FetchFailed
     FetchHead {
-        /// From where.
+        /// The source to fetch from.
         from: Source,
     },
-    /// Get chunks; the answer is [`Event::Chunks`] or [`Event::FetchFailed`].
+    /// Fetch chunks; the result is reported as [`Event::Chunks`] or [`Event::FetchFailed`].
     ///
     /// [`Event::Chunks`]: super::Event::Chunks
     /// [`Event::FetchFailed`]: super::Event::FetchFailed
     FetchChunks {
-        /// From where.
+        /// The source to fetch from.
         from: Source,
-        /// Which.
+        /// The hashes of the chunks.
         hashes: Vec<ContentHash>,
     },
-    /// Keep a watch on the store's head until told to stop; when it fires, pass
-    /// [`Event::WatchFired`]. Given once when this instance becomes a relay.
+    /// Watch the store's head until [`Action::StopWatching`].
+    ///
+    /// Each change is reported as [`Event::WatchFired`]. The action is returned once, when this
+    /// instance becomes a relay.
     ///
     /// [`Event::WatchFired`]: super::Event::WatchFired
     WatchStore,
-    /// End the watch: others are relays now.
+    /// Stop watching the store, since this instance is no longer a relay.
     StopWatching,
-    /// A version came into force; read it from [`Relay::applier`].
+    /// Publish a version that became active; [`Relay::applier`] holds it.
     ///
-    /// [`Relay::applier`]: super::Relay::adopter
+    /// [`Relay::applier`]: super::Relay::applier
     Activated {
-        /// The version.
+        /// The new active version.
         version: ids::ConfigVersion,
     },
 }
--- a/crates/damaskvane-config/src/relay/event.rs
+++ b/crates/damaskvane-config/src/relay/event.rs
@@ -1,4 +1,4 @@
-//! What an instance learns about the head.
+//! Events that an instance reports to its relay.
 //!
 //! ```
 //! use damaskvane_config::relay;
@@ -14,41 +14,41 @@
 use crate::relay::action::Source;
 use crate::relay::view::View;
 
-/// Something that happened.
+/// An input to [`Relay::handle`](super::Relay::handle).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// Time passed; due every 50 to 100 ms.
+    /// Time passed; to be reported every 50 to 100 ms, so that deadlines are noticed.
     Tick,
-    /// The live instances changed.
+    /// The set of live instances changed to this one.
     Membership(View),
-    /// A peer told the version in force there, by announcement or heartbeat.
+    /// A peer reported its active version in an announcement or a heartbeat.
     VersionReported {
         /// The peer.
         from: ids::InstanceId,
-        /// The version in force there.
+        /// The peer's active version.
         version: ids::ConfigVersion,
-        /// The hash over its state, where the message holds it.
+        /// The hash over the declared objects of that version; `None` if the message has no hash.
         state_hash: Option<ContentHash>,
     },
-    /// The watch on the store's head fired.
+    /// The watch on the store reported a change of the head.
     WatchFired,
-    /// A head came.
+    /// A fetched head arrived.
     Head {
-        /// From where.
+        /// The source that sent it.
         from: Source,
         /// Its bytes, not yet checked.
         bytes: Arc<[u8]>,
     },
-    /// Chunks came, perhaps not all that were asked for.
+    /// Fetched chunks arrived, possibly fewer than requested.
     Chunks {
-        /// From where.
+        /// The source that sent them.
         from: Source,
         /// Their bytes, not yet checked.
         chunks: Vec<Arc<[u8]>>,
     },
-    /// A fetch got no answer or the object was absent.
+    /// A fetch got no response, or the source doesn't have the object.
     FetchFailed {
-        /// From where.
+        /// The source of the fetch.
         from: Source,
     },
 }
--- a/crates/damaskvane-config/src/relay/fetch.rs
+++ b/crates/damaskvane-config/src/relay/fetch.rs
@@ -1,4 +1,4 @@
-//! The fetch in flight and the sources that failed lately.
+//! The fetch in flight, and the sources to back off from after a failure.
 
 use std::collections::BTreeMap;
 
@@ -6,11 +6,11 @@
 
 use crate::relay::action::Source;
 
-/// The one fetch in flight with its deadline, and until when failed sources are left alone.
+/// The fetch in flight with its deadline, and when each failed source may be used again.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Fetch {
     in_flight: Option<(Source, time::TimeMs)>,
-    shunned: BTreeMap<Source, time::TimeMs>,
+    retry_at: BTreeMap<Source, time::TimeMs>,
 }
 
 impl Fetch {
@@ -22,12 +22,12 @@
         self.in_flight.is_none()
     }
 
-    /// Whether a fetch from a peer may start. A slow store must not hold it up.
+    /// Returns whether a fetch from a peer may start; a fetch from a slow store must not delay it.
     pub(super) const fn is_open_to_peers(&self) -> bool {
         !matches!(self.in_flight, Some((Source::Peer(_), _)))
     }
 
-    /// A source answered.
+    /// Ends the fetch in flight if it is from this source, which has responded.
     pub(super) fn end(&mut self, from: &Source) {
         if self
             .in_flight
@@ -38,13 +38,13 @@
         }
     }
 
-    /// A source gave nothing useful and is left alone for a while.
-    pub(super) fn shun(&mut self, from: &Source, until: time::TimeMs) {
+    /// Ends the fetch from a source that returned nothing useful, and backs off from the source.
+    pub(super) fn back_off(&mut self, from: &Source, until: time::TimeMs) {
         self.end(from);
-        self.shunned.insert(from.clone(), until);
+        self.retry_at.insert(from.clone(), until);
     }
 
-    /// The source whose deadline has passed.
+    /// Returns the source of the fetch in flight if its deadline has passed.
     pub(super) fn expired(&self, now: time::TimeMs) -> Option<Source> {
         self.in_flight
             .clone()
@@ -52,29 +52,29 @@
             .map(|(source, _)| source)
     }
 
-    pub(super) fn is_shunned(&self, source: &Source, now: time::TimeMs) -> bool {
-        self.shunned.get(source).is_some_and(|until| now < *until)
+    pub(super) fn is_backing_off(&self, source: &Source, now: time::TimeMs) -> bool {
+        self.retry_at.get(source).is_some_and(|until| now < *until)
     }
 
-    /// Forgets failures of peers that are gone.
-    pub(super) fn keep_only(&mut self, is_live: impl Fn(&ids::InstanceId) -> bool) {
-        self.shunned.retain(|source, _| match source {
+    /// Removes the back-off of peers that are no longer live.
+    pub(super) fn retain_peers(&mut self, is_live: impl Fn(&ids::InstanceId) -> bool) {
+        self.retry_at.retain(|source, _| match source {
             Source::Store => true,
             Source::Peer(peer) => is_live(peer),
         });
     }
 
-    /// The peer with the highest version above the given one that is not left alone.
+    /// Returns the peer with the highest version above `above`, apart from peers to back off from.
     pub(super) fn best_peer(
         &self,
-        heard: &BTreeMap<ids::InstanceId, ids::ConfigVersion>,
+        peer_versions: &BTreeMap<ids::InstanceId, ids::ConfigVersion>,
         above: ids::ConfigVersion,
         now: time::TimeMs,
     ) -> Option<ids::InstanceId> {
-        heard
+        peer_versions
             .iter()
             .filter(|(_, version)| **version > above)
-            .filter(|(peer, _)| !self.is_shunned(&Source::Peer((*peer).clone()), now))
+            .filter(|(peer, _)| !self.is_backing_off(&Source::Peer((*peer).clone()), now))
             .max_by_key(|(_, version)| **version)
             .map(|(peer, _)| peer.clone())
     }
--- a/crates/damaskvane-config/src/relay/settings.rs
+++ b/crates/damaskvane-config/src/relay/settings.rs
@@ -1,4 +1,4 @@
-//! How often and how long.
+//! Time-outs, intervals and limits of a relay.
 //!
 //! ```
 //! use damaskvane_config::relay;
@@ -8,47 +8,51 @@
 
 use damaskvane_core::time;
 
-/// Settings of dissemination.
+/// Settings for fetching and announcing heads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RelaySettings {
-    /// How many instances of a zone watch the store. Two, so that one may be paused unnoticed.
+    /// The number of instances of a zone that watch the store.
+    ///
+    /// With two, the zone still receives new heads while one of them is paused undetected.
     pub relays_per_zone: usize,
-    /// How long an answer from a peer of the same zone may take.
-    pub near_timeout_ms: time::SpanMs,
-    /// How long an answer from a peer of another zone may take.
-    pub peer_timeout_ms: time::SpanMs,
-    /// How long an answer from the store may take.
+    /// Time-out of a fetch from a peer of the same zone.
+    pub same_zone_timeout_ms: time::SpanMs,
+    /// Time-out of a fetch from a peer of another zone.
+    pub other_zone_timeout_ms: time::SpanMs,
+    /// Time-out of a fetch from the store.
     pub store_timeout_ms: time::SpanMs,
-    /// How often a relay reads the head though its watch is silent.
+    /// Maximum interval at which a relay reads the head even if its watch reports no change.
     pub poll_ms: time::SpanMs,
-    /// How often an instance that hears nobody of its zone reads the head.
-    pub lonely_poll_ms: time::SpanMs,
-    /// How long a starting instance asks its peers before it asks the store.
-    pub boot_grace_ms: time::SpanMs,
-    /// How long until an announcement that shows no effect is made again; doubles each time.
-    pub tell_again_ms: time::SpanMs,
-    /// How often an announcement is made at most.
-    pub tell_times: u32,
-    /// How long a peer that gave nothing is left alone at most.
+    /// Time without a report from its zone after which an instance reads the store.
+    ///
+    /// Also the maximum interval of these reads.
+    pub isolated_poll_ms: time::SpanMs,
+    /// How long a starting instance tries its peers before it reads the store.
+    pub startup_grace_ms: time::SpanMs,
+    /// Time after which an announcement without effect is repeated; doubles with each repetition.
+    pub announce_retry_ms: time::SpanMs,
+    /// Maximum number of announcements of a version to one instance.
+    pub max_announcements: u32,
+    /// Maximum time to back off from a peer after a failed fetch.
     pub peer_retry_ms: time::SpanMs,
-    /// How long the store is left alone at most after it gave nothing.
-    pub retry_ms: time::SpanMs,
+    /// Maximum time to back off from the store after a failed fetch.
+    pub store_retry_ms: time::SpanMs,
 }
 
 impl Default for RelaySettings {
     fn default() -> Self {
         Self {
             relays_per_zone: 2,
-            near_timeout_ms: time::SpanMs::new(150),
-            peer_timeout_ms: time::SpanMs::new(300),
+            same_zone_timeout_ms: time::SpanMs::new(150),
+            other_zone_timeout_ms: time::SpanMs::new(300),
             store_timeout_ms: time::SpanMs::new(2_500),
             poll_ms: time::SpanMs::new(30_000),
-            lonely_poll_ms: time::SpanMs::new(15_000),
-            boot_grace_ms: time::SpanMs::new(500),
-            tell_again_ms: time::SpanMs::new(200),
-            tell_times: 4,
+            isolated_poll_ms: time::SpanMs::new(15_000),
+            startup_grace_ms: time::SpanMs::new(500),
+            announce_retry_ms: time::SpanMs::new(200),
+            max_announcements: 4,
             peer_retry_ms: time::SpanMs::new(200),
-            retry_ms: time::SpanMs::new(2_000),
+            store_retry_ms: time::SpanMs::new(2_000),
         }
     }
 }
--- a/crates/damaskvane-config/src/relay/view.rs
+++ b/crates/damaskvane-config/src/relay/view.rs
@@ -1,4 +1,4 @@
-//! The live instances as this one sees them.
+//! The live peers that a relay takes into account.
 //!
 //! ```
 //! use damaskvane_config::relay;
@@ -11,16 +11,16 @@
 use damaskvane_core::hash::ContentHash;
 use damaskvane_core::ids;
 
-/// A live instance.
+/// A live instance and its location.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
-    /// The instance.
+    /// The id of the instance.
     pub instance: ids::InstanceId,
-    /// Where it stands.
+    /// The availability zone that the instance runs in.
     pub availability_zone: ids::AvailabilityZoneId,
 }
 
-/// The live instances that are not leaving, without this one.
+/// The live instances that are not leaving, without this instance.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct View {
     /// The instances, in any order.
@@ -28,8 +28,8 @@
 }
 
 impl View {
-    /// The instances of a zone.
-    pub fn of_zone<'a>(
+    /// Returns the instances in a zone.
+    pub fn in_zone<'a>(
         &'a self,
         zone: &'a ids::AvailabilityZoneId,
     ) -> impl Iterator<Item = &'a ids::InstanceId> {
@@ -39,7 +39,7 @@
             .map(|member| &member.instance)
     }
 
-    /// The instances of each zone but one.
+    /// Returns the instances of every zone except `zone`, by zone.
     #[must_use]
     pub fn other_zones(
         &self,
@@ -55,22 +55,24 @@
         zones
     }
 
-    /// Whether an instance is one of the first `count` of its zone.
+    /// Returns whether `local` ranks among the first `count` instances of its zone.
     ///
-    /// Instances with different views may choose different relays. One too many is harmless, since
-    /// adoption is idempotent; one too few is made up by the heartbeats and by other zones.
+    /// Instances with different views may choose different relays. A surplus relay is harmless,
+    /// since applying a head is idempotent. Heartbeats and other zones make up for a missing relay.
     #[must_use]
-    pub fn is_relay(&self, me: &Member, count: usize) -> bool {
-        let mine = rank(&me.instance);
+    pub fn is_relay(&self, local: &Member, count: usize) -> bool {
+        let own_rank = rank(&local.instance);
         let before = self
-            .of_zone(&me.availability_zone)
-            .filter(|other| rank(other) < mine)
+            .in_zone(&local.availability_zone)
+            .filter(|other| rank(other) < own_rank)
             .count();
         before < count
     }
 }
 
-/// The order of instances within their zone; by hash, so that names don't make one relay for ever.
+/// Returns the rank of an instance, a hash of its id.
+///
+/// With an order by name the same instances would be relays for ever.
 fn rank(instance: &ids::InstanceId) -> ContentHash {
     ContentHash::of(instance.as_str().as_bytes())
 }
