--- a/crates/damaskvane-config/src/submit.rs
+++ b/crates/damaskvane-config/src/submit.rs
@@ -1,9 +1,9 @@
-//! How a ticket gets into the store, step by step and without I/O.
+//! Submits a ticket to the store, step by step and without I/O.
 //!
-//! What to do next follows from what is known of the store; each answer adds to that knowledge.
-//! A ticket is accepted by one conditional update of the head. Before it, in this order, the
-//! head's own ticket is filed under its number, and the new chunks and the new ticket are stored
-//! under their hashes.
+//! The next step follows from what earlier responses have shown of the store. A ticket is accepted
+//! by one conditional update of the head. Before this update, in this order, the ticket of the
+//! current head is filed under its number, and the new chunks and the new ticket are stored under
+//! their hashes.
 //!
 //! ```
 //! use damaskvane_config::{submit, ticket};
--- a/crates/damaskvane-config/src/submit/call.rs
+++ b/crates/damaskvane-config/src/submit/call.rs
@@ -1,4 +1,4 @@
-//! Calls on the store and their answers.
+//! Store calls of a submission and the responses to them.
 //!
 //! ```
 //! use damaskvane_config::submit;
@@ -13,61 +13,61 @@
 
 use crate::chunk::Chunk;
 
-/// A call on the store.
+/// A call on the store, to be made by the caller of the submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
     /// Read the head.
     ReadHead,
     /// Read a chunk.
     ReadChunk(ContentHash),
-    /// Store a chunk that must not exist yet.
+    /// Store a chunk under its hash, where no object may exist yet.
     WriteChunk(Chunk),
-    /// Put a chunk in place of something broken that stands under its hash.
+    /// Replace a broken object that is stored under the hash of a chunk by the chunk.
     RepairChunk {
-        /// The version in the store of what is broken.
+        /// The version of the broken object in the store.
         if_version: u64,
-        /// The chunk.
+        /// The chunk to store.
         chunk: Chunk,
     },
-    /// File an accepted ticket under its number, where it must not exist yet.
+    /// File an accepted ticket under its number, where no object may exist yet.
     FileTicket(ids::TicketNumber, Chunk),
-    /// Update the head if it has this version in the store.
+    /// Update the head if it still has a given version in the store.
     WriteHead {
-        /// The version in the store that the head was read at; 0 where it is absent.
+        /// The version in the store at which the head was read; 0 if it was absent.
         if_version: u64,
-        /// The new head.
+        /// The new head, encoded.
         bytes: Arc<[u8]>,
-        /// The identity of the write.
+        /// The id of the submission, equal on every retry.
         write_id: String,
     },
 }
 
-/// What the store answered.
+/// The response of the store to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreResponse {
-    /// The object that was read.
+    /// The object was read.
     Found {
         /// Its version in the store.
         version: u64,
         /// Its value.
         bytes: Arc<[u8]>,
     },
-    /// The object that was to be read is absent.
+    /// There is no such object to read.
     Absent,
     /// The write took effect.
     Applied,
-    /// The write had no effect, since the object has another version.
+    /// The write had no effect, since the object has another version than required.
     Conflict,
-    /// The call had no effect or gave nothing, for a reason that passes.
+    /// The call failed without effect, for this temporary reason.
     Failed(String),
-    /// The write may have taken effect, or may yet.
+    /// The write may have taken effect, or may still do so, for this reason.
     Unknown(String),
-    /// The store refuses the call for good.
+    /// The store rejected the call for this reason, and a retry would not help.
     Refused(String),
 }
 
 impl Call {
-    /// The kind and the name of the object in the store.
+    /// Returns the kind and the name of the object that the call reads or writes.
     #[must_use]
     pub fn key(&self) -> (&'static str, String) {
         match self {
--- a/crates/damaskvane-config/src/submit/outcome.rs
+++ b/crates/damaskvane-config/src/submit/outcome.rs
@@ -1,4 +1,4 @@
-//! What a submission does next and how it ends.
+//! The steps of a submission and its outcome.
 //!
 //! ```
 //! use damaskvane_config::submit;
@@ -12,31 +12,31 @@
 use crate::submit::call::Call;
 use crate::ticket::Overlap;
 
-/// What to do next.
+/// The next step of a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Make this call and pass its answer to the submission.
+    /// Make this call and pass the response to the submission.
     Call(Call),
-    /// Wait for a while, longer each time, then ask again.
+    /// Wait, longer each time, and then request the next step.
     Pause,
-    /// The submission has ended.
+    /// The submission has ended with this outcome.
     Done(Outcome),
 }
 
-/// How a submission ended.
+/// The outcome of a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// The ticket is accepted and durable.
+    /// The ticket is accepted and stored durably.
     Accepted {
-        /// Its number.
+        /// The number of the ticket.
         number: ids::TicketNumber,
     },
-    /// Refused: objects changed since the ticket was written.
+    /// The ticket was rejected, since these objects changed after it was written.
     Overlapping(Vec<Overlap>),
-    /// Refused: the ticket isn't valid together with what is accepted.
+    /// The ticket was rejected, since the state after it would have these problems.
     Invalid(Vec<Problem>),
-    /// Not accepted, and it never will be: the store refused or could not be reached.
+    /// The ticket can no longer be accepted: the store rejected a call or was unreachable.
     NotAccepted(String),
-    /// The store could not be reached after an answer was lost; the ticket may be accepted.
+    /// The store was unreachable after a response was lost, so the ticket may have been accepted.
     Unknown(String),
 }
--- a/crates/damaskvane-config/src/submit/submission.rs
+++ b/crates/damaskvane-config/src/submit/submission.rs
@@ -1,4 +1,4 @@
-//! One submission.
+//! The state machine that submits one ticket.
 //!
 //! ```
 //! use std::sync::Arc;
@@ -22,65 +22,65 @@
 use crate::submit::outcome::{Outcome, Step};
 use crate::ticket::{Draft, Ticket};
 
-/// How many calls may fail before the submission gives up.
+/// Maximum number of failed calls before the submission is abandoned.
 const MAX_FAILURES: u32 = 12;
 
-/// The head as it was read.
+/// The head as it was last read, with its version in the store.
 #[derive(Debug, Clone)]
-struct KnownHead {
+struct HeadSnapshot {
     store_version: u64,
     head: Head,
 }
 
-/// A head write whose effect was not told, by the ticket it would have accepted.
+/// A head write whose response was lost, identified by the ticket that it would have accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Doubt {
+struct UnconfirmedWrite {
     number: ids::TicketNumber,
     hash: ContentHash,
 }
 
-/// A ticket on its way into the store.
+/// The submission of one ticket.
 #[derive(Debug, Clone)]
 pub struct Submission {
     draft: Draft,
     new_chunks: Vec<Chunk>,
-    known: Option<KnownHead>,
+    snapshot: Option<HeadSnapshot>,
     chunks: Chunks,
     stored: BTreeSet<ContentHash>,
     unverified: BTreeSet<ContentHash>,
     broken: BTreeMap<ContentHash, u64>,
     validated: Option<ContentHash>,
     filed: BTreeSet<ids::TicketNumber>,
-    highest_seen: u64,
-    doubts: Vec<Doubt>,
+    highest_store_version: u64,
+    unconfirmed_writes: Vec<UnconfirmedWrite>,
     failures: u32,
     pause_due: bool,
     outcome: Option<Outcome>,
 }
 
 impl Submission {
-    /// Starts to submit a draft.
+    /// Starts the submission of a draft.
     #[must_use]
     pub fn new(draft: Draft) -> Self {
         Self {
             new_chunks: draft.object_chunks().into_values().collect(),
             draft,
-            known: None,
+            snapshot: None,
             chunks: Chunks::new(),
             stored: BTreeSet::new(),
             unverified: BTreeSet::new(),
             broken: BTreeMap::new(),
             validated: None,
             filed: BTreeSet::new(),
-            highest_seen: 0,
-            doubts: Vec::new(),
+            highest_store_version: 0,
+            unconfirmed_writes: Vec::new(),
             failures: 0,
             pause_due: false,
             outcome: None,
         }
     }
 
-    /// What to do next.
+    /// Returns the next step, which depends on the responses so far.
     pub fn next_step(&mut self) -> Step {
         if let Some(outcome) = &self.outcome {
             return Step::Done(outcome.clone());
@@ -98,38 +98,38 @@
     }
 
     fn plan(&mut self) -> Result<Call, Outcome> {
-        let Some(known) = self.known.clone() else {
+        let Some(snapshot) = self.snapshot.clone() else {
             return Ok(Call::ReadHead);
         };
-        // The order matters: a ticket that was accepted while its answer was lost would overlap
-        // with itself and be refused, though it is in force.
-        if let Some(call) = self.resolve_doubts(&known.head)? {
+        // Unconfirmed writes are checked before overlaps: a ticket that was accepted but whose
+        // response was lost would overlap with itself and be rejected, though it is active.
+        if let Some(call) = self.find_accepted_ticket(&snapshot.head)? {
             return Ok(call);
         }
-        let overlaps = self.draft.overlaps(&known.head);
+        let overlaps = self.draft.overlaps(&snapshot.head);
         if !overlaps.is_empty() {
             return Err(Outcome::Overlapping(overlaps));
         }
-        if let Some(hash) = self.missing_chunk(&known.head) {
+        if let Some(hash) = self.missing_chunk(&snapshot.head) {
             return Ok(Call::ReadChunk(hash));
         }
-        let ticket = self.draft.ticket_after(&known.head);
-        let head = ticket.head_after(&known.head);
+        let ticket = self.draft.ticket_after(&snapshot.head);
+        let head = ticket.head_after(&snapshot.head);
         self.validate(&ticket, &head)?;
-        if let Some(call) = self.unfiled_ticket(&known.head) {
+        if let Some(call) = self.unfiled_ticket(&snapshot.head) {
             return Ok(call);
         }
         if let Some(call) = self.store_chunks(&ticket.to_chunk()) {
             return Ok(call);
         }
         Ok(Call::WriteHead {
-            if_version: known.store_version,
+            if_version: snapshot.store_version,
             bytes: head.encode().into(),
             write_id: self.draft.write_id.clone(),
         })
     }
 
-    /// What is left to do until the new chunks and the ticket are whole in the store.
+    /// Returns the next call that stores the new chunks and the ticket; `None` if all are stored.
     fn store_chunks(&self, ticket: &Chunk) -> Option<Call> {
         if let Some(hash) = self.unverified.first() {
             return Some(Call::ReadChunk(*hash));
@@ -146,22 +146,29 @@
         })
     }
 
-    /// Follows the history from the head back to each ticket in doubt.
+    /// Searches the history, from the head back, for a ticket of an unconfirmed write.
     ///
-    /// A later ticket may stand on top of ours by now. Comparing the head alone would take ours for
-    /// lost and submit it again, which would run it twice or undo the later one.
-    fn resolve_doubts(&self, head: &Head) -> Result<Option<Call>, Outcome> {
-        let Some(oldest) = self.doubts.iter().map(|doubt| doubt.number).min() else {
+    /// Returns the accepted ticket as an error, since the submission ends with it, or else the next
+    /// chunk to read, or `None` if no unconfirmed write was accepted. A later ticket may have been
+    /// accepted after this one. A comparison with the head alone would take this ticket for lost
+    /// and submit it again, which would apply it twice or undo the later ticket.
+    fn find_accepted_ticket(&self, head: &Head) -> Result<Option<Call>, Outcome> {
+        let Some(oldest) = self
+            .unconfirmed_writes
+            .iter()
+            .map(|write| write.number)
+            .min()
+        else {
             return Ok(None);
         };
         let mut number = head.ticket;
         let mut hash = head.ticket_hash;
         while let Some(current) = hash.filter(|_| number >= oldest) {
-            let here = Doubt {
+            let candidate = UnconfirmedWrite {
                 number,
                 hash: current,
             };
-            if self.doubts.contains(&here) {
+            if self.unconfirmed_writes.contains(&candidate) {
                 return Err(Outcome::Accepted { number });
             }
             let Some(chunk) = self.chunks.get(&current) else {
@@ -184,7 +191,7 @@
             .find(|hash| !self.chunks.contains_key(hash))
     }
 
-    /// Validates the state that the ticket would bring about, once for each head it is put on.
+    /// Validates the state that the ticket would produce, once for each head that it follows.
     fn validate(&mut self, ticket: &Ticket, head: &Head) -> Result<(), Outcome> {
         if self.validated == head.ticket_hash {
             return Ok(());
@@ -215,37 +222,38 @@
         Err(Outcome::Invalid(vec![Problem::new(message, remedy)]))
     }
 
-    /// Files the head's ticket under its number before a newer head hides its hash.
+    /// Returns the call that files the head's ticket under its number, unless the ticket is filed.
     ///
-    /// Every head but the newest has its ticket filed, so `show N` is one read for ever. A ticket
-    /// that lost a race is never filed: only what a head names is.
+    /// The ticket is filed before a newer head replaces the hash that leads to it. The tickets of
+    /// all heads but the newest are thus filed, and `show N` always needs one read. A ticket that
+    /// lost a race is never filed, since no head names it.
     fn unfiled_ticket(&self, head: &Head) -> Option<Call> {
         let chunk = self.chunks.get(&head.ticket_hash?)?;
         let unfiled = !self.filed.contains(&head.ticket);
         unfiled.then(|| Call::FileTicket(head.ticket, chunk.clone()))
     }
 
-    /// Takes in the answer to a call.
-    pub fn handle_response(&mut self, call: &Call, answer: StoreResponse) {
-        match answer {
-            StoreResponse::Refused(reason) => self.give_up(&reason),
-            StoreResponse::Failed(reason) => self.fail(&reason),
+    /// Handles the store's response to a call.
+    pub fn handle_response(&mut self, call: &Call, response: StoreResponse) {
+        match response {
+            StoreResponse::Refused(reason) => self.abandon(&reason),
+            StoreResponse::Failed(reason) => self.record_failure(&reason),
             StoreResponse::Unknown(reason) => {
-                self.note_doubt(call);
-                self.fail(&reason);
+                self.record_unconfirmed_write(call);
+                self.record_failure(&reason);
             }
-            StoreResponse::Found { version, bytes } => self.found(call, version, &bytes),
-            StoreResponse::Absent => self.absent(call),
-            StoreResponse::Applied => self.written(call, true),
-            StoreResponse::Conflict => self.written(call, false),
+            StoreResponse::Found { version, bytes } => self.handle_read(call, version, &bytes),
+            StoreResponse::Absent => self.handle_absent(call),
+            StoreResponse::Applied => self.handle_write(call, true),
+            StoreResponse::Conflict => self.handle_write(call, false),
         }
     }
 
-    fn found(&mut self, call: &Call, store_version: u64, bytes: &[u8]) {
+    fn handle_read(&mut self, call: &Call, store_version: u64, bytes: &[u8]) {
         match call {
             Call::ReadHead => match Head::decode(bytes) {
-                Ok(head) => self.note_head(store_version, head),
-                Err(error) => self.give_up(&error.to_string()),
+                Ok(head) => self.record_head(store_version, head),
+                Err(error) => self.abandon(&error.to_string()),
             },
             Call::ReadChunk(hash) => {
                 let chunk = Chunk::from_bytes(bytes);
@@ -256,43 +264,43 @@
                 } else if self.unverified.remove(hash) {
                     self.broken.insert(*hash, store_version);
                 } else {
-                    self.fail(&not_whole(hash));
+                    self.record_failure(&broken_chunk_reason(hash));
                 }
             }
             _ => {}
         }
     }
 
-    /// Takes in a head unless it is older than one seen before.
+    /// Records a head; one older than an earlier head or the draft's base counts as a failure.
     ///
-    /// A stale read shows objects as they were before the draft's own base. They would look changed,
-    /// and a ticket would be refused, perhaps one that is accepted already.
-    fn note_head(&mut self, store_version: u64, head: Head) {
-        if store_version < self.highest_seen || head.version < self.draft.base_version {
-            self.fail("the store answered with an old head; submit again later");
+    /// A stale read returns objects as they were before the draft's base. The objects would seem to
+    /// have changed, and the ticket would be rejected, even if it is already accepted.
+    fn record_head(&mut self, store_version: u64, head: Head) {
+        if store_version < self.highest_store_version || head.version < self.draft.base_version {
+            self.record_failure("the store returned an old head; submit again later");
             return;
         }
-        self.highest_seen = store_version;
-        self.known = Some(KnownHead {
+        self.highest_store_version = store_version;
+        self.snapshot = Some(HeadSnapshot {
             store_version,
             head,
         });
     }
 
-    fn absent(&mut self, call: &Call) {
+    fn handle_absent(&mut self, call: &Call) {
         match call {
-            Call::ReadHead => self.note_head(0, Head::default()),
+            Call::ReadHead => self.record_head(0, Head::default()),
             Call::ReadChunk(hash) if self.unverified.remove(hash) => {}
-            Call::ReadChunk(hash) => self.fail(&not_whole(hash)),
+            Call::ReadChunk(hash) => self.record_failure(&broken_chunk_reason(hash)),
             _ => {}
         }
     }
 
-    fn written(&mut self, call: &Call, applied: bool) {
+    fn handle_write(&mut self, call: &Call, applied: bool) {
         match call {
             Call::WriteChunk(chunk) if applied => _ = self.stored.insert(chunk.hash()),
-            // What stands under the hash may be broken, and a head that names it could not be
-            // adopted anywhere; so it is read and hashed first.
+            // An object exists under the hash. It may be broken, and no instance could apply a head
+            // that names a broken chunk, so the object is read and hashed first.
             Call::WriteChunk(chunk) => _ = self.unverified.insert(chunk.hash()),
             Call::RepairChunk { chunk, .. } => {
                 self.broken.remove(&chunk.hash());
@@ -304,53 +312,53 @@
                 checked.insert(chunk.hash());
             }
             Call::FileTicket(number, _) => _ = self.filed.insert(*number),
-            Call::WriteHead { bytes, .. } if applied => self.accepted(bytes),
-            // Another ticket was accepted first, or an earlier try of this write took effect. A head
-            // that is read at the same version from now on is a stale one.
+            Call::WriteHead { bytes, .. } if applied => self.record_acceptance(bytes),
+            // Another ticket was accepted first, or an earlier attempt of this write took effect.
+            // From now on a read that returns the head at the same version is stale.
             Call::WriteHead { if_version, .. } => {
-                self.highest_seen = if_version + 1;
-                self.known = None;
+                self.highest_store_version = if_version + 1;
+                self.snapshot = None;
             }
             Call::ReadHead | Call::ReadChunk(_) => {}
         }
     }
 
-    fn accepted(&mut self, bytes: &[u8]) {
+    fn record_acceptance(&mut self, bytes: &[u8]) {
         match Head::decode(bytes) {
             Ok(head) => {
                 let number = head.ticket;
                 self.outcome = Some(Outcome::Accepted { number });
             }
-            Err(error) => self.give_up(&error.to_string()),
+            Err(error) => self.abandon(&error.to_string()),
         }
     }
 
-    fn note_doubt(&mut self, call: &Call) {
+    fn record_unconfirmed_write(&mut self, call: &Call) {
         let Call::WriteHead { bytes, .. } = call else {
             return;
         };
         if let Ok(head) = Head::decode(bytes)
             && let Some(hash) = head.ticket_hash
         {
-            self.doubts.push(Doubt {
+            self.unconfirmed_writes.push(UnconfirmedWrite {
                 number: head.ticket,
                 hash,
             });
         }
-        self.known = None;
+        self.snapshot = None;
     }
 
-    fn fail(&mut self, reason: &str) {
+    fn record_failure(&mut self, reason: &str) {
         self.failures += 1;
         self.pause_due = true;
         if self.failures > MAX_FAILURES {
-            self.give_up(reason);
+            self.abandon(reason);
         }
     }
 
-    fn give_up(&mut self, reason: &str) {
+    fn abandon(&mut self, reason: &str) {
         let reason = reason.to_owned();
-        self.outcome = Some(if self.doubts.is_empty() {
+        self.outcome = Some(if self.unconfirmed_writes.is_empty() {
             Outcome::NotAccepted(reason)
         } else {
             Outcome::Unknown(reason)
@@ -362,6 +370,6 @@
     Ticket::decode(chunk.bytes()).map_err(|error| Outcome::Unknown(error.to_string()))
 }
 
-fn not_whole(hash: &ContentHash) -> String {
+fn broken_chunk_reason(hash: &ContentHash) -> String {
     format!("chunk {hash} is missing or broken; submit its object again, from version control")
 }
