--- a/crates/damaskvane-config/src/apply/applier.rs
+++ b/crates/damaskvane-config/src/apply/applier.rs
@@ -24,7 +24,7 @@
 /// Maximum number of heads that wait for chunks; beyond it the lowest version is dropped.
 const MAX_PENDING_HEADS: usize = 3;
 
-/// Maximum number of rejected heads that are remembered, so that they aren't fetched again and again.
+/// Maximum number of remembered rejected heads, which aren't fetched again and again.
 const MAX_REJECTED: usize = 16;
 
 /// A newer head whose chunks are not all here yet.
