--- a/crates/damaskvane-config/src/chunk.rs
+++ b/crates/damaskvane-config/src/chunk.rs
@@ -17,20 +17,20 @@
 use crate::declaration::Declaration;
 use crate::object::{ObjectId, ObjectName};
 
-/// The largest value that the platform's object API holds, in bytes.
+/// The largest value that the platform's object API stores, in bytes.
 pub const MAX_CHUNK_BYTES: usize = 1_000_000;
 
-/// An immutable chunk with its hash.
+/// The bytes of an immutable stored value with their hash.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chunk {
     hash: ContentHash,
     bytes: Arc<[u8]>,
 }
 
-/// Why a chunk can't be read.
+/// The error of decoding a chunk.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ChunkError {
-    /// the chunk holds no object that this program knows ({0}); upgrade the program or submit the object again
+    /// the chunk can't be decoded as an object of a known kind ({0}); upgrade the program or submit the object again
     Decode(String),
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Chunk {
-    /// Wraps bytes that came from outside; the hash is worked out here, never taken on trust.
+    /// Returns the chunk of received bytes, whose hash is always computed here.
     #[must_use]
     pub fn from_bytes(bytes: impl Into<Arc<[u8]>>) -> Self {
         let bytes = bytes.into();
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The canonical encoding of an object: equal states have equal bytes.
+    /// Encodes the state of an object canonically, so that equal states have equal bytes.
     #[must_use]
     pub fn encode(id: &ObjectId, declaration: &Declaration) -> Self {
         let body = Body {
@@ -62,11 +62,11 @@
         Self::from_bytes(to_json(&body))
     }
 
-    /// Reads the object back.
+    /// Decodes the object and its state.
     ///
     /// # Errors
     ///
-    /// When the bytes hold no object of a known kind.
+    /// Returns [`ChunkError::Decode`] if the bytes are not an object of a known kind.
     pub fn decode(&self) -> Result<(ObjectId, Declaration), ChunkError> {
         let body: Body<Declaration> = serde_json::from_slice(&self.bytes)
             .map_err(|error| ChunkError::Decode(error.to_string()))?;
@@ -74,28 +74,28 @@
         Ok((id, body.declaration))
     }
 
-    /// The hash that names the chunk.
+    /// Returns the hash of the bytes, under which the chunk is stored.
     #[must_use]
     pub const fn hash(&self) -> ContentHash {
         self.hash
     }
 
-    /// The bytes as they are stored.
+    /// Returns the bytes as they are stored.
     #[must_use]
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// The bytes, shared.
+    /// Returns the bytes without copying them.
     #[must_use]
     pub fn shared_bytes(&self) -> Arc<[u8]> {
         Arc::clone(&self.bytes)
     }
 }
 
-/// Encodes a value whose maps are sorted and whose fields have a fixed order.
+/// Encodes a value, whose maps must be sorted and whose fields must have a fixed order, as JSON.
 pub(crate) fn to_json(value: &impl Serialize) -> Vec<u8> {
-    // The types of this crate have text keys and no fallible encoders, so this can't fail; an
-    // empty value would be refused by every reader.
+    // This can't fail, since the types of this crate have text keys and no fallible encoders. Every
+    // reader would reject an empty value.
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/damaskvane-config/src/lib.rs
+++ b/crates/damaskvane-config/src/lib.rs
@@ -1,18 +1,19 @@
-//! Declarations, tickets and the head that puts them in force; no I/O and no clock.
+//! Declarations, tickets and the head that makes them active; no I/O and no clock.
 //!
 //! # Crate guide
 //!
 //! - [`declaration`]: the typed state of one object, for instance of a service or a backend server.
-//! - [`object`]: names of objects (`service/rider-desk`).
+//! - [`object`]: names of objects, for instance `service/rider-desk`.
 //! - [`chunk`]: the canonical bytes of an object, stored under their hash.
-//! - [`manifest`]: the one head object that names every chunk of a version.
-//! - [`ticket`]: a numbered change with its author, its reason and the whole new state.
+//! - [`manifest`]: the head, the stored object that lists the chunks of a version.
+//! - [`ticket`]: a numbered change with its author, its reason and the complete new state of each
+//!   object that it changes.
 //! - [`document`]: declarations as operators write them, in TOML.
-//! - [`state`]: everything in force at one version, and how it is assembled from chunks.
-//! - [`submit`]: how a ticket gets into the store, step by step.
-//! - [`apply`]: how an instance takes a head into force, from whatever source, never backwards.
-//! - [`relay`]: who watches the store and who tells whom.
-//! - [`problem`]: what is wrong with a declaration, where, and the remedy.
+//! - [`state`]: all declarations of one version, assembled from chunks and validated.
+//! - [`submit`]: the submission of a ticket to the store, step by step.
+//! - [`apply`]: switches an instance to newer heads, from any source, and never back.
+//! - [`relay`]: watches the store and spreads new heads among the instances.
+//! - [`problem`]: an error in a declaration, with its location and the remedy.
 //!
 //! ```
 //! use damaskvane_config::document;
--- a/crates/damaskvane-config/src/manifest.rs
+++ b/crates/damaskvane-config/src/manifest.rs
@@ -1,4 +1,4 @@
-//! The head: the one object whose conditional update accepts a ticket.
+//! The head: the stored object whose conditional update accepts a ticket.
 //!
 //! ```
 //! use damaskvane_config::manifest;
@@ -16,37 +16,39 @@
 use crate::chunk;
 use crate::object::ObjectId;
 
-/// What the head says of one object.
+/// The entry of one object in the head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectEntry {
-    /// Names the chunk with the object's state.
+    /// The hash of the chunk with the object's state.
     pub hash: ContentHash,
     /// The ticket that last changed the object.
     pub ticket: ids::TicketNumber,
 }
 
-/// The head of the configuration.
+/// The list of all declared objects of one version, with the ticket that made the version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredHead", into = "StoredHead")]
 pub struct Head {
-    /// The version; it rises by one with each ticket.
+    /// The version, which increases by one with each ticket.
     pub version: ids::ConfigVersion,
     /// The ticket that made this version.
     pub ticket: ids::TicketNumber,
-    /// Names the chunk that holds the ticket; `None` before the first ticket.
+    /// The hash of the chunk that holds the ticket; `None` before the first ticket.
     pub ticket_hash: Option<ContentHash>,
-    /// Who submitted the ticket; the platform checks it against the credential.
+    /// The operator who submitted the ticket; the platform checks the name against the credential.
     pub author: String,
-    /// The identity of the write that made this version.
+    /// The id of the submission that made this version.
     pub write_id: String,
-    /// Every object in force.
+    /// The entries of all objects of known kinds.
     pub objects: BTreeMap<ObjectId, ObjectEntry>,
-    /// Objects of kinds that this program doesn't know. During an upgrade a newer program declares
-    /// them; they are carried on and served to peers, but not interpreted.
-    pub foreign: BTreeMap<String, ObjectEntry>,
+    /// The entries of objects of kinds that this program doesn't know, by name.
+    ///
+    /// During an upgrade a newer program may declare such objects. They are retained and sent to
+    /// peers, but not interpreted.
+    pub unknown_objects: BTreeMap<String, ObjectEntry>,
 }
 
-/// The head as it is stored.
+/// The stored form of the head, with the objects of known and unknown kinds in one map.
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredHead {
     version: ids::ConfigVersion,
@@ -60,11 +62,11 @@
 impl From<StoredHead> for Head {
     fn from(stored: StoredHead) -> Self {
         let mut objects = BTreeMap::new();
-        let mut foreign = BTreeMap::new();
+        let mut unknown_objects = BTreeMap::new();
         for (name, entry) in stored.objects {
             match name.parse() {
                 Ok(id) => _ = objects.insert(id, entry),
-                Err(_) => _ = foreign.insert(name, entry),
+                Err(_) => _ = unknown_objects.insert(name, entry),
             }
         }
         Self {
@@ -74,7 +76,7 @@
             author: stored.author,
             write_id: stored.write_id,
             objects,
-            foreign,
+            unknown_objects,
         }
     }
 }
@@ -82,7 +84,7 @@
 impl From<Head> for StoredHead {
     fn from(head: Head) -> Self {
         Self {
-            objects: head.named_entries(),
+            objects: head.entries_by_name(),
             version: head.version,
             ticket: head.ticket,
             ticket_hash: head.ticket_hash,
@@ -92,32 +94,33 @@
     }
 }
 
-/// Why bytes are no head.
+/// The error of decoding a head.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum HeadError {
-    /// the bytes are no head ({0}); fetch it again from the platform or another instance
+    /// the bytes can't be decoded as a head ({0}); fetch it again from the platform or another
+    /// instance
     Decode(String),
     /// the head's version {version} and ticket {ticket} differ; fetch it again from the platform
     Number {
-        /// The version as given.
+        /// The version in the head.
         version: ids::ConfigVersion,
-        /// The ticket as given.
+        /// The number of the ticket in the head.
         ticket: ids::TicketNumber,
     },
 }
 
 impl Head {
-    /// The canonical bytes.
+    /// Encodes the head canonically, so that equal heads have equal bytes.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         chunk::to_json(self)
     }
 
-    /// Reads a head that came from outside.
+    /// Decodes a head that was received from the store or a peer.
     ///
     /// # Errors
     ///
-    /// When the bytes are no head or contradict themselves.
+    /// Returns an error if the bytes are not a head, or if its version and ticket number differ.
     pub fn decode(bytes: &[u8]) -> Result<Self, HeadError> {
         let head: Self =
             serde_json::from_slice(bytes).map_err(|error| HeadError::Decode(error.to_string()))?;
@@ -130,30 +133,30 @@
         Ok(head)
     }
 
-    /// The hash over everything in force; equal at equal version on every instance.
+    /// Returns the hash over all entries; instances with the same version have the same hash.
     #[must_use]
     pub fn state_hash(&self) -> ContentHash {
-        ContentHash::of(&chunk::to_json(&self.named_entries()))
+        ContentHash::of(&chunk::to_json(&self.entries_by_name()))
     }
 
-    /// What the head says of each object, of unknown kinds too.
+    /// Returns the entries of all objects, those of unknown kinds included.
     pub fn entries(&self) -> impl Iterator<Item = &ObjectEntry> {
-        self.objects.values().chain(self.foreign.values())
+        self.objects.values().chain(self.unknown_objects.values())
     }
 
-    fn named_entries(&self) -> BTreeMap<String, ObjectEntry> {
+    fn entries_by_name(&self) -> BTreeMap<String, ObjectEntry> {
         let known = self
             .objects
             .iter()
             .map(|(id, entry)| (id.to_string(), *entry));
-        let foreign = self
-            .foreign
+        let unknown_objects = self
+            .unknown_objects
             .iter()
             .map(|(name, entry)| (name.clone(), *entry));
-        known.chain(foreign).collect()
+        known.chain(unknown_objects).collect()
     }
 
-    /// The ticket that last changed an object; 0 where the object is absent.
+    /// Returns the ticket that last changed an object, or 0 if the object is absent.
     #[must_use]
     pub fn base_of(&self, id: &ObjectId) -> ids::TicketNumber {
         self.objects
--- a/crates/damaskvane-config/src/ticket.rs
+++ b/crates/damaskvane-config/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets: numbered changes that can be read, attributed and defended afterwards.
+//! Tickets: numbered changes, stored permanently with their author and reason.
 //!
 //! ```
 //! use damaskvane_config::{manifest, ticket};
@@ -19,81 +19,85 @@
 use crate::manifest::{Head, ObjectEntry};
 use crate::object::ObjectId;
 
-/// The whole new state of each object that a ticket touches; `None` deletes it.
+/// The complete new state of each object that a ticket changes; `None` deletes the object.
 pub type Changes = BTreeMap<ObjectId, Option<Declaration>>;
 
-/// The versions a ticket was written against: for each object the ticket that last changed it, 0
-/// where the object was absent.
+/// The versions of the objects against which a ticket was written.
+///
+/// The version of an object is the ticket that last changed it, or 0 if the object was absent.
 pub type Base = BTreeMap<ObjectId, ids::TicketNumber>;
 
-/// A change before it has a number.
+/// A change that has not been accepted and has no number yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Draft {
-    /// Who submits it.
+    /// The operator who submits the change.
     pub author: String,
-    /// Why.
+    /// Why the change is made, as free text.
     pub reason: String,
-    /// When it was submitted, in milliseconds since 1970 by the submitter's clock.
+    /// The time of submission, in milliseconds since 1970 by the submitter's clock.
     pub submitted_at_unix_ms: u64,
-    /// The identity of this submission; equal on every retry, never equal for two submissions.
+    /// The id of this submission; equal on every retry, and different for every submission.
     pub write_id: String,
-    /// The version of the head it was written against.
+    /// The version of the head against which the change was written.
     pub base_version: ids::ConfigVersion,
-    /// The versions of the objects it was written against.
+    /// The versions of the objects against which the change was written.
     pub base: Base,
-    /// The new states.
+    /// The new states of the objects.
     pub changes: Changes,
-    /// The declarations as they were written.
+    /// The declarations as the operator wrote them.
     pub text: String,
 }
 
-/// A change with its number, as it is kept for good.
+/// A change with its number, as it is stored permanently.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The number; gapless, since it is one more than the head's in the same conditional update.
+    /// The number, without gaps, since the head's conditional update increases it by one.
     pub number: ids::TicketNumber,
-    /// Who submitted it.
+    /// The operator who submitted the change.
     pub author: String,
-    /// Why.
+    /// Why the change was made, as free text.
     pub reason: String,
-    /// When it was submitted, in milliseconds since 1970 by the submitter's clock.
+    /// The time of submission, in milliseconds since 1970 by the submitter's clock.
     pub submitted_at_unix_ms: u64,
-    /// The identity of the submission.
+    /// The id of the submission.
     pub write_id: String,
-    /// Names the chunk of the ticket before this one, so that the history can be followed from the
-    /// head and a ticket that lost a race is never taken for an accepted one.
+    /// The hash of the chunk of the previous ticket; `None` for the first ticket.
+    ///
+    /// With this hash the history can be followed from the head, so that a ticket that lost a race
+    /// is never taken for an accepted one.
     pub previous: Option<ContentHash>,
-    /// The version of the head it was written against.
+    /// The version of the head against which the change was written.
     pub base_version: ids::ConfigVersion,
-    /// The versions of the objects it was written against.
+    /// The versions of the objects against which the change was written.
     pub base: Base,
-    /// Names the chunk with the new state of each object; `None` deletes it. Chunks are kept for
-    /// good, so the ticket stays readable exactly as accepted.
+    /// The hash of the chunk with the new state of each object; `None` deletes the object.
+    ///
+    /// Chunks are never removed, so the ticket stays readable exactly as it was accepted.
     pub changes: BTreeMap<ObjectId, Option<ContentHash>>,
-    /// The declarations as they were written.
+    /// The declarations as the operator wrote them.
     pub text: String,
 }
 
-/// An object that changed after a ticket was written.
+/// An object that another ticket changed after a draft was written.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Overlap {
     /// The object.
     pub object: ObjectId,
-    /// The version the ticket was written against.
+    /// The version of the object against which the draft was written.
     pub base: ids::TicketNumber,
-    /// The ticket that changed it since; 0 where the object was deleted.
+    /// The ticket that has changed the object since; 0 if the object was deleted.
     pub changed_by: ids::TicketNumber,
 }
 
-/// Why bytes are no ticket.
+/// The error of decoding a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum TicketError {
-    /// the bytes are no ticket ({0}); read it again from the platform
+    /// the bytes can't be decoded as a ticket ({0}); read it again from the platform
     Decode(String),
 }
 
 impl Draft {
-    /// The objects that changed since the draft was written; a draft with any is refused.
+    /// Returns the objects that changed since the draft was written; a draft with any is rejected.
     #[must_use]
     pub fn overlaps(&self, head: &Head) -> Vec<Overlap> {
         let changed = |object: &&ObjectId| head.base_of(object) != self.base_of(object);
@@ -108,7 +112,7 @@
             .collect()
     }
 
-    /// The ticket that follows a head.
+    /// Returns the ticket that this draft becomes if it is accepted on top of a head.
     #[must_use]
     pub fn ticket_after(&self, head: &Head) -> Ticket {
         Ticket {
@@ -125,7 +129,7 @@
         }
     }
 
-    /// The chunks of the new states.
+    /// Returns the chunks of the new states; deleted objects have none.
     #[must_use]
     pub fn object_chunks(&self) -> BTreeMap<ObjectId, Chunk> {
         self.changes
@@ -149,22 +153,22 @@
 }
 
 impl Ticket {
-    /// The ticket as a chunk.
+    /// Returns the ticket as a chunk to be stored.
     #[must_use]
     pub fn to_chunk(&self) -> Chunk {
         Chunk::from_bytes(chunk::to_json(self))
     }
 
-    /// Reads a ticket.
+    /// Decodes a ticket.
     ///
     /// # Errors
     ///
-    /// When the bytes are no ticket.
+    /// Returns [`TicketError::Decode`] if the bytes are not a ticket.
     pub fn decode(bytes: &[u8]) -> Result<Self, TicketError> {
         serde_json::from_slice(bytes).map_err(|error| TicketError::Decode(error.to_string()))
     }
 
-    /// The head that accepts this ticket.
+    /// Returns the head that follows the head `before` if this ticket is accepted.
     #[must_use]
     pub fn head_after(&self, before: &Head) -> Head {
         let mut objects = before.objects.clone();
@@ -183,7 +187,7 @@
             author: self.author.clone(),
             write_id: self.write_id.clone(),
             objects,
-            foreign: before.foreign.clone(),
+            unknown_objects: before.unknown_objects.clone(),
         }
     }
 }
--- a/crates/damaskvane-config/tests/adopt.rs
+++ b/crates/damaskvane-config/tests/adopt.rs
@@ -132,7 +132,7 @@
         hash: hash::ContentHash::of(chunk),
         ticket: head.ticket,
     };
-    head.foreign.insert("quota/x".into(), entry);
+    head.unknown_objects.insert("quota/x".into(), entry);
     let mut applier = Applier::default();
     applier.offer_head(&head.encode());
     let verdict = applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref));
