--- a/crates/damaskvane-config/src/declaration.rs
+++ b/crates/damaskvane-config/src/declaration.rs
@@ -1,7 +1,7 @@
 //! The typed state of each kind of object.
 //!
-//! Fields are the keys of the TOML form. Chunks written by a newer program may hold further keys;
-//! they are passed over on reading, so that mixed versions of the program adopt the same head.
+//! Each field is a key in TOML. Chunks written by a newer program may hold further keys, which are
+//! ignored on decoding, so that instances with different program versions apply the same head.
 //!
 //! ```
 //! use damaskvane_config::declaration;
--- a/crates/damaskvane-config/src/declaration/any.rs
+++ b/crates/damaskvane-config/src/declaration/any.rs
@@ -14,7 +14,7 @@
 };
 use crate::object::ObjectKind;
 
-/// The whole state of one object.
+/// The complete state of one object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Declaration {
@@ -37,7 +37,7 @@
 }
 
 impl Declaration {
-    /// The kind of object this is the state of.
+    /// Returns the kind of the object.
     #[must_use]
     pub const fn kind(&self) -> ObjectKind {
         match self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The keys of a kind's TOML form.
+    /// Returns the keys that are valid in TOML for a kind.
     #[must_use]
     pub const fn keys(kind: ObjectKind) -> &'static [&'static str] {
         match kind {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The keys that a kind's TOML form can't do without.
+    /// Returns the keys that are required in TOML for a kind.
     #[must_use]
     pub const fn required_keys(kind: ObjectKind) -> &'static [&'static str] {
         match kind {
--- a/crates/damaskvane-config/src/declaration/backend_server.rs
+++ b/crates/damaskvane-config/src/declaration/backend_server.rs
@@ -1,4 +1,4 @@
-//! Backend servers.
+//! The declaration of a backend server.
 //!
 //! ```
 //! use damaskvane_config::declaration;
@@ -14,23 +14,23 @@
 /// A backend server of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendServer {
-    /// The service it runs.
+    /// The service that the server runs.
     pub service: ids::ServiceId,
-    /// The availability zone it stands in.
+    /// The availability zone of the server.
     pub availability_zone: ids::AvailabilityZoneId,
-    /// Where it listens.
+    /// The address and port on which the server listens.
     pub address: net::SocketAddr,
-    /// How many requests may run on it at a time, from all instances together.
+    /// Maximum number of concurrent requests to the server, from all instances together.
     pub slots: units::Slots,
-    /// How many connections it takes, from all instances together.
+    /// Maximum number of connections to the server, from all instances together.
     pub connections: u32,
-    /// Whether it takes no new work.
+    /// Whether the server gets no new requests.
     #[serde(default)]
     pub draining: bool,
 }
 
 impl BackendServer {
-    /// The keys of the TOML form.
+    /// The keys that are valid in TOML.
     pub const KEYS: &'static [&'static str] = &[
         "service",
         "availability_zone",
@@ -40,7 +40,7 @@
         "draining",
     ];
 
-    /// The keys without a default.
+    /// The keys that are required in TOML, since they have no default.
     pub const REQUIRED_KEYS: &'static [&'static str] = &[
         "service",
         "availability_zone",
--- a/crates/damaskvane-config/src/declaration/block_names.rs
+++ b/crates/damaskvane-config/src/declaration/block_names.rs
@@ -1,4 +1,4 @@
-//! Many names of client blocks in little memory.
+//! A compact set of client block names.
 //!
 //! ```
 //! use damaskvane_config::declaration;
@@ -15,14 +15,14 @@
 use serde::de::{self, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Names in one text, sorted and each once.
+/// A sorted set of names, stored in one text.
 ///
-/// A list of texts would take about 40 bytes a name besides the name; this takes 4. Copies share both
-/// parts, so that two versions of the configuration hold them once.
+/// A list of strings would need about 40 bytes per name in addition to the name; this set needs 4.
+/// Clones share the memory, so that two versions of the configuration store the names once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BlockNames {
     text: Arc<str>,
-    /// Where each name ends in the text.
+    /// The end of each name, as a byte offset in the text.
     ends: Arc<[u32]>,
 }
 
@@ -36,24 +36,24 @@
 }
 
 impl BlockNames {
-    /// How many names there are.
+    /// Returns the number of names.
     #[must_use]
     pub fn len(&self) -> usize {
         self.ends.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether the set has no names.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty()
     }
 
-    /// The names, sorted.
+    /// Returns the names in sorted order.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
         (0..self.len()).map(|index| self.name(index))
     }
 
-    /// Whether a name is among them.
+    /// Returns whether the set contains a name.
     #[must_use]
     pub fn contains(&self, name: &str) -> bool {
         let (mut low, mut high) = (0, self.len());
@@ -83,7 +83,7 @@
         let mut text = String::new();
         let mut ends = Vec::with_capacity(names.len());
         for name in names {
-            // One object holds at most a megabyte, so its ends fit by far.
+            // One object has at most a megabyte, so its offsets always fit into 32 bits.
             let Ok(end) = u32::try_from(text.len() + name.len()) else {
                 break;
             };
--- a/crates/damaskvane-config/src/declaration/client_blocks.rs
+++ b/crates/damaskvane-config/src/declaration/client_blocks.rs
@@ -1,4 +1,4 @@
-//! Sets of client blocks.
+//! The declaration of a set of client blocks.
 //!
 //! ```
 //! use damaskvane_config::declaration;
@@ -15,22 +15,22 @@
 
 use crate::declaration::block_names::BlockNames;
 
-/// Client blocks whose names differ by a number only, from `first` to `last` inclusive.
+/// Client blocks whose names differ only in a number, from `first` to `last` inclusive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlockRange {
-    /// The text before the number.
+    /// The text before the number, equal in all names.
     pub prefix: String,
-    /// The first number.
+    /// The lowest number.
     pub first: u32,
-    /// The last number.
+    /// The highest number.
     pub last: u32,
-    /// The number's digits, filled with zeros from the left; 0 fills nothing.
+    /// The minimum number of digits, padded with zeros on the left; 0 pads nothing.
     #[serde(default)]
     pub digits: u8,
 }
 
 impl BlockRange {
-    /// Whether a name lies in the range.
+    /// Returns whether the range contains a name.
     #[must_use]
     pub fn contains(&self, name: &str) -> bool {
         let Some(digits) = name.strip_prefix(self.prefix.as_str()) else {
@@ -43,34 +43,35 @@
         (self.first..=self.last).contains(&number) && format!("{number:0width$}") == digits
     }
 
-    /// The names of the range, in order of their numbers.
+    /// Returns the names in the range, ordered by number.
     pub fn names(&self) -> impl Iterator<Item = String> + '_ {
         let width = usize::from(self.digits);
         (self.first..=self.last).map(move |number| format!("{}{number:0width$}", self.prefix))
     }
 }
 
-/// Client blocks with the same distances to the availability zones; one object is one chunk.
+/// Client blocks with the same delays to the availability zones, stored as one object in one chunk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientBlocks {
     /// The zone nearest to these clients.
     pub near: ids::AvailabilityZoneId,
-    /// Blocks by name.
+    /// The blocks that are declared by name.
     #[serde(default)]
     pub names: BlockNames,
-    /// Blocks by number.
+    /// The blocks that are declared as ranges of numbers.
     #[serde(default)]
     pub ranges: Vec<BlockRange>,
-    /// Delay one way from the clients to zones, where it is known.
+    /// One-way delay from the clients to each zone, in milliseconds; a zone without a known delay
+    /// is absent.
     #[serde(default)]
     pub latency_ms: BTreeMap<ids::AvailabilityZoneId, time::SpanMs>,
 }
 
 impl ClientBlocks {
-    /// The keys of the TOML form.
+    /// The keys that are valid in TOML.
     pub const KEYS: &'static [&'static str] = &["near", "names", "ranges", "latency_ms"];
 
-    /// Whether a client block belongs to the set.
+    /// Returns whether the set contains a client block.
     #[must_use]
     pub fn contains(&self, block: &ids::ClientBlock) -> bool {
         self.names.contains(block.as_str())
--- a/crates/damaskvane-config/src/declaration/link.rs
+++ b/crates/damaskvane-config/src/declaration/link.rs
@@ -1,4 +1,4 @@
-//! Links between regions.
+//! The declaration of a link between regions.
 //!
 //! ```
 //! use damaskvane_config::declaration;
@@ -12,15 +12,15 @@
 /// The link from one region to another, in that direction, shared by all traffic.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Link {
-    /// Where the link starts.
+    /// The region where the link starts.
     pub from: ids::RegionId,
-    /// Where the link ends.
+    /// The region where the link ends.
     pub to: ids::RegionId,
-    /// What it carries.
+    /// The capacity of the link in megabits per second.
     pub capacity_mbps: units::MegabitsPerSecond,
 }
 
 impl Link {
-    /// The keys of the TOML form.
+    /// The keys that are valid in TOML.
     pub const KEYS: &'static [&'static str] = &["from", "to", "capacity_mbps"];
 }
--- a/crates/damaskvane-config/src/declaration/service.rs
+++ b/crates/damaskvane-config/src/declaration/service.rs
@@ -1,4 +1,4 @@
-//! Services.
+//! The declaration of a service.
 //!
 //! ```
 //! use damaskvane_config::declaration;
@@ -9,47 +9,47 @@
 use damaskvane_core::{time, units};
 use serde::{Deserialize, Serialize};
 
-/// What steering weighs most for a service.
+/// The main criterion by which steering selects a zone for a service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// The nearest zone that has room.
+    /// Selects the nearest zone that has free capacity.
     #[default]
     Latency,
-    /// The zone with the most room left.
+    /// Selects the zone with the most free capacity.
     Headroom,
 }
 
-/// A service with its time-outs and budgets.
+/// A service with its time-outs, limits and typical load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Service {
-    /// The longest a request may take.
+    /// Time-out of a request.
     pub request_timeout_ms: time::SpanMs,
-    /// How long clients may keep a look-up answer.
+    /// How long clients may cache the response to a lookup.
     pub lookup_ttl_ms: time::SpanMs,
-    /// The most requests that wait for a slot on one instance.
+    /// Maximum number of requests that wait for a slot on one instance.
     pub queue_limit: u32,
-    /// Retries as a share of first tries.
+    /// Maximum number of retries per 1,000 first attempts.
     pub retry_budget_permille: units::Permille,
-    /// How long an idempotency key is remembered.
+    /// How long an idempotency key is retained.
     pub idempotency_window_ms: time::SpanMs,
-    /// What steering weighs most.
+    /// The main criterion by which steering selects a zone.
     pub policy: Policy,
-    /// The weight against other services that share links and instances.
+    /// The weight of this service relative to others that share links and instances.
     pub priority_weight: u32,
-    /// How long a request usually runs on a backend server.
+    /// Typical duration of a request on a backend server.
     pub typical_request_ms: time::SpanMs,
-    /// The usual size of a request.
+    /// Typical size of a request.
     pub typical_request_bytes: units::Bytes,
-    /// The usual size of an answer.
+    /// Typical size of a response.
     pub typical_answer_bytes: units::Bytes,
-    /// The rate that the service must carry at its busiest; 0 leaves it unchecked.
+    /// The peak rate for which validation checks the capacity; 0 disables the check.
     pub peak_requests_per_second: units::RequestsPerSecond,
 }
 
 impl Service {
-    /// The keys of the TOML form.
+    /// The keys that are valid in TOML.
     pub const KEYS: &'static [&'static str] = &[
         "request_timeout_ms",
         "lookup_ttl_ms",
--- a/crates/damaskvane-config/src/declaration/shift.rs
+++ b/crates/damaskvane-config/src/declaration/shift.rs
@@ -1,4 +1,4 @@
-//! Planned moves of traffic.
+//! The declaration of a planned move of traffic.
 //!
 //! ```
 //! use damaskvane_config::declaration;
@@ -14,23 +14,23 @@
 pub struct Shift {
     /// The service whose traffic moves.
     pub service: ids::ServiceId,
-    /// The zone that gives traffic away.
+    /// The zone from which traffic moves.
     pub from: ids::AvailabilityZoneId,
-    /// The zone that takes it.
+    /// The zone to which traffic moves.
     pub to: ids::AvailabilityZoneId,
-    /// The share of the zone's traffic that moves in the end.
+    /// The share of the source zone's traffic that has moved when the shift is complete.
     pub permille: units::Permille,
-    /// The most that may move within any one window.
+    /// The maximum share that may move within one window.
     pub cap_permille_per_window: units::Permille,
-    /// The length of a window.
+    /// The length of a window in milliseconds.
     pub window_ms: time::SpanMs,
-    /// The time over which the share moves in even steps; 0 moves it at once.
+    /// The time in milliseconds over which the share moves in even steps; 0 moves all at once.
     #[serde(default)]
     pub ramp_ms: time::SpanMs,
 }
 
 impl Shift {
-    /// The keys of the TOML form.
+    /// The keys that are valid in TOML.
     pub const KEYS: &'static [&'static str] = &[
         "service",
         "from",
@@ -41,7 +41,7 @@
         "ramp_ms",
     ];
 
-    /// The keys without a default.
+    /// The keys that are required in TOML, since they have no default.
     pub const REQUIRED_KEYS: &'static [&'static str] = &[
         "service",
         "from",
@@ -51,7 +51,7 @@
         "window_ms",
     ];
 
-    /// The largest share that the ramp moves within one window, rounded up.
+    /// Returns the largest share that the ramp moves within one window, rounded up.
     #[must_use]
     pub fn permille_per_window(&self) -> units::Permille {
         let ramp_ms = self.ramp_ms.get();
--- a/crates/damaskvane-config/src/declaration/zone.rs
+++ b/crates/damaskvane-config/src/declaration/zone.rs
@@ -1,4 +1,4 @@
-//! Regions, availability zones and sites.
+//! The declarations of regions, availability zones and sites.
 //!
 //! ```
 //! use damaskvane_config::declaration;
@@ -11,35 +11,35 @@
 use damaskvane_core::{ids, time};
 use serde::{Deserialize, Serialize};
 
-/// A region.
+/// A region, which contains availability zones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Region {
-    /// Free text for operators.
+    /// Free text for operators, not interpreted.
     #[serde(default)]
     pub description: String,
 }
 
 impl Region {
-    /// The keys of the TOML form.
+    /// The keys that are valid in TOML.
     pub const KEYS: &'static [&'static str] = &["description"];
 }
 
-/// An availability zone.
+/// An availability zone and its delays to other zones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AvailabilityZone {
     /// The region the zone belongs to.
     pub region: ids::RegionId,
-    /// Delay one way to other zones, where it is known.
+    /// One-way delay to other zones, in milliseconds; a zone without a known delay is absent.
     #[serde(default)]
     pub latency_ms: BTreeMap<ids::AvailabilityZoneId, time::SpanMs>,
 }
 
 impl AvailabilityZone {
-    /// The keys of the TOML form.
+    /// The keys that are valid in TOML.
     pub const KEYS: &'static [&'static str] = &["region", "latency_ms"];
 }
 
-/// A site that look-ups steer to: the entry instances of one availability zone.
+/// A site that lookups direct clients to: the entry instances of one availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Site {
     /// The availability zone whose instances serve the site.
@@ -47,6 +47,6 @@
 }
 
 impl Site {
-    /// The keys of the TOML form.
+    /// The keys that are valid in TOML.
     pub const KEYS: &'static [&'static str] = &["availability_zone"];
 }
--- a/crates/damaskvane-config/src/document.rs
+++ b/crates/damaskvane-config/src/document.rs
@@ -1,7 +1,7 @@
 //! Declarations as operators write them, in TOML: `[service.rider-desk]`.
 //!
-//! A document holds the whole new state of each object it names and leaves all others as they are.
-//! The key `delete` lists objects that shall go.
+//! A document holds the complete new state of each object that it names and leaves all others
+//! unchanged. The key `delete` lists objects to be deleted.
 //!
 //! ```
 //! use damaskvane_config::document;
@@ -23,7 +23,7 @@
 pub use nearest::nearest;
 pub use places::Places;
 
-/// One or several files of declarations.
+/// The declarations of one file or of several files.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Document {
     changes: ticket::Changes,
@@ -32,56 +32,56 @@
 }
 
 impl Document {
-    /// Reads one file.
+    /// Parses the text of one file; `file` names it in problems.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong in it, each with its place and remedy.
+    /// Returns all problems in the file, each with its location and remedy.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Problem>> {
         reader::Reader::new(file, text).read()
     }
 
-    /// Reads several files as one document.
+    /// Parses several files, given as pairs of name and text, into one document.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong in any of them, and objects that two of them declare.
+    /// Returns all problems in the files, and one for each object that two files declare.
     pub fn parse_all<'a>(
         files: impl IntoIterator<Item = (&'a str, &'a str)>,
     ) -> Result<Self, Vec<Problem>> {
-        let mut whole = Self::default();
+        let mut merged = Self::default();
         let mut problems = Vec::new();
         for (file, text) in files {
             match Self::parse(file, text) {
-                Ok(document) => problems.extend(whole.merge(document)),
+                Ok(document) => problems.extend(merged.merge(document)),
                 Err(found) => problems.extend(found),
             }
         }
         if problems.is_empty() {
-            Ok(whole)
+            Ok(merged)
         } else {
             Err(problems)
         }
     }
 
-    /// Each object with its new state, `None` where it shall go.
+    /// Returns each object with its new state, or `None` if it is to be deleted.
     pub fn changes(&self) -> impl Iterator<Item = (&ObjectId, &Option<Declaration>)> {
         self.changes.iter()
     }
 
-    /// The new states, for a ticket.
+    /// Returns the new states, to be submitted in a ticket.
     #[must_use]
     pub fn to_changes(&self) -> ticket::Changes {
         self.changes.clone()
     }
 
-    /// The files' text, for a ticket.
+    /// Returns the text of the files, to be submitted in a ticket.
     #[must_use]
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Adds to each problem the place of the object and key it names, where this document has it.
+    /// Adds to each problem the location of its key or object, if this document holds one.
     #[must_use]
     pub fn locate(&self, problems: Vec<Problem>) -> Vec<Problem> {
         problems
--- a/crates/damaskvane-config/src/document/nearest.rs
+++ b/crates/damaskvane-config/src/document/nearest.rs
@@ -1,4 +1,4 @@
-//! The nearest valid name for a misspelt one.
+//! Suggests the nearest valid name for a misspelt one.
 //!
 //! ```
 //! use damaskvane_config::document;
@@ -7,16 +7,16 @@
 //! assert_eq!(document::nearest("zzzz", ["slots", "service"]), None);
 //! ```
 
-/// Below this likeness a name is no help.
-const LEAST_LIKENESS: f64 = 0.7;
+/// The minimum Jaro-Winkler similarity of a name to be suggested.
+const MIN_SIMILARITY: f64 = 0.7;
 
-/// The most alike of some valid names, if any is alike enough to be meant.
+/// Returns the valid name that is most similar to `name`, or `None` if none is similar enough.
 #[must_use]
 pub fn nearest<'a>(name: &str, valid: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     valid
         .into_iter()
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
-        .filter(|(likeness, _)| *likeness >= LEAST_LIKENESS)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, candidate)| candidate)
 }
--- a/crates/damaskvane-config/src/document/places.rs
+++ b/crates/damaskvane-config/src/document/places.rs
@@ -1,4 +1,4 @@
-//! Where each object and key stands in the files.
+//! The locations of objects and keys in the files.
 //!
 //! ```
 //! use damaskvane_config::{document, problem};
@@ -12,7 +12,7 @@
 use crate::object::ObjectId;
 use crate::problem::{Place, Problem};
 
-/// The places of objects and of their keys.
+/// The locations of objects and of their keys.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Places {
     objects: BTreeMap<ObjectId, Place>,
@@ -20,11 +20,11 @@
 }
 
 impl Places {
-    pub(super) fn note_object(&mut self, object: &ObjectId, place: Place) {
+    pub(super) fn record_object(&mut self, object: &ObjectId, place: Place) {
         self.objects.insert(object.clone(), place);
     }
 
-    pub(super) fn note_key(&mut self, object: &ObjectId, key: &str, place: Place) {
+    pub(super) fn record_key(&mut self, object: &ObjectId, key: &str, place: Place) {
         self.keys.insert((object.clone(), key.to_owned()), place);
     }
 
@@ -33,7 +33,7 @@
         self.keys.extend(other.keys);
     }
 
-    /// Adds the place of the problem's key, or else of its object, where it is known.
+    /// Adds to a problem without a location that of its key, or else of its object, if recorded.
     #[must_use]
     pub fn locate(&self, problem: Problem) -> Problem {
         if problem.place.is_some() {
--- a/crates/damaskvane-config/src/document/reader.rs
+++ b/crates/damaskvane-config/src/document/reader.rs
@@ -1,4 +1,4 @@
-//! Reads one TOML file and collects every problem in it.
+//! Reads one TOML file and collects all problems in it.
 
 use core::ops;
 
@@ -13,7 +13,7 @@
 use crate::object::{ObjectId, ObjectKind, ObjectName};
 use crate::problem::{Place, Problem};
 
-/// The key that lists objects that shall go.
+/// The key that lists the objects to be deleted.
 const DELETE: &str = "delete";
 
 pub(super) struct Reader<'a> {
@@ -41,7 +41,7 @@
         let (table, errors) = DeTable::parse_recoverable(self.text);
         for error in errors {
             let place = error.span().map(|span| self.place(&span));
-            let problem = Problem::new(error.message(), "write it as TOML has it");
+            let problem = Problem::new(error.message(), "correct the TOML syntax");
             self.problems.push(problem.at(place));
         }
         if self.problems.is_empty() {
@@ -69,7 +69,10 @@
         };
         let DeValue::Table(objects) = value.into_inner() else {
             let remedy = format!("write [{kind}.name] with its keys below");
-            self.report(span, Problem::new("holds no objects", remedy).key(key));
+            self.report(
+                span,
+                Problem::new("is not a table of objects", remedy).key(key),
+            );
             return;
         };
         for (name, body) in objects {
@@ -93,16 +96,18 @@
             }
         };
         let object = ObjectId::new(kind, name);
-        self.document.places.note_object(&object, self.place(span));
+        self.document
+            .places
+            .record_object(&object, self.place(span));
         let body_span = body.span();
         let DeValue::Table(keys) = body.into_inner() else {
             let remedy = format!("write [{kind}.{}] with its keys below", object.name());
-            self.report(span, Problem::new("is no table", remedy).of(&object));
+            self.report(span, Problem::new("is not a table", remedy).of(&object));
             return;
         };
-        let found_before = self.problems.len();
+        let problems_before = self.problems.len();
         self.check_keys(&object, span, &keys);
-        self.decode(&object, keys, &body_span, found_before);
+        self.decode(&object, keys, &body_span, problems_before);
     }
 
     fn check_keys(&mut self, object: &ObjectId, span: &ops::Range<usize>, keys: &DeTable<'_>) {
@@ -110,7 +115,7 @@
         for key in keys.keys() {
             let text: &str = key.get_ref().as_ref();
             let place = self.place(&key.span());
-            self.document.places.note_key(object, text, place);
+            self.document.places.record_key(object, text, place);
             if !valid.contains(&text) {
                 let remedy = suggest(text, valid.iter().copied(), "a key");
                 let problem = Problem::new("is no key of this kind", remedy);
@@ -126,20 +131,23 @@
         }
     }
 
-    /// Decodes the table; on an error drops the key at fault and goes on, to find the next one too.
+    /// Decodes the table of an object.
+    ///
+    /// After an error the faulty key is dropped and the rest decoded again, to report further
+    /// errors.
     fn decode(
         &mut self,
         object: &ObjectId,
         keys: DeTable<'_>,
         span: &ops::Range<usize>,
-        found_before: usize,
+        problems_before: usize,
     ) {
         let mut keys = keys;
         loop {
             let value = Spanned::new(span.clone(), DeValue::Table(keys.clone()));
             let error = match declaration(object.kind(), value) {
                 Ok(declaration) => {
-                    if self.problems.len() == found_before {
+                    if self.problems.len() == problems_before {
                         let changes = &mut self.document.changes;
                         changes.insert(object.clone(), Some(declaration));
                     }
@@ -149,7 +157,7 @@
             };
             let at = error.span().unwrap_or_else(|| span.clone());
             let Some(key) = key_at(&keys, &at) else {
-                if self.problems.len() == found_before {
+                if self.problems.len() == problems_before {
                     let problem = Problem::new(error.message(), "correct the declaration");
                     self.report(&at, problem.of(object));
                 }
@@ -165,7 +173,7 @@
     fn read_deletions(&mut self, value: &Spanned<DeValue<'_>>) {
         const REMEDY: &str = "write delete = [\"kind/name\", ...]";
         let DeValue::Array(entries) = value.get_ref() else {
-            let problem = Problem::new("is no list", REMEDY);
+            let problem = Problem::new("is not a list", REMEDY);
             self.report(&value.span(), problem.key(DELETE));
             return;
         };
@@ -174,7 +182,7 @@
             match text.parse::<ObjectId>() {
                 Ok(object) => {
                     let place = self.place(&entry.span());
-                    self.document.places.note_object(&object, place);
+                    self.document.places.record_object(&object, place);
                     self.delete(&object, &entry.span());
                 }
                 Err(error) => {
--- a/crates/damaskvane-config/src/object/id.rs
+++ b/crates/damaskvane-config/src/object/id.rs
@@ -17,7 +17,7 @@
 use crate::object::kind::ObjectKind;
 use crate::object::name::ObjectName;
 
-/// Names one object of the configuration.
+/// The full name of a configuration object, written `kind/name`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ObjectId {
@@ -26,19 +26,19 @@
 }
 
 impl ObjectId {
-    /// Names the object of a kind.
+    /// Returns the full name for a kind and a name.
     #[must_use]
     pub const fn new(kind: ObjectKind, name: ObjectName) -> Self {
         Self { kind, name }
     }
 
-    /// What the object declares.
+    /// Returns the kind of the object.
     #[must_use]
     pub const fn kind(&self) -> ObjectKind {
         self.kind
     }
 
-    /// The object's name within its kind.
+    /// Returns the object's name, which is unique within its kind.
     #[must_use]
     pub const fn name(&self) -> &ObjectName {
         &self.name
--- a/crates/damaskvane-config/src/object/kind.rs
+++ b/crates/damaskvane-config/src/object/kind.rs
@@ -11,22 +11,22 @@
 
 use crate::object::error::ParseObjectError;
 
-/// What an object declares.
+/// The kind of thing that an object declares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ObjectKind {
     /// A region.
     Region,
     /// An availability zone of a region.
     AvailabilityZone,
-    /// A service with its time-outs and budgets.
+    /// A service with its time-outs and limits.
     Service,
     /// A backend server of a service.
     BackendServer,
     /// The link from one region to another.
     Link,
-    /// A set of client blocks with the same distances.
+    /// A set of client blocks with the same delays to the availability zones.
     ClientBlocks,
-    /// A site that look-ups steer to.
+    /// A site that lookups direct clients to.
     Site,
     /// A planned move of traffic between two availability zones.
     Shift,
@@ -45,7 +45,7 @@
         Self::Shift,
     ];
 
-    /// The word for the kind in TOML and in object names.
+    /// Returns the label of the kind in TOML and in object names.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The kinds as a list for messages.
+/// All kinds as a list for error messages.
 const KNOWN: &str =
     "region, availability_zone, service, backend_server, link, client_blocks, site, shift";
 
--- a/crates/damaskvane-config/src/object/name.rs
+++ b/crates/damaskvane-config/src/object/name.rs
@@ -16,13 +16,13 @@
 
 use crate::object::error::ParseObjectError;
 
-/// The name of an object; it follows the rules of every text identifier.
+/// The name of an object, with the same syntax as the text identifiers of [`damaskvane_core::ids`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ObjectName(Arc<str>);
 
 impl ObjectName {
-    /// The text of the name.
+    /// Returns the name as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/crates/damaskvane-config/src/problem.rs
+++ b/crates/damaskvane-config/src/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration, where, and what to do about it.
+//! Errors in a configuration, with their location and remedy.
 //!
 //! ```
 //! use damaskvane_config::problem;
@@ -13,14 +13,14 @@
 
 use crate::object::ObjectId;
 
-/// A place in a file of declarations; lines and columns count from 1.
+/// A location in a file of declarations; lines and columns count from 1.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Place {
-    /// The file as named by the operator.
+    /// The name of the file as the operator gave it.
     pub file: String,
-    /// The line.
+    /// The line, from 1.
     pub line: usize,
-    /// The column in characters.
+    /// The column in characters, from 1.
     pub column: usize,
 }
 
@@ -30,23 +30,23 @@
     }
 }
 
-/// One thing that is wrong, with its remedy.
+/// One error in a configuration, with its remedy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// Where it stands; `None` for what came out of the store.
+    /// The location in a file; `None` if unknown, as for objects from the store.
     pub place: Option<Place>,
-    /// The object it concerns.
+    /// The object that the error concerns, if it concerns one.
     pub object: Option<ObjectId>,
-    /// The key it concerns.
+    /// The key that the error concerns, if it concerns one.
     pub key: Option<String>,
-    /// What is wrong.
+    /// The error, for operators.
     pub message: String,
-    /// What to do.
+    /// What the operator can do about the error.
     pub remedy: String,
 }
 
 impl Problem {
-    /// A problem of no known place.
+    /// Returns a problem without a location, an object or a key.
     #[must_use]
     pub fn new(message: impl Into<String>, remedy: impl Into<String>) -> Self {
         Self {
@@ -58,21 +58,21 @@
         }
     }
 
-    /// Names the object.
+    /// Sets the object that the problem concerns.
     #[must_use]
     pub fn of(mut self, object: &ObjectId) -> Self {
         self.object = Some(object.clone());
         self
     }
 
-    /// Names the key.
+    /// Sets the key that the problem concerns.
     #[must_use]
     pub fn key(mut self, key: impl Into<String>) -> Self {
         self.key = Some(key.into());
         self
     }
 
-    /// Names the place.
+    /// Sets the location of the problem; `None` removes it.
     #[must_use]
     pub fn at(mut self, place: Option<Place>) -> Self {
         self.place = place;
