--- a/crates/damaskvane-config/src/state.rs
+++ b/crates/damaskvane-config/src/state.rs
@@ -1,4 +1,4 @@
-//! Everything in force at one version.
+//! All declarations of one version, assembled and validated.
 //!
 //! ```
 //! use damaskvane_config::{manifest, state};
--- a/crates/damaskvane-config/src/state/assemble.rs
+++ b/crates/damaskvane-config/src/state/assemble.rs
@@ -1,4 +1,4 @@
-//! Puts a state together from a head and its chunks.
+//! Assembles the state of a version from its head and chunks.
 //!
 //! ```
 //! use damaskvane_config::{manifest, state};
@@ -18,15 +18,15 @@
 use crate::state::config_state::ConfigState;
 use crate::state::validate;
 
-/// Chunks by hash; a chunk's hash is worked out from its bytes when it is made.
+/// Chunks by hash; a chunk's hash is computed from its bytes when it is created.
 pub type Chunks = BTreeMap<ContentHash, Chunk>;
 
-/// What was assembled and validated before.
+/// A state that is already assembled and validated, to be reused.
 #[derive(Debug, Clone, Copy)]
 pub struct PreviousState<'a> {
-    /// Its head.
+    /// The head of the state.
     pub head: &'a Head,
-    /// Its state.
+    /// The declarations of the state.
     pub state: &'a ConfigState,
 }
 
@@ -34,20 +34,21 @@
 ///
 /// # Errors
 ///
-/// Every problem: chunks that are missing, that hold another object than the head says or that no
-/// program of this version can read, and everything that validation finds.
+/// Returns all problems: chunks that are missing, that hold another object than the one in the head
+/// or that this version of the program can't decode; if there are none, those that validation
+/// finds.
 pub fn assemble(head: &Head, chunks: &Chunks) -> Result<ConfigState, Vec<Problem>> {
     assemble_after(None, head, chunks)
 }
 
-/// Assembles and validates the state of a head; objects that are the same as before are shared.
+/// Assembles and validates the state of a head, and reuses unchanged objects of a previous state.
 ///
-/// A ticket changes few objects. Reading millions of client blocks again for each would stop the
-/// instance for seconds and hold them in memory twice.
+/// A ticket changes few objects. If millions of client blocks were decoded again for each ticket,
+/// the instance would stop for seconds and store the blocks in memory twice.
 ///
 /// # Errors
 ///
-/// As [`assemble`].
+/// Returns the same problems as [`assemble`].
 pub fn assemble_after(
     before: Option<PreviousState<'_>>,
     head: &Head,
@@ -66,8 +67,8 @@
         return Err(problems);
     }
     let state = ConfigState::new(head.version, objects);
-    let same_blocks = before.is_some_and(|before| same_blocks(before.head, head));
-    let problems = validate::validate(&state, same_blocks);
+    let blocks_unchanged = before.is_some_and(|before| blocks_unchanged(before.head, head));
+    let problems = validate::validate(&state, blocks_unchanged);
     if problems.is_empty() {
         Ok(state)
     } else {
@@ -84,8 +85,9 @@
     same.then(|| before.state.declaration(id)).flatten()
 }
 
-/// Whether both heads name the same sets of client blocks, which were compared with each other then.
-fn same_blocks(before: &Head, head: &Head) -> bool {
+/// Returns whether both heads have the same sets of client blocks, so that their check can be
+/// skipped.
+fn blocks_unchanged(before: &Head, head: &Head) -> bool {
     let blocks = |head: &Head| -> Vec<(ObjectId, ContentHash)> {
         let of_blocks = |(id, _): &(&ObjectId, &ObjectEntry)| id.kind() == ObjectKind::ClientBlocks;
         let entries = head.objects.iter().filter(of_blocks);
--- a/crates/damaskvane-config/src/state/config_state.rs
+++ b/crates/damaskvane-config/src/state/config_state.rs
@@ -1,4 +1,4 @@
-//! The typed state of every object.
+//! The declarations of all objects of one version.
 //!
 //! ```
 //! use damaskvane_config::state;
@@ -16,7 +16,7 @@
 };
 use crate::object::{ObjectId, ObjectKind, ObjectName};
 
-/// Everything declared at one version, by name.
+/// All declarations of one version, by kind and name.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ConfigState {
     version: ids::ConfigVersion,
@@ -31,7 +31,7 @@
 }
 
 impl ConfigState {
-    /// The state of a version that holds these objects, not yet validated.
+    /// Returns the state of a version with these objects, not yet validated.
     pub(super) fn new(
         version: ids::ConfigVersion,
         objects: impl IntoIterator<Item = (ObjectId, Declaration)>,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The state of one object; client blocks are shared, not copied.
+    /// Returns the declaration of one object; client block names are shared, not copied.
     #[must_use]
     pub fn declaration(&self, id: &ObjectId) -> Option<Declaration> {
         let name = id.name();
@@ -84,61 +84,61 @@
         })
     }
 
-    /// The version this is the state of.
+    /// Returns the version of the configuration.
     #[must_use]
     pub const fn version(&self) -> ids::ConfigVersion {
         self.version
     }
 
-    /// The regions.
+    /// Returns the regions by id.
     #[must_use]
     pub const fn regions(&self) -> &BTreeMap<ids::RegionId, Region> {
         &self.regions
     }
 
-    /// The availability zones.
+    /// Returns the availability zones by id.
     #[must_use]
     pub const fn availability_zones(&self) -> &BTreeMap<ids::AvailabilityZoneId, AvailabilityZone> {
         &self.availability_zones
     }
 
-    /// The services.
+    /// Returns the services by id.
     #[must_use]
     pub const fn services(&self) -> &BTreeMap<ids::ServiceId, Service> {
         &self.services
     }
 
-    /// The backend servers.
+    /// Returns the backend servers by id.
     #[must_use]
     pub const fn backend_servers(&self) -> &BTreeMap<ids::BackendServerId, BackendServer> {
         &self.backend_servers
     }
 
-    /// The links between regions.
+    /// Returns the links between regions by name.
     #[must_use]
     pub const fn links(&self) -> &BTreeMap<ObjectName, Link> {
         &self.links
     }
 
-    /// The sets of client blocks.
+    /// Returns the sets of client blocks by name.
     #[must_use]
     pub const fn client_blocks(&self) -> &BTreeMap<ObjectName, ClientBlocks> {
         &self.client_blocks
     }
 
-    /// The sites.
+    /// Returns the sites by id.
     #[must_use]
     pub const fn sites(&self) -> &BTreeMap<ids::SiteId, Site> {
         &self.sites
     }
 
-    /// The planned moves of traffic.
+    /// Returns the planned moves of traffic by name.
     #[must_use]
     pub const fn shifts(&self) -> &BTreeMap<ObjectName, Shift> {
         &self.shifts
     }
 
-    /// The set that a client block belongs to, with its name.
+    /// Returns the name and the set of the first set that contains a client block.
     #[must_use]
     pub fn find_client_blocks(
         &self,
@@ -149,7 +149,7 @@
             .find(|(_, blocks)| blocks.contains(client))
     }
 
-    /// The backend servers of a service in a zone.
+    /// Returns the backend servers of a service in a zone, draining ones included.
     pub fn servers_of<'a>(
         &'a self,
         service: &'a ids::ServiceId,
@@ -161,7 +161,8 @@
             .filter(move |(_, server)| server.availability_zone == *zone)
     }
 
-    /// The slots of a service in a zone, without those of draining backend servers.
+    /// Returns the number of slots of a service in a zone, without those of draining backend
+    /// servers.
     #[must_use]
     pub fn slots_of(
         &self,
@@ -174,7 +175,7 @@
             .sum()
     }
 
-    /// The names of every declared object of a kind, for messages.
+    /// Returns the names of all declared objects of a kind.
     #[must_use]
     pub fn names(&self, kind: ObjectKind) -> Vec<String> {
         match kind {
@@ -190,7 +191,7 @@
     }
 }
 
-/// Names of objects and identifiers obey the same rules, so the parse of one as the other holds.
+/// Inserts a declaration under its id; the parse succeeds, as names and ids have the same syntax.
 fn insert<K: Ord + core::str::FromStr, V>(
     map: &mut BTreeMap<K, V>,
     name: &ObjectName,
--- a/crates/damaskvane-config/src/state/validate.rs
+++ b/crates/damaskvane-config/src/state/validate.rs
@@ -1,4 +1,4 @@
-//! Checks over a whole state, before submission and again before adoption.
+//! Validates a complete state, before submission and again before an instance applies it.
 
 mod blocks;
 mod capacity;
@@ -8,14 +8,14 @@
 use crate::problem::Problem;
 use crate::state::config_state::ConfigState;
 
-/// Every problem of a state; with `same_blocks`, its client blocks were compared before.
-pub(super) fn validate(state: &ConfigState, same_blocks: bool) -> Vec<Problem> {
+/// Returns all problems of a state; client blocks are not checked again if they are unchanged.
+pub(super) fn validate(state: &ConfigState, blocks_unchanged: bool) -> Vec<Problem> {
     let mut problems = references::check(state);
     problems.extend(ranges::check(state));
-    // Sums over objects that don't exist would only repeat what was found already.
+    // Sums over objects that don't exist would only repeat the problems found so far.
     if problems.is_empty() {
         problems.extend(capacity::check(state));
-        if !same_blocks {
+        if !blocks_unchanged {
             problems.extend(blocks::check(state));
         }
     }
--- a/crates/damaskvane-config/src/state/validate/blocks.rs
+++ b/crates/damaskvane-config/src/state/validate/blocks.rs
@@ -1,7 +1,7 @@
-//! Client blocks that two sets hold.
+//! Reports client blocks that are in two sets.
 //!
-//! A block in two sets would be steered by whichever is read first. There may be millions of blocks,
-//! so nothing here compares each with each.
+//! A block in two sets would be steered by the set that is read first. There may be millions of
+//! blocks, so no check compares each block with every other.
 
 use core::hash::{Hash, Hasher};
 use std::collections::HashMap;
@@ -12,20 +12,20 @@
 use crate::problem::Problem;
 use crate::state::config_state::ConfigState;
 
-/// The ranges by their prefix, each with the set that holds it.
+/// Ranges by prefix, each with the name of its set.
 type RangesByPrefix<'a> = HashMap<&'a str, Vec<(&'a BlockRange, &'a ObjectName)>>;
 
 pub(super) fn check(state: &ConfigState) -> Vec<Problem> {
     let sets = state.client_blocks();
     let ranges = ranges_by_prefix(sets.iter());
-    let mut problems = doubled_names(&sets.iter().collect::<Vec<_>>());
+    let mut problems = duplicate_names(&sets.iter().collect::<Vec<_>>());
     problems.extend(overlapping_ranges(&ranges));
     for (name, set) in sets {
-        let doubled = set.names.iter().find_map(|block| {
-            let other = holder(&ranges, block).filter(|other| *other != name)?;
+        let duplicate = set.names.iter().find_map(|block| {
+            let other = find_set(&ranges, block).filter(|other| *other != name)?;
             Some(problem(name, other, block))
         });
-        problems.extend(doubled);
+        problems.extend(duplicate);
     }
     problems
 }
@@ -43,8 +43,8 @@
     by_prefix
 }
 
-/// Finds names in two sets over a sorted list of short hashes; equal hashes are compared in full.
-fn doubled_names(sets: &[(&ObjectName, &ClientBlocks)]) -> Vec<Problem> {
+/// Reports names in two sets; only sets with equal hashes in a sorted list are compared by name.
+fn duplicate_names(sets: &[(&ObjectName, &ClientBlocks)]) -> Vec<Problem> {
     let mut hashes: Vec<(u64, usize)> = sets
         .iter()
         .enumerate()
@@ -83,9 +83,10 @@
     problems
 }
 
-/// The set with a range that holds a name: every split of the name before some of its last digits
-/// is a prefix to look for.
-fn holder<'a>(by_prefix: &RangesByPrefix<'a>, name: &str) -> Option<&'a ObjectName> {
+/// Returns the set with a range that contains a block name.
+///
+/// Each split of the name before one of its trailing digits gives a prefix to look up.
+fn find_set<'a>(by_prefix: &RangesByPrefix<'a>, name: &str) -> Option<&'a ObjectName> {
     let digits = name.bytes().rev().take_while(u8::is_ascii_digit).count();
     (1..=digits).find_map(|count| {
         let (prefix, _) = name.split_at(name.len() - count);
@@ -104,7 +105,7 @@
 fn problem(set: &ObjectName, other: &ObjectName, block: &str) -> Problem {
     let object = ObjectId::new(ObjectKind::ClientBlocks, set.clone());
     let message = format!("client block {block} is in {other} too");
-    Problem::new(message, "keep it in one of the two")
+    Problem::new(message, "keep the block in one of the two sets")
         .of(&object)
         .key("names")
 }
--- a/crates/damaskvane-config/src/state/validate/capacity.rs
+++ b/crates/damaskvane-config/src/state/validate/capacity.rs
@@ -1,4 +1,4 @@
-//! Sums over several objects: services that can't be reached, slots, links and shifted shares.
+//! Checks of capacity over several objects: usable servers, slots, links and shifted shares.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,21 +9,23 @@
 use crate::problem::Problem;
 use crate::state::config_state::ConfigState;
 
-/// The whole, in thousandths.
+/// All traffic or slots, in thousandths.
 const WHOLE_PERMILLE: u64 = 1_000;
 
 pub(super) fn check(state: &ConfigState) -> Vec<Problem> {
     let mut problems = Vec::new();
     problems.extend(unreachable_services(state));
-    problems.extend(peak_above_slots(state));
-    problems.extend(shifted_shares(state));
+    problems.extend(insufficient_slots(state));
+    problems.extend(oversubscribed_shifts(state));
     problems.extend(shifts_without_target(state));
-    problems.extend(links_overfilled(state));
+    problems.extend(overloaded_links(state));
     problems
 }
 
-/// A service that has backend servers but can use none answers nobody, though each object looks
-/// right by itself. A service without any is being set up and is let through.
+/// Reports services whose backend servers are all draining.
+///
+/// Such a service can serve no request, though each object is valid by itself. A service without
+/// backend servers is being set up and is allowed.
 fn unreachable_services(state: &ConfigState) -> Vec<Problem> {
     let servers = state.backend_servers().values();
     let declared: BTreeSet<_> = servers.clone().map(|server| &server.service).collect();
@@ -34,7 +36,7 @@
     declared
         .difference(&usable)
         .filter_map(|service| {
-            about(
+            with_object(
                 ObjectKind::Service,
                 service.as_str(),
                 Problem::new(
@@ -46,7 +48,7 @@
         .collect()
 }
 
-fn peak_above_slots(state: &ConfigState) -> Vec<Problem> {
+fn insufficient_slots(state: &ConfigState) -> Vec<Problem> {
     let mut problems = Vec::new();
     for (name, service) in state.services() {
         let slots = total_slots(state, name);
@@ -57,12 +59,12 @@
         let message = format!("needs {needed} slots at its peak and has {slots} undrained");
         let remedy = "add backend servers, undrain some, or correct peak_requests_per_second";
         let problem = Problem::new(message, remedy).key("peak_requests_per_second");
-        problems.extend(about(ObjectKind::Service, name.as_str(), problem));
+        problems.extend(with_object(ObjectKind::Service, name.as_str(), problem));
     }
     problems
 }
 
-/// Requests that run at a time at the service's peak, by Little's law, rounded up.
+/// Returns the number of concurrent requests at the service's peak, by Little's law, rounded up.
 fn slots_needed(service: &Service) -> u64 {
     let rate = u64::from(service.peak_requests_per_second.get());
     rate.saturating_mul(service.typical_request_ms.get())
@@ -78,17 +80,17 @@
         .sum()
 }
 
-/// Shifts out of one zone that add up to more than all its traffic would move some of it twice.
-fn shifted_shares(state: &ConfigState) -> Vec<Problem> {
+/// Reports shifts out of one zone that add up to more than its traffic and would move some twice.
+fn oversubscribed_shifts(state: &ConfigState) -> Vec<Problem> {
     let mut sums: BTreeMap<_, u64> = BTreeMap::new();
     let mut problems = Vec::new();
     for (name, shift) in state.shifts() {
         let sum = sums.entry((&shift.service, &shift.from)).or_default();
         *sum += u64::from(shift.permille.get());
         if *sum > WHOLE_PERMILLE {
-            let message = format!("shifts out of {} sum up to {sum} permille", shift.from);
+            let message = format!("shifts out of {} add up to {sum} permille", shift.from);
             let problem = Problem::new(message, "lower one of them").key("permille");
-            problems.extend(about(ObjectKind::Shift, name.as_str(), problem));
+            problems.extend(with_object(ObjectKind::Shift, name.as_str(), problem));
         }
     }
     problems
@@ -108,13 +110,13 @@
         );
         let remedy = "shift to a zone that has one, or undrain one there";
         let problem = Problem::new(message, remedy).key("to");
-        problems.extend(about(ObjectKind::Shift, name.as_str(), problem));
+        problems.extend(with_object(ObjectKind::Shift, name.as_str(), problem));
     }
     problems
 }
 
-/// What the declared shifts put on each link at peak, against what the link carries.
-fn links_overfilled(state: &ConfigState) -> Vec<Problem> {
+/// Reports links on which the declared shifts exceed the capacity at peak.
+fn overloaded_links(state: &ConfigState) -> Vec<Problem> {
     let mut problems = Vec::new();
     for (name, link) in state.links() {
         let bits: u64 = state
@@ -132,7 +134,7 @@
         );
         let remedy = "lower the shifts or raise capacity_mbps";
         let problem = Problem::new(message, remedy).key("capacity_mbps");
-        problems.extend(about(ObjectKind::Link, name.as_str(), problem));
+        problems.extend(with_object(ObjectKind::Link, name.as_str(), problem));
     }
     problems
 }
@@ -154,7 +156,7 @@
     let Some(service) = state.services().get(&shift.service) else {
         return 0;
     };
-    // Requests travel from the source's region, answers travel back.
+    // Requests travel from the source's region to the target's, and responses travel back.
     let bytes = if source == Some(from) && target == Some(to) {
         service.typical_request_bytes.get()
     } else if source == Some(to) && target == Some(from) {
@@ -168,7 +170,7 @@
     shifted.saturating_mul(bytes).saturating_mul(8) / WHOLE_PERMILLE
 }
 
-/// The share of the service's traffic that a zone carries, by its slots, in thousandths.
+/// Returns the share of the service's traffic that a zone serves, by its slots, in thousandths.
 fn source_share(
     state: &ConfigState,
     service: &ids::ServiceId,
@@ -179,7 +181,7 @@
     (own * WHOLE_PERMILLE).checked_div(total).unwrap_or(0)
 }
 
-fn about(kind: ObjectKind, name: &str, problem: Problem) -> Option<Problem> {
+fn with_object(kind: ObjectKind, name: &str, problem: Problem) -> Option<Problem> {
     let object = ObjectId::new(kind, name.parse().ok()?);
     Some(problem.of(&object))
 }
--- a/crates/damaskvane-config/src/state/validate/ranges.rs
+++ b/crates/damaskvane-config/src/state/validate/ranges.rs
@@ -1,40 +1,41 @@
-//! Numbers that are out of range or contradict each other.
+//! Checks for values that are out of range or contradict each other.
 
 use crate::declaration::{BackendServer, ClientBlocks, Link, Service, Shift};
 use crate::object::{ObjectId, ObjectKind};
 use crate::problem::Problem;
 use crate::state::config_state::ConfigState;
 
-/// The whole, in thousandths.
+/// All traffic of a zone, in thousandths.
 const WHOLE_PERMILLE: u32 = 1_000;
 
-/// The most milliseconds that a time-out, a window or a ramp may have: one week.
+/// Maximum length of a time-out, a window or a ramp in milliseconds: one week.
 const MAX_SPAN_MS: u64 = 7 * 24 * 3_600_000;
 
-/// The most client blocks in one object, so that its table stays small and its chunk is fetched
-/// within one call.
+/// Maximum number of client blocks in one object.
+///
+/// The limit keeps the object's table small and its chunk within one call.
 const MAX_BLOCKS: u64 = 1_000_000;
 
 pub(super) fn check(state: &ConfigState) -> Vec<Problem> {
     let mut checks = Checks::default();
     for (name, service) in state.services() {
-        checks.about(ObjectKind::Service, name.as_str());
+        checks.set_object(ObjectKind::Service, name.as_str());
         checks.service(service);
     }
     for (name, server) in state.backend_servers() {
-        checks.about(ObjectKind::BackendServer, name.as_str());
+        checks.set_object(ObjectKind::BackendServer, name.as_str());
         checks.backend_server(server);
     }
     for (name, link) in state.links() {
-        checks.about(ObjectKind::Link, name.as_str());
+        checks.set_object(ObjectKind::Link, name.as_str());
         checks.link(link);
     }
     for (name, blocks) in state.client_blocks() {
-        checks.about(ObjectKind::ClientBlocks, name.as_str());
+        checks.set_object(ObjectKind::ClientBlocks, name.as_str());
         checks.client_blocks(blocks);
     }
     for (name, shift) in state.shifts() {
-        checks.about(ObjectKind::Shift, name.as_str());
+        checks.set_object(ObjectKind::Shift, name.as_str());
         checks.shift(shift);
     }
     checks.problems
@@ -47,7 +48,7 @@
 }
 
 impl Checks {
-    fn about(&mut self, kind: ObjectKind, name: &str) {
+    fn set_object(&mut self, kind: ObjectKind, name: &str) {
         self.object = name.parse().ok().map(|name| ObjectId::new(kind, name));
     }
 
@@ -60,25 +61,25 @@
         self.problems.push(problem);
     }
 
-    fn between(&mut self, value: u64, key: &str, least: u64, most: u64) {
+    fn require_range(&mut self, value: u64, key: &str, min: u64, max: u64) {
         let message = format!("{value} is out of range");
-        let remedy = format!("use {least} to {most}");
-        self.require((least..=most).contains(&value), key, message, &remedy);
+        let remedy = format!("use {min} to {max}");
+        self.require((min..=max).contains(&value), key, message, &remedy);
     }
 
     fn service(&mut self, service: &Service) {
         let timeout_ms = service.request_timeout_ms.get();
         let window_ms = service.idempotency_window_ms.get();
-        self.between(timeout_ms, "request_timeout_ms", 1, MAX_SPAN_MS);
-        self.between(service.lookup_ttl_ms.get(), "lookup_ttl_ms", 100, 60_000);
-        self.between(u64::from(service.queue_limit), "queue_limit", 0, 100_000);
+        self.require_range(timeout_ms, "request_timeout_ms", 1, MAX_SPAN_MS);
+        self.require_range(service.lookup_ttl_ms.get(), "lookup_ttl_ms", 100, 60_000);
+        self.require_range(u64::from(service.queue_limit), "queue_limit", 0, 100_000);
         let retries = u64::from(service.retry_budget_permille.get());
-        self.between(retries, "retry_budget_permille", 0, 1_000);
-        self.between(window_ms, "idempotency_window_ms", 1_000, MAX_SPAN_MS);
+        self.require_range(retries, "retry_budget_permille", 0, 1_000);
+        self.require_range(window_ms, "idempotency_window_ms", 1_000, MAX_SPAN_MS);
         let weight = u64::from(service.priority_weight);
-        self.between(weight, "priority_weight", 1, 1_000_000);
+        self.require_range(weight, "priority_weight", 1, 1_000_000);
         let typical_ms = service.typical_request_ms.get();
-        self.between(typical_ms, "typical_request_ms", 1, MAX_SPAN_MS);
+        self.require_range(typical_ms, "typical_request_ms", 1, MAX_SPAN_MS);
         self.require(
             typical_ms <= timeout_ms,
             "typical_request_ms",
@@ -94,8 +95,8 @@
     }
 
     fn backend_server(&mut self, server: &BackendServer) {
-        self.between(u64::from(server.slots.get()), "slots", 1, 100_000);
-        self.between(u64::from(server.connections), "connections", 1, 1_000_000);
+        self.require_range(u64::from(server.slots.get()), "slots", 1, 100_000);
+        self.require_range(u64::from(server.connections), "connections", 1, 1_000_000);
         self.require(
             server.connections >= server.slots.get(),
             "connections",
@@ -112,7 +113,7 @@
 
     fn link(&mut self, link: &Link) {
         let capacity = u64::from(link.capacity_mbps.get());
-        self.between(capacity, "capacity_mbps", 1, 10_000_000);
+        self.require_range(capacity, "capacity_mbps", 1, 10_000_000);
     }
 
     fn client_blocks(&mut self, blocks: &ClientBlocks) {
@@ -123,32 +124,34 @@
                 format!("{}{} comes after {}", range.prefix, range.first, range.last),
                 "write the smaller number as first",
             );
-            let longest = format!(
+            let last_name = format!(
                 "{}{:0w$}",
                 range.prefix,
                 range.last,
                 w = usize::from(range.digits)
             );
             self.require(
-                longest.parse::<damaskvane_core::ids::ClientBlock>().is_ok(),
+                last_name
+                    .parse::<damaskvane_core::ids::ClientBlock>()
+                    .is_ok(),
                 "ranges",
-                format!("{longest:?} names no client block"),
+                format!("{last_name:?} is not a valid client block"),
                 "use 1 to 64 characters out of a-z, 0-9, '-', '_' and '.'",
             );
         }
-        let of_range = |range: &crate::declaration::BlockRange| {
+        let range_len = |range: &crate::declaration::BlockRange| {
             u64::from(range.last.saturating_sub(range.first)) + 1
         };
-        let count = blocks.ranges.iter().map(of_range).sum::<u64>() + blocks.names.len() as u64;
-        self.between(count, "names", 1, MAX_BLOCKS);
+        let count = blocks.ranges.iter().map(range_len).sum::<u64>() + blocks.names.len() as u64;
+        self.require_range(count, "names", 1, MAX_BLOCKS);
     }
 
     fn shift(&mut self, shift: &Shift) {
         let cap = shift.cap_permille_per_window.get();
-        self.between(u64::from(shift.permille.get()), "permille", 0, 1_000);
-        self.between(u64::from(cap), "cap_permille_per_window", 1, 1_000);
-        self.between(shift.window_ms.get(), "window_ms", 100, MAX_SPAN_MS);
-        self.between(shift.ramp_ms.get(), "ramp_ms", 0, MAX_SPAN_MS);
+        self.require_range(u64::from(shift.permille.get()), "permille", 0, 1_000);
+        self.require_range(u64::from(cap), "cap_permille_per_window", 1, 1_000);
+        self.require_range(shift.window_ms.get(), "window_ms", 100, MAX_SPAN_MS);
+        self.require_range(shift.ramp_ms.get(), "ramp_ms", 0, MAX_SPAN_MS);
         self.require(
             shift.from != shift.to,
             "to",
--- a/crates/damaskvane-config/src/state/validate/references.rs
+++ b/crates/damaskvane-config/src/state/validate/references.rs
@@ -1,4 +1,4 @@
-//! Names that lead nowhere, and objects that declare the same thing twice.
+//! Checks for references to undeclared objects, and for objects that declare the same thing twice.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::problem::Problem;
 use crate::state::config_state::ConfigState;
 
-/// One name that one object gives of another.
+/// A reference of one object to another by name.
 struct Reference {
     from: ObjectId,
     key: &'static str,
@@ -18,27 +18,27 @@
 pub(super) fn check(state: &ConfigState) -> Vec<Problem> {
     let mut problems: Vec<Problem> = references(state)
         .iter()
-        .filter_map(|reference| resolve(state, reference))
+        .filter_map(|reference| check_reference(state, reference))
         .collect();
-    problems.extend(doubled_addresses(state));
-    problems.extend(doubled_links(state));
+    problems.extend(duplicate_addresses(state));
+    problems.extend(duplicate_links(state));
     problems
 }
 
 fn references(state: &ConfigState) -> Vec<Reference> {
-    let mut found = Found::default();
+    let mut list = ReferenceList::default();
     for (name, zone) in state.availability_zones() {
         let from = (ObjectKind::AvailabilityZone, name.as_str());
-        found.add(from, "region", ObjectKind::Region, &zone.region);
+        list.add(from, "region", ObjectKind::Region, &zone.region);
         for other in zone.latency_ms.keys() {
-            found.add(from, "latency_ms", ObjectKind::AvailabilityZone, other);
+            list.add(from, "latency_ms", ObjectKind::AvailabilityZone, other);
         }
     }
     for (name, server) in state.backend_servers() {
         let from = (ObjectKind::BackendServer, name.as_str());
-        found.add(from, "service", ObjectKind::Service, &server.service);
+        list.add(from, "service", ObjectKind::Service, &server.service);
         let zone = &server.availability_zone;
-        found.add(
+        list.add(
             from,
             "availability_zone",
             ObjectKind::AvailabilityZone,
@@ -47,20 +47,20 @@
     }
     for (name, link) in state.links() {
         let from = (ObjectKind::Link, name.as_str());
-        found.add(from, "from", ObjectKind::Region, &link.from);
-        found.add(from, "to", ObjectKind::Region, &link.to);
+        list.add(from, "from", ObjectKind::Region, &link.from);
+        list.add(from, "to", ObjectKind::Region, &link.to);
     }
     for (name, blocks) in state.client_blocks() {
         let from = (ObjectKind::ClientBlocks, name.as_str());
-        found.add(from, "near", ObjectKind::AvailabilityZone, &blocks.near);
+        list.add(from, "near", ObjectKind::AvailabilityZone, &blocks.near);
         for zone in blocks.latency_ms.keys() {
-            found.add(from, "latency_ms", ObjectKind::AvailabilityZone, zone);
+            list.add(from, "latency_ms", ObjectKind::AvailabilityZone, zone);
         }
     }
     for (name, site) in state.sites() {
         let from = (ObjectKind::Site, name.as_str());
         let zone = &site.availability_zone;
-        found.add(
+        list.add(
             from,
             "availability_zone",
             ObjectKind::AvailabilityZone,
@@ -69,19 +69,19 @@
     }
     for (name, shift) in state.shifts() {
         let from = (ObjectKind::Shift, name.as_str());
-        found.add(from, "service", ObjectKind::Service, &shift.service);
-        found.add(from, "from", ObjectKind::AvailabilityZone, &shift.from);
-        found.add(from, "to", ObjectKind::AvailabilityZone, &shift.to);
+        list.add(from, "service", ObjectKind::Service, &shift.service);
+        list.add(from, "from", ObjectKind::AvailabilityZone, &shift.from);
+        list.add(from, "to", ObjectKind::AvailabilityZone, &shift.to);
     }
-    found.references
+    list.references
 }
 
 #[derive(Default)]
-struct Found {
+struct ReferenceList {
     references: Vec<Reference>,
 }
 
-impl Found {
+impl ReferenceList {
     fn add(
         &mut self,
         from: (ObjectKind, &str),
@@ -100,7 +100,7 @@
     }
 }
 
-fn resolve(state: &ConfigState, reference: &Reference) -> Option<Problem> {
+fn check_reference(state: &ConfigState, reference: &Reference) -> Option<Problem> {
     let Reference {
         from,
         key,
@@ -119,17 +119,17 @@
     Some(Problem::new(message, remedy).of(from).key(*key))
 }
 
-fn doubled_addresses(state: &ConfigState) -> Vec<Problem> {
+fn duplicate_addresses(state: &ConfigState) -> Vec<Problem> {
     let mut seen = BTreeMap::new();
     let mut problems = Vec::new();
     for (name, server) in state.backend_servers() {
         let Some(first) = seen.insert(server.address, name) else {
             continue;
         };
-        // Two names for one server would each count its slots, and the server would be overloaded.
+        // The slots of a server with two names would be counted twice, and the server overloaded.
         let message = format!("{} is the address of {first} too", server.address);
         let problem = Problem::new(message, "give each backend server its own address");
-        problems.extend(named(
+        problems.extend(with_object_key(
             ObjectKind::BackendServer,
             name.as_str(),
             problem,
@@ -139,25 +139,35 @@
     problems
 }
 
-fn doubled_links(state: &ConfigState) -> Vec<Problem> {
+fn duplicate_links(state: &ConfigState) -> Vec<Problem> {
     let mut seen = BTreeMap::new();
     let mut problems = Vec::new();
     for (name, link) in state.links() {
         if link.from == link.to {
             let problem = Problem::new("starts and ends in one region", "name two regions");
-            problems.extend(named(ObjectKind::Link, name.as_str(), problem, "to"));
+            problems.extend(with_object_key(
+                ObjectKind::Link,
+                name.as_str(),
+                problem,
+                "to",
+            ));
         }
         let Some(first) = seen.insert((&link.from, &link.to), name) else {
             continue;
         };
-        let message = format!("link {first} has the same ends");
+        let message = format!("link {first} has the same from and to");
         let problem = Problem::new(message, "keep one of the two");
-        problems.extend(named(ObjectKind::Link, name.as_str(), problem, "to"));
+        problems.extend(with_object_key(
+            ObjectKind::Link,
+            name.as_str(),
+            problem,
+            "to",
+        ));
     }
     problems
 }
 
-fn named(kind: ObjectKind, name: &str, problem: Problem, key: &str) -> Option<Problem> {
+fn with_object_key(kind: ObjectKind, name: &str, problem: Problem, key: &str) -> Option<Problem> {
     let object = ObjectId::new(kind, name.parse().ok()?);
     Some(problem.of(&object).key(key))
 }
