--- a/crates/damaskvane-config/src/chunk.rs
+++ b/crates/damaskvane-config/src/chunk.rs
@@ -42,7 +42,7 @@
 }
 
 impl Chunk {
-    /// Returns the chunk of received bytes, whose hash is always computed here.
+    /// Returns a chunk of these bytes; the hash is computed, since a received one isn't trusted.
     #[must_use]
     pub fn from_bytes(bytes: impl Into<Arc<[u8]>>) -> Self {
         let bytes = bytes.into();
--- a/crates/damaskvane-config/src/declaration/client_blocks.rs
+++ b/crates/damaskvane-config/src/declaration/client_blocks.rs
@@ -61,8 +61,7 @@
     /// The blocks that are declared as ranges of numbers.
     #[serde(default)]
     pub ranges: Vec<BlockRange>,
-    /// One-way delay from the clients to each zone, in milliseconds; a zone without a known delay
-    /// is absent.
+    /// One-way delay from the clients to each zone, in milliseconds; unknown delays are absent.
     #[serde(default)]
     pub latency_ms: BTreeMap<ids::AvailabilityZoneId, time::SpanMs>,
 }
--- a/crates/damaskvane-config/src/declaration/service.rs
+++ b/crates/damaskvane-config/src/declaration/service.rs
@@ -20,11 +20,11 @@
     Headroom,
 }
 
-/// A service with its time-outs, limits and typical load.
+/// A service with its timeouts, limits and typical load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Service {
-    /// Time-out of a request.
+    /// Timeout of a request.
     pub request_timeout_ms: time::SpanMs,
     /// How long clients may cache the response to a lookup.
     pub lookup_ttl_ms: time::SpanMs,
--- a/crates/damaskvane-config/src/document/places.rs
+++ b/crates/damaskvane-config/src/document/places.rs
@@ -33,7 +33,7 @@
         self.keys.extend(other.keys);
     }
 
-    /// Adds to a problem without a location that of its key, or else of its object, if recorded.
+    /// Adds the location of its key, or else of its object, to a problem that has no location.
     #[must_use]
     pub fn locate(&self, problem: Problem) -> Problem {
         if problem.place.is_some() {
--- a/crates/damaskvane-config/src/manifest.rs
+++ b/crates/damaskvane-config/src/manifest.rs
@@ -97,8 +97,7 @@
 /// The error of decoding a head.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum HeadError {
-    /// the bytes can't be decoded as a head ({0}); fetch it again from the platform or another
-    /// instance
+    /// the bytes are not a valid head ({0}); fetch it again from the platform or another instance
     Decode(String),
     /// the head's version {version} and ticket {ticket} differ; fetch it again from the platform
     Number {
--- a/crates/damaskvane-config/src/object/kind.rs
+++ b/crates/damaskvane-config/src/object/kind.rs
@@ -18,7 +18,7 @@
     Region,
     /// An availability zone of a region.
     AvailabilityZone,
-    /// A service with its time-outs and limits.
+    /// A service with its timeouts and limits.
     Service,
     /// A backend server of a service.
     BackendServer,
--- a/crates/damaskvane-config/src/relay/settings.rs
+++ b/crates/damaskvane-config/src/relay/settings.rs
@@ -1,4 +1,4 @@
-//! Time-outs, intervals and limits of a relay.
+//! Timeouts, intervals and limits of a relay.
 //!
 //! ```
 //! use damaskvane_config::relay;
@@ -15,11 +15,11 @@
     ///
     /// With two, the zone still receives new heads while one of them is paused undetected.
     pub relays_per_zone: usize,
-    /// Time-out of a fetch from a peer of the same zone.
+    /// Timeout of a fetch from a peer of the same zone.
     pub same_zone_timeout_ms: time::SpanMs,
-    /// Time-out of a fetch from a peer of another zone.
+    /// Timeout of a fetch from a peer of another zone.
     pub other_zone_timeout_ms: time::SpanMs,
-    /// Time-out of a fetch from the store.
+    /// Timeout of a fetch from the store.
     pub store_timeout_ms: time::SpanMs,
     /// Maximum interval at which a relay reads the head even if its watch reports no change.
     pub poll_ms: time::SpanMs,
--- a/crates/damaskvane-config/src/state/assemble.rs
+++ b/crates/damaskvane-config/src/state/assemble.rs
@@ -34,9 +34,9 @@
 ///
 /// # Errors
 ///
-/// Returns all problems: chunks that are missing, that hold another object than the one in the head
-/// or that this version of the program can't decode; if there are none, those that validation
-/// finds.
+/// Returns all problems with chunks: missing ones, ones that hold another object than the head
+/// names, and ones that this version of the program can't decode. If there are none, returns all
+/// problems that validation finds.
 pub fn assemble(head: &Head, chunks: &Chunks) -> Result<ConfigState, Vec<Problem>> {
     assemble_after(None, head, chunks)
 }
@@ -50,15 +50,15 @@
 ///
 /// Returns the same problems as [`assemble`].
 pub fn assemble_after(
-    before: Option<PreviousState<'_>>,
+    previous: Option<PreviousState<'_>>,
     head: &Head,
     chunks: &Chunks,
 ) -> Result<ConfigState, Vec<Problem>> {
     let mut objects = Vec::new();
     let mut problems = Vec::new();
     for (id, entry) in &head.objects {
-        let same = before.and_then(|before| unchanged(&before, id, entry));
-        match same.map_or_else(|| object(id, entry, chunks), Ok) {
+        let reused = previous.and_then(|previous| unchanged(&previous, id, entry));
+        match reused.map_or_else(|| object(id, entry, chunks), Ok) {
             Ok(declaration) => objects.push((id.clone(), declaration)),
             Err(problem) => problems.push((*problem).of(id)),
         }
@@ -67,7 +67,7 @@
         return Err(problems);
     }
     let state = ConfigState::new(head.version, objects);
-    let blocks_unchanged = before.is_some_and(|before| blocks_unchanged(before.head, head));
+    let blocks_unchanged = previous.is_some_and(|previous| blocks_unchanged(previous.head, head));
     let problems = validate::validate(&state, blocks_unchanged);
     if problems.is_empty() {
         Ok(state)
@@ -77,17 +77,16 @@
 }
 
 fn unchanged(
-    before: &PreviousState<'_>,
+    previous: &PreviousState<'_>,
     id: &ObjectId,
     entry: &ObjectEntry,
 ) -> Option<Declaration> {
-    let same = before.head.objects.get(id)?.hash == entry.hash;
-    same.then(|| before.state.declaration(id)).flatten()
+    let same = previous.head.objects.get(id)?.hash == entry.hash;
+    same.then(|| previous.state.declaration(id)).flatten()
 }
 
-/// Returns whether both heads have the same sets of client blocks, so that their check can be
-/// skipped.
-fn blocks_unchanged(before: &Head, head: &Head) -> bool {
+/// Returns whether both heads have the same, already checked sets of client blocks.
+fn blocks_unchanged(previous: &Head, head: &Head) -> bool {
     let blocks = |head: &Head| -> Vec<(ObjectId, ContentHash)> {
         let of_blocks = |(id, _): &(&ObjectId, &ObjectEntry)| id.kind() == ObjectKind::ClientBlocks;
         let entries = head.objects.iter().filter(of_blocks);
@@ -95,7 +94,7 @@
             .map(|(id, entry)| (id.clone(), entry.hash))
             .collect()
     };
-    blocks(before) == blocks(head)
+    blocks(previous) == blocks(head)
 }
 
 fn object(
--- a/crates/damaskvane-config/src/state/config_state.rs
+++ b/crates/damaskvane-config/src/state/config_state.rs
@@ -161,8 +161,7 @@
             .filter(move |(_, server)| server.availability_zone == *zone)
     }
 
-    /// Returns the number of slots of a service in a zone, without those of draining backend
-    /// servers.
+    /// Returns the number of slots of a service in a zone, those of draining servers excluded.
     #[must_use]
     pub fn slots_of(
         &self,
--- a/crates/damaskvane-config/src/state/validate/blocks.rs
+++ b/crates/damaskvane-config/src/state/validate/blocks.rs
@@ -43,7 +43,10 @@
     by_prefix
 }
 
-/// Reports names in two sets; only sets with equal hashes in a sorted list are compared by name.
+/// Reports block names that are in two sets.
+///
+/// A sorted list of short hashes gives the pairs of sets that may share a name. Only these pairs
+/// are compared in full.
 fn duplicate_names(sets: &[(&ObjectName, &ClientBlocks)]) -> Vec<Problem> {
     let mut hashes: Vec<(u64, usize)> = sets
         .iter()
--- a/crates/damaskvane-config/src/state/validate/capacity.rs
+++ b/crates/damaskvane-config/src/state/validate/capacity.rs
@@ -80,7 +80,9 @@
         .sum()
 }
 
-/// Reports shifts out of one zone that add up to more than its traffic and would move some twice.
+/// Reports shifts out of one zone that add up to more than all of its traffic.
+///
+/// Such shifts would move some of the traffic twice.
 fn oversubscribed_shifts(state: &ConfigState) -> Vec<Problem> {
     let mut sums: BTreeMap<_, u64> = BTreeMap::new();
     let mut problems = Vec::new();
--- a/crates/damaskvane-config/src/state/validate/ranges.rs
+++ b/crates/damaskvane-config/src/state/validate/ranges.rs
@@ -8,7 +8,7 @@
 /// All traffic of a zone, in thousandths.
 const WHOLE_PERMILLE: u32 = 1_000;
 
-/// Maximum length of a time-out, a window or a ramp in milliseconds: one week.
+/// Maximum length of a timeout, a window or a ramp in milliseconds: one week.
 const MAX_SPAN_MS: u64 = 7 * 24 * 3_600_000;
 
 /// Maximum number of client blocks in one object.
--- a/crates/damaskvane-config/src/ticket.rs
+++ b/crates/damaskvane-config/src/ticket.rs
@@ -92,7 +92,7 @@
 /// The error of decoding a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum TicketError {
-    /// the bytes can't be decoded as a ticket ({0}); read it again from the platform
+    /// the bytes are not a valid ticket ({0}); read it again from the platform
     Decode(String),
 }
 
