--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -74,7 +74,7 @@
                 self.start_watch_if_due();
             }
             relay::Action::StopWatching => self.watch.is_requested = false,
-            relay::Action::InForce { version } => {
+            relay::Action::Activated { version } => {
                 info!(self.logger, "configuration in force"; "config_version" => version.get());
                 self.serving.counters.increment("config", "adopted");
                 self.update_heartbeat_report();
--- a/crates/damaskvane-entry/src/control/steering.rs
+++ b/crates/damaskvane-entry/src/control/steering.rs
@@ -139,7 +139,11 @@
     }
 
     fn zone_report(&self, now: time::TimeMs) -> load::ZoneReport {
-        let config = self.relay.applier().active_config().map(|active| active.state());
+        let config = self
+            .relay
+            .applier()
+            .active_config()
+            .map(|active| active.state());
         let typical = |service: &ids::ServiceId| {
             config
                 .as_ref()
