--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -199,7 +199,7 @@
         let mut bytes = 0;
         for chunk in hashes.iter().filter_map(|hash| active.chunk(hash)) {
             bytes += chunk.len();
-            if bytes > wire::MOST_CHUNK_BYTES && !chunks.is_empty() {
+            if bytes > wire::MAX_CHUNK_BYTES && !chunks.is_empty() {
                 break;
             }
             chunks.push(serde_bytes::ByteBuf::from(chunk.to_vec()));
--- a/crates/damaskvane-entry/src/wire.rs
+++ b/crates/damaskvane-entry/src/wire.rs
@@ -12,6 +12,6 @@
 mod fleet;
 mod message;
 
-pub use configuration::{ConfigurationMessage, MOST_CHUNK_BYTES};
+pub use configuration::{ConfigurationMessage, MAX_CHUNK_BYTES};
 pub use fleet::FleetMessage;
 pub use message::WireMessage;
--- a/crates/damaskvane-entry/src/wire/configuration.rs
+++ b/crates/damaskvane-entry/src/wire/configuration.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The most bytes of chunks in one message; a single larger chunk still travels alone.
-pub const MOST_CHUNK_BYTES: usize = 500_000;
+pub const MAX_CHUNK_BYTES: usize = 500_000;
 
 /// A message that passes the configuration on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
