--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -59,7 +59,7 @@
             relay::Action::FetchHead { from } => match from {
                 relay::Source::Store => self.store.submit(store::StoreJob::ReadHead),
                 relay::Source::Peer(peer) => {
-                    self.send_configuration(&peer, wire::ConfigurationMessage::AskHead);
+                    self.send_configuration(&peer, wire::ConfigurationMessage::GetHead);
                 }
             },
             relay::Action::FetchChunks { from, hashes } => match from {
@@ -165,7 +165,7 @@
                 version,
                 state_hash: Some(state_hash),
             }),
-            wire::ConfigurationMessage::AskHead => self.send_head(&from),
+            wire::ConfigurationMessage::GetHead => self.send_head(&from),
             wire::ConfigurationMessage::Head { bytes } => self.drive_relay(relay::Event::Head {
                 from: source,
                 bytes: bytes.into(),
--- a/crates/damaskvane-entry/src/wire/configuration.rs
+++ b/crates/damaskvane-entry/src/wire/configuration.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_entry::wire;
 //!
-//! assert_eq!(wire::ConfigurationMessage::AskHead.kind(), "ask_head");
+//! assert_eq!(wire::ConfigurationMessage::GetHead.kind(), "ask_head");
 //! ```
 
 use damaskvane_core::{hash, ids};
@@ -27,7 +27,7 @@
     },
     /// Send the head in force.
     #[serde(rename = "ah")]
-    AskHead,
+    GetHead,
     /// The head in force here.
     #[serde(rename = "h")]
     Head {
@@ -57,7 +57,7 @@
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::InForce { .. } => "in_force",
-            Self::AskHead => "ask_head",
+            Self::GetHead => "ask_head",
             Self::Head { .. } => "head",
             Self::AskChunks { .. } => "ask_chunks",
             Self::Chunks { .. } => "chunks",
--- a/crates/damaskvane-entry/src/wire/message.rs
+++ b/crates/damaskvane-entry/src/wire/message.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_entry::wire;
 //! use damaskvane_peer::transport::MessageKind;
 //!
-//! let ask = wire::WireMessage::Configuration(wire::ConfigurationMessage::AskHead);
+//! let ask = wire::WireMessage::Configuration(wire::ConfigurationMessage::GetHead);
 //! assert_eq!(ask.kind(), "ask_head");
 //! ```
 
