--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -65,7 +65,7 @@
             relay::Action::FetchChunks { from, hashes } => match from {
                 relay::Source::Store => self.store.submit(store::StoreJob::ReadChunks(hashes)),
                 relay::Source::Peer(peer) => {
-                    let request = wire::ConfigurationMessage::AskChunks { hashes };
+                    let request = wire::ConfigurationMessage::GetChunks { hashes };
                     self.send_configuration(&peer, request);
                 }
             },
@@ -170,7 +170,7 @@
                 from: source,
                 bytes: bytes.into(),
             }),
-            wire::ConfigurationMessage::AskChunks { hashes } => self.send_chunks(&from, &hashes),
+            wire::ConfigurationMessage::GetChunks { hashes } => self.send_chunks(&from, &hashes),
             wire::ConfigurationMessage::Chunks { chunks } => {
                 let chunks = chunks
                     .into_iter()
--- a/crates/damaskvane-entry/src/wire/configuration.rs
+++ b/crates/damaskvane-entry/src/wire/configuration.rs
@@ -37,7 +37,7 @@
     },
     /// Send these chunks.
     #[serde(rename = "ac")]
-    AskChunks {
+    GetChunks {
         /// Their hashes.
         #[serde(rename = "h")]
         hashes: Vec<hash::ContentHash>,
@@ -59,7 +59,7 @@
             Self::InForce { .. } => "in_force",
             Self::GetHead => "ask_head",
             Self::Head { .. } => "head",
-            Self::AskChunks { .. } => "ask_chunks",
+            Self::GetChunks { .. } => "ask_chunks",
             Self::Chunks { .. } => "chunks",
         }
     }
