--- a/crates/damaskvane-entry/src/control/seeding.rs
+++ b/crates/damaskvane-entry/src/control/seeding.rs
@@ -26,14 +26,14 @@
         self.peers.set_book(book);
         let reply_to = *self.peers.local_address();
         for seed in seeds {
-            let request = wire::FleetMessage::AskList { reply_to };
+            let request = wire::FleetMessage::GetList { reply_to };
             self.peers.send(&seed, &wire::WireMessage::Fleet(request));
         }
     }
 
     pub(super) fn handle_fleet(&mut self, message: wire::FleetMessage) {
         match message {
-            wire::FleetMessage::AskList { reply_to } => self.send_list(&reply_to),
+            wire::FleetMessage::GetList { reply_to } => self.send_list(&reply_to),
             wire::FleetMessage::List { records, age_ms } => {
                 if self.membership.list_age().is_none() {
                     self.drive_membership(view::Event::List {
--- a/crates/damaskvane-entry/src/wire/fleet.rs
+++ b/crates/damaskvane-entry/src/wire/fleet.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_entry::wire;
 //!
-//! assert_eq!(wire::FleetMessage::AskList { reply_to: "127.0.0.1:7101".parse()? }.kind(), "ask_list");
+//! assert_eq!(wire::FleetMessage::GetList { reply_to: "127.0.0.1:7101".parse()? }.kind(), "ask_list");
 //! # Ok::<(), damaskvane_peer::address::ParseAddressError>(())
 //! ```
 
@@ -17,7 +17,7 @@
 pub enum FleetMessage {
     /// Send the list of instances.
     #[serde(rename = "a")]
-    AskList {
+    GetList {
         /// Where the sender listens now; the list may still name where it listened before.
         #[serde(rename = "r")]
         reply_to: address::PeerAddress,
@@ -39,7 +39,7 @@
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
-            Self::AskList { .. } => "ask_list",
+            Self::GetList { .. } => "ask_list",
             Self::List { .. } => "list",
         }
     }
