--- a/crates/damaskvane-entry/src/process/stop.rs
+++ b/crates/damaskvane-entry/src/process/stop.rs
@@ -67,7 +67,7 @@
     }
     // The engine continues for a moment, so that the last clients get a response from this instance or its
     // successor.
-    serving.close_clients();
+    serving.stop_accepting();
     thread::sleep(LAST_RESPONSES_PERIOD);
     let close_time = Instant::now();
     while serving.is_busy() && close_time.elapsed() < LAST_REQUESTS_TIMEOUT {
--- a/crates/damaskvane-entry/src/serving.rs
+++ b/crates/damaskvane-entry/src/serving.rs
@@ -120,7 +120,7 @@
     }
 
     /// Lets no more clients in; those that are connected get their answers.
-    pub fn close_clients(&self) {
+    pub fn stop_accepting(&self) {
         self.clients_closed.notify_one();
     }
 
