--- a/crates/damaskvane-entry/src/process.rs
+++ b/crates/damaskvane-entry/src/process.rs
@@ -315,7 +315,7 @@
 ) -> io::Result<()> {
     tokio::select! {
         served = listener::serve(listener, api) => return served,
-        () = serving.clients_closed() => {}
+        () = serving.accepting_stopped() => {}
     }
     future::pending().await
 }
--- a/crates/damaskvane-entry/src/serving.rs
+++ b/crates/damaskvane-entry/src/serving.rs
@@ -47,7 +47,7 @@
     ready: AtomicBool,
     busy: AtomicBool,
     drained: AtomicBool,
-    clients_closed: Notify,
+    accepting_stopped: Notify,
 }
 
 impl Serving {
@@ -65,7 +65,7 @@
             ready: AtomicBool::new(false),
             busy: AtomicBool::new(false),
             drained: AtomicBool::new(false),
-            clients_closed: Notify::new(),
+            accepting_stopped: Notify::new(),
         }
     }
 
@@ -121,12 +121,12 @@
 
     /// Lets no more clients in; those that are connected get their answers.
     pub fn stop_accepting(&self) {
-        self.clients_closed.notify_one();
+        self.accepting_stopped.notify_one();
     }
 
     /// Waits until no more clients are to be let in.
-    pub async fn clients_closed(&self) {
-        self.clients_closed.notified().await;
+    pub async fn accepting_stopped(&self) {
+        self.accepting_stopped.notified().await;
     }
 
     /// A number for a request that has just arrived.
