--- a/crates/damaskvane-entry/src/engine_thread.rs
+++ b/crates/damaskvane-entry/src/engine_thread.rs
@@ -84,7 +84,9 @@
             let now = self.serving.clock.now();
             if now >= next_load {
                 next_load = now + LOAD_PERIOD;
-                self.serving.meter.set_engine(self.engine.take_load(now));
+                self.serving
+                    .meter
+                    .set_engine_load(self.engine.take_load(now));
                 self.publish(now);
             }
             if now >= next_tick {
--- a/crates/damaskvane-entry/src/load/meter.rs
+++ b/crates/damaskvane-entry/src/load/meter.rs
@@ -80,7 +80,7 @@
     }
 
     /// Replaces what the engine says of itself.
-    pub fn set_engine(&self, load: engine::EngineLoad) {
+    pub fn set_engine_load(&self, load: engine::EngineLoad) {
         *self.engine.lock().unwrap_or_else(PoisonError::into_inner) = load;
     }
 
