--- a/crates/damaskvane-entry/src/client_api/header.rs
+++ b/crates/damaskvane-entry/src/client_api/header.rs
@@ -4,7 +4,7 @@
 //! use damaskvane_entry::client_api::header;
 //!
 //! assert!(header::is_own("damaskvane-home"));
-//! assert!(!header::is_passed_on("connection"));
+//! assert!(!header::is_forwarded("connection"));
 //! ```
 
 /// Names one try; the answer echoes it.
@@ -55,6 +55,6 @@
 
 /// Whether a header goes from client to backend server, or back, as it is.
 #[must_use]
-pub fn is_passed_on(name: &str) -> bool {
+pub fn is_forwarded(name: &str) -> bool {
     !is_own(name) && name != "host" && name != "expect" && !PER_CONNECTION.contains(&name)
 }
--- a/crates/damaskvane-entry/src/client_api/intake.rs
+++ b/crates/damaskvane-entry/src/client_api/intake.rs
@@ -182,7 +182,7 @@
     parts
         .headers
         .iter()
-        .filter(|(name, _)| header::is_passed_on(name.as_str()))
+        .filter(|(name, _)| header::is_forwarded(name.as_str()))
         .filter_map(|(name, value)| {
             let value = value.to_str().ok()?;
             Some(message::Header::new(name.as_str(), value))
--- a/crates/damaskvane-entry/src/exchange.rs
+++ b/crates/damaskvane-entry/src/exchange.rs
@@ -239,7 +239,7 @@
 fn passed_on(headers: &HeaderMap) -> Vec<message::Header> {
     headers
         .iter()
-        .filter(|(name, _)| header::is_passed_on(name.as_str()))
+        .filter(|(name, _)| header::is_forwarded(name.as_str()))
         .filter_map(|(name, value)| Some(message::Header::new(name.as_str(), value.to_str().ok()?)))
         .collect()
 }
