--- a/crates/damaskvane-entry/src/control/publishing.rs
+++ b/crates/damaskvane-entry/src/control/publishing.rs
@@ -67,14 +67,14 @@
         });
     }
 
-    fn entry_points(&self) -> BTreeMap<ids::AvailabilityZoneId, Vec<serving::EntryPoint>> {
+    fn entry_points(&self) -> BTreeMap<ids::AvailabilityZoneId, Vec<serving::EntryEndpoint>> {
         let mut points: BTreeMap<_, Vec<_>> = BTreeMap::new();
         for instance in self.membership.instances() {
             if instance.state.takes_new_work() {
                 points
                     .entry(instance.record.zone.clone())
                     .or_default()
-                    .push(serving::EntryPoint {
+                    .push(serving::EntryEndpoint {
                         instance: instance.record.instance.clone(),
                         incarnation: self
                             .serving
@@ -88,7 +88,7 @@
             points
                 .entry(self.record.availability_zone.clone())
                 .or_default()
-                .push(serving::EntryPoint {
+                .push(serving::EntryEndpoint {
                     instance: self.record.instance.clone(),
                     incarnation: self
                         .serving
--- a/crates/damaskvane-entry/src/serving.rs
+++ b/crates/damaskvane-entry/src/serving.rs
@@ -24,7 +24,7 @@
 use damaskvane_engine::event;
 use damaskvane_telemetry::counters;
 pub use homes::RenewedHomes;
-pub use state::{EntryPoint, LookupService, ServingState, client_hash};
+pub use state::{EntryEndpoint, LookupService, ServingState, client_hash};
 use tokio::sync::Notify;
 
 use crate::clock;
--- a/crates/damaskvane-entry/src/serving/state.rs
+++ b/crates/damaskvane-entry/src/serving/state.rs
@@ -18,7 +18,7 @@
 
 /// An entry instance that clients can be told to use.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EntryPoint {
+pub struct EntryEndpoint {
     /// The instance.
     pub instance: ids::InstanceId,
     /// Which start of it.
@@ -50,7 +50,7 @@
     /// Where traffic goes.
     pub plan: plan::Plan,
     /// Live entry instances that are not leaving, by zone.
-    pub entries: BTreeMap<ids::AvailabilityZoneId, Vec<EntryPoint>>,
+    pub entries: BTreeMap<ids::AvailabilityZoneId, Vec<EntryEndpoint>>,
 }
 
 impl Default for ServingState {
