--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -50,7 +50,7 @@
                 version,
                 state_hash,
             } => {
-                let message = wire::ConfigurationMessage::InForce {
+                let message = wire::ConfigurationMessage::ActiveVersion {
                     version,
                     state_hash,
                 };
@@ -157,7 +157,7 @@
     ) {
         let source = relay::Source::Peer(from.clone());
         match message {
-            wire::ConfigurationMessage::InForce {
+            wire::ConfigurationMessage::ActiveVersion {
                 version,
                 state_hash,
             } => self.drive_relay(relay::Event::VersionReported {
--- a/crates/damaskvane-entry/src/wire/configuration.rs
+++ b/crates/damaskvane-entry/src/wire/configuration.rs
@@ -17,7 +17,7 @@
 pub enum ConfigurationMessage {
     /// This version is in force here.
     #[serde(rename = "f")]
-    InForce {
+    ActiveVersion {
         /// The version.
         #[serde(rename = "v")]
         version: ids::ConfigVersion,
@@ -56,7 +56,7 @@
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
-            Self::InForce { .. } => "in_force",
+            Self::ActiveVersion { .. } => "in_force",
             Self::GetHead => "ask_head",
             Self::Head { .. } => "head",
             Self::GetChunks { .. } => "ask_chunks",
