--- a/crates/damaskvane-entry/src/serving/homes.rs
+++ b/crates/damaskvane-entry/src/serving/homes.rs
@@ -7,7 +7,7 @@
 //! use damaskvane_entry::serving;
 //!
 //! let homes = serving::RenewedHomes::default();
-//! homes.note("e-1/8".parse()?);
+//! homes.record("e-1/8".parse()?);
 //! assert_eq!(homes.latest(&"e-1".parse()?, ids::Incarnation::new(7)).get(), 8);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
@@ -24,7 +24,7 @@
 
 impl RenewedHomes {
     /// Notes a renewed home.
-    pub fn note(&self, home: home::Home) {
+    pub fn record(&self, home: home::Home) {
         let mut homes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let latest = homes.entry(home.instance).or_default();
         *latest = home.incarnation.max(*latest);
