--- a/crates/damaskvane-entry/src/serving/client_zones.rs
+++ b/crates/damaskvane-entry/src/serving/client_zones.rs
@@ -7,7 +7,7 @@
 //! use damaskvane_entry::serving;
 //!
 //! let none = serving::ClientZones::default();
-//! let zones = none.follow(&Arc::new(state::ConfigState::default()));
+//! let zones = none.with_config(&Arc::new(state::ConfigState::default()));
 //! assert!(zones.near(&"c-1".parse()?).is_none());
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
@@ -52,7 +52,7 @@
     /// The table of a later configuration: only sets that changed are gone through, and parts of the
     /// table that did not change are shared with this one, which goes on serving meanwhile.
     #[must_use]
-    pub fn follow(&self, config: &Arc<state::ConfigState>) -> Self {
+    pub fn with_config(&self, config: &Arc<state::ConfigState>) -> Self {
         let mut zones = self.zones.clone();
         let mut removed: Vec<Change> = Vec::new();
         let mut added: Vec<Change> = Vec::new();
