--- a/crates/damaskvane-entry/src/load/zone_load.rs
+++ b/crates/damaskvane-entry/src/load/zone_load.rs
@@ -64,7 +64,7 @@
 
 impl ZoneLoad {
     /// Takes what an instance measured.
-    pub fn take(&mut self, now: time::TimeMs, instance: ids::InstanceId, load: InstanceLoad) {
+    pub fn record(&mut self, now: time::TimeMs, instance: ids::InstanceId, load: InstanceLoad) {
         self.instances.insert(instance, (now, load));
         self.instances
             .retain(|_, (taken_at, _)| now.since(*taken_at) < REPORT_LASTS);
