--- a/crates/damaskvane-entry/src/operator_api/status.rs
+++ b/crates/damaskvane-entry/src/operator_api/status.rs
@@ -36,7 +36,7 @@
 #[derive(Clone)]
 pub struct Source {
     /// This instance.
-    pub me: home::Home,
+    pub home: home::Home,
     /// Its availability zone.
     pub availability_zone: ids::AvailabilityZoneId,
     /// Its region.
@@ -110,8 +110,8 @@
         .unwrap_or_else(PoisonError::into_inner)
         .clone();
     Status {
-        instance: source.me.instance.clone(),
-        incarnation: source.me.incarnation,
+        instance: source.home.instance.clone(),
+        incarnation: source.home.incarnation,
         availability_zone: source.availability_zone.clone(),
         region: source.region.clone(),
         phase: source.phase(),
--- a/crates/damaskvane-entry/src/process.rs
+++ b/crates/damaskvane-entry/src/process.rs
@@ -66,7 +66,7 @@
     let (transport, received) = listen_for_peers(settings, &me)?;
     let peers = Arc::new(peers::Peers::new(transport));
     let status = status::Source {
-        me: me.clone(),
+        home: me.clone(),
         availability_zone: settings.availability_zone.clone(),
         region: settings.region.clone(),
         peers: Arc::clone(&peers),
@@ -211,7 +211,7 @@
         logger.clone(),
     );
     let engine = engine_thread::EngineThread::new(
-        status.me.clone(),
+        status.home.clone(),
         Arc::clone(serving),
         inbox,
         pool,
