--- a/crates/damaskvane-entry/src/wire.rs
+++ b/crates/damaskvane-entry/src/wire.rs
@@ -1,11 +1,11 @@
-//! Everything that entry instances say to each other.
+//! Messages that entry instances exchange, in their serialized form.
 //!
 //! ```
 //! use damaskvane_entry::wire;
 //! use damaskvane_peer::transport::MessageKind;
 //!
-//! let ask = wire::WireMessage::Configuration(wire::ConfigurationMessage::GetHead);
-//! assert_eq!(ask.kind(), "ask_head");
+//! let request = wire::WireMessage::Configuration(wire::ConfigurationMessage::GetHead);
+//! assert_eq!(request.kind(), "ask_head");
 //! ```
 
 mod configuration;
--- a/crates/damaskvane-entry/src/wire/configuration.rs
+++ b/crates/damaskvane-entry/src/wire/configuration.rs
@@ -1,4 +1,4 @@
-//! Messages that pass the configuration on.
+//! Messages that distribute the configuration between entry instances.
 //!
 //! ```
 //! use damaskvane_entry::wire;
@@ -9,50 +9,50 @@
 use damaskvane_core::{hash, ids};
 use serde::{Deserialize, Serialize};
 
-/// The most bytes of chunks in one message; a single larger chunk still travels alone.
+/// Maximum total size of the chunks in one message, in bytes. A larger chunk is sent in a message of its own.
 pub const MAX_CHUNK_BYTES: usize = 500_000;
 
-/// A message that passes the configuration on.
+/// Message that distributes the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationMessage {
-    /// This version is in force here.
+    /// Announces the configuration version that is active on the sender.
     #[serde(rename = "f")]
     ActiveVersion {
-        /// The version.
+        /// Active configuration version.
         #[serde(rename = "v")]
         version: ids::ConfigVersion,
-        /// The hash over its state.
+        /// Hash of the configuration state of this version.
         #[serde(rename = "h")]
         state_hash: hash::ContentHash,
     },
-    /// Send the head in force.
+    /// Requests the head of the active configuration.
     #[serde(rename = "ah")]
     GetHead,
-    /// The head in force here.
+    /// Contains the head of the configuration that is active on the sender.
     #[serde(rename = "h")]
     Head {
-        /// Its bytes as they were accepted.
+        /// Serialized head, byte for byte as the sender accepted it.
         #[serde(with = "serde_bytes", rename = "b")]
         bytes: Vec<u8>,
     },
-    /// Send these chunks.
+    /// Requests chunks of the configuration.
     #[serde(rename = "ac")]
     GetChunks {
-        /// Their hashes.
+        /// Hashes of the requested chunks.
         #[serde(rename = "h")]
         hashes: Vec<hash::ContentHash>,
     },
-    /// Chunks, perhaps not all that were asked for.
+    /// Contains requested chunks, not necessarily all of them.
     #[serde(rename = "c")]
     Chunks {
-        /// Their bytes.
+        /// Serialized chunks.
         #[serde(rename = "b")]
         chunks: Vec<serde_bytes::ByteBuf>,
     },
 }
 
 impl ConfigurationMessage {
-    /// The word under which it is counted.
+    /// Returns the label under which the message is counted.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
--- a/crates/damaskvane-entry/src/wire/fleet.rs
+++ b/crates/damaskvane-entry/src/wire/fleet.rs
@@ -1,4 +1,4 @@
-//! Messages that pass the list of instances on, for one that starts while the platform is down.
+//! Messages with the list of instances, for an instance that starts while the platform is down.
 //!
 //! ```
 //! use damaskvane_entry::wire;
@@ -12,30 +12,30 @@
 use damaskvane_peer::address;
 use serde::{Deserialize, Serialize};
 
-/// A message about the list of instances.
+/// Message that requests or contains the list of instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FleetMessage {
-    /// Send the list of instances.
+    /// Requests the list of instances.
     #[serde(rename = "a")]
     GetList {
-        /// Where the sender listens now; the list may still name where it listened before.
+        /// Address that the sender listens on now; the list may still have its previous address.
         #[serde(rename = "r")]
         reply_to: address::PeerAddress,
     },
-    /// The list of instances as the sender holds it.
+    /// Contains the list of instances that the sender has.
     #[serde(rename = "l")]
     List {
-        /// Its entries.
+        /// Records of the listed instances.
         #[serde(rename = "i")]
         records: Vec<record::InstanceRecord>,
-        /// How old it is.
+        /// Age of the list in milliseconds.
         #[serde(rename = "a")]
         age_ms: time::SpanMs,
     },
 }
 
 impl FleetMessage {
-    /// The word under which it is counted.
+    /// Returns the label under which the message is counted.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
--- a/crates/damaskvane-entry/src/wire/message.rs
+++ b/crates/damaskvane-entry/src/wire/message.rs
@@ -1,11 +1,11 @@
-//! Every message between entry instances.
+//! Union of all messages between entry instances.
 //!
 //! ```
 //! use damaskvane_entry::wire;
 //! use damaskvane_peer::transport::MessageKind;
 //!
-//! let ask = wire::WireMessage::Configuration(wire::ConfigurationMessage::GetHead);
-//! assert_eq!(ask.kind(), "ask_head");
+//! let request = wire::WireMessage::Configuration(wire::ConfigurationMessage::GetHead);
+//! assert_eq!(request.kind(), "ask_head");
 //! ```
 
 use damaskvane_engine::peer;
@@ -16,25 +16,25 @@
 use crate::load;
 use crate::wire::{configuration, fleet};
 
-/// A message between entry instances. Names are short because heartbeats are sent all the time.
+/// Message between entry instances. The serialized names are short because heartbeats are frequent.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum WireMessage {
-    /// A sign of life.
+    /// Heartbeat of the sender.
     #[serde(rename = "h")]
     Heartbeat(heartbeat::Heartbeat),
-    /// About the list of instances.
+    /// Message about the list of instances.
     #[serde(rename = "f")]
     Fleet(fleet::FleetMessage),
-    /// About the configuration.
+    /// Message about the configuration.
     #[serde(rename = "c")]
     Configuration(configuration::ConfigurationMessage),
-    /// What an instance measured, for the aggregator of its zone.
+    /// Load report of an instance, for the aggregator of its zone.
     #[serde(rename = "l")]
     Load(load::InstanceLoad),
-    /// Reports of zones.
+    /// Digests with load reports of zones.
     #[serde(rename = "d")]
     Digests(digest::DigestBundle<load::ZoneReport>),
-    /// From engine to engine.
+    /// Message between the engines of two instances.
     #[serde(rename = "e")]
     Engine(Box<peer::PeerMessage>),
 }
