--- a/crates/damaskvane-entry/src/serving.rs
+++ b/crates/damaskvane-entry/src/serving.rs
@@ -1,7 +1,7 @@
-//! What look-ups are answered from: one immutable state, swapped whole.
+//! State that lookups are served from, and other state that the threads of the process share.
 //!
-//! Look-ups are many and must not wait for decisions, so they read a snapshot that the control thread
-//! replaces; no look-up ever sees half of a change.
+//! Lookups are frequent and must not wait for the control thread. They read an immutable snapshot that the
+//! control thread replaces atomically, so no lookup sees a partial change.
 //!
 //! ```
 //! use damaskvane_entry::serving;
@@ -30,16 +30,16 @@
 use crate::clock;
 use crate::load;
 
-/// What the threads of an entry instance share.
+/// State that the threads of an entry instance share.
 #[derive(Debug)]
 pub struct Serving {
-    /// Counts of everything that happens.
+    /// Counters of the process.
     pub counters: counters::Counters,
-    /// What this instance measures of its traffic.
+    /// Traffic measurements of this instance.
     pub meter: load::Meter,
-    /// The process's clock.
+    /// Monotonic clock of the process.
     pub clock: clock::MonotonicClock,
-    /// Homes that are later than the processes that have them.
+    /// Homes of instances that have renewed their incarnation since their process started.
     pub homes: RenewedHomes,
     state: ArcSwap<ServingState>,
     next_request: AtomicU64,
@@ -51,7 +51,8 @@
 }
 
 impl Serving {
-    /// Serving without a configuration; `id_prefix` makes generated request ids unique in the fleet.
+    /// Creates the state without a configuration; `id_prefix` makes generated request ids unique in the
+    /// fleet.
     #[must_use]
     pub fn new(counters: counters::Counters, id_prefix: impl Into<String>) -> Self {
         Self {
@@ -69,73 +70,73 @@
         }
     }
 
-    /// The present state.
+    /// Returns the current snapshot.
     #[must_use]
     pub fn state(&self) -> Arc<ServingState> {
         self.state.load_full()
     }
 
-    /// Replaces the state.
+    /// Replaces the snapshot.
     pub fn replace(&self, state: ServingState) {
         self.state.store(Arc::new(state));
     }
 
-    /// The configuration version in force on this instance; zero before the first.
+    /// Returns the configuration version active on this instance; zero before the first configuration.
     #[must_use]
     pub fn config_version(&self) -> ids::ConfigVersion {
         self.state.load().version
     }
 
-    /// Whether clients can be let in: requests would find a slot.
+    /// Returns whether requests could get a slot of a backend server, so that clients can be accepted.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 
-    /// Says whether requests would find a slot.
+    /// Sets whether requests could get a slot of a backend server.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Release);
     }
 
-    /// Whether a planned stop has finished all work.
+    /// Returns whether a planned stop has finished all requests.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         self.drained.load(Ordering::Acquire)
     }
 
-    /// Says that a planned stop has finished all work.
+    /// Records that a planned stop has finished all requests.
     pub fn set_drained(&self) {
         self.drained.store(true, Ordering::Release);
     }
 
-    /// Whether any request is under way.
+    /// Returns whether any request is in progress.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         self.busy.load(Ordering::Acquire)
     }
 
-    /// Says whether any request is under way.
+    /// Sets whether any request is in progress.
     pub fn set_busy(&self, busy: bool) {
         self.busy.store(busy, Ordering::Release);
     }
 
-    /// Lets no more clients in; those that are connected get their answers.
+    /// Stops accepting new client connections; clients that are connected still get their responses.
     pub fn stop_accepting(&self) {
         self.accepting_stopped.notify_one();
     }
 
-    /// Waits until no more clients are to be let in.
+    /// Waits until [`stop_accepting`](Self::stop_accepting) is called.
     pub async fn accepting_stopped(&self) {
         self.accepting_stopped.notified().await;
     }
 
-    /// A number for a request that has just arrived.
+    /// Returns a new number, unique in this process, for a request that has arrived.
     #[must_use]
     pub fn next_request_number(&self) -> event::RequestNumber {
         event::RequestNumber::new(self.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// An id for a request whose client sent none.
+    /// Generates an id for a request that the client sent without one.
     #[must_use]
     pub fn new_request_id(&self) -> ids::RequestId {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
--- a/crates/damaskvane-entry/src/serving/client_zones.rs
+++ b/crates/damaskvane-entry/src/serving/client_zones.rs
@@ -1,4 +1,4 @@
-//! The zone nearest to each client block, in a table made for millions of blocks.
+//! Maps each client block to its nearest zone, in a compact table for millions of blocks.
 //!
 //! ```
 //! use std::sync::Arc;
@@ -8,7 +8,7 @@
 //!
 //! let none = serving::ClientZones::default();
 //! let zones = none.with_config(&Arc::new(state::ConfigState::default()));
-//! assert!(zones.near(&"c-1".parse()?).is_none());
+//! assert!(zones.nearest_zone(&"c-1".parse()?).is_none());
 //! # Ok::<(), damaskvane_core::ids::ParseIdError>(())
 //! ```
 
@@ -21,7 +21,7 @@
 
 type Change = (blocks::BlockKey, Option<blocks::Class>);
 
-/// The zone nearest to each declared client block.
+/// Nearest zone of each declared client block.
 #[derive(Debug, Default)]
 pub struct ClientZones {
     table: blocks::BlockTable,
@@ -30,45 +30,47 @@
 }
 
 impl ClientZones {
-    /// The zone nearest to a client block; none if the block is not declared.
+    /// Returns the zone nearest to a client block, or none if the block is not declared.
     #[must_use]
-    pub fn near(&self, client: &ids::ClientBlock) -> Option<&ids::AvailabilityZoneId> {
+    pub fn nearest_zone(&self, client: &ids::ClientBlock) -> Option<&ids::AvailabilityZoneId> {
         let class = self.table.class(blocks::BlockKey::name(client))?;
         self.zones.get(usize::from(class.get()))
     }
 
-    /// How many blocks there are.
+    /// Returns the number of declared blocks.
     #[must_use]
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether no block is declared.
+    /// Returns whether no block is declared.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
 
-    /// The table of a later configuration: only sets that changed are gone through, and parts of the
-    /// table that did not change are shared with this one, which goes on serving meanwhile.
+    /// Returns the table for a later configuration.
+    ///
+    /// Only changed sets of blocks are processed. Unchanged parts of the table are shared with this table,
+    /// which lookups use in the meantime.
     #[must_use]
     pub fn with_config(&self, config: &Arc<state::ConfigState>) -> Self {
         let mut zones = self.zones.clone();
         let mut removed: Vec<Change> = Vec::new();
         let mut added: Vec<Change> = Vec::new();
-        for name in names(&self.config, config) {
+        for name in block_set_names(&self.config, config) {
             let old = self.config.client_blocks().get(name);
             let new = config.client_blocks().get(name);
             if old == new {
                 continue;
             }
-            removed.extend(old.into_iter().flat_map(keys).map(|key| (key, None)));
+            removed.extend(old.into_iter().flat_map(block_keys).map(|key| (key, None)));
             if let Some(new) = new {
-                let class = class_of(&mut zones, &new.near);
-                added.extend(keys(new).map(|key| (key, Some(class))));
+                let class = class_for_zone(&mut zones, &new.near);
+                added.extend(block_keys(new).map(|key| (key, Some(class))));
             }
         }
-        // A block may move from one set to another: what is added comes last and wins.
+        // A block may move from one set to another, so additions come last and override removals.
         removed.extend(added);
         Self {
             table: self.table.with_changes(removed),
@@ -78,7 +80,7 @@
     }
 }
 
-fn names<'a>(
+fn block_set_names<'a>(
     old: &'a state::ConfigState,
     new: &'a state::ConfigState,
 ) -> BTreeSet<&'a object::ObjectName> {
@@ -88,7 +90,7 @@
         .collect()
 }
 
-fn keys(blocks: &declaration::ClientBlocks) -> impl Iterator<Item = blocks::BlockKey> + '_ {
+fn block_keys(blocks: &declaration::ClientBlocks) -> impl Iterator<Item = blocks::BlockKey> + '_ {
     let named = blocks.names.iter().map(ToOwned::to_owned);
     let ranged = blocks
         .ranges
@@ -100,8 +102,9 @@
         .map(|block| blocks::BlockKey::name(&block))
 }
 
-/// Classes are never given anew: a zone keeps its number over all configurations of a process.
-fn class_of(
+/// Returns the class of a zone, adding the zone if it is new. Classes are never reassigned: a zone keeps its
+/// class through all configurations of a process.
+fn class_for_zone(
     zones: &mut Vec<ids::AvailabilityZoneId>,
     zone: &ids::AvailabilityZoneId,
 ) -> blocks::Class {
--- a/crates/damaskvane-entry/src/serving/homes.rs
+++ b/crates/damaskvane-entry/src/serving/homes.rs
@@ -1,6 +1,7 @@
-//! The homes that instances have renewed for their keys, for look-up answers.
+//! Homes of idempotency keys that instances have renewed, for lookup responses.
 //!
-//! The engine's thread notes them, the control thread reads them when it builds the next answers.
+//! The engine thread records renewed homes. The control thread reads them when it builds the next snapshot
+//! for lookups.
 //!
 //! ```
 //! use damaskvane_core::ids;
@@ -18,22 +19,23 @@
 use damaskvane_core::ids;
 use damaskvane_dispatch::home;
 
-/// The latest home of each instance that has renewed one.
+/// Latest incarnation of each instance that has renewed its home.
 #[derive(Debug, Default)]
 pub struct RenewedHomes(Mutex<BTreeMap<ids::InstanceId, ids::Incarnation>>);
 
 impl RenewedHomes {
-    /// Notes a renewed home.
+    /// Records a renewed home; an incarnation older than the recorded one is ignored.
     pub fn record(&self, home: home::Home) {
         let mut homes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let latest = homes.entry(home.instance).or_default();
         *latest = home.incarnation.max(*latest);
     }
 
-    /// The incarnation that look-ups name for an instance whose process has that one.
+    /// Returns the incarnation that lookup responses name for an instance; `process` is the incarnation
+    /// that its process started with.
     ///
-    /// A later start has a higher incarnation than any that an earlier one reached by renewals, which
-    /// count up one by one from its milliseconds of the wall clock.
+    /// A process starts with the wall clock in milliseconds as its incarnation, and each renewal adds one.
+    /// A restarted process therefore has a higher incarnation than all renewals of the previous process.
     #[must_use]
     pub fn latest(
         &self,
--- a/crates/damaskvane-entry/src/serving/state.rs
+++ b/crates/damaskvane-entry/src/serving/state.rs
@@ -1,4 +1,4 @@
-//! One snapshot of what look-ups need.
+//! Snapshot of the state that lookups are served from.
 //!
 //! ```
 //! use damaskvane_entry::serving;
@@ -16,40 +16,40 @@
 
 use crate::serving::client_zones;
 
-/// An entry instance that clients can be told to use.
+/// Entry instance that lookup responses can name, with its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryEndpoint {
-    /// The instance.
+    /// Id of the instance.
     pub instance: ids::InstanceId,
-    /// Which start of it.
+    /// Latest known incarnation of the instance, with renewals of its home.
     pub incarnation: ids::Incarnation,
-    /// Where clients reach it.
+    /// Address that the instance accepts clients on.
     pub client_address: String,
 }
 
-/// What a look-up needs of a service.
+/// Settings of a service that lookups use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LookupService {
-    /// How long a client may keep the answer.
+    /// Time for which a client may cache a lookup response.
     pub ttl: time::SpanMs,
 }
 
-/// One snapshot of what look-ups need.
+/// Immutable snapshot of the state that lookups are served from.
 #[derive(Debug)]
 pub struct ServingState {
-    /// The configuration version it rests on.
+    /// Version of the configuration that the snapshot was built from; zero before the first.
     pub version: ids::ConfigVersion,
-    /// The configuration itself; none before the first.
+    /// Configuration that the snapshot was built from; none before the first.
     pub config: Option<Arc<state::ConfigState>>,
-    /// The zone nearest to each declared client block.
+    /// Nearest zone of each declared client block.
     pub clients: Arc<client_zones::ClientZones>,
-    /// The zone of this instance, for clients whose block is not declared.
+    /// Zone of this instance, for clients whose block is not declared; none before the first configuration.
     pub own_zone: Option<ids::AvailabilityZoneId>,
-    /// Services by name.
+    /// Declared services.
     pub services: BTreeMap<ids::ServiceId, LookupService>,
-    /// Where traffic goes.
+    /// Traffic plan, with weights from source zones to destination zones.
     pub plan: plan::Plan,
-    /// Live entry instances that are not leaving, by zone.
+    /// Live entry instances that are not shutting down, by zone.
     pub entries: BTreeMap<ids::AvailabilityZoneId, Vec<EntryEndpoint>>,
 }
 
@@ -68,19 +68,20 @@
 }
 
 impl ServingState {
-    /// The zone that a client is steered from: the one nearest to its block, or this instance's own.
+    /// Returns the zone that a client is steered from: the nearest zone of its block, or the zone of this
+    /// instance if the block is unknown.
     #[must_use]
     pub fn source_zone(
         &self,
         client: Option<&ids::ClientBlock>,
     ) -> Option<&ids::AvailabilityZoneId> {
         client
-            .and_then(|client| self.clients.near(client))
+            .and_then(|client| self.clients.nearest_zone(client))
             .or(self.own_zone.as_ref())
     }
 }
 
-/// A number that stands for a client block, equal on every instance.
+/// Returns a hash of a client block that is equal on every instance.
 #[must_use]
 pub fn client_hash(block: &str) -> u64 {
     hash::ContentHash::of(block.as_bytes()).as_bytes()[..8]
