--- a/crates/damaskvane-entry/src/client_api/listener.rs
+++ b/crates/damaskvane-entry/src/client_api/listener.rs
@@ -162,7 +162,7 @@
     let state = serving.state();
     let source = state.source_zone(request.client.as_ref());
     if let (true, Some(source)) = (is_first, source) {
-        serving.meter.arrived(&request.service, source);
+        serving.meter.record_arrival(&request.service, source);
     }
 }
 
--- a/crates/damaskvane-entry/src/client_api/lookup.rs
+++ b/crates/damaskvane-entry/src/client_api/lookup.rs
@@ -108,7 +108,7 @@
         },
         serving.clock.now(),
     );
-    serving.meter.looked_up(service, source, picked.is_ok());
+    serving.meter.record_lookup(service, source, picked.is_ok());
     let zones = picked.map_err(|refused| Refusal {
         reason: refusal::RefusalReason::Overloaded,
         retry_after: Some(refused.retry_after),
--- a/crates/damaskvane-entry/src/load/instance_load.rs
+++ b/crates/damaskvane-entry/src/load/instance_load.rs
@@ -1,4 +1,4 @@
-//! One instance's load over one period, as it tells the aggregator of its zone.
+//! Load of one instance over one period, as sent to the aggregator of its zone.
 //!
 //! ```
 //! use damaskvane_entry::load;
@@ -13,46 +13,47 @@
 
 use crate::load::meter::{self, Meter};
 
-/// One service on one instance. Names are short because it is sent every second.
+/// Load of one service on one instance. The serialized names are short because the load is sent every
+/// second.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// Slots of the backend servers that this instance owns and that take work.
+    /// Slots of the backend servers that this instance owns and that accept requests.
     #[serde(rename = "c", default)]
     pub slots: u32,
-    /// Exchanges that run.
+    /// Number of running exchanges with backend servers.
     #[serde(rename = "r", default)]
     pub running: u32,
-    /// Requests refused for want of capacity in the period.
+    /// Requests refused in the period for lack of capacity.
     #[serde(rename = "x", default)]
     pub refused: u64,
-    /// Exchanges that failed in the period.
+    /// Exchanges with backend servers that failed in the period.
     #[serde(rename = "e", default)]
     pub errors: u64,
-    /// Arrivals in the period by the zone of the clients.
+    /// Requests that arrived in the period, by source zone of the clients.
     #[serde(rename = "d", default)]
     pub arrivals: BTreeMap<ids::AvailabilityZoneId, u64>,
-    /// Look-ups in the period by the zone of the clients, where some were refused.
+    /// Lookups in the period by source zone of the clients; only zones with refused lookups.
     #[serde(rename = "l", default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub look_ups: BTreeMap<ids::AvailabilityZoneId, meter::LookUpCount>,
+    pub lookups: BTreeMap<ids::AvailabilityZoneId, meter::LookupCount>,
 }
 
-/// One instance's load over one period.
+/// Load of one instance over one period.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceLoad {
-    /// The length of the period.
+    /// Length of the period in milliseconds.
     #[serde(rename = "p")]
     pub period_ms: time::SpanMs,
-    /// By service.
+    /// Load by service.
     #[serde(rename = "s")]
     pub services: BTreeMap<ids::ServiceId, ServiceLoad>,
 }
 
 impl InstanceLoad {
-    /// Takes what was measured since the last call.
+    /// Returns the load since the last call and resets the counters of the meter.
     #[must_use]
     pub fn measure(meter: &Meter, period: time::SpanMs) -> Self {
         let mut services: BTreeMap<ids::ServiceId, ServiceLoad> = meter
-            .engine()
+            .engine_load()
             .services
             .into_iter()
             .map(|(service, load)| {
@@ -70,9 +71,9 @@
             let load = services.entry(service).or_default();
             load.arrivals.insert(source, count);
         }
-        for ((service, source), count) in meter.take_look_ups() {
+        for ((service, source), count) in meter.take_lookups() {
             let load = services.entry(service).or_default();
-            load.look_ups.insert(source, count);
+            load.lookups.insert(source, count);
         }
         Self {
             period_ms: period,
--- a/crates/damaskvane-entry/src/load/meter.rs
+++ b/crates/damaskvane-entry/src/load/meter.rs
@@ -1,4 +1,4 @@
-//! Counts arrivals between two reports.
+//! Counts arrivals and lookups between two load reports.
 //!
 //! ```
 //! use damaskvane_entry::load;
@@ -14,45 +14,45 @@
 use serde::{Deserialize, Serialize};
 
 type Arrivals = BTreeMap<(ids::ServiceId, ids::AvailabilityZoneId), u64>;
-type LookUps = BTreeMap<(ids::ServiceId, ids::AvailabilityZoneId), LookUpCount>;
+type Lookups = BTreeMap<(ids::ServiceId, ids::AvailabilityZoneId), LookupCount>;
 
-/// Look-ups of one service by clients of one zone.
+/// Number of lookups of one service by clients of one zone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LookUpCount {
-    /// Answered with entry instances.
+pub struct LookupCount {
+    /// Lookups answered with entry instances.
     #[serde(rename = "a")]
     pub answered: u64,
-    /// Refused for want of capacity.
+    /// Lookups refused for lack of capacity.
     #[serde(rename = "x")]
     pub refused: u64,
 }
 
-/// Counts arrivals, and holds what the engine last said of itself.
+/// Counters of arrivals and lookups, and the latest load report of the engine.
 #[derive(Debug, Default)]
 pub struct Meter {
     arrivals: Mutex<Arrivals>,
-    look_ups: Mutex<LookUps>,
+    lookups: Mutex<Lookups>,
     engine: Mutex<engine::EngineLoad>,
 }
 
 impl Meter {
-    /// Counts the first try of a request from a client of a zone.
-    pub fn arrived(&self, service: &ids::ServiceId, source: &ids::AvailabilityZoneId) {
+    /// Counts the first attempt of a request from a client with this source zone.
+    pub fn record_arrival(&self, service: &ids::ServiceId, source: &ids::AvailabilityZoneId) {
         let mut arrivals = self.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
         *arrivals
             .entry((service.clone(), source.clone()))
             .or_default() += 1;
     }
 
-    /// Counts a look-up of a client of a zone.
-    pub fn looked_up(
+    /// Counts a lookup from a client with this source zone.
+    pub fn record_lookup(
         &self,
         service: &ids::ServiceId,
         source: &ids::AvailabilityZoneId,
         was_answered: bool,
     ) {
-        let mut look_ups = self.look_ups.lock().unwrap_or_else(PoisonError::into_inner);
-        let count = look_ups
+        let mut lookups = self.lookups.lock().unwrap_or_else(PoisonError::into_inner);
+        let count = lookups
             .entry((service.clone(), source.clone()))
             .or_default();
         if was_answered {
@@ -62,31 +62,31 @@
         }
     }
 
-    /// The look-ups since the last call, of sources of which some were refused.
-    pub fn take_look_ups(
-        &self,
-    ) -> BTreeMap<(ids::ServiceId, ids::AvailabilityZoneId), LookUpCount> {
-        let look_ups =
-            core::mem::take(&mut *self.look_ups.lock().unwrap_or_else(PoisonError::into_inner));
-        look_ups
+    /// Returns the lookups since the last call, by service and source zone, and resets the counters.
+    ///
+    /// Only services and zones with refused lookups are included.
+    pub fn take_lookups(&self) -> BTreeMap<(ids::ServiceId, ids::AvailabilityZoneId), LookupCount> {
+        let lookups =
+            core::mem::take(&mut *self.lookups.lock().unwrap_or_else(PoisonError::into_inner));
+        lookups
             .into_iter()
             .filter(|(_, count)| count.refused > 0)
             .collect()
     }
 
-    /// The arrivals since the last call.
+    /// Returns the arrivals since the last call, by service and source zone, and resets the counters.
     pub fn take_arrivals(&self) -> BTreeMap<(ids::ServiceId, ids::AvailabilityZoneId), u64> {
         core::mem::take(&mut self.arrivals.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Replaces what the engine says of itself.
+    /// Replaces the load report of the engine.
     pub fn set_engine_load(&self, load: engine::EngineLoad) {
         *self.engine.lock().unwrap_or_else(PoisonError::into_inner) = load;
     }
 
-    /// What the engine last said of itself.
+    /// Returns the latest load report of the engine.
     #[must_use]
-    pub fn engine(&self) -> engine::EngineLoad {
+    pub fn engine_load(&self) -> engine::EngineLoad {
         self.engine
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/damaskvane-entry/src/load/zone_load.rs
+++ b/crates/damaskvane-entry/src/load/zone_load.rs
@@ -1,4 +1,4 @@
-//! The load of a whole zone, summed up by its aggregator.
+//! Load of a whole zone, summed over its instances by the aggregator of the zone.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -16,92 +16,94 @@
 
 use crate::load::instance_load::InstanceLoad;
 
-/// What an instance said counts for so long; a dead one's slots are not offered for longer.
-const REPORT_LASTS: time::SpanMs = time::SpanMs::new(3_500);
+/// Time for which the load report of an instance counts, so that the slots of a crashed instance are not
+/// offered for longer.
+const REPORT_TTL: time::SpanMs = time::SpanMs::new(3_500);
 const MS_PER_SECOND: u64 = 1_000;
-/// Refusals above this share of arrivals count as overload, in thousandths.
+/// Share of refused requests among arrivals above which a service counts as overloaded, in thousandths.
 const OVERLOAD_PERMILLE: u64 = 20;
 
-/// One service in one zone, as it travels between zones.
+/// Load of one service in one zone, as sent between zones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneServiceReport {
-    /// What the zone can carry.
+    /// Request rate that the zone can serve.
     #[serde(rename = "c")]
     pub capacity: rate::Rate,
-    /// Exchanges that run.
+    /// Number of running exchanges with backend servers.
     #[serde(rename = "r", default)]
     pub running: units::Slots,
-    /// Arrivals by the zone of the clients.
+    /// Rate of arrivals, by source zone of the clients.
     #[serde(rename = "d", default)]
     pub demand: BTreeMap<ids::AvailabilityZoneId, rate::Rate>,
-    /// Look-ups by the zone of the clients, where some were refused: answered, refused.
+    /// Rates of answered and of refused lookups, by source zone; only zones with refused lookups.
     #[serde(rename = "l", default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub look_ups: BTreeMap<ids::AvailabilityZoneId, (rate::Rate, rate::Rate)>,
-    /// Requests refused for want of capacity.
+    pub lookups: BTreeMap<ids::AvailabilityZoneId, (rate::Rate, rate::Rate)>,
+    /// Rate of requests refused for lack of capacity.
     #[serde(rename = "x", default)]
     pub refused: rate::Rate,
-    /// Exchanges that failed.
+    /// Rate of failed exchanges with backend servers.
     #[serde(rename = "e", default)]
     pub errors: rate::Rate,
 }
 
-/// One zone's report, as it travels between zones.
+/// Load report of one zone, as sent between zones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneReport {
-    /// By service.
+    /// Load by service.
     #[serde(rename = "s")]
     pub services: BTreeMap<ids::ServiceId, ZoneServiceReport>,
-    /// How far the zone has brought each shift of traffic, in thousandths.
+    /// Progress of each shift of traffic in this zone, in thousandths moved.
     #[serde(rename = "m", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub moved_permille: BTreeMap<String, u32>,
 }
 
-/// The latest load of each instance of a zone.
+/// Latest load report of each instance of a zone.
 #[derive(Debug, Default)]
 pub struct ZoneLoad {
     instances: BTreeMap<ids::InstanceId, (time::TimeMs, InstanceLoad)>,
 }
 
 impl ZoneLoad {
-    /// Takes what an instance measured.
+    /// Records the load report of an instance and drops expired reports.
     pub fn record(&mut self, now: time::TimeMs, instance: ids::InstanceId, load: InstanceLoad) {
         self.instances.insert(instance, (now, load));
         self.instances
-            .retain(|_, (taken_at, _)| now.since(*taken_at) < REPORT_LASTS);
+            .retain(|_, (taken_at, _)| now.since(*taken_at) < REPORT_TTL);
     }
 
-    /// Sums up; `typical` is how long a request of a service usually holds a slot.
+    /// Sums the unexpired load reports; `typical_hold_time` returns how long a request of a service
+    /// typically holds a slot.
     #[must_use]
     pub fn report(
         &self,
         now: time::TimeMs,
-        typical: impl Fn(&ids::ServiceId) -> time::SpanMs,
+        typical_hold_time: impl Fn(&ids::ServiceId) -> time::SpanMs,
     ) -> ZoneReport {
         let mut report = ZoneReport::default();
         let fresh = self
             .instances
             .values()
-            .filter(|(taken_at, _)| now.since(*taken_at) < REPORT_LASTS);
+            .filter(|(taken_at, _)| now.since(*taken_at) < REPORT_TTL);
         for (_, load) in fresh {
             let period_ms = load.period_ms.get().max(1);
             let per_second =
                 |count: u64| rate::Rate::per_second(count).scaled(MS_PER_SECOND, period_ms);
-            for (service, of) in &load.services {
-                let typical_ms = typical(service).get().max(1);
-                let slots = rate::Rate::per_second(u64::from(of.slots));
+            for (service, service_load) in &load.services {
+                let typical_ms = typical_hold_time(service).get().max(1);
+                let slots = rate::Rate::per_second(u64::from(service_load.slots));
                 let sum = report.services.entry(service.clone()).or_default();
                 sum.capacity += slots.scaled(MS_PER_SECOND, typical_ms);
-                sum.running = sum.running + units::Slots::new(of.running);
-                sum.refused += per_second(of.refused);
-                sum.errors += per_second(of.errors);
-                for (zone, count) in &of.arrivals {
+                sum.running = sum.running + units::Slots::new(service_load.running);
+                sum.refused += per_second(service_load.refused);
+                sum.errors += per_second(service_load.errors);
+                for (zone, count) in &service_load.arrivals {
                     let demand = sum.demand.entry(zone.clone()).or_default();
                     *demand += per_second(*count);
                 }
-                for (zone, count) in &of.look_ups {
-                    let look_ups = sum.look_ups.entry(zone.clone()).or_default();
-                    look_ups.0 += per_second(count.answered);
-                    look_ups.1 += per_second(count.refused);
+                for (zone, count) in &service_load.lookups {
+                    let lookups = sum.lookups.entry(zone.clone()).or_default();
+                    lookups.0 += per_second(count.answered);
+                    lookups.1 += per_second(count.refused);
                 }
             }
         }
@@ -110,7 +112,7 @@
 }
 
 impl ZoneReport {
-    /// The report as steering takes it.
+    /// Converts the report to the digest that steering uses.
     #[must_use]
     pub fn to_digest(
         &self,
@@ -118,12 +120,13 @@
         sequence: u64,
         taken_at: time::TimeMs,
     ) -> digest::ZoneDigest {
-        let mut made = digest::ZoneDigest::new(zone.clone(), sequence, taken_at);
+        let mut zone_digest = digest::ZoneDigest::new(zone.clone(), sequence, taken_at);
         for (service, report) in &self.services {
-            made.services
+            zone_digest
+                .services
                 .insert(service.clone(), report.to_service_digest());
         }
-        made
+        zone_digest
     }
 }
 
@@ -136,14 +139,14 @@
             running: self.running,
             demand: self.demand.clone(),
             lookups: self
-                .look_ups
+                .lookups
                 .iter()
                 .map(|(zone, (answered, refused))| {
-                    let look_ups = digest::Lookups {
+                    let lookups = digest::Lookups {
                         answered: *answered,
                         refused: *refused,
                     };
-                    (zone.clone(), look_ups)
+                    (zone.clone(), lookups)
                 })
                 .collect(),
             refused: self.refused,
