--- a/crates/damaskvane-entry/src/client_api.rs
+++ b/crates/damaskvane-entry/src/client_api.rs
@@ -1,8 +1,10 @@
-//! What clients reach: look-ups and requests over HTTP/1.1.
+//! HTTP/1.1 interface for clients: lookups and requests for services.
 //!
-//! Every bound is set here: connections, head and body in size and time, and bytes that a client does
-//! not take; [`binding`] lets clients in. The way a request goes: [`listener`] accepts, [`route`] reads the path, [`lookup`] or
-//! [`intake`] reads the rest, [`reply`] writes the answer.
+//! All limits on clients are applied here: number of connections, size of and time for head and body, and
+//! the time that a client may leave sent bytes unacknowledged.
+//!
+//! Path of a request: [`binding`] opens the port, [`listener`] accepts the connection, [`route`] parses
+//! the path, [`lookup`] or [`request_reader`] reads the rest, and [`reply`] builds the response.
 //!
 //! ```
 //! use damaskvane_entry::client_api::route;
@@ -12,9 +14,9 @@
 
 pub mod binding;
 pub mod header;
-pub mod intake;
 pub mod listener;
 pub mod lookup;
 pub mod reply;
+pub mod request_reader;
 pub mod reserved;
 pub mod route;
--- a/crates/damaskvane-entry/src/client_api/binding.rs
+++ b/crates/damaskvane-entry/src/client_api/binding.rs
@@ -1,10 +1,10 @@
-//! The clients' address: taken at the start, listened on a little later.
+//! Binds the clients' address when the process starts, and listens on it later.
 //!
-//! Look-up answers that name an earlier start of this instance live on in clients' caches for a while. A
-//! client that reached the new process with the old home would get *outcome unknown*, although most often
-//! nothing ran; no answer of this process could tell. While nobody listens, its connection is refused:
-//! it then knows that nothing was sent, and takes a new home. So the port is bound at once, which
-//! finds a taken address early, and listened on once those answers have lapsed.
+//! Clients cache lookup responses that name an earlier incarnation of this instance as the home of a key.
+//! The new process can only answer *outcome unknown* to a request with that home, although in most cases
+//! nothing ran. While the port is bound but not listening, connections are refused instead: the client
+//! then knows that nothing was sent, and uses another home. The port is bound at once, so that an address
+//! in use is detected early. Listening starts after the cached responses have expired.
 //!
 //! ```
 //! use damaskvane_entry::client_api::binding;
@@ -22,19 +22,19 @@
 
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// An address that is taken and not yet listened on.
+/// Socket that is bound to an address and does not listen yet.
 #[derive(Debug)]
 pub struct BoundAddress(Socket);
 
 impl BoundAddress {
-    /// Takes an address; port 0 takes a free port.
+    /// Binds a socket to an address; with port 0 the system selects a free port.
     ///
     /// # Errors
     ///
-    /// Fails if the address is malformed, taken, or not one of this machine.
+    /// Fails if the address is malformed, in use, or not an address of this machine.
     pub fn bind(address: &str) -> io::Result<Self> {
         let address: net::SocketAddr = address
             .parse()
@@ -49,11 +49,11 @@
         Ok(Self(socket))
     }
 
-    /// The address with the port that was taken.
+    /// Returns the bound address with the actual port.
     ///
     /// # Errors
     ///
-    /// Fails if the system does not tell.
+    /// Fails if the system does not report the address.
     pub fn local_address(&self) -> io::Result<net::SocketAddr> {
         self.0
             .local_addr()?
@@ -61,11 +61,11 @@
             .ok_or_else(|| io::Error::from(io::ErrorKind::AddrNotAvailable))
     }
 
-    /// Lets clients in.
+    /// Starts listening, so that clients can connect.
     ///
     /// # Errors
     ///
-    /// Fails if the system refuses.
+    /// Fails if the system can't listen on the socket.
     pub fn listen(self) -> io::Result<net::TcpListener> {
         self.0.listen(BACKLOG)?;
         Ok(self.0.into())
--- a/crates/damaskvane-entry/src/client_api/header.rs
+++ b/crates/damaskvane-entry/src/client_api/header.rs
@@ -1,4 +1,4 @@
-//! The names of the headers that clients, instances and backend servers exchange.
+//! Names of the HTTP headers that clients, entry instances and backend servers exchange.
 //!
 //! ```
 //! use damaskvane_entry::client_api::header;
@@ -7,35 +7,35 @@
 //! assert!(!header::is_forwarded("connection"));
 //! ```
 
-/// Names one try; the answer echoes it.
+/// Id of one attempt of a request; the response repeats it.
 pub const REQUEST_ID: &str = "damaskvane-request-id";
-/// The client block.
+/// Client block that the client belongs to.
 pub const CLIENT: &str = "damaskvane-client";
-/// Time left in milliseconds.
+/// Remaining time for the request, in milliseconds.
 pub const DEADLINE_MS: &str = "damaskvane-deadline-ms";
-/// The key of a non-repeatable request.
+/// Idempotency key of a non-repeatable request.
 pub const IDEMPOTENCY_KEY: &str = "damaskvane-idempotency-key";
-/// The home of the key.
+/// Home of the idempotency key: instance and incarnation that dispatch it.
 pub const HOME: &str = "damaskvane-home";
-/// Which try of a non-repeatable request this is, from 1.
+/// Number of the attempt of a non-repeatable request, from 1.
 pub const TRY: &str = "damaskvane-try";
-/// How urgent the request is.
+/// Priority of the request.
 pub const PRIORITY: &str = "damaskvane-priority";
-/// The kind of answer.
+/// Label of the outcome in a response.
 pub const OUTCOME: &str = "damaskvane-outcome";
-/// The refusal reason.
+/// Refusal reason in a response without a backend server's response.
 pub const REASON: &str = "damaskvane-reason";
-/// When to come back, in milliseconds.
+/// Delay before the client retries, in milliseconds.
 pub const RETRY_AFTER_MS: &str = "retry-after-ms";
-/// The configuration version that the answer rests on.
+/// Configuration version that was active when the response was built.
 pub const CONFIG_VERSION: &str = "damaskvane-config-version";
-/// Set by a backend server that refused before running.
+/// Set by a backend server that refused the request without running it.
 pub const NOT_RUN: &str = "damaskvane-not-run";
 
 const OWN_PREFIX: &str = "damaskvane-";
 
-/// Headers that concern one connection only, or that are set anew on the other side.
-const PER_CONNECTION: [&str; 9] = [
+/// Headers that apply to one connection only, or that are set again for the next connection.
+const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -47,14 +47,14 @@
     "content-length",
 ];
 
-/// Whether a header is one of the system's own.
+/// Returns whether a header belongs to this system.
 #[must_use]
 pub fn is_own(name: &str) -> bool {
     name.starts_with(OWN_PREFIX)
 }
 
-/// Whether a header goes from client to backend server, or back, as it is.
+/// Returns whether a header is forwarded unchanged between client and backend server.
 #[must_use]
 pub fn is_forwarded(name: &str) -> bool {
-    !is_own(name) && name != "host" && name != "expect" && !PER_CONNECTION.contains(&name)
+    !is_own(name) && name != "host" && name != "expect" && !HOP_BY_HOP.contains(&name)
 }
--- a/crates/damaskvane-entry/src/client_api/listener.rs
+++ b/crates/damaskvane-entry/src/client_api/listener.rs
@@ -1,4 +1,4 @@
-//! Hands the requests of clients on: look-ups are answered here, the rest goes to the engine.
+//! Serves the requests of clients: answers lookups directly and submits all others to the engine.
 //!
 //! ```no_run
 //! use std::sync::Arc;
@@ -23,7 +23,7 @@
 use hyper::http::request;
 use slog::debug;
 
-use crate::client_api::{intake, lookup, reply, reserved, route};
+use crate::client_api::{lookup, reply, request_reader, reserved, route};
 use crate::http_listener;
 use crate::inbox;
 use crate::serving;
@@ -32,16 +32,16 @@
 const REFUSED: &str = "refused";
 const CONNECTIONS: &str = "connections";
 
-/// What every connection needs.
+/// State shared by all client connections.
 #[derive(Debug)]
 pub struct ClientApi {
-    /// What look-ups are answered from.
+    /// Snapshot, counters and load meter that requests are served with.
     pub serving: Arc<serving::Serving>,
-    /// Where requests go.
+    /// Inbox of the engine.
     pub inbox: flume::Sender<inbox::Input>,
-    /// The bounds.
+    /// Settings with the limits on connections, heads and bodies.
     pub settings: settings::EntrySettings,
-    /// Where each request's end is noted.
+    /// Logger for finished and refused requests.
     pub logger: slog::Logger,
 }
 
@@ -63,18 +63,18 @@
     };
     http_listener::serve(listener, bounds, counts, move |request| {
         let api = Arc::clone(&api);
-        async move { answer(&api, request).await }
+        async move { handle_request(&api, request).await }
     })
     .await
 }
 
-async fn answer(api: &ClientApi, request: Request<Incoming>) -> reply::HttpAnswer {
+async fn handle_request(api: &ClientApi, request: Request<Incoming>) -> reply::HttpResponse {
     let target = request
         .uri()
         .path_and_query()
         .map_or_else(String::new, |target| target.as_str().to_owned());
     match route::Route::parse(&target) {
-        route::Route::Lookup => lookup::answer(&api.serving, request.uri().query().unwrap_or("")),
+        route::Route::Lookup => lookup::respond(&api.serving, request.uri().query().unwrap_or("")),
         route::Route::Service { path, .. } if reserved::is_reserved(path) => refuse(
             api,
             refusal::RefusalReason::MalformedRequest,
@@ -96,23 +96,24 @@
     }
 }
 
-fn refuse(api: &ClientApi, reason: refusal::RefusalReason, detail: &str) -> reply::HttpAnswer {
+fn refuse(api: &ClientApi, reason: refusal::RefusalReason, detail: &str) -> reply::HttpResponse {
     api.serving.counters.increment(REFUSED, reason.as_str());
     debug!(api.logger, "request refused"; logging::field::REASON => reason.as_str());
     reply::refused(reason, detail)
 }
 
-/// A refusal that names the request it answers: clients take an answer without their name as another's.
-fn refuse_named(
+/// Refuses a request and sets its request id in the response. A client takes a response without its
+/// request id for the response to another request.
+fn refuse_with_request_id(
     api: &ClientApi,
     parts: &request::Parts,
-    error: &intake::IntakeError,
-) -> reply::HttpAnswer {
-    let mut answer = refuse(api, error.reason(), &error.to_string());
-    if let Ok(Some(request_id)) = intake::request_id(parts) {
-        reply::name_request(&mut answer, request_id.as_str());
+    error: &request_reader::RequestReadError,
+) -> reply::HttpResponse {
+    let mut response = refuse(api, error.reason(), &error.to_string());
+    if let Ok(Some(request_id)) = request_reader::request_id(parts) {
+        reply::set_request_id(&mut response, request_id.as_str());
     }
-    answer
+    response
 }
 
 async fn submit(
@@ -120,20 +121,20 @@
     request: Request<Incoming>,
     service: ids::ServiceId,
     path: &str,
-) -> reply::HttpAnswer {
+) -> reply::HttpResponse {
     let (parts, body) = request.into_parts();
-    let head = intake::read_head(&parts, service, path, || api.serving.new_request_id());
+    let head = request_reader::read_head(&parts, service, path, || api.serving.new_request_id());
     let mut request = match head {
         Ok(request) => request,
-        Err(error) => return refuse_named(api, &parts, &error),
+        Err(error) => return refuse_with_request_id(api, &parts, &error),
     };
-    let bounds = intake::BodyBounds {
+    let bounds = request_reader::BodyBounds {
         limit_bytes: api.settings.body_limit_bytes,
         timeout: Duration::from_millis(api.settings.body_timeout_ms),
     };
-    match intake::read_body(body, bounds).await {
+    match request_reader::read_body(body, bounds).await {
         Ok(body) => request.body = body,
-        Err(error) => return refuse_named(api, &parts, &error),
+        Err(error) => return refuse_with_request_id(api, &parts, &error),
     }
     count_arrival(&api.serving, &request);
     let request_id = request.request_id.clone();
@@ -153,7 +154,7 @@
     )
 }
 
-/// Counts first tries only: what comes again is the same demand.
+/// Counts the arrival of a request. Only first attempts count, since a retry adds no demand.
 fn count_arrival(serving: &serving::Serving, request: &message::ServiceRequest) {
     let is_first = request
         .idempotency
@@ -166,8 +167,8 @@
     }
 }
 
-/// Gives the request to the engine and waits. hyper drops this future when the client closes its
-/// connection; the guard then tells the engine, which stops what still runs.
+/// Submits the request to the engine and waits for the outcome. hyper drops this future when the client
+/// closes its connection. The guard then notifies the engine, which cancels the running exchange.
 async fn run(
     api: &ClientApi,
     request: message::ServiceRequest,
--- a/crates/damaskvane-entry/src/client_api/lookup.rs
+++ b/crates/damaskvane-entry/src/client_api/lookup.rs
@@ -1,15 +1,15 @@
-//! Answers which entry instances a client is to use.
+//! Selects the entry instances that a client should use.
 //!
-//! The plan decides the order of the zones; within a zone a hash of the client block spreads clients
-//! over the instances, so that a client keeps its instance while the fleet stays the same.
+//! The traffic plan determines the order of the zones. Within a zone, a hash of client block and instance
+//! distributes clients over the instances, so that a client keeps its instance while the fleet is unchanged.
 //!
 //! ```
 //! use damaskvane_entry::{client_api::lookup, serving};
 //! use damaskvane_telemetry::counters;
 //!
 //! let serving = serving::Serving::new(counters::Counters::local(), "e-1");
-//! let answer = lookup::answer(&serving, "service=rider-desk&client=c-1");
-//! assert_eq!(answer.status(), 503);
+//! let response = lookup::respond(&serving, "service=rider-desk&client=c-1");
+//! assert_eq!(response.status(), 503);
 //! ```
 
 use damaskvane_core::{ids, time};
@@ -20,7 +20,7 @@
 use crate::client_api::{header, reply, route};
 use crate::serving;
 
-const MOST_ENTRIES: usize = 4;
+const MAX_ENTRIES: usize = 4;
 const LOOKUPS: &str = "lookups";
 
 #[derive(Debug, Serialize)]
@@ -31,7 +31,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct LookupAnswer<'a> {
+struct LookupResponse<'a> {
     service: &'a ids::ServiceId,
     entries: Vec<Entry<'a>>,
     ttl_ms: time::SpanMs,
@@ -55,33 +55,33 @@
     }
 }
 
-/// Answers one look-up from its query.
+/// Returns the response to a lookup with the given query string.
 #[must_use]
-pub fn answer(serving: &serving::Serving, query: &str) -> reply::HttpAnswer {
+pub fn respond(serving: &serving::Serving, query: &str) -> reply::HttpResponse {
     let state = serving.state();
-    match find(serving, &state, query) {
-        Ok(answer) => {
+    match look_up(serving, &state, query) {
+        Ok(response) => {
             serving.counters.increment(LOOKUPS, "answered");
-            reply::json(&answer)
+            reply::json(&response)
         }
         Err(refused) => {
             serving.counters.increment(LOOKUPS, refused.reason.as_str());
-            let mut answer = reply::refused(refused.reason, &refused.detail);
+            let mut response = reply::refused(refused.reason, &refused.detail);
             if let Some(retry_after) = refused.retry_after {
-                answer
+                response
                     .headers_mut()
                     .insert(header::RETRY_AFTER_MS, retry_after.get().into());
             }
-            answer
+            response
         }
     }
 }
 
-fn find<'a>(
+fn look_up<'a>(
     serving: &serving::Serving,
     state: &'a serving::ServingState,
     query: &str,
-) -> Result<LookupAnswer<'a>, Refusal> {
+) -> Result<LookupResponse<'a>, Refusal> {
     if state.config.is_none() {
         return Err(Refusal::new(
             refusal::RefusalReason::NoConfiguration,
@@ -114,14 +114,14 @@
         retry_after: Some(refused.retry_after),
         detail: refused.to_string(),
     })?;
-    let entries = entries(state, &zones, &client);
+    let entries = select_entries(state, &zones, &client);
     if entries.is_empty() {
         return Err(Refusal::new(
             refusal::RefusalReason::NoBackendServer,
             "no live entry instance stands in a zone that can carry the client",
         ));
     }
-    Ok(LookupAnswer {
+    Ok(LookupResponse {
         service,
         entries,
         ttl_ms: settings.ttl,
@@ -140,24 +140,24 @@
         })
 }
 
-fn entries<'a>(
+fn select_entries<'a>(
     state: &'a serving::ServingState,
     zones: &[ids::AvailabilityZoneId],
     client: &ids::ClientBlock,
 ) -> Vec<Entry<'a>> {
     let mut chosen = Vec::new();
-    for points in zones.iter().filter_map(|zone| state.entries.get(zone)) {
-        let mut ranked: Vec<_> = points.iter().collect();
-        ranked.sort_by_key(|point| serving::client_hash(&format!("{client}/{}", point.instance)));
+    for endpoints in zones.iter().filter_map(|zone| state.entries.get(zone)) {
+        let mut ranked: Vec<_> = endpoints.iter().collect();
+        ranked.sort_by_key(|entry| serving::client_hash(&format!("{client}/{}", entry.instance)));
         chosen.extend(ranked);
     }
     chosen
         .into_iter()
-        .take(MOST_ENTRIES)
-        .map(|point| Entry {
-            address: &point.client_address,
-            instance: &point.instance,
-            incarnation: point.incarnation,
+        .take(MAX_ENTRIES)
+        .map(|entry| Entry {
+            address: &entry.client_address,
+            instance: &entry.instance,
+            incarnation: entry.incarnation,
         })
         .collect()
 }
--- a/crates/damaskvane-entry/src/client_api/reply.rs
+++ b/crates/damaskvane-entry/src/client_api/reply.rs
@@ -1,4 +1,4 @@
-//! Turns an outcome into an HTTP answer.
+//! Builds HTTP responses from outcomes and refusals.
 //!
 //! ```
 //! use damaskvane_dispatch::{outcome, refusal};
@@ -19,8 +19,8 @@
 
 use crate::client_api::header;
 
-/// An HTTP answer whose body is at hand.
-pub type HttpAnswer = Response<Full<Bytes>>;
+/// HTTP response with its whole body in memory.
+pub type HttpResponse = Response<Full<Bytes>>;
 
 #[derive(Debug, Serialize)]
 struct RefusalBody<'a> {
@@ -30,98 +30,99 @@
     detail: &'a str,
 }
 
-/// The answer to a request that went through the engine.
+/// Builds the response to a request that the engine has finished.
 #[must_use]
 pub fn from_outcome(
     outcome: outcome::Outcome<Arc<message::BackendResponse>>,
     request_id: &str,
     config_version: u64,
-) -> HttpAnswer {
-    let word = outcome.as_str();
-    let mut answer = match outcome {
-        outcome::Outcome::Completed(answer) => completed(&answer),
+) -> HttpResponse {
+    let label = outcome.as_str();
+    let mut response = match outcome {
+        outcome::Outcome::Completed(response) => completed(&response),
         outcome::Outcome::NotRun(refused) => {
-            let mut answer = refusal_body(word, refused.reason(), "");
+            let mut response = refusal_body(label, refused.reason(), "");
             set(
-                &mut answer,
+                &mut response,
                 header::RETRY_AFTER_MS,
                 &refused.retry_after().get().to_string(),
             );
-            answer
+            response
         }
-        outcome::Outcome::Unknown(unknown) => refusal_body(word, unknown.reason(), ""),
+        outcome::Outcome::Unknown(unknown) => refusal_body(label, unknown.reason(), ""),
     };
-    set(&mut answer, header::OUTCOME, word);
-    set(&mut answer, header::REQUEST_ID, request_id);
+    set(&mut response, header::OUTCOME, label);
+    set(&mut response, header::REQUEST_ID, request_id);
     set(
-        &mut answer,
+        &mut response,
         header::CONFIG_VERSION,
         &config_version.to_string(),
     );
-    answer
+    response
 }
 
-/// The answer to a request that was refused before it became one: nothing ran.
+/// Builds the response to a request that was refused before it reached the engine; nothing ran.
 #[must_use]
-pub fn refused(reason: refusal::RefusalReason, detail: &str) -> HttpAnswer {
-    let mut answer = refusal_body("not-run", reason, detail);
-    set(&mut answer, header::OUTCOME, "not-run");
+pub fn refused(reason: refusal::RefusalReason, detail: &str) -> HttpResponse {
+    let mut response = refusal_body("not-run", reason, detail);
+    set(&mut response, header::OUTCOME, "not-run");
     set(
-        &mut answer,
+        &mut response,
         header::RETRY_AFTER_MS,
         &reason.default_retry_after().get().to_string(),
     );
-    answer
+    response
 }
 
-/// Names the request that an answer is for.
-pub fn name_request(answer: &mut HttpAnswer, request_id: &str) {
-    set(answer, header::REQUEST_ID, request_id);
+/// Adds the header with the id of the request that the response belongs to.
+pub fn set_request_id(response: &mut HttpResponse, request_id: &str) {
+    set(response, header::REQUEST_ID, request_id);
 }
 
-/// A JSON answer.
+/// Builds a response with a compact JSON body.
 #[must_use]
-pub fn json(body: &impl Serialize) -> HttpAnswer {
+pub fn json(body: &impl Serialize) -> HttpResponse {
     json_bytes(serde_json::to_vec(body).unwrap_or_default())
 }
 
-/// A JSON answer for people to read, with line breaks.
+/// Builds a response with an indented JSON body, for operators to read.
 #[must_use]
-pub fn json_pretty(body: &impl Serialize) -> HttpAnswer {
+pub fn json_pretty(body: &impl Serialize) -> HttpResponse {
     json_bytes(serde_json::to_vec_pretty(body).unwrap_or_default())
 }
 
-fn json_bytes(body: Vec<u8>) -> HttpAnswer {
-    let mut answer = Response::new(Full::new(Bytes::from(body)));
-    set(&mut answer, "content-type", "application/json");
-    answer
+fn json_bytes(body: Vec<u8>) -> HttpResponse {
+    let mut response = Response::new(Full::new(Bytes::from(body)));
+    set(&mut response, "content-type", "application/json");
+    response
 }
 
-fn completed(answer: &message::BackendResponse) -> HttpAnswer {
-    let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut response = Response::new(Full::new(Bytes::copy_from_slice(&answer.body)));
+fn completed(backend_response: &message::BackendResponse) -> HttpResponse {
+    let status = StatusCode::from_u16(backend_response.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    let mut response = Response::new(Full::new(Bytes::copy_from_slice(&backend_response.body)));
     *response.status_mut() = status;
-    for passed in &answer.headers {
-        set(&mut response, passed.name(), passed.value());
+    for forwarded in &backend_response.headers {
+        set(&mut response, forwarded.name(), forwarded.value());
     }
     response
 }
 
-fn refusal_body(word: &str, reason: refusal::RefusalReason, detail: &str) -> HttpAnswer {
-    let mut answer = json(&RefusalBody {
-        outcome: word,
+fn refusal_body(label: &str, reason: refusal::RefusalReason, detail: &str) -> HttpResponse {
+    let mut response = json(&RefusalBody {
+        outcome: label,
         reason: reason.as_str(),
         remedy: reason.remedy(),
         detail,
     });
-    *answer.status_mut() = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::BAD_GATEWAY);
-    set(&mut answer, header::REASON, reason.as_str());
-    answer
+    *response.status_mut() =
+        StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::BAD_GATEWAY);
+    set(&mut response, header::REASON, reason.as_str());
+    response
 }
 
-fn set(answer: &mut HttpAnswer, name: &str, value: &str) {
+fn set(response: &mut HttpResponse, name: &str, value: &str) {
     let name = hyper::header::HeaderName::from_bytes(name.as_bytes());
     if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
-        answer.headers_mut().append(name, value);
+        response.headers_mut().append(name, value);
     }
 }
--- a/crates/damaskvane-entry/src/client_api/route.rs
+++ b/crates/damaskvane-entry/src/client_api/route.rs
@@ -1,4 +1,4 @@
-//! Which part of the clients' interface a path names.
+//! Maps request paths to the parts of the clients' interface.
 //!
 //! ```
 //! use damaskvane_entry::client_api::route;
@@ -10,24 +10,24 @@
 const LOOKUP_PATH: &str = "/v1/lookup";
 const SERVICES_PREFIX: &str = "/v1/services/";
 
-/// A part of the clients' interface.
+/// Part of the clients' interface that a path selects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route<'a> {
-    /// Which entry instances to use.
+    /// Lookup of the entry instances that a client should use.
     Lookup,
-    /// A request for a service.
+    /// Request for a service.
     Service {
-        /// The service's name as it stands in the path.
+        /// Name of the service from the path, not validated.
         service: &'a str,
-        /// Path and query for the backend server, from the slash on.
+        /// Path and query for the backend server, starting with a slash.
         path: &'a str,
     },
-    /// Nothing that exists.
+    /// Path that selects no part of the interface.
     Unknown,
 }
 
 impl<'a> Route<'a> {
-    /// Reads the path and query of a request line.
+    /// Parses the path and query of a request line.
     #[must_use]
     pub fn parse(path_and_query: &'a str) -> Self {
         let path = path_and_query
@@ -49,7 +49,7 @@
     }
 }
 
-/// The value of a query parameter; values are identifiers, which need no escaping.
+/// Returns the value of a query parameter as sent; values are identifiers, which need no escaping.
 #[must_use]
 pub fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
--- a/crates/damaskvane-entry/src/http_listener.rs
+++ b/crates/damaskvane-entry/src/http_listener.rs
@@ -1,15 +1,16 @@
-//! Accepts HTTP connections of strangers within bounds and hands their requests on.
+//! Accepts HTTP connections from untrusted peers within limits and passes their requests to a handler.
 //!
-//! Serves the clients' and the operators' addresses alike. hyper bounds the head of a request in time, size and
-//! number of headers; a connection above the limit is closed at once, so that a flood costs a socket
-//! for a moment and never a thread. `docs/design/listeners.md` has the ways weighed and the figures.
+//! The listeners for clients and for operators both use this module. hyper limits the head of a request in
+//! time, size and number of headers. A connection above the connection limit is closed at once, so that a
+//! flood of connections occupies a socket briefly and never a thread. `docs/design/listeners.md` compares
+//! the alternatives.
 //!
 //! ```
 //! use damaskvane_entry::http_listener;
 //!
 //! let bounds = http_listener::ListenerBounds::default();
 //! assert!(bounds.connection_limit > 0);
-//! assert_eq!(http_listener::MOST_HEADERS, 64);
+//! assert_eq!(http_listener::MAX_HEADERS, 64);
 //! ```
 
 use core::convert::Infallible;
@@ -29,22 +30,22 @@
 
 use crate::serving;
 
-/// Most headers of a request.
-pub const MOST_HEADERS: usize = 64;
+/// Maximum number of headers in a request.
+pub const MAX_HEADERS: usize = 64;
 
-/// The wait after the system refused to accept, so that a lack of sockets is not asked about in a tight loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, so that a lack of sockets does not cause a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What a connection costs at most.
+/// Limits on the connections of one listener.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenerBounds {
-    /// Most connections at a time.
+    /// Maximum number of open connections.
     pub connection_limit: usize,
-    /// Longest time to send a request's head, and for a kept connection to stay idle.
+    /// Maximum time to send the head of a request, and maximum idle time of a kept connection.
     pub head_timeout: Duration,
-    /// Largest head of a request.
+    /// Maximum size of the head of a request, in bytes.
     pub head_limit_bytes: usize,
-    /// Longest time that sent bytes stay unacknowledged.
+    /// Maximum time that sent bytes may stay unacknowledged.
     pub write_timeout: Duration,
 }
 
@@ -59,18 +60,18 @@
     }
 }
 
-/// Counts what became of connections, as `{family}.over_limit` and `{family}.broken`.
+/// Counters of rejected and failed connections, named `{family}.over_limit` and `{family}.broken`.
 #[derive(Debug, Clone)]
 pub struct ConnectionCounts {
-    /// Holds the counters of the process.
+    /// Shared state with the counters of the process.
     pub serving: Arc<serving::Serving>,
-    /// The family for this listener.
+    /// Counter family of this listener.
     pub family: &'static str,
 }
 
 impl ConnectionCounts {
-    fn increment(&self, word: &str) {
-        self.serving.counters.increment(self.family, word);
+    fn increment(&self, label: &str) {
+        self.serving.counters.increment(self.family, label);
     }
 }
 
@@ -91,30 +92,30 @@
 {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
-    let places = Arc::new(Semaphore::new(bounds.connection_limit));
+    let permits = Arc::new(Semaphore::new(bounds.connection_limit));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             counts.increment("over_limit");
             continue;
         };
         let _ = stream.set_nodelay(true);
-        bound_silence(&stream, bounds.write_timeout);
+        limit_unresponsive_time(&stream, bounds.write_timeout);
         let handler = handler.clone();
         let counts = counts.clone();
         tokio::spawn(async move {
             serve_connection(stream, bounds, &counts, handler).await;
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-/// A client that vanishes without a word, or takes no bytes, would hold its connection for good.
-/// The kernel closes it once sent bytes or probes stay unanswered for the time-out.
-fn bound_silence(stream: &tokio::net::TcpStream, timeout: Duration) {
+/// Makes the kernel close the connection once sent bytes or keepalive probes stay unacknowledged for the
+/// timeout. Otherwise a client that disappears or reads nothing would occupy its connection forever.
+fn limit_unresponsive_time(stream: &tokio::net::TcpStream, timeout: Duration) {
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_tcp_user_timeout(Some(timeout));
     let probes = socket2::TcpKeepalive::new()
@@ -136,12 +137,12 @@
         .timer(TokioTimer::new())
         .header_read_timeout(bounds.head_timeout)
         .max_buf_size(bounds.head_limit_bytes)
-        .max_headers(MOST_HEADERS)
+        .max_headers(MAX_HEADERS)
         .serve_connection(
             TokioIo::new(stream),
             service_fn(|request| {
-                let answer = handler(request);
-                async move { Ok::<_, Infallible>(answer.await) }
+                let response = handler(request);
+                async move { Ok::<_, Infallible>(response.await) }
             }),
         );
     if connection.await.is_err() {
--- a/crates/damaskvane-entry/src/lib.rs
+++ b/crates/damaskvane-entry/src/lib.rs
@@ -1,20 +1,21 @@
-//! The entry instance: answers look-ups and carries requests to backend servers.
+//! The daemon of an entry instance: answers lookups and forwards requests to backend servers.
 //!
 //! # Crate guide
 //!
-//! The way of a request: [`client_api`] reads it, [`inbox`] takes it to [`engine_thread`], whose engine
-//! decides; [`exchange_pool`] runs the [`exchange`] with the backend server.
+//! Path of a request: [`client_api`] reads the request, [`inbox`] passes it to the engine on
+//! [`engine_thread`], the engine selects a backend server, and [`exchange_pool`] runs the [`exchange`]
+//! with that server.
 //!
-//! The way of a configuration change: [`store`] reads it from the platform, [`control`] adopts it,
-//! [`translate`] turns it into what look-ups ([`serving`]) and the engine need.
+//! Path of a configuration change: [`store`] reads the change from the platform, [`control`] applies it,
+//! and [`translate`] converts the configuration for lookups ([`serving`]) and for the engine.
 //!
-//! - [`settings`], [`clock`]: what the process is told, and its time.
-//! - [`health_reports`]: what backend servers say of themselves.
-//! - [`load`]: what the instance measures of its traffic, for digests.
-//! - [`peers`], [`wire`]: other entry instances and what is said to them.
-//! - [`http_listener`]: bounds on whoever connects.
-//! - [`operator_api`]: the state of the instance for operators.
-//! - [`process`]: puts all of it together.
+//! - [`settings`], [`clock`]: settings of the process, and its monotonic clock.
+//! - [`health_reports`]: health reports of backend servers.
+//! - [`load`]: traffic measurements of the instance, for digests.
+//! - [`peers`], [`wire`]: connections to other entry instances, and the messages sent over them.
+//! - [`http_listener`]: limits on HTTP connections of clients and operators.
+//! - [`operator_api`]: state of the instance for operators.
+//! - [`process`]: starts the threads and connects them.
 
 pub mod client_api;
 pub mod clock;
--- a/crates/damaskvane-entry/src/operator_api.rs
+++ b/crates/damaskvane-entry/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! What operators reach: the state of this instance as JSON, and the quarantine, on an own address.
+//! HTTP interface for operators, on a separate address: status of this instance, and quarantine.
 //!
 //! ```
 //! use damaskvane_entry::operator_api;
@@ -27,16 +27,18 @@
 use crate::serving;
 use crate::settings;
 
-/// The path of the status.
+/// Path of the status of the instance, as JSON.
 pub const STATUS_PATH: &str = "/v1/status";
-/// `POST` below this path lets the request of a fingerprint go, in the whole region.
-pub const CLEAR_PATH: &str = "/v1/quarantine/clear/";
+/// Prefix of the paths that clear a quarantine: a `POST` with a fingerprint appended releases the request
+/// with that fingerprint in the whole region.
+pub const CLEAR_QUARANTINE_PATH: &str = "/v1/quarantine/clear/";
 
-/// Far more than operators need: as many half-sent requests make the address deaf until their time-out.
+/// Maximum number of open connections. Operators need far fewer, but this many incomplete requests block
+/// the address until they time out.
 const CONNECTION_LIMIT: usize = 512;
 const CONNECTIONS: &str = "operator_connections";
 
-/// What answers operators.
+/// State that operators' requests are served from.
 #[derive(Clone)]
 struct OperatorApi {
     serving: Arc<serving::Serving>,
@@ -44,10 +46,11 @@
     engine: flume::Sender<inbox::Input>,
 }
 
-/// Starts the operators' server on a thread of its own and returns where it listens.
+/// Starts the HTTP server for operators on its own thread and returns its address.
 ///
-/// It has the bounds of the clients' listener: the status shows most when an instance is in trouble, and
-/// whatever reaches this address by mistake or malice must not make it deaf.
+/// The limits are those of the clients' listener, except for the number of connections. The status is
+/// needed most while an instance has problems, so misdirected or malicious connections must not block
+/// this address.
 ///
 /// # Errors
 ///
@@ -86,40 +89,43 @@
                 bounds,
                 counts,
                 move |request| {
-                    let answer = answer(&api, request.method(), request.uri().path());
-                    core::future::ready(answer)
+                    let response = handle_request(&api, request.method(), request.uri().path());
+                    core::future::ready(response)
                 },
             ));
         })?;
     Ok(listening)
 }
 
-fn answer(api: &OperatorApi, method: &Method, path: &str) -> reply::HttpAnswer {
+fn handle_request(api: &OperatorApi, method: &Method, path: &str) -> reply::HttpResponse {
     if method == Method::GET && path == STATUS_PATH {
         return reply::json_pretty(&status::collect(&api.serving, &api.source));
     }
-    if let (&Method::POST, Some(text)) = (method, path.strip_prefix(CLEAR_PATH)) {
-        return clear(text, &api.engine);
+    if let (&Method::POST, Some(text)) = (method, path.strip_prefix(CLEAR_QUARANTINE_PATH)) {
+        return clear_quarantine(text, &api.engine);
     }
-    text(
+    text_response(
         StatusCode::NOT_FOUND,
         "ask GET /v1/status or POST /v1/quarantine/clear/{fingerprint}\n",
     )
 }
 
-fn clear(fingerprint: &str, engine: &flume::Sender<inbox::Input>) -> reply::HttpAnswer {
+fn clear_quarantine(
+    fingerprint: &str,
+    engine: &flume::Sender<inbox::Input>,
+) -> reply::HttpResponse {
     match fingerprint.parse::<fingerprint::Fingerprint>() {
         Ok(fingerprint) => {
             let event = event::Event::ClearQuarantine(fingerprint);
             let _ = engine.send(inbox::Input::Event(event));
-            text(StatusCode::OK, "cleared\n")
+            text_response(StatusCode::OK, "cleared\n")
         }
-        Err(error) => text(StatusCode::BAD_REQUEST, format!("{error}\n")),
+        Err(error) => text_response(StatusCode::BAD_REQUEST, format!("{error}\n")),
     }
 }
 
-fn text(status: StatusCode, text: impl Into<Bytes>) -> reply::HttpAnswer {
-    let mut answer = Response::new(Full::new(text.into()));
-    *answer.status_mut() = status;
-    answer
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> reply::HttpResponse {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/damaskvane-entry/src/operator_api/status.rs
+++ b/crates/damaskvane-entry/src/operator_api/status.rs
@@ -1,4 +1,4 @@
-//! The state of this instance, collected when an operator asks.
+//! Status of this instance, collected for each request of an operator.
 //!
 //! ```
 //! use damaskvane_entry::operator_api::status;
@@ -18,39 +18,39 @@
 use crate::peers;
 use crate::serving;
 
-/// Where an instance is in its life.
+/// Phase in the life cycle of an instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It serves.
+    /// The instance serves clients; no planned stop has begun.
     #[default]
     Serving,
     /// A planned stop has begun.
     Leaving,
 }
 
-/// Details that another thread publishes for operators.
+/// Status details that other threads publish, by their name in the status.
 pub type Published = Arc<Mutex<BTreeMap<&'static str, serde_json::Value>>>;
 
-/// Where the status comes from.
+/// Sources that the status is collected from.
 #[derive(Clone)]
 pub struct Source {
-    /// This instance.
+    /// Id and incarnation of this instance.
     pub home: home::Home,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub availability_zone: ids::AvailabilityZoneId,
-    /// Its region.
+    /// Region of this instance.
     pub region: ids::RegionId,
-    /// Its connections to other instances.
+    /// Connections to other instances, with their traffic counters.
     pub peers: Arc<peers::Peers>,
-    /// Whether it is leaving.
+    /// Nonzero once a planned stop has begun.
     pub leaving: Arc<AtomicU8>,
-    /// What the control thread and the engine's thread publish.
+    /// Status details that the control thread and the engine thread publish.
     pub published: Published,
 }
 
 impl Source {
-    /// Where the instance is in its life.
+    /// Returns the current phase of the instance.
     #[must_use]
     pub fn phase(&self) -> Phase {
         if self.leaving.load(Ordering::Acquire) == 0 {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Publishes a detail under a name.
+    /// Publishes a status detail, replacing the previous value of this name.
     pub fn publish(&self, name: &'static str, value: serde_json::Value) {
         self.published
             .lock()
@@ -76,13 +76,13 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Control {
+struct ControlTraffic {
     sent: BTreeMap<&'static str, Traffic>,
     received: BTreeMap<&'static str, Traffic>,
     dropped: BTreeMap<&'static str, u64>,
 }
 
-/// The state of one instance.
+/// Status of one instance, as serialized for operators.
 #[derive(Debug, Serialize)]
 pub struct Status {
     instance: ids::InstanceId,
@@ -94,16 +94,16 @@
     uptime_ms: u64,
     cpu_ms: u64,
     rss_bytes: u64,
-    control: Control,
+    control: ControlTraffic,
     counters: BTreeMap<String, u64>,
     #[serde(flatten)]
     published: BTreeMap<&'static str, serde_json::Value>,
 }
 
-/// Collects the status.
+/// Collects the current status of this instance.
 #[must_use]
 pub fn collect(serving: &serving::Serving, source: &Source) -> Status {
-    let cost = process::cost();
+    let usage = process::resource_usage();
     let published = source
         .published
         .lock()
@@ -117,15 +117,15 @@
         phase: source.phase(),
         config_version: serving.config_version(),
         uptime_ms: serving.clock.now().get(),
-        cpu_ms: cost.cpu_ms,
-        rss_bytes: cost.rss_bytes,
-        control: control(&source.peers),
+        cpu_ms: usage.cpu_ms,
+        rss_bytes: usage.rss_bytes,
+        control: control_traffic(&source.peers),
         counters: serving.counters.snapshot(),
         published,
     }
 }
 
-fn control(peers: &peers::Peers) -> Control {
+fn control_traffic(peers: &peers::Peers) -> ControlTraffic {
     let snapshot = peers.counters();
     let traffic = |counts: BTreeMap<&'static str, damaskvane_peer::counters::KindCount>| {
         counts
@@ -139,7 +139,7 @@
             })
             .collect()
     };
-    Control {
+    ControlTraffic {
         sent: traffic(snapshot.sent),
         received: traffic(snapshot.received),
         dropped: snapshot.dropped,
