--- a/crates/damaskvane-entry/src/control/steering.rs
+++ b/crates/damaskvane-entry/src/control/steering.rs
@@ -66,7 +66,7 @@
         let now = self.now();
         let config = active.state();
         if self.steering.client_zones_version != config.version() {
-            self.steering.client_zones = Arc::new(self.steering.client_zones.follow(&config));
+            self.steering.client_zones = Arc::new(self.steering.client_zones.with_config(&config));
             self.steering.client_zones_version = config.version();
         }
         let moved = self.max_moved_permille(now);
@@ -117,7 +117,7 @@
             _ => self
                 .steering
                 .zone_load
-                .take(now, self.record.instance.clone(), load),
+                .record(now, self.record.instance.clone(), load),
         }
         if self.steering.exchange.is_due(now, &topology) {
             let report = self.zone_report(now);
@@ -157,7 +157,7 @@
 
     pub(super) fn handle_load(&mut self, from: ids::InstanceId, load: load::InstanceLoad) {
         let now = self.now();
-        self.steering.zone_load.take(now, from, load);
+        self.steering.zone_load.record(now, from, load);
     }
 
     pub(super) fn handle_digests(
--- a/crates/damaskvane-entry/src/engine_thread.rs
+++ b/crates/damaskvane-entry/src/engine_thread.rs
@@ -212,7 +212,7 @@
             }
             event::Action::HomeRenewed { home } => {
                 warn!(self.logger, "an instance accepts idempotency keys under a new incarnation"; "peer" => %home);
-                self.serving.homes.note(home);
+                self.serving.homes.record(home);
             }
             event::Action::CountRefusal(reason) => {
                 self.serving.counters.increment("refused", reason.as_str());
