--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -115,8 +115,8 @@
             }),
             store::StoreReport::Instances {
                 records,
-                asked_before,
-            } => self.apply_list(records, asked_before),
+                requested_at,
+            } => self.apply_list(records, requested_at),
             store::StoreReport::Announced => self.handle_announced(),
             store::StoreReport::Superseded => self.drive_membership(view::Event::Superseded),
             store::StoreReport::Fenced {
--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -262,10 +262,10 @@
         }
         self.instance_list.is_pending = true;
         self.store
-            .submit(store::StoreJob::ListInstances { asked_at: now });
+            .submit(store::StoreJob::ListInstances { requested_at: now });
     }
 
-    pub(super) fn apply_list(&mut self, records: Vec<api::InstanceRecord>, asked_at: time::TimeMs) {
+    pub(super) fn apply_list(&mut self, records: Vec<api::InstanceRecord>, requested_at: time::TimeMs) {
         let now = self.now();
         self.instance_list.is_pending = false;
         self.instance_list.instance_count = records.len();
@@ -273,7 +273,7 @@
         let records = records.into_iter().map(to_membership_record).collect();
         self.drive_membership(view::Event::List {
             records,
-            age: now.since(asked_at),
+            age: now.since(requested_at),
             source: view::ListSource::Platform,
         });
     }
--- a/crates/damaskvane-entry/src/store/job.rs
+++ b/crates/damaskvane-entry/src/store/job.rs
@@ -29,7 +29,7 @@
     /// Read the platform's list of instances.
     ListInstances {
         /// When the call was asked for.
-        asked_at: time::TimeMs,
+        requested_at: time::TimeMs,
     },
     /// Write this instance's own record.
     Announce(api::InstanceRecord),
@@ -117,7 +117,7 @@
         /// Its entries.
         records: Vec<api::InstanceRecord>,
         /// When the call was asked for.
-        asked_before: time::TimeMs,
+        requested_at: time::TimeMs,
     },
     /// The own record stands in the platform.
     Announced,
--- a/crates/damaskvane-entry/src/store/worker.rs
+++ b/crates/damaskvane-entry/src/store/worker.rs
@@ -108,12 +108,12 @@
             }
             StoreJob::ReadHead => self.read_head(),
             StoreJob::ReadChunks(hashes) => self.read_chunks(&hashes),
-            StoreJob::ListInstances { asked_at } => {
+            StoreJob::ListInstances { requested_at } => {
                 self.count(Call::Instances);
                 match self.api.instances() {
                     Ok(records) => StoreReport::Instances {
                         records,
-                        asked_before: asked_at,
+                        requested_at,
                     },
                     Err(_) => StoreReport::Unavailable {
                         call: Call::Instances,
