--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -146,7 +146,7 @@
             store::Call::Instances => self.handle_list_failure(),
             store::Call::Announce => self.handle_announce_failure(),
             // The membership repeats the deletion as long as the entry is listed.
-            store::Call::Unmark => {}
+            store::Call::RemoveFenceRecord => {}
         }
     }
 
--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -131,7 +131,7 @@
             view::Action::RemoveFenceRecord {
                 instance,
                 incarnation,
-            } => self.store.submit(store::StoreJob::Unmark {
+            } => self.store.submit(store::StoreJob::RemoveFenceRecord {
                 instance,
                 incarnation,
             }),
--- a/crates/damaskvane-entry/src/store/job.rs
+++ b/crates/damaskvane-entry/src/store/job.rs
@@ -43,7 +43,7 @@
         goes_on_alone: bool,
     },
     /// Delete another instance's record, if it is still marked as fenced and has this incarnation.
-    Unmark {
+    RemoveFenceRecord {
         /// The instance.
         instance: ids::InstanceId,
         /// The start in question.
@@ -65,7 +65,7 @@
     /// Writing the own record.
     Announce,
     /// Deleting an old mark on the record of another.
-    Unmark,
+    RemoveFenceRecord,
 }
 
 impl Call {
@@ -78,7 +78,7 @@
             Self::Chunk => "chunk",
             Self::Instances => "instances",
             Self::Announce => "announce",
-            Self::Unmark => "unmark",
+            Self::RemoveFenceRecord => "unmark",
         }
     }
 }
--- a/crates/damaskvane-entry/src/store/worker.rs
+++ b/crates/damaskvane-entry/src/store/worker.rs
@@ -133,7 +133,7 @@
                     outcome,
                 }
             }
-            StoreJob::Unmark {
+            StoreJob::RemoveFenceRecord {
                 instance,
                 incarnation,
             } => self.unmark(instance, incarnation),
@@ -277,9 +277,11 @@
 
     /// Deletes an entry only if it is still the marked one: the instance may have started anew.
     fn unmark(&self, instance: ids::InstanceId, incarnation: ids::Incarnation) -> StoreReport {
-        self.count(Call::Unmark);
+        self.count(Call::RemoveFenceRecord);
         let key = instance_key(&instance);
-        let failed = StoreReport::Unavailable { call: Call::Unmark };
+        let failed = StoreReport::Unavailable {
+            call: Call::RemoveFenceRecord,
+        };
         let object = match self.api.get(&key) {
             Ok(Some(object)) => object,
             Ok(None) => return StoreReport::Unmarked { instance },
