--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -124,7 +124,7 @@
                 incarnation,
                 outcome,
             } => self.handle_fence_outcome(instance, incarnation, outcome),
-            store::StoreReport::Unmarked { instance } => {
+            store::StoreReport::FenceRecordRemoved { instance } => {
                 info!(self.logger, "the list entry of a fenced instance is deleted"; "peer" => %instance);
             }
             store::StoreReport::Unavailable { call } => self.handle_failed_call(call),
--- a/crates/damaskvane-entry/src/store/job.rs
+++ b/crates/damaskvane-entry/src/store/job.rs
@@ -124,7 +124,7 @@
     /// Another instance marked the own record, or a later start of this instance wrote it.
     Superseded,
     /// A mark that was too old was deleted, or is not there any more; if it is, it is tried again.
-    Unmarked {
+    FenceRecordRemoved {
         /// The instance.
         instance: ids::InstanceId,
     },
--- a/crates/damaskvane-entry/src/store/worker.rs
+++ b/crates/damaskvane-entry/src/store/worker.rs
@@ -284,18 +284,18 @@
         };
         let object = match self.api.get(&key) {
             Ok(Some(object)) => object,
-            Ok(None) => return StoreReport::Unmarked { instance },
+            Ok(None) => return StoreReport::FenceRecordRemoved { instance },
             Err(_) => return failed,
         };
         let is_marked = serde_json::from_slice::<api::InstanceRecord>(&object.value)
             .is_ok_and(|record| record.fenced && record.incarnation == incarnation);
         if !is_marked {
-            return StoreReport::Unmarked { instance };
+            return StoreReport::FenceRecordRemoved { instance };
         }
         let id = api::WriteId::new(&format!("unmark-{instance}-{incarnation}"));
         match self.api.delete_if(&key, object.version, &id) {
             api::WriteResult::Applied { .. } | api::WriteResult::Conflict { .. } => {
-                StoreReport::Unmarked { instance }
+                StoreReport::FenceRecordRemoved { instance }
             }
             api::WriteResult::NotApplied(_) | api::WriteResult::Unknown(_) => failed,
         }
