--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -306,11 +306,11 @@
         outcome: store::FenceOutcome,
     ) {
         match outcome {
-            store::FenceOutcome::Taken => self.drive_membership(view::Event::Fenced {
+            store::FenceOutcome::Applied => self.drive_membership(view::Event::Fenced {
                 instance,
                 incarnation,
             }),
-            store::FenceOutcome::NotTaken => {
+            store::FenceOutcome::NotApplied => {
                 self.drive_membership(view::Event::FenceFailed { instance });
             }
             store::FenceOutcome::Unknown => {}
--- a/crates/damaskvane-entry/src/store/job.rs
+++ b/crates/damaskvane-entry/src/store/job.rs
@@ -87,9 +87,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceOutcome {
     /// The platform took it.
-    Taken,
+    Applied,
     /// It surely was not taken.
-    NotTaken,
+    NotApplied,
     /// Nobody knows yet; it is tried again.
     Unknown,
 }
--- a/crates/damaskvane-entry/src/store/worker.rs
+++ b/crates/damaskvane-entry/src/store/worker.rs
@@ -245,17 +245,17 @@
         let key = instance_key(instance);
         let object = match self.api.get(&key) {
             Ok(Some(object)) => object,
-            Ok(None) => return FenceOutcome::Taken,
+            Ok(None) => return FenceOutcome::Applied,
             Err(_) => return FenceOutcome::Unknown,
         };
         let Ok(record) = serde_json::from_slice::<api::InstanceRecord>(&object.value) else {
-            return FenceOutcome::NotTaken;
+            return FenceOutcome::NotApplied;
         };
         if record.incarnation != incarnation {
-            return FenceOutcome::NotTaken;
+            return FenceOutcome::NotApplied;
         }
         if record.fenced && (record.goes_on_alone || !goes_on_alone) {
-            return FenceOutcome::Taken;
+            return FenceOutcome::Applied;
         }
         let marked = api::InstanceRecord {
             fenced: true,
@@ -263,13 +263,13 @@
             ..record
         };
         let Ok(value) = serde_json::to_vec(&marked) else {
-            return FenceOutcome::NotTaken;
+            return FenceOutcome::NotApplied;
         };
         let id = api::WriteId::new(&format!("fence-{instance}-{incarnation}-{goes_on_alone}"));
         match self.api.put_if(&key, object.version, &value, &id) {
-            api::WriteResult::Applied { .. } => FenceOutcome::Taken,
+            api::WriteResult::Applied { .. } => FenceOutcome::Applied,
             api::WriteResult::Conflict { .. } | api::WriteResult::NotApplied(_) => {
-                FenceOutcome::NotTaken
+                FenceOutcome::NotApplied
             }
             api::WriteResult::Unknown(_) => FenceOutcome::Unknown,
         }
--- a/crates/damaskvane-entry/tests/store.rs
+++ b/crates/damaskvane-entry/tests/store.rs
@@ -92,7 +92,7 @@
         platform.announce(&own),
         store::StoreReport::Announced
     ));
-    assert_eq!(platform.fence(&own, false), store::FenceOutcome::Taken);
+    assert_eq!(platform.fence(&own, false), store::FenceOutcome::Applied);
     let stopped = platform.announce(&record(7, true));
     assert!(
         matches!(stopped, store::StoreReport::Superseded),
@@ -129,8 +129,8 @@
     let own = record(7, false);
     platform.announce(&own);
     platform.fence(&own, false);
-    assert_eq!(platform.fence(&own, true), store::FenceOutcome::Taken);
+    assert_eq!(platform.fence(&own, true), store::FenceOutcome::Applied);
     assert!(platform.stored().goes_on_alone);
-    assert_eq!(platform.fence(&own, false), store::FenceOutcome::Taken);
+    assert_eq!(platform.fence(&own, false), store::FenceOutcome::Applied);
     assert!(platform.stored().goes_on_alone);
 }
