--- a/crates/damaskvane-entry/src/exchange.rs
+++ b/crates/damaskvane-entry/src/exchange.rs
@@ -12,7 +12,7 @@
 //! use damaskvane_entry::exchange;
 //!
 //! let limits = exchange::ExchangeLimits::default();
-//! assert!(limits.answer_limit_bytes > 0);
+//! assert!(limits.response_limit_bytes > 0);
 //! ```
 
 mod leased_body;
@@ -41,14 +41,14 @@
     /// Time to open the connection.
     pub connect_timeout: time::SpanMs,
     /// Largest body of an answer.
-    pub answer_limit_bytes: usize,
+    pub response_limit_bytes: usize,
 }
 
 impl Default for ExchangeLimits {
     fn default() -> Self {
         Self {
             connect_timeout: time::SpanMs::new(1_000),
-            answer_limit_bytes: 1_048_576,
+            response_limit_bytes: 1_048_576,
         }
     }
 }
@@ -181,14 +181,14 @@
     }
     let is_whole_at_end = content_length(&headers).is_none() && is_chunked(&reader);
     let mut body = Vec::new();
-    let most = limits.answer_limit_bytes as u64 + 1;
+    let most = limits.response_limit_bytes as u64 + 1;
     if let Err(error) = reader.take(most).read_to_end(&mut body) {
         return match io_failure(&error) {
             ExchangeEnd::Timeout => ExchangeEnd::Timeout,
             _ => ExchangeEnd::TruncatedResponse,
         };
     }
-    if body.len() > limits.answer_limit_bytes {
+    if body.len() > limits.response_limit_bytes {
         return ExchangeEnd::TruncatedResponse;
     }
     if is_whole_at_end || content_length(&headers) == Some(body.len()) {
--- a/crates/damaskvane-entry/src/process.rs
+++ b/crates/damaskvane-entry/src/process.rs
@@ -200,7 +200,7 @@
     logger: &slog::Logger,
 ) -> Result<(), StartError> {
     let limits = exchange::ExchangeLimits {
-        answer_limit_bytes: settings.body_limit_bytes,
+        response_limit_bytes: settings.body_limit_bytes,
         ..exchange::ExchangeLimits::default()
     };
     let pool = exchange_pool::ExchangePool::new(
--- a/crates/damaskvane-entry/tests/exchange.rs
+++ b/crates/damaskvane-entry/tests/exchange.rs
@@ -35,7 +35,7 @@
 
 fn run(exchange: &event::Exchange) -> ExchangeEnd {
     let limits = exchange::ExchangeLimits {
-        answer_limit_bytes: LIMIT_BYTES,
+        response_limit_bytes: LIMIT_BYTES,
         ..exchange::ExchangeLimits::default()
     };
     exchange::run(exchange, clock::MonotonicClock::start(), limits)
