--- a/crates/damaskvane-entry/src/store.rs
+++ b/crates/damaskvane-entry/src/store.rs
@@ -1,7 +1,7 @@
-//! Calls on the platform's object API, on threads of their own.
+//! Calls to the platform's object API, made on separate threads.
 //!
-//! A call may take seconds while the platform is slow or down. The control thread never waits for one:
-//! it sends a [`StoreJob`] and later receives a [`StoreReport`].
+//! A call may take seconds while the platform is slow or down. The control thread never blocks on a call:
+//! it submits a [`StoreJob`] and later receives a [`StoreReport`].
 //!
 //! ```
 //! use damaskvane_entry::store;
--- a/crates/damaskvane-entry/src/store/job.rs
+++ b/crates/damaskvane-entry/src/store/job.rs
@@ -1,4 +1,4 @@
-//! What the control thread asks of the platform, and what comes back.
+//! The calls that the control thread submits, and the reports of their results.
 //!
 //! ```
 //! use damaskvane_entry::store;
@@ -12,64 +12,65 @@
 use damaskvane_core::{hash, ids, time};
 use damaskvane_objects::api;
 
-/// One call on the platform.
+/// A call to the platform.
 #[derive(Debug, Clone)]
 pub enum StoreJob {
-    /// Wait until the head changes.
+    /// Wait until the head of the configuration changes.
     WatchHead {
-        /// The revision last seen.
+        /// The revision of the last watch; the call returns once the platform has a later one.
         after: api::Revision,
-        /// The longest wait.
+        /// The maximum time to wait.
         wait: time::SpanMs,
     },
-    /// Read the head now.
+    /// Read the head of the configuration without waiting.
     ReadHead,
-    /// Read chunks by their hashes.
+    /// Read the configuration chunks with these hashes.
     ReadChunks(Vec<hash::ContentHash>),
     /// Read the platform's list of instances.
     ListInstances {
-        /// When the call was asked for.
+        /// When the control thread submitted the call.
         requested_at: time::TimeMs,
     },
-    /// Write this instance's own record.
+    /// Write this instance's record, unless the stored one is fenced or of a later incarnation.
     Announce(api::InstanceRecord),
     /// Mark another instance's record as fenced, if it still has this incarnation.
     Fence {
-        /// The instance.
+        /// The instance to fence.
         instance: ids::InstanceId,
-        /// The start in question.
+        /// The incarnation to fence.
         incarnation: ids::Incarnation,
-        /// Whether that start may go on for longer, as the last of a zone that is cut off.
+        /// Whether the fenced incarnation may keep its authority for longer, as the last instance of a
+        /// zone that is cut off from the platform.
         goes_on_alone: bool,
     },
     /// Delete another instance's record, if it is still marked as fenced and has this incarnation.
     RemoveFenceRecord {
-        /// The instance.
+        /// The fenced instance.
         instance: ids::InstanceId,
-        /// The start in question.
+        /// The fenced incarnation.
         incarnation: ids::Incarnation,
     },
 }
 
-/// A call that can fail.
+/// The kind of a call, as named in counters and in reports of failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
-    /// Waiting for the head to change.
+    /// [`StoreJob::WatchHead`].
     Watch,
-    /// Reading the head.
+    /// [`StoreJob::ReadHead`].
     Head,
-    /// Reading chunks.
+    /// One read of a chunk or ticket, as part of [`StoreJob::ReadChunks`].
     Chunk,
-    /// Reading the list of instances.
+    /// [`StoreJob::ListInstances`].
     Instances,
-    /// Writing the own record.
+    /// [`StoreJob::Announce`].
     Announce,
-    /// Deleting an old mark on the record of another.
+    /// [`StoreJob::RemoveFenceRecord`].
     RemoveFenceRecord,
 }
 
 impl Call {
-    /// The word for counters and logs.
+    /// Returns the label for counters and logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -83,63 +84,64 @@
     }
 }
 
-/// What became of the mark on another instance's record.
+/// The result of a call to fence another instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceOutcome {
-    /// The platform took it.
+    /// The record is marked as fenced, or no longer exists.
     Applied,
-    /// It surely was not taken.
+    /// The call certainly did not change the record.
     NotApplied,
-    /// Nobody knows yet; it is tried again.
+    /// The write may or may not have been applied; the membership requests the call again.
     Unknown,
 }
 
-/// What became of a call.
+/// The result of a call to the platform.
 #[derive(Debug, Clone)]
 pub enum StoreReport {
-    /// A watch ended; the head may have changed if the revision did.
+    /// A watch ended; the head can have changed only if the revision differs from that of the last watch.
     Watched {
-        /// The revision now.
+        /// The platform's current revision.
         revision: api::Revision,
     },
-    /// The head as it stands, not yet checked.
+    /// The stored head of the configuration, not yet validated.
     Head {
-        /// Its bytes.
+        /// The encoded head.
         bytes: Arc<[u8]>,
     },
-    /// Chunks that were found, not yet checked.
+    /// The chunks that were found, possibly fewer than requested, not yet validated.
     Chunks {
-        /// Their bytes.
+        /// The encoded chunks.
         chunks: Vec<Arc<[u8]>>,
     },
-    /// The list of instances.
+    /// The platform's list of instances.
     Instances {
-        /// Its entries.
+        /// One record per listed instance.
         records: Vec<api::InstanceRecord>,
-        /// When the call was asked for.
+        /// When the control thread submitted the call; the list is at least as recent.
         requested_at: time::TimeMs,
     },
-    /// The own record stands in the platform.
+    /// This instance's record is stored.
     Announced,
-    /// Another instance marked the own record, or a later start of this instance wrote it.
+    /// The stored record is fenced by another instance, or was written by a later incarnation of this one.
     Superseded,
-    /// A mark that was too old was deleted, or is not there any more; if it is, it is tried again.
+    /// An old fence record was deleted, had already been replaced, or was replaced during the call. If the
+    /// fence record is still listed later, the membership requests the call again.
     FenceRecordRemoved {
-        /// The instance.
+        /// The instance that was fenced.
         instance: ids::InstanceId,
     },
     /// The call to fence an instance ended.
     Fenced {
-        /// The instance.
+        /// The instance to fence.
         instance: ids::InstanceId,
-        /// The start in question.
+        /// The incarnation to fence.
         incarnation: ids::Incarnation,
-        /// What became of it.
+        /// Whether the record is now fenced.
         outcome: FenceOutcome,
     },
     /// The call failed and may be made again later.
     Unavailable {
-        /// Which call.
+        /// The kind of the failed call.
         call: Call,
     },
 }
--- a/crates/damaskvane-entry/src/store/worker.rs
+++ b/crates/damaskvane-entry/src/store/worker.rs
@@ -1,4 +1,4 @@
-//! The threads that make the calls.
+//! The threads that make the calls to the platform.
 //!
 //! ```
 //! use damaskvane_entry::store;
@@ -24,10 +24,10 @@
 const HEAD_NAME: &str = "config";
 const CHUNK_KIND: &str = "chunk";
 const INSTANCE_KIND: &str = "instance";
-const WRITE_TRIES: u32 = 3;
-const CALLS: &str = "store";
+const WRITE_ATTEMPTS: u32 = 3;
+const COUNTER_FAMILY: &str = "store";
 
-/// Makes calls on the platform: watches on one thread, everything else on another.
+/// Makes calls to the platform: watches on one thread, all other calls on another.
 #[derive(Debug)]
 pub struct Store {
     watches: flume::Sender<StoreJob>,
@@ -37,17 +37,17 @@
 struct Worker {
     api: Arc<http::HttpObjectApi>,
     serving: Arc<serving::Serving>,
-    reports: Box<dyn Fn(StoreReport) + Send>,
-    /// Names the ticket of the head that was read last.
-    ticket: Mutex<Option<hash::ContentHash>>,
+    report: Box<dyn Fn(StoreReport) + Send>,
+    /// Hash of the ticket that the head named when it was last read.
+    ticket_hash: Mutex<Option<hash::ContentHash>>,
 }
 
 impl Store {
-    /// Starts the threads; every job leads to one call of `report`.
+    /// Starts the threads; they call `report` once for every submitted job.
     ///
     /// # Errors
     ///
-    /// Fails if no thread can be started.
+    /// Returns an error if a thread can't be started.
     pub fn start(
         api: &Arc<http::HttpObjectApi>,
         serving: &Arc<serving::Serving>,
@@ -59,8 +59,8 @@
             let worker = Worker {
                 api: Arc::clone(api),
                 serving: Arc::clone(serving),
-                reports: Box::new(report.clone()),
-                ticket: Mutex::default(),
+                report: Box::new(report.clone()),
+                ticket_hash: Mutex::default(),
             };
             thread::Builder::new()
                 .name(name.to_owned())
@@ -69,7 +69,7 @@
         Ok(Self { watches, calls })
     }
 
-    /// Queues a call.
+    /// Queues a call and returns at once.
     pub fn submit(&self, job: StoreJob) {
         let queue = match job {
             StoreJob::WatchHead { .. } => &self.watches,
@@ -84,15 +84,17 @@
         while let Ok(job) = jobs.recv() {
             let report = self.call(job);
             if let StoreReport::Unavailable { call } = report {
-                let word = format!("{}_failed", call.as_str());
-                self.serving.counters.increment(CALLS, &word);
+                let label = format!("{}_failed", call.as_str());
+                self.serving.counters.increment(COUNTER_FAMILY, &label);
             }
-            (self.reports)(report);
+            (self.report)(report);
         }
     }
 
     fn count(&self, call: Call) {
-        self.serving.counters.increment(CALLS, call.as_str());
+        self.serving
+            .counters
+            .increment(COUNTER_FAMILY, call.as_str());
     }
 
     fn call(&self, job: StoreJob) -> StoreReport {
@@ -136,7 +138,7 @@
             StoreJob::RemoveFenceRecord {
                 instance,
                 incarnation,
-            } => self.unmark(instance, incarnation),
+            } => self.remove_fence_record(instance, incarnation),
         }
     }
 
@@ -145,7 +147,7 @@
         match self.api.get(&api::ObjectKey::new(HEAD_KIND, HEAD_NAME)) {
             Ok(Some(object)) => {
                 let head = manifest::Head::decode(&object.value).ok();
-                *self.lock_ticket() = head.and_then(|head| head.ticket_hash);
+                *self.lock_ticket_hash() = head.and_then(|head| head.ticket_hash);
                 StoreReport::Head {
                     bytes: object.value.into(),
                 }
@@ -154,15 +156,17 @@
         }
     }
 
-    /// Reads chunks; what a large ticket changed comes with one read of the ticket itself, whose text
-    /// declares the whole new state of everything it touches. One call for each chunk would take longer than a
-    /// ticket may take to be in force, and all relays together more reads than the platform gives.
+    /// Reads chunks; several chunks are first looked up in the ticket of the last head, with one read.
+    ///
+    /// The text of a ticket declares the complete new state of every object that the ticket changes. For a
+    /// large ticket, one call per chunk would exceed the time within which a ticket has to take effect, and the
+    /// relays together would exceed the rate of reads that the platform allows.
     fn read_chunks(&self, hashes: &[hash::ContentHash]) -> StoreReport {
         let mut chunks = Vec::new();
         let mut missing: Vec<hash::ContentHash> = hashes.to_vec();
         if hashes.len() > 1 {
-            let told = self.chunks_of_ticket();
-            missing.retain(|hash| match told.get(hash) {
+            let declared = self.chunks_of_ticket();
+            missing.retain(|hash| match declared.get(hash) {
                 Some(bytes) => {
                     chunks.push(Arc::clone(bytes));
                     false
@@ -173,7 +177,7 @@
         for hash in missing {
             match self.read_chunk(hash) {
                 Some(bytes) => chunks.push(bytes),
-                // What was read is of use: the rest is asked for again.
+                // The chunks read so far are of use; the relay requests the others again.
                 None if !chunks.is_empty() => break,
                 None => return StoreReport::Unavailable { call: Call::Chunk },
             }
@@ -188,10 +192,11 @@
         Some(object.value.into())
     }
 
-    /// The chunks that the ticket's text declares. Each is named by the hash of its own bytes, so that
-    /// one which another version of the program would write differently is simply not found.
+    /// Returns the chunks that the ticket's text declares, by the hash of their bytes.
+    ///
+    /// A chunk that another version of the program encodes differently has another hash and is not found here.
     fn chunks_of_ticket(&self) -> BTreeMap<hash::ContentHash, Arc<[u8]>> {
-        let hash = *self.lock_ticket();
+        let hash = *self.lock_ticket_hash();
         let ticket = hash
             .and_then(|hash| self.read_chunk(hash))
             .and_then(|bytes| ticket::Ticket::decode(&bytes).ok());
@@ -207,8 +212,10 @@
             .collect()
     }
 
-    fn lock_ticket(&self) -> MutexGuard<'_, Option<hash::ContentHash>> {
-        self.ticket.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_ticket_hash(&self) -> MutexGuard<'_, Option<hash::ContentHash>> {
+        self.ticket_hash
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn announce(&self, record: &api::InstanceRecord) -> StoreReport {
@@ -233,15 +240,17 @@
         }
     }
 
-    /// The condition makes the mark hit the start in question or nothing: a restarted instance has
-    /// written another version.
+    /// Marks the record of an incarnation as fenced.
+    ///
+    /// The write is conditional on the version of the record that was read: an instance that restarted in
+    /// between has written another version, so the fence record never affects a later incarnation.
     fn fence(
         &self,
         instance: &ids::InstanceId,
         incarnation: ids::Incarnation,
         goes_on_alone: bool,
     ) -> FenceOutcome {
-        self.serving.counters.increment(CALLS, "fence");
+        self.serving.counters.increment(COUNTER_FAMILY, "fence");
         let key = instance_key(instance);
         let object = match self.api.get(&key) {
             Ok(Some(object)) => object,
@@ -257,12 +266,12 @@
         if record.fenced && (record.goes_on_alone || !goes_on_alone) {
             return FenceOutcome::Applied;
         }
-        let marked = api::InstanceRecord {
+        let fenced = api::InstanceRecord {
             fenced: true,
             goes_on_alone,
             ..record
         };
-        let Ok(value) = serde_json::to_vec(&marked) else {
+        let Ok(value) = serde_json::to_vec(&fenced) else {
             return FenceOutcome::NotApplied;
         };
         let id = api::WriteId::new(&format!("fence-{instance}-{incarnation}-{goes_on_alone}"));
@@ -275,8 +284,12 @@
         }
     }
 
-    /// Deletes an entry only if it is still the marked one: the instance may have started anew.
-    fn unmark(&self, instance: ids::InstanceId, incarnation: ids::Incarnation) -> StoreReport {
+    /// Deletes a record only if it is still the fence record: the instance may have restarted.
+    fn remove_fence_record(
+        &self,
+        instance: ids::InstanceId,
+        incarnation: ids::Incarnation,
+    ) -> StoreReport {
         self.count(Call::RemoveFenceRecord);
         let key = instance_key(&instance);
         let failed = StoreReport::Unavailable {
@@ -287,9 +300,9 @@
             Ok(None) => return StoreReport::FenceRecordRemoved { instance },
             Err(_) => return failed,
         };
-        let is_marked = serde_json::from_slice::<api::InstanceRecord>(&object.value)
+        let is_fenced = serde_json::from_slice::<api::InstanceRecord>(&object.value)
             .is_ok_and(|record| record.fenced && record.incarnation == incarnation);
-        if !is_marked {
+        if !is_fenced {
             return StoreReport::FenceRecordRemoved { instance };
         }
         let id = api::WriteId::new(&format!("unmark-{instance}-{incarnation}"));
@@ -322,20 +335,20 @@
             &value,
             &api::WriteId::new(&id),
             &mut backoff::Backoff::new(settings, record.incarnation.get()),
-            WRITE_TRIES,
+            WRITE_ATTEMPTS,
         )
     }
 }
 
-/// Whether others have taken the authority of this start away.
+/// Returns whether this incarnation has lost its authority by a fence or to a later incarnation.
 ///
-/// Written over its own mark, the record would show an instance that goes on with what its successor has
-/// begun to lend.
+/// If this instance overwrote its fence record, the list would show it as active although its successor has
+/// begun to grant the same slots.
 fn is_superseded(object: &api::Object, own: &api::InstanceRecord) -> bool {
     let stored = serde_json::from_slice::<api::InstanceRecord>(&object.value);
     stored.is_ok_and(|stored| {
-        let is_marked = stored.fenced && stored.incarnation == own.incarnation;
-        is_marked || stored.incarnation > own.incarnation
+        let is_fenced = stored.fenced && stored.incarnation == own.incarnation;
+        is_fenced || stored.incarnation > own.incarnation
     })
 }
 
