--- a/crates/damaskvane-entry/src/exchange.rs
+++ b/crates/damaskvane-entry/src/exchange.rs
@@ -1,12 +1,16 @@
-//! One exchange with a backend server: a fresh connection, one request, one whole answer.
+//! HTTP exchanges with backend servers: a new connection, one request and one complete response each.
 //!
-//! attohttpc keeps no connection pool, so that an abandoned exchange can't leave its answer behind for
-//! the next one, and a silent connection ends with its own request. What it costs is a connect each.
+//! attohttpc keeps no connection pool, so that the response of an abandoned exchange can't be read by the
+//! next exchange, and an unresponsive connection affects only its own request. The cost is one connect per
+//! exchange.
 //!
-//! Three things are checked that the library leaves to its caller. It ends a body quietly where the
-//! connection closes before `content-length`; a client would take half an answer for the whole,
-//! so the length is compared. An answer that is neither chunked nor of a stated length ends with its
-//! connection, can't be told from a cut one, and is refused. And it reads a body where there is none.
+//! Three cases that the library leaves to its caller are handled here:
+//!
+//! - The library reports no error where the connection closes before `content-length` bytes were read. The
+//!   length is compared, because a client would otherwise take a truncated response for a complete one.
+//! - A response that is neither chunked nor has a `content-length` ends with its connection. It can't be
+//!   distinguished from a truncated response and is treated as one.
+//! - The library tries to read a body where the response has none, as for a `HEAD` request.
 //!
 //! ```
 //! use damaskvane_entry::exchange;
@@ -30,17 +34,18 @@
 use crate::clock;
 
 const STATUS_UNAVAILABLE: u16 = 503;
-const MOST_HEADERS: usize = 100;
+const MAX_HEADERS: usize = 100;
 
-/// How long an answer that left the backend server at its deadline may still be on its way.
-const LATE_ANSWER_MS: u64 = 150;
+/// Time in ms that is added to the deadline of an exchange for the network delay of a response that the
+/// backend server sends just before the deadline.
+const LATE_RESPONSE_MS: u64 = 150;
 
-/// What an exchange costs at most.
+/// The limits of one exchange.
 #[derive(Debug, Clone, Copy)]
 pub struct ExchangeLimits {
-    /// Time to open the connection.
+    /// Maximum time to open the connection.
     pub connect_timeout: time::SpanMs,
-    /// Largest body of an answer.
+    /// Maximum size of a response body; a longer response counts as truncated.
     pub response_limit_bytes: usize,
 }
 
@@ -53,12 +58,13 @@
     }
 }
 
-/// Runs one exchange and waits for its end.
+/// Runs one exchange and blocks until it ends.
 ///
-/// A process can be paused between the decision to send and the sending, for longer than the lease of
-/// the slot. The request would then run on a slot that others may hold by now, and the backend server
-/// would run more than it has slots; so the clock is read again directly before the first byte, and once
-/// more after the last: a request that was sent too late is cancelled at once.
+/// A process can be paused between the decision to send a request and the sending, for longer than the lease
+/// of the slot. Another instance may hold the slot by then, so that the backend server would run more requests
+/// than it has slots. Therefore the clock is read directly before the connection is opened and again after the
+/// last byte of the request: an expired lease prevents the exchange, and a request that was sent too late is
+/// cancelled at once.
 #[must_use]
 pub fn run(
     exchange: &event::Exchange,
@@ -76,14 +82,14 @@
         cancel(&exchange.address.to_string(), &request.request_id);
     }
     match result {
-        Ok(response) => read(response, request, limits),
-        Err(error) => failure(&error),
+        Ok(response) => read_response(response, request, limits),
+        Err(error) => end_of_failure(&error),
     }
 }
 
-/// The word for how an exchange ended.
+/// Returns the label of the end of an exchange, for logs.
 #[must_use]
-pub const fn word(end: &ExchangeEnd) -> &'static str {
+pub const fn end_label(end: &ExchangeEnd) -> &'static str {
     match end {
         ExchangeEnd::Answered(_) => "answered",
         ExchangeEnd::Refused => "refused",
@@ -95,7 +101,7 @@
     }
 }
 
-/// Asks a backend server to stop a request; the answer does not matter.
+/// Requests a backend server to cancel a request; waits at most 1 s and ignores the response and any error.
 pub fn cancel(address: &str, request_id: &ids::RequestId) {
     let url = format!("http://{address}/cancel/{request_id}");
     let _ = attohttpc::post(url)
@@ -114,34 +120,34 @@
     limits: ExchangeLimits,
 ) -> attohttpc::Result<attohttpc::Response> {
     let request = &exchange.request;
-    let wait = time::SpanMs::new(exchange.deadline.get() + LATE_ANSWER_MS);
+    let timeout = time::SpanMs::new(exchange.deadline.get() + LATE_RESPONSE_MS);
     let method =
         attohttpc::Method::from_bytes(request.method.as_bytes()).unwrap_or(attohttpc::Method::GET);
     let url = format!("http://{}{}", exchange.address, request.path);
     let mut builder = attohttpc::RequestBuilder::try_new(method, url)?
         .proxy_settings(no_proxy())
         .follow_redirects(false)
-        .max_headers(MOST_HEADERS)
-        .connect_timeout(limits.connect_timeout.min(wait).to_duration())
-        .read_timeout(wait.to_duration())
-        .timeout(wait.to_duration())
+        .max_headers(MAX_HEADERS)
+        .connect_timeout(limits.connect_timeout.min(timeout).to_duration())
+        .read_timeout(timeout.to_duration())
+        .timeout(timeout.to_duration())
         .try_header(header::REQUEST_ID, request.request_id.as_str())?
         .try_header(header::DEADLINE_MS, exchange.deadline.get().to_string())?;
     if let Some(idempotency) = &request.idempotency {
         builder = builder.try_header(header::IDEMPOTENCY_KEY, idempotency.key.as_str())?;
     }
-    for passed in &request.headers {
-        let Ok(name) = HeaderName::from_bytes(passed.name().as_bytes()) else {
+    for forwarded in &request.headers {
+        let Ok(name) = HeaderName::from_bytes(forwarded.name().as_bytes()) else {
             continue;
         };
-        builder = builder.try_header_append(name, passed.value())?;
+        builder = builder.try_header_append(name, forwarded.value())?;
     }
     builder.body(body).send()
 }
 
-fn failure(error: &attohttpc::Error) -> ExchangeEnd {
+fn end_of_failure(error: &attohttpc::Error) -> ExchangeEnd {
     match error.kind() {
-        attohttpc::ErrorKind::Io(error) => io_failure(error),
+        attohttpc::ErrorKind::Io(error) => end_of_io_failure(error),
         attohttpc::ErrorKind::Http(_)
         | attohttpc::ErrorKind::InvalidBaseUrl
         | attohttpc::ErrorKind::InvalidUrlHost
@@ -151,8 +157,9 @@
     }
 }
 
-/// Only errors that a connect alone can cause prove that nothing was sent.
-fn io_failure(error: &io::Error) -> ExchangeEnd {
+/// Returns `NotSent` only for errors that can occur while connecting and at no later time: only these prove
+/// that no byte was sent.
+fn end_of_io_failure(error: &io::Error) -> ExchangeEnd {
     match error.kind() {
         io::ErrorKind::ConnectionRefused
         | io::ErrorKind::HostUnreachable
@@ -163,27 +170,29 @@
     }
 }
 
-fn read(
+fn read_response(
     response: attohttpc::Response,
     request: &message::ServiceRequest,
     limits: ExchangeLimits,
 ) -> ExchangeEnd {
     let (status, headers, reader) = response.split();
-    if !names_only(&headers, request.request_id.as_str()) {
+    if !names_only_request(&headers, request.request_id.as_str()) {
         return ExchangeEnd::MismatchedResponse;
     }
-    if status.as_u16() == STATUS_UNAVAILABLE && text(&headers, header::NOT_RUN) == Some("true") {
+    if status.as_u16() == STATUS_UNAVAILABLE
+        && header_text(&headers, header::NOT_RUN) == Some("true")
+    {
         return ExchangeEnd::Refused;
     }
     if has_no_body(request, status) {
-        // Reading on would wait for bytes that never come while the server keeps the connection open.
+        // A read would block until the timeout if the server keeps the connection open.
         return answered(status, &headers, Vec::new());
     }
-    let is_whole_at_end = content_length(&headers).is_none() && is_chunked(&reader);
+    let is_complete_at_end = content_length(&headers).is_none() && is_chunked(&reader);
     let mut body = Vec::new();
-    let most = limits.response_limit_bytes as u64 + 1;
-    if let Err(error) = reader.take(most).read_to_end(&mut body) {
-        return match io_failure(&error) {
+    let max_bytes = limits.response_limit_bytes as u64 + 1;
+    if let Err(error) = reader.take(max_bytes).read_to_end(&mut body) {
+        return match end_of_io_failure(&error) {
             ExchangeEnd::Timeout => ExchangeEnd::Timeout,
             _ => ExchangeEnd::TruncatedResponse,
         };
@@ -191,7 +200,7 @@
     if body.len() > limits.response_limit_bytes {
         return ExchangeEnd::TruncatedResponse;
     }
-    if is_whole_at_end || content_length(&headers) == Some(body.len()) {
+    if is_complete_at_end || content_length(&headers) == Some(body.len()) {
         return answered(status, &headers, body);
     }
     ExchangeEnd::TruncatedResponse
@@ -200,16 +209,17 @@
 fn answered(status: attohttpc::StatusCode, headers: &HeaderMap, body: Vec<u8>) -> ExchangeEnd {
     ExchangeEnd::Answered(message::BackendResponse {
         status: status.as_u16(),
-        headers: passed_on(headers),
+        headers: forwarded_headers(headers),
         body,
     })
 }
 
-/// Whether the answer names this request and no other: something in between that joins the heads of two
-/// answers shows by two names.
-fn names_only(headers: &HeaderMap, request_id: &str) -> bool {
-    let mut names = headers.get_all(header::REQUEST_ID).iter();
-    names.next().is_some_and(|name| name == request_id) && names.next().is_none()
+/// Returns whether the response carries exactly one request id, that of this request.
+///
+/// Two ids show that an intermediary merged the headers of two responses.
+fn names_only_request(headers: &HeaderMap, request_id: &str) -> bool {
+    let mut ids = headers.get_all(header::REQUEST_ID).iter();
+    ids.next().is_some_and(|id| id == request_id) && ids.next().is_none()
 }
 
 fn has_no_body(request: &message::ServiceRequest, status: attohttpc::StatusCode) -> bool {
@@ -218,25 +228,25 @@
         || status == attohttpc::StatusCode::NOT_MODIFIED
 }
 
-/// Whether the body comes in chunks, so that its end is known from its last chunk.
+/// Returns whether the body has the chunked transfer coding, whose last chunk marks the end.
 ///
-/// The library takes the header away before its caller sees it, and shows the kind of its reader by `Debug`
-/// alone. Without this, every chunked answer counts as cut, though its request ran. Should the library
-/// name its reader otherwise one day, chunked answers are refused again (and a test fails); a
-/// cut answer is never taken for a whole one.
+/// The library removes the `transfer-encoding` header and shows the kind of its reader only by `Debug`.
+/// Without this check every chunked response would count as truncated, although its request ran. If a later
+/// version of the library renames the reader, chunked responses count as truncated again and a test fails; a
+/// truncated response never counts as complete.
 fn is_chunked(reader: &attohttpc::ResponseReader) -> bool {
     format!("{reader:?}").contains("Chunked(")
 }
 
 fn content_length(headers: &HeaderMap) -> Option<usize> {
-    text(headers, CONTENT_LENGTH.as_str())?.parse().ok()
+    header_text(headers, CONTENT_LENGTH.as_str())?.parse().ok()
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn passed_on(headers: &HeaderMap) -> Vec<message::Header> {
+fn forwarded_headers(headers: &HeaderMap) -> Vec<message::Header> {
     headers
         .iter()
         .filter(|(name, _)| header::is_forwarded(name.as_str()))
--- a/crates/damaskvane-entry/src/exchange/leased_body.rs
+++ b/crates/damaskvane-entry/src/exchange/leased_body.rs
@@ -1,7 +1,7 @@
-//! A request body that notes whether it was written under a lease that had lapsed.
+//! A request body that records whether it was sent after the lease of its slot had expired.
 //!
 //! ```text
-//! clock -> write -> clock again: late if the lease ended in between
+//! write the body -> read the clock: sent late if the lease has expired by then
 //! ```
 
 use std::io::{self, Write};
@@ -13,7 +13,7 @@
 
 use crate::clock;
 
-/// The body of one exchange.
+/// The body of a request to a backend server, together with the end of the slot's lease.
 #[derive(Debug)]
 pub(super) struct LeasedBody {
     content: Vec<u8>,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Becomes true if the body was written too late.
+    /// Returns a flag that becomes true if the last byte was written at or after `begin_before`.
     pub(super) fn sent_late(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.sent_late)
     }
--- a/crates/damaskvane-entry/src/exchange_pool.rs
+++ b/crates/damaskvane-entry/src/exchange_pool.rs
@@ -1,15 +1,15 @@
-//! Threads that run exchanges with backend servers.
+//! A pool of threads that run exchanges with backend servers.
 //!
-//! Threads are made as they are needed, up to a limit, and wait for the next exchange on one channel.
+//! Threads are started on demand, up to a limit, and receive their jobs from one channel.
 //!
 //! ```
 //! use damaskvane_entry::{clock, exchange, exchange_pool};
 //!
-//! let (ended, _) = flume::unbounded();
+//! let (inbox, _) = flume::unbounded();
 //! let clock = clock::MonotonicClock::start();
 //! let limits = exchange::ExchangeLimits::default();
 //! let logger = damaskvane_telemetry::logging::silent();
-//! let pool = exchange_pool::ExchangePool::new(8, limits, clock, ended, logger);
+//! let pool = exchange_pool::ExchangePool::new(8, limits, clock, inbox, logger);
 //! assert_eq!(pool.threads(), 0);
 //! ```
 
@@ -37,55 +37,56 @@
     },
 }
 
-/// A bounded number of threads that run exchanges.
+/// Runs exchanges on a bounded number of threads.
 pub struct ExchangePool {
     jobs: flume::Sender<Job>,
-    waiting: flume::Receiver<Job>,
+    pending: flume::Receiver<Job>,
     idle: Arc<AtomicUsize>,
     threads: usize,
     limit: usize,
     limits: exchange::ExchangeLimits,
     clock: clock::MonotonicClock,
-    ended: flume::Sender<inbox::Input>,
+    inbox: flume::Sender<inbox::Input>,
     logger: slog::Logger,
 }
 
 impl ExchangePool {
-    /// A pool of at most `limit` threads that reports to `ended`.
+    /// Returns a pool without threads that starts at most `limit` threads and reports the end of each
+    /// exchange to `inbox`, the channel of the engine's thread.
     #[must_use]
     pub fn new(
         limit: usize,
         limits: exchange::ExchangeLimits,
         clock: clock::MonotonicClock,
-        ended: flume::Sender<inbox::Input>,
+        inbox: flume::Sender<inbox::Input>,
         logger: slog::Logger,
     ) -> Self {
-        let (jobs, waiting) = flume::unbounded();
+        let (jobs, pending) = flume::unbounded();
         Self {
             jobs,
-            waiting,
+            pending,
             idle: Arc::default(),
             threads: 0,
             limit,
             limits,
             clock,
-            ended,
+            inbox,
             logger,
         }
     }
 
-    /// How many threads there are.
+    /// Returns the number of threads started so far.
     #[must_use]
     pub const fn threads(&self) -> usize {
         self.threads
     }
 
-    /// Starts an exchange; its end is reported to the inbox.
+    /// Queues an exchange; a thread reports its end to the inbox.
     pub fn start(&mut self, exchange: event::Exchange) {
         self.submit(Job::Exchange(exchange));
     }
 
-    /// Asks a backend server to stop a request.
+    /// Queues a request to a backend server to cancel the request with this id; nothing is reported.
     pub fn cancel(&mut self, address: net::SocketAddr, request_id: ids::RequestId) {
         self.submit(Job::Cancel {
             address,
@@ -94,15 +95,15 @@
     }
 
     fn submit(&mut self, job: Job) {
-        if self.idle.load(Ordering::Acquire) <= self.waiting.len() && self.threads < self.limit {
+        if self.idle.load(Ordering::Acquire) <= self.pending.len() && self.threads < self.limit {
             self.spawn();
         }
         let _ = self.jobs.send(job);
     }
 
     fn spawn(&mut self) {
-        let waiting = self.waiting.clone();
-        let ended = self.ended.clone();
+        let pending = self.pending.clone();
+        let inbox = self.inbox.clone();
         let idle = Arc::clone(&self.idle);
         let limits = self.limits;
         let clock = self.clock;
@@ -110,16 +111,16 @@
         let spawned = thread::Builder::new()
             .name("exchange".to_owned())
             .stack_size(STACK_BYTES)
-            .spawn(move || work(&waiting, &ended, &idle, limits, clock, &logger));
+            .spawn(move || run_jobs(&pending, &inbox, &idle, limits, clock, &logger));
         if spawned.is_ok() {
             self.threads += 1;
         }
     }
 }
 
-fn work(
-    waiting: &flume::Receiver<Job>,
-    ended: &flume::Sender<inbox::Input>,
+fn run_jobs(
+    pending: &flume::Receiver<Job>,
+    inbox: &flume::Sender<inbox::Input>,
     idle: &AtomicUsize,
     limits: exchange::ExchangeLimits,
     clock: clock::MonotonicClock,
@@ -127,13 +128,13 @@
 ) {
     loop {
         idle.fetch_add(1, Ordering::AcqRel);
-        let job = waiting.recv();
+        let job = pending.recv();
         idle.fetch_sub(1, Ordering::AcqRel);
         match job {
             Ok(Job::Exchange(exchange)) => {
                 let end = exchange::run(&exchange, clock, limits);
-                note_end(logger, &exchange, &end);
-                let _ = ended.send(inbox::Input::Event(event::Event::ExchangeEnded {
+                log_end(logger, &exchange, &end);
+                let _ = inbox.send(inbox::Input::Event(event::Event::ExchangeEnded {
                     exchange: exchange.number,
                     end,
                 }));
@@ -147,17 +148,18 @@
     }
 }
 
-/// One line per exchange; what only a fault of a backend server or of the network brings about is a warning.
-fn note_end(logger: &slog::Logger, exchange: &event::Exchange, end: &event::ExchangeEnd) {
+/// Logs the end of an exchange: as a warning if only a fault of the backend server or of the network can cause
+/// it, otherwise for debugging.
+fn log_end(logger: &slog::Logger, exchange: &event::Exchange, end: &event::ExchangeEnd) {
     let fields = slog::o!(
         logging::field::REQUEST_ID => exchange.request.request_id.to_string(),
         logging::field::SERVICE => exchange.request.service.to_string(),
         logging::field::BACKEND_SERVER => exchange.backend_server.to_string(),
-        logging::field::OUTCOME => exchange::word(end),
+        logging::field::OUTCOME => exchange::end_label(end),
     );
     match end {
         event::ExchangeEnd::TruncatedResponse | event::ExchangeEnd::MismatchedResponse => {
-            warn!(logger, "an answer was not the whole answer to its request"; fields);
+            warn!(logger, "the response of a backend server was truncated or belongs to another request"; fields);
         }
         _ => debug!(logger, "exchange ended"; fields),
     }
--- a/crates/damaskvane-entry/src/translate.rs
+++ b/crates/damaskvane-entry/src/translate.rs
@@ -1,4 +1,4 @@
-//! Turns the configuration and the known instances into what each part of the program works with.
+//! Translation of the configuration and the known instances into the inputs of the engine and of steering.
 //!
 //! ```
 //! use damaskvane_config::state;
--- a/crates/damaskvane-entry/src/translate/directory.rs
+++ b/crates/damaskvane-entry/src/translate/directory.rs
@@ -1,4 +1,4 @@
-//! What the engine needs of the configuration and the membership.
+//! The directory: the part of the configuration and the membership that the engine uses.
 //!
 //! ```
 //! use damaskvane_config::state;
@@ -16,7 +16,7 @@
 use damaskvane_core::ids;
 use damaskvane_engine::directory;
 
-/// The directory of an instance in `zone`.
+/// Returns the directory of an entry instance in `zone`, with the backend servers of that zone only.
 #[must_use]
 pub fn directory(
     config: &state::ConfigState,
--- a/crates/damaskvane-entry/src/translate/topology.rs
+++ b/crates/damaskvane-entry/src/translate/topology.rs
@@ -1,4 +1,4 @@
-//! What steering needs of the configuration.
+//! The topology: the part of the configuration that steering uses.
 //!
 //! ```
 //! use damaskvane_config::state;
@@ -13,7 +13,7 @@
 use damaskvane_core::{ids, units};
 use damaskvane_steering::input;
 
-/// Zones, services with their slots, links and delays, as declared.
+/// Returns the declared zones, services with their slots per zone, links between regions, and latencies.
 #[must_use]
 pub fn topology(config: &state::ConfigState) -> input::Topology {
     let zones = config
@@ -48,8 +48,8 @@
         .collect();
     let bytes = service.typical_request_bytes + service.typical_answer_bytes;
     input::Service {
-        typical_time_ms: narrow(service.typical_request_ms.get()),
-        typical_bytes: narrow(bytes.get()),
+        typical_time_ms: saturating_u32(service.typical_request_ms.get()),
+        typical_bytes: saturating_u32(bytes.get()),
         slots,
         ..input::Service::default()
     }
@@ -62,8 +62,8 @@
     for link in config.links().values() {
         let low = (&link.from).min(&link.to).clone();
         let high = (&link.from).max(&link.to).clone();
-        let least = links.entry((low, high)).or_insert(link.capacity_mbps);
-        *least = (*least).min(link.capacity_mbps);
+        let min_capacity = links.entry((low, high)).or_insert(link.capacity_mbps);
+        *min_capacity = (*min_capacity).min(link.capacity_mbps);
     }
     links
 }
@@ -74,12 +74,12 @@
     let mut latencies = BTreeMap::new();
     for (from, zone) in config.availability_zones() {
         for (to, latency) in &zone.latency_ms {
-            latencies.insert((from.clone(), to.clone()), narrow(latency.get()));
+            latencies.insert((from.clone(), to.clone()), saturating_u32(latency.get()));
         }
     }
     latencies
 }
 
-fn narrow(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
