--- a/crates/damaskvane-entry/src/store/worker.rs
+++ b/crates/damaskvane-entry/src/store/worker.rs
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Reads chunks; several chunks are first looked up in the ticket of the last head, with one read.
+    /// Reads chunks; if several are requested, first reads the ticket that the last head named.
     ///
     /// The text of a ticket declares the complete new state of every object that the ticket changes. For a
     /// large ticket, one call per chunk would exceed the time within which a ticket has to take effect, and the
