--- a/crates/damaskvane-entry/src/exchange_pool.rs
+++ b/crates/damaskvane-entry/src/exchange_pool.rs
@@ -8,7 +8,7 @@
 //! let (inbox, _) = flume::unbounded();
 //! let clock = clock::MonotonicClock::start();
 //! let limits = exchange::ExchangeLimits::default();
-//! let logger = damaskvane_telemetry::logging::silent();
+//! let logger = damaskvane_telemetry::logging::discarding_logger();
 //! let pool = exchange_pool::ExchangePool::new(8, limits, clock, inbox, logger);
 //! assert_eq!(pool.threads(), 0);
 //! ```
--- a/crates/damaskvane-entry/tests/connections.rs
+++ b/crates/damaskvane-entry/tests/connections.rs
@@ -34,7 +34,7 @@
         serving: Arc::clone(&serving),
         inbox: sender,
         settings,
-        logger: logging::silent(),
+        logger: logging::discarding_logger(),
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/damaskvane-telemetry/src/logging.rs
+++ b/crates/damaskvane-telemetry/src/logging.rs
@@ -111,6 +111,6 @@
 }
 
 /// A logger that drops everything, for tests and commands that print their result.
-pub fn silent() -> slog::Logger {
+pub fn discarding_logger() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
