--- a/crates/damaskvane-gateway/src/process.rs
+++ b/crates/damaskvane-gateway/src/process.rs
@@ -51,7 +51,7 @@
 pub fn run(adapter: Box<dyn Adapter>, settings_file: &Path) -> Result<(), ProcessError> {
     let settings = GatewaySettings::load(settings_file)?;
     let log =
-        damaskvane_telemetry::logging::output_logger("damaskvane-gateway", settings.log_level)
+        damaskvane_telemetry::logging::stdout_logger("damaskvane-gateway", settings.log_level)
             .new(slog::o!("instance" => settings.instance.to_string()));
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/damaskvane-telemetry/src/logging.rs
+++ b/crates/damaskvane-telemetry/src/logging.rs
@@ -93,7 +93,7 @@
 }
 
 /// A logger that writes JSON lines to standard output.
-pub fn output_logger(program: &'static str, level: Level) -> slog::Logger {
+pub fn stdout_logger(program: &'static str, level: Level) -> slog::Logger {
     logger_to(io::stdout(), program, level)
 }
 
