--- a/crates/damaskvane-bench/tests/program.rs
+++ b/crates/damaskvane-bench/tests/program.rs
@@ -33,9 +33,9 @@
 #[test]
 fn wrong_usage_exits_with_2_and_names_the_nearest_word() {
     let cases: [(&[&str], &str); 6] = [
-        (&["lod"], "did you mean \"load\""),
-        (&["--hlep"], "did you mean \"--help\""),
-        (&["load", "--sed", "7"], "did you mean \"--seed\""),
+        (&["lod"], "did you mean 'load'"),
+        (&["--hlep"], "did you mean '--help'"),
+        (&["load", "--sed", "7"], "did you mean '--seed'"),
         (&["load", "--seed", "many"], "\"many\" is no valid value"),
         (&["load", "--seed"], "--help"),
         (&["load", "stray"], "stray"),
--- a/crates/damaskvane-entry/tests/program.rs
+++ b/crates/damaskvane-entry/tests/program.rs
@@ -37,11 +37,11 @@
 #[test]
 fn a_wrong_command_line_exits_with_2_and_names_the_nearest_flag() {
     let cases: [(&[&str], &str); 5] = [
-        (&["--setings", "x"], "did you mean \"--settings\""),
-        (&["--settings", "x", "--chek"], "did you mean \"--check\""),
+        (&["--setings", "x"], "did you mean '--settings'"),
+        (&["--settings", "x", "--chek"], "did you mean '--check'"),
         (&["--settings"], "--help"),
         (&["stray"], "stray"),
-        (&[], "missing --settings"),
+        (&[], "missing option '--settings'"),
     ];
     for (arguments, expected) in cases {
         let (code, _, err) = run(arguments);
@@ -62,7 +62,7 @@
         ("token_file = \"\"", &["token_file", "credential"]),
         (
             "head_timout_ms = 5",
-            &["head_timout_ms", "did you mean \"head_timeout_ms\""],
+            &["head_timout_ms", "did you mean 'head_timeout_ms'"],
         ),
         (
             "head_timeout_ms = 5",
--- a/crates/damaskvane-standins/tests/programs.rs
+++ b/crates/damaskvane-standins/tests/programs.rs
@@ -47,11 +47,11 @@
     let servers = file("servers.toml", "[[server]]\nname = \"a\"\nslot = 1\n");
     let tokens = file("some-tokens", "secret anna\n");
     let cases: [(&str, &[&str], &str); 9] = [
-        (PLATFORM, &["--tokns", "x"], "did you mean \"--tokens\""),
+        (PLATFORM, &["--tokns", "x"], "did you mean '--tokens'"),
         (
             PLATFORM,
             &["--tokens", &tokens, "--lisen", "x"],
-            "did you mean \"--listen\"",
+            "did you mean '--listen'",
         ),
         (
             PLATFORM,
@@ -60,7 +60,7 @@
         ),
         (PLATFORM, &[], "--tokens"),
         (PLATFORM, &["stray"], "stray"),
-        (BACKEND, &["--sever", "a:1"], "did you mean \"--server\""),
+        (BACKEND, &["--sever", "a:1"], "did you mean '--server'"),
         (BACKEND, &["--servers", &servers], "slot"),
         (BACKEND, &["--server", "a:1", "--seed", "many"], "many"),
         (BACKEND, &[], "--server NAME:SLOTS"),
--- a/crates/damaskvane-telemetry/src/command_line.rs
+++ b/crates/damaskvane-telemetry/src/command_line.rs
@@ -1,40 +1,40 @@
-//! What all programs share of their command lines.
+//! Usage errors and exit codes shared by the programs.
 //!
 //! ```
 //! use damaskvane_telemetry::command_line;
 //!
 //! let error = command_line::unknown_flag("--setings", &["--settings", "--help"]);
-//! assert!(error.to_string().contains("did you mean \"--settings\""));
+//! assert!(error.to_string().contains("did you mean '--settings'"));
 //! ```
 
 use std::process;
 
 use crate::nearest;
 
-/// Everything went as asked.
+/// Exit code of a successful run.
 pub const EXIT_OK: u8 = 0;
-/// The work itself failed; the message says why.
+/// Exit code of a run that failed; the message names the cause.
 pub const EXIT_FAILURE: u8 = 1;
-/// The command line or a settings file was wrong; nothing was started.
+/// Exit code for an invalid command line or settings file; nothing was started.
 pub const EXIT_USAGE: u8 = 2;
-/// Another operator's ticket came first; nothing was changed.
+/// Exit code for a conflict with another operator's ticket; nothing was changed.
 pub const EXIT_CONFLICT: u8 = 3;
-/// The platform did not answer, so that the outcome is not known.
+/// Exit code for an unknown outcome because the platform did not respond.
 pub const EXIT_UNKNOWN: u8 = 4;
 
-/// A command line that the program does not understand.
+/// Error in a command line.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum UsageError {
-    /// unknown flag {flag:?}{hint}
+    /// unknown option '{flag}'{hint}
     UnknownFlag {
-        /// The flag as given.
+        /// Flag as given, with its dashes.
         flag: String,
-        /// A half sentence that names the nearest valid flag.
+        /// Hint that names the most similar valid flag, or all valid flags if none is similar.
         hint: String,
     },
-    /// missing {flag}; give it once, see --help
+    /// missing option '{flag}'; see --help
     Missing {
-        /// The flag that has to be there.
+        /// Required flag that the command line lacks, with its dashes.
         flag: &'static str,
     },
     /// {0}; see --help
@@ -47,7 +47,7 @@
     }
 }
 
-/// The error for a flag that is not among the known ones.
+/// Returns the error for an unknown flag, with the most similar flag of `known` as a hint.
 #[must_use]
 pub fn unknown_flag(flag: &str, known: &[&str]) -> UsageError {
     UsageError::UnknownFlag {
@@ -56,7 +56,9 @@
     }
 }
 
-/// The error for whatever argument a parser did not expect.
+/// Returns the error for an argument that the program does not expect.
+///
+/// For a flag, the error names the most similar flag of `known`.
 #[must_use]
 pub fn unexpected(argument: lexopt::Arg<'_>, known: &[&str]) -> UsageError {
     match argument {
@@ -68,7 +70,7 @@
     }
 }
 
-/// Prints a usage error and returns the exit code for it.
+/// Prints a usage error to standard error and returns [`EXIT_USAGE`].
 #[must_use = "return it from main"]
 pub fn report_usage(program: &str, error: &UsageError) -> process::ExitCode {
     eprintln!("{program}: {error}");
--- a/crates/damaskvane-telemetry/src/counters.rs
+++ b/crates/damaskvane-telemetry/src/counters.rs
@@ -1,7 +1,7 @@
-//! Counts by name: read by the status page, sent to a statsd server.
+//! Counters, gauges and timers of a process, for the status page and a statsd server.
 //!
-//! A counter's name is a family and a word, for instance `refused` and `queue_full`. Sending is by UDP
-//! and never blocks; the counts in memory are exact even where a datagram is lost.
+//! A counter is identified by a family and a name, for instance `refused` and `queue_full`. Values are sent by UDP
+//! without blocking. The counters in memory stay exact even if a datagram is lost.
 //!
 //! ```
 //! use damaskvane_telemetry::counters;
@@ -20,10 +20,13 @@
 
 use cadence::prelude::{Counted, Gauged, Timed};
 
+/// Prefix of every metric name on the statsd server.
 const PREFIX: &str = "damaskvane";
-/// How long a count may wait for others to share its datagram.
+/// Maximum time for which a value is buffered to share a datagram with others.
 const FLUSH_PERIOD: Duration = Duration::from_secs(1);
-/// Counts that wait to be sent; more are dropped on their way, not in memory.
+/// Maximum number of values queued for sending.
+///
+/// Further values are not sent. The counters in memory include them.
 const QUEUE_LIMIT: usize = 8_192;
 
 type Counts = BTreeMap<(&'static str, String), u64>;
@@ -36,17 +39,17 @@
 }
 
 impl Counters {
-    /// Counters that stay in this process.
+    /// Creates counters that are kept in memory only.
     #[must_use]
     pub fn local() -> Self {
         Self::with_sink(cadence::NopMetricSink)
     }
 
-    /// Counters that are also sent to a statsd server.
+    /// Creates counters that are also sent to a statsd server.
     ///
     /// # Errors
     ///
-    /// Fails if no UDP socket can be opened, or no thread started.
+    /// Fails if the UDP socket can't be opened or the flushing thread can't be started.
     pub fn to_statsd(address: net::SocketAddr) -> io::Result<Self> {
         let socket = net::UdpSocket::bind((net::Ipv4Addr::UNSPECIFIED, 0))?;
         socket.set_nonblocking(true)?;
@@ -54,7 +57,7 @@
             .map_err(|error| io::Error::other(error.to_string()))?;
         let queue = cadence::QueuingMetricSink::with_capacity(udp, QUEUE_LIMIT);
         let counters = Self::with_sink(queue);
-        flush_regularly(Arc::downgrade(&counters.statsd))?;
+        start_flush_thread(Arc::downgrade(&counters.statsd))?;
         Ok(counters)
     }
 
@@ -71,57 +74,59 @@
         self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds one to a counter.
-    pub fn increment(&self, family: &'static str, word: &str) {
-        self.add(family, word, 1);
+    /// Increments a counter by one.
+    pub fn increment(&self, family: &'static str, name: &str) {
+        self.add(family, name, 1);
     }
 
-    /// Adds to a counter.
-    pub fn add(&self, family: &'static str, word: &str, amount: u64) {
+    /// Increments a counter by `amount`.
+    pub fn add(&self, family: &'static str, name: &str, amount: u64) {
         let mut counts = self.lock();
-        match counts.get_mut(&(family, word.to_owned())) {
+        match counts.get_mut(&(family, name.to_owned())) {
             Some(count) => *count += amount,
             None => {
-                counts.insert((family, word.to_owned()), amount);
+                counts.insert((family, name.to_owned()), amount);
             }
         }
         drop(counts);
         let amount = i64::try_from(amount).unwrap_or(i64::MAX);
-        let _ = self.statsd.count(&format!("{family}.{word}"), amount);
+        let _ = self.statsd.count(&format!("{family}.{name}"), amount);
     }
 
-    /// Sets a gauge on the statsd server.
+    /// Sends the value of a gauge to the statsd server; the value is not kept in memory.
     pub fn gauge(&self, name: &str, value: u64) {
         let _ = self.statsd.gauge(name, value);
     }
 
-    /// Sends a duration in milliseconds to the statsd server.
+    /// Sends a duration in milliseconds to the statsd server; the duration is not kept in memory.
     pub fn time_ms(&self, name: &str, ms: u64) {
         let _ = self.statsd.time(name, ms);
     }
 
-    /// The count so far; zero if it was never raised.
+    /// Returns the value of a counter; 0 if the counter was never incremented.
     #[must_use]
-    pub fn get(&self, family: &'static str, word: &str) -> u64 {
+    pub fn get(&self, family: &'static str, name: &str) -> u64 {
         self.lock()
-            .get(&(family, word.to_owned()))
+            .get(&(family, name.to_owned()))
             .copied()
             .unwrap_or(0)
     }
 
-    /// All counts as `family.word`.
+    /// Returns all counters, keyed by `family.name`.
     #[must_use]
     pub fn snapshot(&self) -> BTreeMap<String, u64> {
         self.lock()
             .iter()
-            .map(|((family, word), count)| (format!("{family}.{word}"), *count))
+            .map(|((family, name), count)| (format!("{family}.{name}"), *count))
             .collect()
     }
 }
 
-/// The sink sends a datagram once it is full. On a quiet instance the one refusal that an operator waits for
-/// would stay in it for hours.
-fn flush_regularly(statsd: Weak<cadence::StatsdClient>) -> io::Result<()> {
+/// Starts a thread that flushes the statsd buffer every [`FLUSH_PERIOD`] until the client is dropped.
+///
+/// The sink itself sends a datagram only when it is full. On an instance with little traffic, a single refusal
+/// would stay in the buffer for hours while an operator waits for it.
+fn start_flush_thread(statsd: Weak<cadence::StatsdClient>) -> io::Result<()> {
     let flush = move || {
         loop {
             thread::sleep(FLUSH_PERIOD);
--- a/crates/damaskvane-telemetry/src/lib.rs
+++ b/crates/damaskvane-telemetry/src/lib.rs
@@ -1,12 +1,12 @@
-//! Logs, counters, settings files and command lines that the programs share.
+//! Logging, counters, settings files and command-line errors shared by all programs.
 //!
 //! # Crate guide
 //!
-//! - [`logging`]: JSON lines with fixed field names.
-//! - [`counters`]: counts that a status page reads and a statsd server receives.
-//! - [`settings`]: TOML settings, checked key by key, with errors that name the remedy.
-//! - [`command_line`]: errors for unknown flags, and the exit codes of all programs.
-//! - [`nearest`]: the valid word that is closest to a mistyped one.
+//! - [`logging`]: log records as JSON lines with fixed field names.
+//! - [`counters`]: counters that the status page shows and a statsd server receives.
+//! - [`settings`]: TOML settings, validated key by key, with errors that name the remedy.
+//! - [`command_line`]: usage errors and the exit codes of the programs.
+//! - [`nearest`]: the valid name that is most similar to a mistyped one.
 
 pub mod command_line;
 pub mod counters;
--- a/crates/damaskvane-telemetry/src/logging.rs
+++ b/crates/damaskvane-telemetry/src/logging.rs
@@ -1,7 +1,7 @@
-//! JSON lines with fixed field names.
+//! Log records as JSON lines with fixed field names.
 //!
-//! Every line has `ts`, `level`, `msg` and `program`; [`field`] names what else may stand there, so
-//! that a search for one request finds it in the logs of every program.
+//! Every record has the fields `ts`, `level`, `msg` and `program`. All programs use the names in [`field`] for
+//! further fields, so that one search finds a request in the logs of every program.
 //!
 //! ```
 //! use damaskvane_telemetry::logging;
@@ -19,46 +19,46 @@
 use serde::Deserialize;
 use slog::Drain;
 
-/// The field names that log lines use.
+/// Names of the optional fields of a log record.
 pub mod field {
-    /// The instance that writes the line.
+    /// Instance that writes the record.
     pub const INSTANCE: &str = "instance";
-    /// Its availability zone.
+    /// Availability zone of the instance that writes the record.
     pub const AVAILABILITY_ZONE: &str = "availability_zone";
-    /// The service of a request.
+    /// Service that a request is for.
     pub const SERVICE: &str = "service";
-    /// The request a line is about.
+    /// Identifier of the request that the record describes.
     pub const REQUEST_ID: &str = "request_id";
-    /// The ticket a line is about.
+    /// Number of the ticket that the record describes.
     pub const TICKET: &str = "ticket";
-    /// The reason of a refusal, a retry or a change.
+    /// Reason of a refusal, a retry or a change.
     pub const REASON: &str = "reason";
-    /// How a request or an exchange ended.
+    /// Result with which a request or an exchange ended.
     pub const OUTCOME: &str = "outcome";
-    /// The configuration version in force.
+    /// Configuration version that the instance has in effect.
     pub const CONFIG_VERSION: &str = "config_version";
-    /// The peer a line is about.
+    /// Peer instance that the record describes.
     pub const PEER: &str = "peer";
-    /// The backend server a line is about.
+    /// Backend server that the record describes.
     pub const BACKEND_SERVER: &str = "backend_server";
 }
 
-/// How much is logged.
+/// Lowest severity of the records that are written.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Every decision.
+    /// Every single decision.
     Debug,
-    /// Changes of state.
+    /// Changes of state; the default.
     #[default]
     Info,
-    /// What an operator should look at.
+    /// Conditions that an operator should check.
     Warning,
-    /// What needs an operator.
+    /// Failures that need action by an operator.
     Error,
 }
 
-/// the log level {0:?} is unknown; use debug, info, warning or error
+/// unknown log level '{0}'; use debug, info, warning or error
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseLevelError(String);
 
@@ -87,12 +87,12 @@
     }
 }
 
-/// A logger that writes JSON lines to standard error.
+/// Returns a logger that writes JSON lines to standard error.
 pub fn logger(program: &'static str, level: Level) -> slog::Logger {
     logger_to(io::stderr(), program, level)
 }
 
-/// A logger that writes JSON lines to standard output.
+/// Returns a logger that writes JSON lines to standard output.
 pub fn stdout_logger(program: &'static str, level: Level) -> slog::Logger {
     logger_to(io::stdout(), program, level)
 }
@@ -104,13 +104,13 @@
 ) -> slog::Logger {
     let json = slog_json::Json::new(output).add_default_keys().build();
     let background = slog_async::Async::new(Mutex::new(json).fuse()).build();
-    // Behind the queue, lines below the level would cost their way through it, and could push lines that
-    // count out of it.
+    // Filters before the queue: behind it, records below the level would cost time in the queue and could
+    // displace records that have to be written.
     let filtered = slog::LevelFilter::new(background, level.to_slog());
     slog::Logger::root(filtered.fuse(), slog::o!("program" => program))
 }
 
-/// A logger that drops everything, for tests and commands that print their result.
+/// Returns a logger that drops every record, for tests and commands that print their result.
 pub fn discarding_logger() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
--- a/crates/damaskvane-telemetry/src/settings.rs
+++ b/crates/damaskvane-telemetry/src/settings.rs
@@ -1,7 +1,7 @@
-//! TOML settings, checked key by key before anything starts.
+//! Reads TOML settings and validates them key by key before a program starts.
 //!
-//! A settings type lists its keys in [`Settings::KEYS`]. The same list refuses unknown keys, checks
-//! ranges and is compared with the reference page by a test.
+//! A settings type lists its keys in [`Settings::KEYS`]. This list is used to reject unknown keys and values out
+//! of range, and a test compares the list with the reference page.
 //!
 //! ```
 //! use damaskvane_telemetry::settings::{self, Settings};
@@ -12,7 +12,7 @@
 //! }
 //!
 //! impl Settings for Example {
-//!     const KEYS: &'static [settings::Key] = &[settings::Key::number("timeout_ms", "500", 1, 60_000, "time-out")];
+//!     const KEYS: &'static [settings::Key] = &[settings::Key::number("timeout_ms", "500", 1, 60_000, "timeout")];
 //! }
 //!
 //! let error = settings::parse::<Example>("example.toml", "timeout_ms = 0").expect_err("too low");
@@ -33,26 +33,27 @@
 
 use crate::nearest;
 
-/// A settings type that lists its own keys.
+/// Settings of a program, with the list of the keys of their file.
 pub trait Settings: de::DeserializeOwned {
-    /// Every key that a file may hold.
+    /// Every key that a settings file may contain.
     const KEYS: &'static [Key];
 
-    /// Checks what neither type nor range can, such as the form of an address.
+    /// Validates what a type and a range can't express, such as the format of an address.
     ///
     /// # Errors
     ///
-    /// Names the key, its value and what to write instead.
+    /// Fails if a value can't be used; the error names the key, the value and what to write instead.
     fn check(&self) -> Result<(), WrongValue> {
         Ok(())
     }
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Names the file, the key, the value and what to do about it.
+/// Fails if the file can't be read or its settings are invalid; the error names the file, the key, the value and
+/// the remedy.
 pub fn load<S: Settings>(path: impl AsRef<path::Path>) -> Result<S, SettingsError> {
     let file = path.as_ref().display().to_string();
     let text = fs::read_to_string(path.as_ref()).map_err(|error| SettingsError::Unreadable {
@@ -62,11 +63,11 @@
     parse(&file, &text)
 }
 
-/// Checks settings that are already in memory; `file` only appears in errors.
+/// Parses and validates the text of a settings file; `file` is used in errors only.
 ///
 /// # Errors
 ///
-/// As [`load`].
+/// Fails if the settings are invalid, as [`load`] does.
 pub fn parse<S: Settings>(file: &str, text: &str) -> Result<S, SettingsError> {
     let table: toml::Table =
         text.parse()
@@ -87,7 +88,7 @@
             meaning: key.meaning,
         });
     }
-    // Read from the text once more: errors of the table would lack the line, and with it the value.
+    // Parses the text again because errors from `table` would lack the line, and with it the value.
     let settings: S = toml::from_str(text).map_err(|error| SettingsError::Malformed {
         file: file.to_owned(),
         error: error.to_string().trim().to_owned(),
--- a/crates/damaskvane-telemetry/src/settings/error.rs
+++ b/crates/damaskvane-telemetry/src/settings/error.rs
@@ -1,66 +1,66 @@
-//! What can be wrong with a settings file.
+//! Errors of reading and validating a settings file.
 //!
 //! ```
 //! use damaskvane_telemetry::settings;
 //!
-//! let error = settings::SettingsError::Unreadable { file: "a.toml".into(), error: "gone".into() };
+//! let error = settings::SettingsError::Unreadable { file: "a.toml".into(), error: "not found".into() };
 //! assert!(error.to_string().starts_with("a.toml"));
 //! ```
 
 use crate::settings::key::Range;
 use crate::settings::wrong_value::WrongValue;
 
-/// Why a program does not start with these settings.
+/// Reason why a settings file is rejected; the program does not start.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum SettingsError {
-    /// {file}: cannot be read ({error}); check the path and its permissions
+    /// {file}: can't be read ({error}); check the path and its permissions
     Unreadable {
-        /// The settings file.
+        /// Path of the settings file.
         file: String,
-        /// What the system said.
+        /// Error of the operating system.
         error: String,
     },
-    /// {file}: {error}; correct the value, docs/SETTINGS.md lists every key
+    /// {file}: {error}; correct the value, see docs/SETTINGS.md for every key
     Malformed {
-        /// The settings file.
+        /// Path of the settings file.
         file: String,
-        /// What the parser said, with line and column.
+        /// Error of the TOML parser, with line and column.
         error: String,
     },
-    /// {file}: unknown key {key:?}{hint}
+    /// {file}: unknown key '{key}'{hint}
     UnknownKey {
-        /// The settings file.
+        /// Path of the settings file.
         file: String,
-        /// The key as it stands there.
+        /// Key as written in the file.
         key: String,
-        /// A half sentence that names the nearest valid key.
+        /// Hint that names the most similar valid key, or all valid keys if none is similar.
         hint: String,
     },
-    /// {file}: missing key {key:?} ({meaning}); add it
+    /// {file}: missing key '{key}' ({meaning}); add it
     Missing {
-        /// The settings file.
+        /// Path of the settings file.
         file: String,
-        /// The key that must be given.
+        /// Required key that the file lacks.
         key: &'static str,
-        /// What it is for.
+        /// Purpose of the key, in one line.
         meaning: &'static str,
     },
     /// {file}: {key} = {value} is out of range; use a whole number from {range}
     OutOfRange {
-        /// The settings file.
+        /// Path of the settings file.
         file: String,
-        /// The key.
+        /// Key whose value is rejected.
         key: &'static str,
-        /// The value as it stands there.
+        /// Value as written in the file.
         value: String,
-        /// What is accepted.
+        /// Range of accepted values.
         range: Range,
     },
     /// {file}: {wrong}
     Wrong {
-        /// The settings file.
+        /// Path of the settings file.
         file: String,
-        /// What is wrong.
+        /// Rejected value, with the cause and the remedy.
         wrong: WrongValue,
     },
 }
--- a/crates/damaskvane-telemetry/src/settings/key.rs
+++ b/crates/damaskvane-telemetry/src/settings/key.rs
@@ -1,50 +1,50 @@
-//! One key of a settings file.
+//! Describes one key of a settings file: its name, default, range and purpose.
 //!
 //! ```
 //! use damaskvane_telemetry::settings;
 //!
-//! const KEY: settings::Key = settings::Key::number("ttl_ms", "2000", 100, 60_000, "how long");
+//! const KEY: settings::Key = settings::Key::number("ttl_ms", "2000", 100, 60_000, "lifetime");
 //! assert!(KEY.range.is_some_and(|range| range.contains(100)));
 //! ```
 
 use core::fmt;
 
-/// The whole numbers that a key accepts, both ends included.
+/// Inclusive range of the whole numbers that a key accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Range {
-    least: i64,
-    most: i64,
+    min: i64,
+    max: i64,
 }
 
 impl Range {
-    /// Whether a number lies in the range.
+    /// Returns whether the number lies in the range.
     #[must_use]
     pub const fn contains(self, number: i64) -> bool {
-        self.least <= number && number <= self.most
+        self.min <= number && number <= self.max
     }
 }
 
 impl fmt::Display for Range {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} to {}", self.least, self.most)
+        write!(f, "{} to {}", self.min, self.max)
     }
 }
 
-/// One key: its name, default, range and meaning.
+/// Key of a settings file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Key {
-    /// The key as it stands in the file.
+    /// Name of the key in the file.
     pub name: &'static str,
-    /// The default as it would be written; none if the key must be given.
+    /// Default, as it would be written in the file; `None` if the key is required.
     pub default: Option<&'static str>,
-    /// The range of a number; none for a text.
+    /// Range of accepted numbers; `None` if the value is a string.
     pub range: Option<Range>,
-    /// What the key is for, one line.
+    /// Purpose of the key, in one line.
     pub meaning: &'static str,
 }
 
 impl Key {
-    /// A text that must be given.
+    /// Describes a required string.
     #[must_use]
     pub const fn required(name: &'static str, meaning: &'static str) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A text with a default.
+    /// Describes an optional string with a default.
     #[must_use]
     pub const fn text(name: &'static str, default: &'static str, meaning: &'static str) -> Self {
         Self {
@@ -66,19 +66,19 @@
         }
     }
 
-    /// A whole number with a default and a range.
+    /// Describes an optional whole number with a default and an inclusive range.
     #[must_use]
     pub const fn number(
         name: &'static str,
         default: &'static str,
-        least: i64,
-        most: i64,
+        min: i64,
+        max: i64,
         meaning: &'static str,
     ) -> Self {
         Self {
             name,
             default: Some(default),
-            range: Some(Range { least, most }),
+            range: Some(Range { min, max }),
             meaning,
         }
     }
--- a/crates/damaskvane-telemetry/src/settings/wrong_value.rs
+++ b/crates/damaskvane-telemetry/src/settings/wrong_value.rs
@@ -1,4 +1,4 @@
-//! A value that has the right type and can't be used.
+//! Error for a settings value that has the right type but can't be used.
 //!
 //! ```
 //! use damaskvane_telemetry::settings;
@@ -17,7 +17,7 @@
 }
 
 impl WrongValue {
-    /// The key, its value, what is wrong with it, and what to write instead.
+    /// Creates an error from the key, its value, the cause of the rejection and what to write instead.
     #[must_use]
     pub fn new(
         key: &'static str,
