--- a/crates/damaskvane-ctl/src/args.rs
+++ b/crates/damaskvane-ctl/src/args.rs
@@ -1,10 +1,10 @@
-//! The command line.
+//! Parses the command line.
 //!
 //! ```
 //! use damaskvane_ctl::args;
 //!
-//! let error = args::parse(["check".into(), "--jsn".into()]).expect_err("misspelt");
-//! assert!(error.to_string().contains("--json"));
+//! let error = args::parse(["check".into(), "--jsn".into()]).expect_err("unknown option");
+//! assert!(error.to_string().contains("did you mean '--json'?"));
 //! ```
 
 use std::ffi::OsString;
@@ -16,42 +16,52 @@
 
 use crate::error::CtlError;
 
-/// The help text.
+/// Text that `--help` prints.
 pub const HELP: &str = "\
-Checks, submits and explains the configuration.
-
-Usage: damaskvane-ctl COMMAND [options]
-
-  check FILE...                 validate; with --platform, on top of what is accepted
-  diff FILE...                  what FILE... would change
-  submit FILE... --reason TEXT  put FILE... into force as one ticket
-  drain SERVER --reason TEXT    let a backend server take no new work
-  undrain SERVER --reason TEXT  let it take work again
-  history [--limit N]           accepted tickets, newest first
-  show [N]                      ticket N as accepted, or the objects in force
-  export DIRECTORY              accepted tickets as files for version control
-  status                        which version is in force where
-  explain SERVICE CLIENT        why CLIENT gets its answer, from which tickets
-
-  --platform ADDRESS     the platform's object API, host:port
-  --token-file FILE      the file with your token
-  --base VERSION         the version that FILE... was written against (submit)
-  --entry ADDRESS        an instance to look up at (explain)
-  --timeout-ms MS        the longest one call may take (2000)
-  --calls-per-second N   the rate budget (50)
-  --json                 print JSON
-  --help, --version
-
-Exit codes: 0 done, 1 platform, file or instance unusable, 2 wrong usage, 3 declarations not valid,
-4 objects changed meanwhile, 5 not known whether the ticket is accepted.
+Validates, submits and inspects the configuration.
+
+Usage: damaskvane-ctl COMMAND [OPTIONS]
+
+Commands:
+  check FILE...                 Validate declarations; with --platform, on top of the accepted configuration
+  diff FILE...                  Show what declarations would change
+  submit FILE... --reason TEXT  Submit declarations as one ticket
+  drain SERVER --reason TEXT    Stop sending new work to a backend server
+  undrain SERVER --reason TEXT  Resume sending work to a backend server
+  history [--limit N]           List accepted tickets, newest first
+  show [N]                      Show ticket N, or list the accepted objects
+  export DIRECTORY              Write accepted tickets to files for version control
+  status                        Show which version each instance has in effect
+  explain SERVICE CLIENT        Show the objects and tickets that determine CLIENT's lookup response
+
+Options:
+  --platform ADDRESS     Connect to the platform's object API at host:port
+  --token-file FILE      Read the access token from a file
+  --reason TEXT          Give the reason of the change (submit, drain, undrain)
+  --base VERSION         Name the version that FILE... was written against (submit) [default: newest]
+  --limit N              Limit the number of tickets (history) [default: 20]
+  --entry ADDRESS        Send the lookup to the entry instance at host:port (explain)
+  --timeout-ms MS        Limit the duration of one call, in milliseconds [default: 2000]
+  --calls-per-second N   Limit the rate of calls to the platform [default: 50]
+  --json                 Print the result as JSON
+  -h, --help             Print help
+  -V, --version          Print the version
+
+Exit codes:
+  0  Success
+  1  Platform, file or instance unusable
+  2  Invalid command line
+  3  Invalid declarations
+  4  Objects changed since the base version
+  5  Unknown whether the ticket was accepted
 ";
 
-/// The commands.
+/// Names of the commands.
 const COMMANDS: [&str; 10] = [
     "check", "diff", "submit", "drain", "undrain", "history", "show", "export", "status", "explain",
 ];
 
-/// The options, without their dashes.
+/// Names of the long options, without their dashes.
 const OPTIONS: [&str; 11] = [
     "platform",
     "token-file",
@@ -66,44 +76,44 @@
     "version",
 ];
 
-/// What the command line asks for.
+/// Action that the command line requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Request {
-    /// Print this text.
+    /// Print the text, which is the help or the version.
     Print(String),
-    /// Run a command.
+    /// Run a command with its options.
     Run(Args),
 }
 
-/// A command with its options.
+/// Command with its operands and options.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Args {
-    /// The command.
+    /// Name of the command.
     pub command: &'static str,
-    /// Files, names or numbers after the command.
+    /// Operands of the command: files, names or numbers.
     pub operands: Vec<String>,
-    /// The platform's address.
+    /// Address of the platform's object API, as `host:port`.
     pub platform: Option<String>,
-    /// The file with the token.
+    /// Path of the file that holds the access token of the platform.
     pub token_file: Option<PathBuf>,
-    /// Why.
+    /// Reason of the change; empty if not given.
     pub reason: String,
-    /// The version that the files were written against.
+    /// Version that the declarations were written against; `None` for the newest.
     pub base: Option<ids::ConfigVersion>,
-    /// How many tickets to list.
+    /// Maximum number of tickets to list; 20 by default.
     pub limit: u64,
-    /// An instance to look up at.
+    /// Client address of the entry instance to send the lookup to, as `host:port`; `None` for no lookup.
     pub entry: Option<String>,
-    /// The longest one call may take.
+    /// Timeout of one call to the platform or to an instance; 2 s by default.
     pub timeout_ms: time::SpanMs,
-    /// The rate budget.
+    /// Maximum rate of calls to the platform; 50 per second by default.
     pub calls_per_second: u32,
-    /// Whether to print JSON.
+    /// Whether the result is printed as JSON.
     pub json: bool,
 }
 
 impl Args {
-    const fn of(command: &'static str) -> Self {
+    const fn with_defaults(command: &'static str) -> Self {
         Self {
             command,
             operands: Vec::new(),
@@ -119,44 +129,44 @@
         }
     }
 
-    /// The operands as paths.
+    /// Returns the operands as paths.
     #[must_use]
     pub fn paths(&self) -> Vec<PathBuf> {
         self.operands.iter().map(PathBuf::from).collect()
     }
 
-    /// The only operand.
+    /// Returns the only operand; `what` describes the operand in the error.
     ///
     /// # Errors
     ///
-    /// When there is none or more than one.
+    /// Fails if there is no operand or more than one.
     pub fn only_operand(&self, what: &str) -> Result<&str, CtlError> {
         match self.operands.as_slice() {
             [operand] => Ok(operand),
             _ => Err(CtlError::Usage(format!(
-                "{} takes one {what}",
+                "{} takes exactly one {what}; see --help",
                 self.command
             ))),
         }
     }
 }
 
-/// Reads the command line without the program's name.
+/// Parses the command line, without the name of the program.
 ///
 /// # Errors
 ///
-/// When it is wrong; the message names the nearest command or option.
+/// Fails if the command line is invalid; the message names the most similar command or option.
 pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Request, CtlError> {
-    let usage = |error: lexopt::Error| CtlError::Usage(error.to_string());
+    let usage = |error: lexopt::Error| CtlError::Usage(format!("{error}; see --help"));
     let mut parser = lexopt::Parser::from_args(args);
     let mut parsed: Option<Args> = None;
-    let mut options = Args::of("");
+    let mut options = Args::with_defaults("");
     while let Some(arg) = parser.next().map_err(usage)? {
         match arg {
             lexopt::Arg::Value(word) => {
                 let word = word.string().map_err(usage)?;
                 match &mut parsed {
-                    None => parsed = Some(Args::of(command(&word)?)),
+                    None => parsed = Some(Args::with_defaults(command(&word)?)),
                     Some(args) => args.operands.push(word),
                 }
             }
@@ -178,7 +188,7 @@
         }
     }
     let Some(args) = parsed else {
-        return Err(CtlError::Usage("no command is named".into()));
+        return Err(CtlError::Usage("missing command; see --help".into()));
     };
     Ok(Request::Run(Args {
         command: args.command,
@@ -192,21 +202,25 @@
         return Ok(command);
     }
     let text = match nearest(word, COMMANDS) {
-        Some(near) => format!("{word:?} is no command; the nearest is {near}"),
-        None => format!("{word:?} is no command"),
+        Some(near) => format!("unknown command '{word}'; did you mean '{near}'?"),
+        None => format!("unknown command '{word}'; see --help"),
     };
     Err(CtlError::Usage(text))
 }
 
 fn unknown_option(name: &str) -> CtlError {
     CtlError::Usage(match nearest(name, OPTIONS) {
-        Some(near) => format!("--{name} is no option; the nearest is --{near}"),
-        None => format!("--{name} is no option"),
+        Some(near) => format!("unknown option '--{name}'; did you mean '--{near}'?"),
+        None => format!("unknown option '--{name}'; see --help"),
     })
 }
 
 fn option(args: &mut Args, name: &str, value: &OsString) -> Result<(), CtlError> {
-    let wrong = || CtlError::Usage(format!("--{name} has a value that can't be read"));
+    let wrong = || {
+        CtlError::Usage(format!(
+            "invalid value {value:?} for option '--{name}'; see --help"
+        ))
+    };
     let text = value.to_str().ok_or_else(wrong)?;
     match name {
         "platform" => args.platform = Some(text.to_owned()),
--- a/crates/damaskvane-ctl/src/bin/damaskvane-ctl.rs
+++ b/crates/damaskvane-ctl/src/bin/damaskvane-ctl.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! Command-line tool with which operators validate, submit and inspect the configuration.
 
 use core::fmt::Display;
 use std::fs;
@@ -7,9 +7,9 @@
 
 use damaskvane_core::ids;
 use damaskvane_ctl::args::{self, Args, Request};
-use damaskvane_ctl::ask;
-use damaskvane_ctl::command::{self, Submit};
+use damaskvane_ctl::command::{self, SubmitRequest};
 use damaskvane_ctl::error::CtlError;
+use damaskvane_ctl::fetch;
 use damaskvane_ctl::store;
 use damaskvane_objects::backoff::{Backoff, BackoffSettings};
 use damaskvane_objects::http::{HttpObjectApi, PlatformSettings};
@@ -70,7 +70,9 @@
         }
         "status" => print(args, &command::status(&platform(args)?, args.timeout_ms)?),
         "explain" => explain(args),
-        other => Err(CtlError::Usage(format!("{other:?} is no command"))),
+        other => Err(CtlError::Usage(format!(
+            "unknown command '{other}'; see --help"
+        ))),
     }
 }
 
@@ -85,25 +87,25 @@
 
 fn submit(args: &Args) -> Result<(), CtlError> {
     let document = command::read_document(&args.paths())?;
-    let request = Submit {
+    let request = SubmitRequest {
         base: args.base,
-        ..Submit::of(&document)
+        ..SubmitRequest::of(&document)
     };
-    let result = put_into_force(args, request);
-    result.map_err(|error| command::located(error, &document))
+    let result = submit_request(args, request);
+    result.map_err(|error| command::add_places(error, &document))
 }
 
 fn drain(args: &Args, draining: bool) -> Result<(), CtlError> {
     let server: ids::BackendServerId = parse(args.only_operand("backend server")?)?;
     let accepted = store::read_accepted(&platform(args)?)?;
     let request = command::set_draining(&accepted, &server, draining)?;
-    put_into_force(args, request)
+    submit_request(args, request)
 }
 
-fn put_into_force(args: &Args, request: Submit) -> Result<(), CtlError> {
+fn submit_request(args: &Args, request: SubmitRequest) -> Result<(), CtlError> {
     let since_1970 = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default();
     let nonce = since_1970.as_nanos() ^ (u128::from(std::process::id()) << 96);
-    let request = Submit {
+    let request = SubmitRequest {
         reason: args.reason.clone(),
         now_unix_ms: u64::try_from(since_1970.as_millis()).unwrap_or(u64::MAX),
         nonce,
@@ -119,26 +121,27 @@
 
 fn explain(args: &Args) -> Result<(), CtlError> {
     let [service, client] = args.operands.as_slice() else {
-        let text = "explain takes a service and a client block";
+        let text = "explain takes exactly one service and one client block; see --help";
         return Err(CtlError::Usage(text.into()));
     };
     let accepted = store::read_accepted(&platform(args)?)?;
-    let answer = match &args.entry {
+    let response = match &args.entry {
         Some(entry) => Some(look_up(args, entry, service, client)?),
         None => None,
     };
-    let report = command::explain(&accepted, parse(service)?, parse(client)?, answer)?;
+    let report = command::explain(&accepted, parse(service)?, parse(client)?, response)?;
     print(args, &report)
 }
 
 fn look_up(args: &Args, entry: &str, service: &str, client: &str) -> Result<Value, CtlError> {
     let url = format!("http://{entry}/v1/lookup");
     let query = [("service", service), ("client", client)];
-    Ok(ask::json(&url, &query, args.timeout_ms)?)
+    Ok(fetch::json(&url, &query, args.timeout_ms)?)
 }
 
 fn platform(args: &Args) -> Result<HttpObjectApi, CtlError> {
-    let missing = |option: &str| CtlError::Usage(format!("--{option} is missing"));
+    let missing =
+        |option: &str| CtlError::Usage(format!("missing option '--{option}'; see --help"));
     let address = args.platform.clone().ok_or_else(|| missing("platform"))?;
     let path = args
         .token_file
@@ -166,7 +169,9 @@
         let text = serde_json::to_string(report);
         println!(
             "{}",
-            text.map_err(|error| CtlError::Broken(error.to_string()))?
+            text.map_err(|error| CtlError::InvalidData(format!(
+                "the report can't be encoded as JSON ({error}); run the command without --json"
+            )))?
         );
     } else {
         println!("{report}");
--- a/crates/damaskvane-ctl/src/command.rs
+++ b/crates/damaskvane-ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands; each gives a report that prints as text or as JSON.
+//! The commands; each returns a report that can be printed as text or as JSON.
 //!
 //! ```
 //! use damaskvane_ctl::command;
@@ -27,4 +27,4 @@
 pub use history::{HistoryReport, TicketSummary, history};
 pub use show::{ObjectsReport, ShowReport, show, show_objects};
 pub use status::{InstanceStatus, StatusReport, ZoneStatus, status};
-pub use submit::{ChangedObject, Submit, SubmitReport, located, submit};
+pub use submit::{ChangedObject, SubmitReport, SubmitRequest, add_places, submit};
--- a/crates/damaskvane-ctl/src/command/check.rs
+++ b/crates/damaskvane-ctl/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `check`: whether declarations are valid, alone or on top of what is accepted.
+//! `check`: validates declarations, alone or together with the accepted configuration.
 
 use core::fmt;
 
@@ -10,12 +10,12 @@
 use crate::error::CtlError;
 use crate::store::Accepted;
 
-/// What was checked.
+/// Result of a successful check.
 #[derive(Debug, Clone, Serialize)]
 pub struct CheckReport {
-    /// How many objects are declared.
+    /// Number of declared and deleted objects.
     pub objects: usize,
-    /// The version they were checked on top of; `None` if alone.
+    /// Accepted version that the declarations were applied to; `None` if they were checked alone.
     pub against_version: Option<ids::ConfigVersion>,
 }
 
@@ -28,11 +28,11 @@
     }
 }
 
-/// Validates declarations on top of what is accepted, or alone without it.
+/// Validates declarations applied to the accepted configuration, or alone if `accepted` is `None`.
 ///
 /// # Errors
 ///
-/// Every problem with its place.
+/// Fails with every problem and its place in the files if the declarations are invalid.
 pub fn check(document: &Document, accepted: Option<&Accepted>) -> Result<CheckReport, CtlError> {
     let draft = Draft {
         changes: document.to_changes(),
@@ -42,15 +42,15 @@
     accepted
         .unwrap_or(&alone)
         .state_with(&draft)
-        .map_err(|error| located(error, document))?;
+        .map_err(|error| add_places(error, document))?;
     Ok(CheckReport {
         objects: document.changes().count(),
         against_version: accepted.map(|accepted| accepted.head.version),
     })
 }
 
-/// Adds the places of the document to the problems of an error.
-pub(super) fn located(error: CtlError, document: &Document) -> CtlError {
+/// Adds the places in the document to the problems of an error.
+pub(super) fn add_places(error: CtlError, document: &Document) -> CtlError {
     match error {
         CtlError::Invalid(problems) => CtlError::Invalid(document.locate(problems)),
         other => other,
--- a/crates/damaskvane-ctl/src/command/diff.rs
+++ b/crates/damaskvane-ctl/src/command/diff.rs
@@ -1,4 +1,4 @@
-//! `diff`: what declarations would change in what is accepted.
+//! `diff`: shows what declarations would change in the accepted configuration.
 
 use core::fmt;
 
@@ -12,36 +12,36 @@
 use crate::error::CtlError;
 use crate::store::Accepted;
 
-/// One key that changes.
+/// Change of one key of an object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct FieldChange {
-    /// The key.
+    /// Name of the key.
     pub key: String,
-    /// The value now; `null` if there is none.
+    /// Accepted value; `null` if there is none.
     pub from: Value,
-    /// The value after; `null` if there is none.
+    /// Declared value; `null` if there is none.
     pub to: Value,
 }
 
-/// One object that changes.
+/// Change of one object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// The object.
+    /// Object that changes.
     pub object: ObjectId,
-    /// `add`, `change` or `delete`.
+    /// Kind of change: `add`, `change` or `delete`.
     pub action: &'static str,
-    /// The ticket that last changed it; 0 for none.
+    /// Ticket that last changed the object; 0 for none.
     pub last_ticket: ids::TicketNumber,
-    /// The keys.
+    /// Changed keys.
     pub fields: Vec<FieldChange>,
 }
 
-/// Everything that changes.
+/// Difference between declarations and the accepted configuration.
 #[derive(Debug, Clone, Serialize)]
 pub struct DiffReport {
-    /// The version that was compared with; give it to `submit --base`.
+    /// Accepted version that the declarations were compared with, for use with `submit --base`.
     pub base_version: ids::ConfigVersion,
-    /// The changes by object.
+    /// Changes, one for each changed object.
     pub changes: Vec<Change>,
 }
 
@@ -64,15 +64,15 @@
     }
 }
 
-/// Compares declarations with what is accepted.
+/// Compares declarations with the accepted configuration.
 ///
 /// # Errors
 ///
-/// When what the platform holds is broken.
+/// Fails if a chunk of the accepted configuration is missing or corrupt.
 pub fn diff(document: &Document, accepted: &Accepted) -> Result<DiffReport, CtlError> {
     let mut changes = Vec::new();
     for (object, after) in document.changes() {
-        let before = declared(accepted, object)?;
+        let before = accepted_declaration(accepted, object)?;
         if before != *after {
             changes.push(Change {
                 object: object.clone(),
@@ -88,21 +88,23 @@
     })
 }
 
-/// The accepted state of an object.
-pub(super) fn declared(
+/// Returns the accepted declaration of an object; `None` if the object doesn't exist.
+pub(super) fn accepted_declaration(
     accepted: &Accepted,
     object: &ObjectId,
 ) -> Result<Option<Declaration>, CtlError> {
     let Some(entry) = accepted.head.objects.get(object) else {
         return Ok(None);
     };
-    let chunk = accepted
-        .chunks
-        .get(&entry.hash)
-        .ok_or_else(|| CtlError::Broken(format!("the chunk of {object} is missing")))?;
+    let chunk = accepted.chunks.get(&entry.hash).ok_or_else(|| {
+        CtlError::InvalidData(format!(
+            "the chunk of {object} is missing; submit the object again from version control or \
+                 an export"
+        ))
+    })?;
     let (_, declaration) = chunk
         .decode()
-        .map_err(|error| CtlError::Broken(error.to_string()))?;
+        .map_err(|error| CtlError::InvalidData(error.to_string()))?;
     Ok(Some(declaration))
 }
 
--- a/crates/damaskvane-ctl/src/command/explain.rs
+++ b/crates/damaskvane-ctl/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: why a client gets its answer, and which tickets made it so.
+//! `explain`: lists the objects and tickets that determine the lookup response to a client.
 
 use core::fmt;
 
@@ -7,33 +7,33 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::command::diff::declared;
+use crate::command::diff::accepted_declaration;
 use crate::error::CtlError;
 use crate::store::Accepted;
 
-/// An object that has a part in the answer.
+/// Object that influences the lookup response.
 #[derive(Debug, Clone, Serialize)]
 pub struct Involved {
-    /// The object.
+    /// Identifier of the object.
     pub object: ObjectId,
-    /// The ticket that last changed it.
+    /// Ticket that last changed the object.
     pub ticket: ids::TicketNumber,
-    /// What it has to do with the answer.
+    /// Influence of the object on the response, as text for the operator.
     pub part: String,
 }
 
-/// Why a client gets its answer.
+/// Explanation of the lookup response to a client.
 #[derive(Debug, Clone, Serialize)]
 pub struct ExplainReport {
-    /// The service that was asked for.
+    /// Service of the lookup.
     pub service: ids::ServiceId,
-    /// The client block that asked.
+    /// Client block of the client.
     pub client: ids::ClientBlock,
-    /// The version this is explained at.
+    /// Accepted version that the explanation is based on.
     pub version: ids::ConfigVersion,
-    /// The answer of an instance, where one was asked.
+    /// Lookup response of an instance; `None` if no instance was queried.
     pub answer: Option<Value>,
-    /// The objects involved.
+    /// Objects that influence the response.
     pub involved: Vec<Involved>,
 }
 
@@ -58,11 +58,11 @@
     }
 }
 
-/// Collects the objects that decide what a client is answered.
+/// Collects the objects that determine the lookup response to a client.
 ///
 /// # Errors
 ///
-/// When there is no such service or what the platform holds is broken.
+/// Fails if the service doesn't exist or the accepted configuration is invalid.
 pub fn explain(
     accepted: &Accepted,
     service: ids::ServiceId,
@@ -129,7 +129,7 @@
             .parse()
             .map_err(|_| CtlError::NoObject(name.to_owned()))?;
         let object = ObjectId::new(kind, name);
-        if declared(self.accepted, &object)?.is_some() {
+        if accepted_declaration(self.accepted, &object)?.is_some() {
             let ticket = self.accepted.head.base_of(&object);
             self.involved.push(Involved {
                 object,
--- a/crates/damaskvane-ctl/src/command/export.rs
+++ b/crates/damaskvane-ctl/src/command/export.rs
@@ -1,4 +1,4 @@
-//! `export`: accepted tickets as files for version control.
+//! `export`: writes accepted tickets to files for version control.
 
 use core::fmt;
 use std::fs;
@@ -12,14 +12,14 @@
 use crate::error::CtlError;
 use crate::{history, store};
 
-/// What was written.
+/// Result of an export.
 #[derive(Debug, Clone, Serialize)]
 pub struct ExportReport {
-    /// The directory.
+    /// Directory that the tickets are written to.
     pub directory: PathBuf,
-    /// How many tickets were written; those already there are left as they are.
+    /// Number of tickets written; existing files are not overwritten.
     pub written: u64,
-    /// How many were there already and equal.
+    /// Number of tickets whose JSON file already existed with equal content.
     pub present: u64,
 }
 
@@ -31,13 +31,13 @@
     }
 }
 
-/// Writes each accepted ticket, as accepted, to `DIRECTORY/{number}.json`, and its declarations to
+/// Writes each accepted ticket, as stored, to `DIRECTORY/{number}.json` and its declarations to
 /// `DIRECTORY/{number}.toml`.
 ///
 /// # Errors
 ///
-/// When the platform can't be read, a file can't be written, or a file that is there differs from
-/// what was accepted.
+/// Fails if the platform can't be read, a file can't be written, or an existing JSON file differs from the accepted
+/// ticket.
 pub fn export(api: &impl ObjectApi, directory: &Path) -> Result<ExportReport, CtlError> {
     let head = store::read_head(api)?;
     fs::create_dir_all(directory).map_err(|error| file_error(directory, error))?;
@@ -46,14 +46,17 @@
         written: 0,
         present: 0,
     };
-    for accepted in history::back_to(api, &head, ids::TicketNumber::new(1))? {
+    for accepted in history::read_back_to(api, &head, ids::TicketNumber::new(1))? {
         let stem = format!("{:08}", accepted.ticket.number.get());
         let path = directory.join(format!("{stem}.json"));
         match fs::read(&path) {
             Ok(bytes) if bytes == accepted.bytes => report.present += 1,
             Ok(_) => {
-                let text = format!("{} differs from the accepted ticket", path.display());
-                return Err(CtlError::Broken(text));
+                let text = format!(
+                    "{} differs from the accepted ticket; move the file away and export again",
+                    path.display()
+                );
+                return Err(CtlError::InvalidData(text));
             }
             Err(_) => {
                 write(
--- a/crates/damaskvane-ctl/src/command/files.rs
+++ b/crates/damaskvane-ctl/src/command/files.rs
@@ -1,4 +1,4 @@
-//! Reads the files of declarations.
+//! Reads declaration files.
 
 use std::fs;
 use std::path::PathBuf;
@@ -7,14 +7,16 @@
 
 use crate::error::CtlError;
 
-/// Reads files as one document.
+/// Reads declaration files as one document.
 ///
 /// # Errors
 ///
-/// When a file can't be read or the declarations are malformed.
+/// Fails if no file is given, a file can't be read or the declarations are malformed.
 pub fn read_document(paths: &[PathBuf]) -> Result<Document, CtlError> {
     if paths.is_empty() {
-        return Err(CtlError::Usage("no file of declarations is named".into()));
+        return Err(CtlError::Usage(
+            "missing declaration file; see --help".into(),
+        ));
     }
     let mut files = Vec::new();
     for path in paths {
--- a/crates/damaskvane-ctl/src/command/history.rs
+++ b/crates/damaskvane-ctl/src/command/history.rs
@@ -1,4 +1,4 @@
-//! `history`: accepted tickets, newest first.
+//! `history`: lists accepted tickets, newest first.
 
 use core::fmt;
 
@@ -11,20 +11,20 @@
 use crate::error::CtlError;
 use crate::{history as accepted_history, store};
 
-/// A ticket in short.
+/// Summary of an accepted ticket.
 #[derive(Debug, Clone, Serialize)]
 pub struct TicketSummary {
-    /// Its number.
+    /// Number of the ticket.
     pub number: ids::TicketNumber,
-    /// Who submitted it.
+    /// Operator who submitted the ticket, as identified by the access token.
     pub author: String,
-    /// Why.
+    /// Reason of the change, as given by the operator.
     pub reason: String,
-    /// When, in milliseconds since 1970 by the submitter's clock.
+    /// Submission time in milliseconds since 1970, by the clock of the submitting machine.
     pub submitted_at_unix_ms: u64,
-    /// The identity of the submission.
+    /// Identifier of the submission.
     pub write_id: String,
-    /// The objects it touched.
+    /// Objects that the ticket changed.
     pub objects: Vec<ObjectId>,
 }
 
@@ -41,10 +41,10 @@
     }
 }
 
-/// Accepted tickets.
+/// List of accepted tickets.
 #[derive(Debug, Clone, Serialize)]
 pub struct HistoryReport {
-    /// The newest first.
+    /// Summaries of the tickets, newest first.
     pub tickets: Vec<TicketSummary>,
 }
 
@@ -64,16 +64,16 @@
     }
 }
 
-/// Reads the newest tickets.
+/// Reads the newest accepted tickets, at most `limit`.
 ///
 /// # Errors
 ///
-/// When the platform can't be read or a ticket is broken.
+/// Fails if the platform can't be read or a ticket is corrupt.
 pub fn history(api: &impl ObjectApi, limit: u64) -> Result<HistoryReport, CtlError> {
     let head = store::read_head(api)?;
     let oldest = (head.ticket.get() + 1).saturating_sub(limit);
     let oldest = ids::TicketNumber::new(oldest);
-    let accepted = accepted_history::back_to(api, &head, oldest)?;
+    let accepted = accepted_history::read_back_to(api, &head, oldest)?;
     Ok(HistoryReport {
         tickets: accepted
             .iter()
--- a/crates/damaskvane-ctl/src/command/show.rs
+++ b/crates/damaskvane-ctl/src/command/show.rs
@@ -1,4 +1,4 @@
-//! `show`: one ticket as accepted, or the objects in force.
+//! `show`: shows an accepted ticket, or lists the accepted objects.
 
 use core::fmt;
 use std::collections::BTreeMap;
@@ -13,12 +13,12 @@
 use crate::error::CtlError;
 use crate::{history, store};
 
-/// One ticket with the state that it gave each object.
+/// Accepted ticket with the declarations that it changed.
 #[derive(Debug, Clone, Serialize)]
 pub struct ShowReport {
-    /// The ticket.
+    /// Ticket as accepted.
     pub ticket: Ticket,
-    /// The whole new state of each object; `null` where it was deleted.
+    /// Complete new declaration of each changed object; `null` if the object was deleted.
     pub states: BTreeMap<ObjectId, Option<Declaration>>,
 }
 
@@ -38,12 +38,12 @@
     }
 }
 
-/// The objects in force, each with the ticket that last changed it.
+/// Accepted objects, each with the ticket that last changed it.
 #[derive(Debug, Clone, Serialize)]
 pub struct ObjectsReport {
-    /// The version.
+    /// Accepted version.
     pub version: ids::ConfigVersion,
-    /// The objects with their tickets.
+    /// Ticket that last changed each object.
     pub objects: BTreeMap<ObjectId, ids::TicketNumber>,
 }
 
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 ///
-/// When there is none of that number or it is broken.
+/// Fails if the platform can't be read, or if the ticket doesn't exist or is corrupt.
 pub fn show(api: &impl ObjectApi, number: ids::TicketNumber) -> Result<ShowReport, CtlError> {
     let head = store::read_head(api)?;
     let ticket = history::read(api, &head, number)?.ticket;
@@ -76,15 +76,15 @@
     Ok(ShowReport { ticket, states })
 }
 
-/// Lists the objects in force.
+/// Lists the accepted objects.
 ///
 /// # Errors
 ///
-/// When the platform can't be read or holds no configuration.
+/// Fails if the platform can't be read or holds no configuration.
 pub fn show_objects(api: &impl ObjectApi) -> Result<ObjectsReport, CtlError> {
     let head = store::read_head(api)?;
     if head.version.get() == 0 {
-        return Err(CtlError::NoHead);
+        return Err(CtlError::NoConfiguration);
     }
     let tickets = head.objects.iter();
     Ok(ObjectsReport {
@@ -102,6 +102,6 @@
     let chunk = store::read_chunk(api, hash)?;
     let (_, declaration) = chunk
         .decode()
-        .map_err(|error| CtlError::Broken(error.to_string()))?;
+        .map_err(|error| CtlError::InvalidData(error.to_string()))?;
     Ok(declaration)
 }
--- a/crates/damaskvane-ctl/src/command/status.rs
+++ b/crates/damaskvane-ctl/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: which version is in force where.
+//! `status`: shows which version each instance has in effect.
 
 use core::fmt;
 use std::collections::BTreeMap;
@@ -9,45 +9,46 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::ask;
 use crate::error::CtlError;
+use crate::fetch;
 use crate::store;
 
-/// How many instances are asked at a time.
-const ASKED_AT_A_TIME: usize = 32;
+/// Maximum number of instances that are queried concurrently.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 
-/// What one instance says.
+/// Status of one instance.
 #[derive(Debug, Clone, Serialize)]
 pub struct InstanceStatus {
-    /// The instance.
+    /// Identifier of the instance.
     pub instance: ids::InstanceId,
-    /// Whether it is about to go.
+    /// Whether the instance is leaving, as the platform lists it.
     pub leaving: bool,
-    /// The version in force; `None` where it didn't answer.
+    /// Version in effect; `None` if the instance reported none.
     pub config_version: Option<ids::ConfigVersion>,
-    /// Why there is no version.
+    /// Reason why `config_version` is `None`.
     pub error: Option<String>,
 }
 
-/// The instances of one availability zone.
+/// Status of one availability zone.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ZoneStatus {
-    /// How many instances have each version in force.
+    /// Number of instances that have each version in effect.
     pub versions: BTreeMap<ids::ConfigVersion, usize>,
-    /// The instances that didn't answer.
-    pub silent: Vec<ids::InstanceId>,
-    /// Each instance.
+    /// Instances that reported no version.
+    #[serde(rename = "silent")]
+    pub unresponsive: Vec<ids::InstanceId>,
+    /// Status of every instance of the zone.
     pub instances: Vec<InstanceStatus>,
 }
 
-/// Every zone.
+/// Status of all listed instances, except fenced ones.
 #[derive(Debug, Clone, Serialize)]
 pub struct StatusReport {
-    /// The accepted version.
+    /// Accepted version.
     pub accepted: ids::ConfigVersion,
-    /// Whether every listed instance answered and has it in force.
+    /// Whether at least one instance is listed and all have the accepted version in effect.
     pub in_force_everywhere: bool,
-    /// The zones.
+    /// Status of each availability zone.
     pub zones: BTreeMap<ids::AvailabilityZoneId, ZoneStatus>,
 }
 
@@ -64,7 +65,7 @@
             for (version, count) in &status.versions {
                 write!(f, " version {version} on {count} instances;")?;
             }
-            for instance in &status.silent {
+            for instance in &status.unresponsive {
                 write!(f, " {instance} doesn't answer;")?;
             }
         }
@@ -72,22 +73,22 @@
     }
 }
 
-/// Asks every listed instance for its state.
+/// Queries every listed instance that is not fenced for the version that it has in effect.
 ///
 /// # Errors
 ///
-/// When the platform can't be read.
+/// Fails if the platform can't be read.
 pub fn status(api: &impl ObjectApi, timeout: time::SpanMs) -> Result<StatusReport, CtlError> {
     let accepted = store::read_head(api)?.version;
     let mut records = api.instances()?;
     records.retain(|record| !record.fenced);
     let mut zones: BTreeMap<_, ZoneStatus> = BTreeMap::new();
     let mut in_force_everywhere = !records.is_empty();
-    for (record, status) in records.iter().zip(ask_all(&records, timeout)) {
+    for (record, status) in records.iter().zip(fetch_all(&records, timeout)) {
         let zone = zones.entry(record.availability_zone.clone()).or_default();
         match status.config_version {
             Some(version) => *zone.versions.entry(version).or_default() += 1,
-            None => zone.silent.push(status.instance.clone()),
+            None => zone.unresponsive.push(status.instance.clone()),
         }
         in_force_everywhere &= status.config_version == Some(accepted);
         zone.instances.push(status);
@@ -99,40 +100,48 @@
     })
 }
 
-fn ask_all(records: &[InstanceRecord], timeout: time::SpanMs) -> Vec<InstanceStatus> {
+fn fetch_all(records: &[InstanceRecord], timeout: time::SpanMs) -> Vec<InstanceStatus> {
     let mut statuses = Vec::new();
-    for some in records.chunks(ASKED_AT_A_TIME) {
+    for batch in records.chunks(MAX_CONCURRENT_REQUESTS) {
         thread::scope(|scope| {
-            let asked: Vec<_> = some
+            let handles: Vec<_> = batch
                 .iter()
-                .map(|record| scope.spawn(move || ask_one(record, timeout)))
+                .map(|record| scope.spawn(move || fetch_one(record, timeout)))
                 .collect();
-            for (handle, record) in asked.into_iter().zip(some) {
+            for (handle, record) in handles.into_iter().zip(batch) {
                 let status = handle.join();
-                statuses.push(status.unwrap_or_else(|_| silent(record, "the question failed")));
+                statuses.push(status.unwrap_or_else(|_| {
+                    status_without_version(
+                        record,
+                        "the status request panicked; run the command again",
+                    )
+                }));
             }
         });
     }
     statuses
 }
 
-fn ask_one(record: &InstanceRecord, timeout: time::SpanMs) -> InstanceStatus {
+fn fetch_one(record: &InstanceRecord, timeout: time::SpanMs) -> InstanceStatus {
     let url = format!("http://{}/v1/status", record.operator_address);
-    let answer = ask::json(&url, &[], timeout);
-    match answer {
-        Err(error) => silent(record, &error.to_string()),
+    let response = fetch::json(&url, &[], timeout);
+    match response {
+        Err(error) => status_without_version(record, &error.to_string()),
         Ok(status) => match status.get("config_version").and_then(Value::as_u64) {
-            None => silent(record, "its answer names no config_version"),
+            None => status_without_version(
+                record,
+                "the status response has no config_version; check the instance's version",
+            ),
             Some(version) => InstanceStatus {
                 config_version: Some(ids::ConfigVersion::new(version)),
                 error: None,
-                ..silent(record, "")
+                ..status_without_version(record, "")
             },
         },
     }
 }
 
-fn silent(record: &InstanceRecord, error: &str) -> InstanceStatus {
+fn status_without_version(record: &InstanceRecord, error: &str) -> InstanceStatus {
     InstanceStatus {
         instance: record.instance.clone(),
         leaving: record.leaving,
--- a/crates/damaskvane-ctl/src/command/submit.rs
+++ b/crates/damaskvane-ctl/src/command/submit.rs
@@ -1,4 +1,4 @@
-//! `submit`: puts a ticket into force.
+//! `submit`: submits a ticket to the platform.
 
 use core::fmt;
 
@@ -17,16 +17,16 @@
 use crate::error::CtlError;
 use crate::{history, store};
 
-/// An object that changed after the ticket was written, and who changed it.
+/// Object that changed after the base version of a submission, with the change.
 #[derive(Debug, Clone, Serialize)]
 pub struct ChangedObject {
-    /// The object.
+    /// Identifier of the object.
     pub object: ObjectId,
-    /// The ticket that changed it.
+    /// Ticket that changed the object.
     pub ticket: ids::TicketNumber,
-    /// Who submitted that ticket.
+    /// Operator who submitted that ticket; empty if the ticket was not found.
     pub author: String,
-    /// Why.
+    /// Reason of that ticket; empty if the ticket was not found.
     pub reason: String,
 }
 
@@ -45,16 +45,16 @@
     }
 }
 
-/// An accepted ticket.
+/// Result of an accepted submission.
 #[derive(Debug, Clone, Serialize)]
 pub struct SubmitReport {
-    /// Its number, which is also the version it made.
+    /// Number of the ticket, which is also the resulting configuration version.
     pub ticket: ids::TicketNumber,
-    /// Who submitted it, by the credential.
+    /// Operator who submitted the ticket, as identified by the access token.
     pub author: String,
-    /// The identity of the submission.
+    /// Identifier of the submission.
     pub write_id: String,
-    /// The objects it touches.
+    /// Objects that the ticket changes.
     pub objects: Vec<ObjectId>,
 }
 
@@ -66,25 +66,25 @@
     }
 }
 
-/// What to submit.
+/// Changes to submit as one ticket.
 #[derive(Debug, Clone, Default)]
-pub struct Submit {
-    /// The new states.
+pub struct SubmitRequest {
+    /// New declaration of each changed object; `None` deletes the object.
     pub changes: Changes,
-    /// The declarations as written.
+    /// Declarations as written by the operator.
     pub text: String,
-    /// Why.
+    /// Reason of the change.
     pub reason: String,
-    /// The version that the declarations were written against; the newest if not given.
+    /// Version that the declarations were written against; `None` for the newest.
     pub base: Option<ids::ConfigVersion>,
-    /// When, in milliseconds since 1970.
+    /// Submission time in milliseconds since 1970.
     pub now_unix_ms: u64,
-    /// A number that differs between any two submissions.
+    /// Number that is unique to the submission.
     pub nonce: u128,
 }
 
-impl Submit {
-    /// Submits the declarations of a document.
+impl SubmitRequest {
+    /// Creates a request from the declarations of a document; the caller sets the other fields.
     #[must_use]
     pub fn of(document: &Document) -> Self {
         Self {
@@ -95,18 +95,20 @@
     }
 }
 
-/// Submits a ticket and waits until it is known what became of it.
+/// Submits a ticket and blocks until its outcome is known or can't be determined.
 ///
 /// # Errors
 ///
-/// When it is refused or its fate can't be learnt.
+/// Fails if the reason is missing, the platform can't be read, the ticket is refused or its outcome is unknown.
 pub fn submit(
     api: &impl ObjectApi,
-    request: Submit,
+    request: SubmitRequest,
     backoff: &mut Backoff,
 ) -> Result<SubmitReport, CtlError> {
     if request.reason.trim().is_empty() {
-        return Err(CtlError::Usage("--reason is missing or empty".into()));
+        return Err(CtlError::Usage(
+            "missing option '--reason'; give a reason that is not empty, see --help".into(),
+        ));
     }
     let author = api.token_holder()?;
     let head = store::read_head(api)?;
@@ -121,9 +123,11 @@
             write_id,
             objects,
         }),
-        Outcome::Overlapping(overlaps) => {
-            Err(CtlError::Changed(attribute(api, &overlaps, base_version)?))
-        }
+        Outcome::Overlapping(overlaps) => Err(CtlError::Changed(find_changed_objects(
+            api,
+            &overlaps,
+            base_version,
+        )?)),
         Outcome::Invalid(problems) => Err(CtlError::Invalid(problems)),
         Outcome::NotAccepted(reason) => Err(CtlError::NotAccepted(reason)),
         Outcome::Unknown(reason) => Err(CtlError::Unknown { reason, write_id }),
@@ -132,7 +136,7 @@
 
 fn draft(
     api: &impl ObjectApi,
-    request: Submit,
+    request: SubmitRequest,
     author: &str,
     head: &Head,
 ) -> Result<Draft, CtlError> {
@@ -151,7 +155,12 @@
     })
 }
 
-/// The versions of the objects at the version the operator looked at.
+/// Returns the base of each object to change: the ticket that last changed the object, or `base_version` if the
+/// object changed after that version.
+///
+/// # Errors
+///
+/// Fails if `base_version` is above the accepted version or a later ticket can't be read.
 fn base(
     api: &impl ObjectApi,
     head: &Head,
@@ -159,7 +168,10 @@
     base_version: ids::ConfigVersion,
 ) -> Result<Base, CtlError> {
     if base_version > head.version {
-        let text = format!("--base {base_version} is above version {}", head.version);
+        let text = format!(
+            "invalid value \"{base_version}\" for option '--base'; use a version up to the accepted one, {}",
+            head.version
+        );
         return Err(CtlError::Usage(text));
     }
     let mut base: Base = changes
@@ -167,9 +179,10 @@
         .map(|object| (object.clone(), head.base_of(object)))
         .collect();
     let first_after = ids::TicketNumber::new(base_version.get()).next();
-    for later in history::back_to(api, head, first_after)? {
+    for later in history::read_back_to(api, head, first_after)? {
         for object in later.ticket.changes.keys() {
-            // Changed since: whatever stands now, deletion included, is not what the operator saw.
+            // The object changed after the base version. Its current state, deletion included, is not the state that
+            // the operator saw, so the recorded base must differ from the current one.
             if let Some(version) = base.get_mut(object) {
                 *version = ids::TicketNumber::new(base_version.get());
             }
@@ -178,18 +191,19 @@
     Ok(base)
 }
 
-/// Finds who changed the objects that stand in the way.
-fn attribute(
+/// Returns the objects that overlap with later changes, each with the newest ticket that changed the object.
+fn find_changed_objects(
     api: &impl ObjectApi,
     overlaps: &[Overlap],
     base_version: ids::ConfigVersion,
 ) -> Result<Vec<ChangedObject>, CtlError> {
     let head = store::read_head(api)?;
     let first_after = ids::TicketNumber::new(base_version.get()).next();
-    let later = history::back_to(api, &head, first_after)?;
+    let later = history::read_back_to(api, &head, first_after)?;
     let changed = |overlap: &Overlap| {
-        let touches =
-            |accepted: &&history::Accepted| accepted.ticket.changes.contains_key(&overlap.object);
+        let touches = |accepted: &&history::AcceptedTicket| {
+            accepted.ticket.changes.contains_key(&overlap.object)
+        };
         let ticket = later.iter().find(touches).map(|accepted| &accepted.ticket);
         ChangedObject {
             object: overlap.object.clone(),
@@ -201,8 +215,8 @@
     Ok(overlaps.iter().map(changed).collect())
 }
 
-/// Adds the document's places to the problems of a refused submission.
+/// Adds the places in the document to the problems of a refused submission.
 #[must_use]
-pub fn located(error: CtlError, document: &Document) -> CtlError {
-    check::located(error, document)
+pub fn add_places(error: CtlError, document: &Document) -> CtlError {
+    check::add_places(error, document)
 }
--- a/crates/damaskvane-ctl/src/error.rs
+++ b/crates/damaskvane-ctl/src/error.rs
@@ -1,13 +1,13 @@
-//! What ends a command, with its exit code.
+//! Errors of the commands and their exit codes.
 //!
 //! | code | meaning |
 //! |---|---|
-//! | 0 | done |
+//! | 0 | success |
 //! | 1 | the platform, a file or an instance could not be used |
-//! | 2 | wrong usage |
-//! | 3 | the declarations are not valid |
-//! | 4 | objects changed since the ticket was written |
-//! | 5 | it is not known whether the ticket is accepted |
+//! | 2 | the command line is invalid |
+//! | 3 | the declarations are invalid |
+//! | 4 | objects changed since the base version of the ticket |
+//! | 5 | whether the ticket was accepted is unknown |
 //!
 //! ```
 //! use damaskvane_ctl::error;
@@ -19,50 +19,50 @@
 use damaskvane_core::ids;
 use damaskvane_objects::api;
 
-use crate::ask::AskError;
 use crate::command::ChangedObject;
+use crate::fetch::FetchError;
 
-/// What ends a command.
+/// Error that ends a command.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum CtlError {
-    /// {0}; damaskvane-ctl --help lists the commands and options
+    /// {0}
     Usage(String),
     /// {path}: {error}; check the path and its permissions
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// Error of the operating system.
         error: std::io::Error,
     },
     /// {0}
     Read(#[from] api::ReadError),
     /// {0}
-    Ask(#[from] AskError),
-    /// there is no configuration yet; submit a first ticket
-    NoHead,
-    /// there is no ticket {0}; damaskvane-ctl history lists them
+    Fetch(#[from] FetchError),
+    /// no configuration exists yet; submit a first ticket with damaskvane-ctl submit
+    NoConfiguration,
+    /// no ticket {0} exists; list the accepted tickets with damaskvane-ctl history
     NoTicket(ids::TicketNumber),
-    /// there is no {0}; damaskvane-ctl show lists the objects in force
+    /// no object {0} exists; list the accepted objects with damaskvane-ctl show
     NoObject(String),
-    /// what the platform holds is broken ({0}); submit the object again, from version control or an export
-    Broken(String),
-    /// the declarations are not valid:
+    /// invalid data: {0}
+    InvalidData(String),
+    /// the declarations are invalid; correct these problems:
     Invalid(Vec<Problem>),
-    /// objects changed since the ticket was written; read them, then submit again:
+    /// objects changed since the base version of the ticket; review these changes, then submit again:
     Changed(Vec<ChangedObject>),
-    /// not accepted: {0}
+    /// the ticket was not accepted: {0}
     NotAccepted(String),
-    /// not known whether the ticket is accepted ({reason}); look for the write {write_id} in damaskvane-ctl history before submitting again
+    /// unknown whether the ticket was accepted ({reason}); look for write {write_id} in damaskvane-ctl history before you submit again
     Unknown {
-        /// What went wrong last.
+        /// Last failure of a call to the platform.
         reason: String,
-        /// The identity of the submission.
+        /// Identifier of the submission, as listed by the `history` command.
         write_id: String,
     },
 }
 
 impl CtlError {
-    /// The exit code.
+    /// Returns the exit code of the program for this error.
     #[must_use]
     pub const fn exit_code(&self) -> u8 {
         match self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The lines below the message: one for each problem or changed object.
+    /// Returns one line for each invalid declaration or changed object, to print below the message.
     #[must_use]
     pub fn details(&self) -> Vec<String> {
         match self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The error as JSON.
+    /// Returns the error, its exit code and its details as JSON.
     #[must_use]
     pub fn to_json(&self) -> serde_json::Value {
         let details = match self {
--- a/crates/damaskvane-ctl/src/fetch.rs
+++ b/crates/damaskvane-ctl/src/fetch.rs
@@ -1,11 +1,11 @@
-//! Asks an instance for a JSON document.
+//! Requests a JSON document from an instance over HTTP.
 //!
 //! ```
 //! use damaskvane_core::time;
-//! use damaskvane_ctl::ask;
+//! use damaskvane_ctl::fetch;
 //!
-//! let answer = ask::json("http://127.0.0.1:1/v1/status", &[], time::SpanMs::new(200));
-//! assert!(answer.is_err());
+//! let response = fetch::json("http://127.0.0.1:1/v1/status", &[], time::SpanMs::new(200));
+//! assert!(response.is_err());
 //! ```
 
 use std::io::Read;
@@ -14,28 +14,30 @@
 use damaskvane_core::time;
 use serde_json::Value;
 
-/// The longest document that is read.
+/// Maximum number of bytes that are read of a response body; the rest is ignored.
 const MAX_BYTES: u64 = 4_000_000;
 
-/// Why an instance gave no document.
+/// Reason why no JSON document was received.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-pub enum AskError {
-    /// no answer ({0}); check that the instance runs and the address is right
+pub enum FetchError {
+    /// no response ({0}); check the address and that the instance is running
     Http(#[from] attohttpc::Error),
-    /// the answer broke off ({0}); ask again
+    /// the response was truncated ({0}); run the command again
     Body(#[from] std::io::Error),
-    /// the answer has status {0}; check the address and the question
+    /// the response has HTTP status {0}; check the address and the arguments
     Status(u16),
-    /// the answer is no JSON ({0}); check that the address is an instance's
+    /// the response is not valid JSON ({0}); check that the address belongs to an instance
     Json(#[from] serde_json::Error),
 }
 
-/// Asks once; the whole exchange ends within `timeout`.
+/// Sends one GET request and returns the JSON document of the response.
+///
+/// `timeout` limits the whole exchange. The request is not retried.
 ///
 /// # Errors
 ///
-/// When there is no whole JSON document in time.
-pub fn json(url: &str, query: &[(&str, &str)], timeout: time::SpanMs) -> Result<Value, AskError> {
+/// Fails if no complete JSON document with a success status arrives in time.
+pub fn json(url: &str, query: &[(&str, &str)], timeout: time::SpanMs) -> Result<Value, FetchError> {
     let timeout = timeout.to_duration();
     let response = RequestBuilder::try_new(Method::GET, url)?
         .params(query)
@@ -45,7 +47,7 @@
         .timeout(timeout)
         .send()?;
     if !response.is_success() {
-        return Err(AskError::Status(response.status().as_u16()));
+        return Err(FetchError::Status(response.status().as_u16()));
     }
     let (_, _, reader) = response.split();
     let mut body = Vec::new();
--- a/crates/damaskvane-ctl/src/history.rs
+++ b/crates/damaskvane-ctl/src/history.rs
@@ -1,7 +1,7 @@
-//! Accepted tickets, followed from the head.
+//! Reads accepted tickets, from the head backwards.
 //!
-//! Only what a head names is accepted. The newest ticket is read by the hash that the head names;
-//! each older one by its number, and compared with the hash that its successor names.
+//! A ticket is accepted only if the head references it, directly or through later tickets. The newest ticket is read
+//! by the hash in the head. Each older ticket is read by its number and compared with the hash in its successor.
 //!
 //! ```
 //! use damaskvane_config::manifest;
@@ -19,58 +19,58 @@
 use crate::error::CtlError;
 use crate::store;
 
-/// The numbers of all accepted tickets, newest first.
+/// Returns the numbers of all accepted tickets, newest first.
 pub fn numbers(head: &Head) -> impl Iterator<Item = ids::TicketNumber> + use<> {
     (1..=head.ticket.get()).rev().map(ids::TicketNumber::new)
 }
 
-/// An accepted ticket with its bytes as accepted.
+/// Accepted ticket with its stored bytes.
 #[derive(Debug, Clone)]
-pub struct Accepted {
-    /// The ticket.
+pub struct AcceptedTicket {
+    /// Decoded ticket.
     pub ticket: Ticket,
-    /// Its bytes.
+    /// Encoded ticket, exactly as accepted.
     pub bytes: Vec<u8>,
-    /// The hash over the bytes.
+    /// Hash of `bytes`.
     pub hash: ContentHash,
 }
 
-/// Reads tickets from the newest back to `oldest`, each compared with what its successor names.
+/// Reads and verifies the accepted tickets from the newest back to `oldest`, newest first.
 ///
 /// # Errors
 ///
-/// When a ticket can't be read or is not what its successor names.
-pub fn back_to(
+/// Fails if a ticket can't be read or differs from the hash in its successor.
+pub fn read_back_to(
     api: &impl ObjectApi,
     head: &Head,
     oldest: ids::TicketNumber,
-) -> Result<Vec<Accepted>, CtlError> {
+) -> Result<Vec<AcceptedTicket>, CtlError> {
     let mut accepted = Vec::new();
     let mut hash = head.ticket_hash;
     for number in numbers(head).take_while(|number| *number >= oldest) {
-        let named = hash.ok_or(CtlError::NoTicket(number))?;
+        let expected_hash = hash.ok_or(CtlError::NoTicket(number))?;
         let ticket = if number == head.ticket {
-            read_newest(api, named)?
+            read_newest(api, expected_hash)?
         } else {
-            read_filed(api, number)?
+            read_by_number(api, number)?
         };
-        check(&ticket, number, named)?;
+        check(&ticket, number, expected_hash)?;
         hash = ticket.ticket.previous;
         accepted.push(ticket);
     }
     Ok(accepted)
 }
 
-/// Reads one ticket.
+/// Reads and verifies one accepted ticket.
 ///
 /// # Errors
 ///
-/// When there is no such ticket or it is not what its successor names.
+/// Fails if the ticket doesn't exist, can't be read or differs from the hash in its successor.
 pub fn read(
     api: &impl ObjectApi,
     head: &Head,
     number: ids::TicketNumber,
-) -> Result<Accepted, CtlError> {
+) -> Result<AcceptedTicket, CtlError> {
     if number.get() == 0 || number > head.ticket {
         return Err(CtlError::NoTicket(number));
     }
@@ -78,35 +78,39 @@
         let hash = head.ticket_hash.ok_or(CtlError::NoTicket(number))?;
         return read_newest(api, hash);
     }
-    let ticket = read_filed(api, number)?;
+    let ticket = read_by_number(api, number)?;
     let successor = if number.next() == head.ticket {
         let hash = head.ticket_hash.ok_or(CtlError::NoTicket(number))?;
         read_newest(api, hash)?
     } else {
-        read_filed(api, number.next())?
+        read_by_number(api, number.next())?
     };
-    let named = successor
+    let expected_hash = successor
         .ticket
         .previous
         .ok_or(CtlError::NoTicket(number))?;
-    check(&ticket, number, named)?;
+    check(&ticket, number, expected_hash)?;
     Ok(ticket)
 }
 
-fn read_newest(api: &impl ObjectApi, hash: ContentHash) -> Result<Accepted, CtlError> {
+fn read_newest(api: &impl ObjectApi, hash: ContentHash) -> Result<AcceptedTicket, CtlError> {
     let chunk = store::read_chunk(api, hash)?;
     decode(chunk.bytes().to_vec())
 }
 
-fn read_filed(api: &impl ObjectApi, number: ids::TicketNumber) -> Result<Accepted, CtlError> {
+fn read_by_number(
+    api: &impl ObjectApi,
+    number: ids::TicketNumber,
+) -> Result<AcceptedTicket, CtlError> {
     let key = ObjectKey::new("ticket", number.to_string());
     let object = api.get(&key)?.ok_or(CtlError::NoTicket(number))?;
     decode(object.value)
 }
 
-fn decode(bytes: Vec<u8>) -> Result<Accepted, CtlError> {
-    let ticket = Ticket::decode(&bytes).map_err(|error| CtlError::Broken(error.to_string()))?;
-    Ok(Accepted {
+fn decode(bytes: Vec<u8>) -> Result<AcceptedTicket, CtlError> {
+    let ticket =
+        Ticket::decode(&bytes).map_err(|error| CtlError::InvalidData(error.to_string()))?;
+    Ok(AcceptedTicket {
         ticket,
         hash: ContentHash::of(&bytes),
         bytes,
@@ -114,13 +118,15 @@
 }
 
 fn check(
-    accepted: &Accepted,
+    accepted: &AcceptedTicket,
     number: ids::TicketNumber,
-    named: ContentHash,
+    expected_hash: ContentHash,
 ) -> Result<(), CtlError> {
-    if accepted.hash == named && accepted.ticket.number == number {
+    if accepted.hash == expected_hash && accepted.ticket.number == number {
         return Ok(());
     }
-    let text = format!("ticket {number} is not the one that was accepted, {named}");
-    Err(CtlError::Broken(text))
+    let text = format!(
+        "ticket {number} differs from the accepted one, whose hash is {expected_hash}; compare it with an export"
+    );
+    Err(CtlError::InvalidData(text))
 }
--- a/crates/damaskvane-ctl/src/lib.rs
+++ b/crates/damaskvane-ctl/src/lib.rs
@@ -1,23 +1,23 @@
-//! The operators' command: check, diff, submit, history, show, export, status, explain, drain.
+//! Command-line tool with which operators validate, submit and inspect the configuration.
 //!
 //! # Crate guide
 //!
-//! - [`args`]: the command line.
-//! - [`store`]: runs a submission against the platform's object API.
-//! - [`history`]: accepted tickets, followed from the head.
-//! - [`command`]: one module for each command, each giving a report.
-//! - [`ask`]: asks an instance for a JSON document.
-//! - [`error`]: what ends a command, with its exit code.
+//! - [`args`]: parsing of the command line.
+//! - [`store`]: reads and submissions through the platform's object API.
+//! - [`history`]: accepted tickets, read backwards from the head.
+//! - [`command`]: one module for each command; each returns a report.
+//! - [`fetch`]: HTTP requests to an instance for a JSON document.
+//! - [`error`]: errors of the commands and their exit codes.
 //!
 //! ```
 //! use damaskvane_ctl::error;
 //!
-//! assert_eq!(error::CtlError::NoHead.exit_code(), 1);
+//! assert_eq!(error::CtlError::NoConfiguration.exit_code(), 1);
 //! ```
 
 pub mod args;
-pub mod ask;
 pub mod command;
 pub mod error;
+pub mod fetch;
 pub mod history;
 pub mod store;
--- a/crates/damaskvane-ctl/src/store.rs
+++ b/crates/damaskvane-ctl/src/store.rs
@@ -1,4 +1,4 @@
-//! Runs a submission against the platform's object API.
+//! Reads the accepted configuration and submits tickets through the platform's object API.
 //!
 //! ```
 //! use damaskvane_config::submit;
@@ -11,7 +11,7 @@
 
 use damaskvane_config::manifest::Head;
 use damaskvane_config::state::{self, Chunks, ConfigState};
-use damaskvane_config::submit::{Call, Outcome, Step, StoreResponse, Submission};
+use damaskvane_config::submit::{StoreResponse, Call, Outcome, Step, Submission};
 use damaskvane_config::{chunk, ticket};
 use damaskvane_core::hash::ContentHash;
 use damaskvane_objects::api::{ObjectApi, ObjectKey, ObjectVersion, WriteId, WriteResult};
@@ -19,32 +19,32 @@
 
 use crate::error::CtlError;
 
-/// What is accepted, with every chunk of it.
+/// Accepted configuration with all of its chunks.
 #[derive(Debug, Clone, Default)]
 pub struct Accepted {
-    /// The head; the empty one before the first ticket.
+    /// Head of the configuration; empty before the first ticket.
     pub head: Head,
-    /// The chunks that the head names.
+    /// Chunks that the head references, by their hash.
     pub chunks: Chunks,
 }
 
 impl Accepted {
-    /// The typed state.
+    /// Returns the configuration as typed objects.
     ///
     /// # Errors
     ///
-    /// When what the platform holds is not valid.
+    /// Fails with every problem if the accepted configuration is invalid.
     pub fn state(&self) -> Result<ConfigState, CtlError> {
         state::assemble(&self.head, &self.chunks).map_err(CtlError::Invalid)
     }
 
-    /// The state as it would be with a draft on top.
+    /// Returns the configuration that would result from accepting a draft.
     ///
     /// # Errors
     ///
-    /// Every problem of it.
+    /// Fails with every problem if the resulting configuration is invalid.
     pub fn state_with(&self, draft: &ticket::Draft) -> Result<ConfigState, CtlError> {
-        let head = draft.ticket_after(&self.head).head_after(&self.head);
+        let head = draft.on(&self.head).head_after(&self.head);
         let mut chunks = self.chunks.clone();
         let new = draft.object_chunks().into_values();
         chunks.extend(new.map(|chunk| (chunk.hash(), chunk)));
@@ -52,18 +52,18 @@
     }
 }
 
-/// The object that a call is about.
+/// Returns the key of the object that a call reads or writes.
 #[must_use]
 pub fn key(call: &Call) -> ObjectKey {
     let (kind, name) = call.key();
     ObjectKey::new(kind, name)
 }
 
-/// Reads the head and every chunk it names.
+/// Reads the head and every chunk that the head references.
 ///
 /// # Errors
 ///
-/// When the platform can't be read or holds something broken.
+/// Fails if the platform can't be read, or if the head or a chunk is missing or corrupt.
 pub fn read_accepted(api: &impl ObjectApi) -> Result<Accepted, CtlError> {
     let head = read_head(api)?;
     let mut chunks = Chunks::new();
@@ -74,51 +74,55 @@
     Ok(Accepted { head, chunks })
 }
 
-/// Reads the head; the empty one where there is none.
+/// Reads the head; returns an empty head before the first ticket.
 ///
 /// # Errors
 ///
-/// When the platform can't be read or the head is broken.
+/// Fails if the platform can't be read or the head is corrupt.
 pub fn read_head(api: &impl ObjectApi) -> Result<Head, CtlError> {
     match api.get(&key(&Call::ReadHead))? {
         None => Ok(Head::default()),
         Some(object) => {
-            Head::decode(&object.value).map_err(|error| CtlError::Broken(error.to_string()))
+            Head::decode(&object.value).map_err(|error| CtlError::InvalidData(error.to_string()))
         }
     }
 }
 
-/// Reads a chunk and compares it with its hash.
+/// Reads a chunk and verifies its hash.
 ///
 /// # Errors
 ///
-/// When the platform can't be read or the chunk is missing or broken.
+/// Fails if the platform can't be read, or if the chunk is missing or corrupt.
 pub fn read_chunk(api: &impl ObjectApi, hash: ContentHash) -> Result<chunk::Chunk, CtlError> {
-    let object = api
-        .get(&key(&Call::ReadChunk(hash)))?
-        .ok_or_else(|| CtlError::Broken(format!("chunk {hash} is missing")))?;
+    let object = api.get(&key(&Call::ReadChunk(hash)))?.ok_or_else(|| {
+        CtlError::InvalidData(format!(
+            "chunk {hash} is missing; submit its object again from version control or an export"
+        ))
+    })?;
     let chunk = chunk::Chunk::from_bytes(object.value);
     if chunk.hash() != hash {
-        let text = format!("chunk {hash} doesn't match its hash");
-        return Err(CtlError::Broken(text));
+        let text = format!(
+            "chunk {hash} doesn't match its hash; submit its object again from version control or an export"
+        );
+        return Err(CtlError::InvalidData(text));
     }
     Ok(chunk)
 }
 
-/// Submits a draft and waits for the outcome.
+/// Submits a draft and blocks until the outcome is known or can't be determined.
 pub fn submit(api: &impl ObjectApi, draft: ticket::Draft, backoff: &mut Backoff) -> Outcome {
     let mut submission = Submission::new(draft);
     loop {
         match submission.next_step() {
-            Step::Call(call) => submission.handle_response(&call, make(api, &call)),
+            Step::Call(call) => submission.answer(&call, execute(api, &call)),
             Step::Pause => thread::sleep(backoff.pause().to_duration()),
             Step::Done(outcome) => return outcome,
         }
     }
 }
 
-/// Makes one call of a submission.
-pub fn make(api: &impl ObjectApi, call: &Call) -> StoreResponse {
+/// Executes one call of a submission against the object API.
+pub fn execute(api: &impl ObjectApi, call: &Call) -> StoreResponse {
     match call {
         Call::ReadHead | Call::ReadChunk(_) => read(api, call),
         Call::WriteChunk(chunk) => write(api, call, 0, chunk.bytes(), &chunk.hash().to_string()),
--- a/crates/damaskvane-ctl/tests/command_line.rs
+++ b/crates/damaskvane-ctl/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program's command line, exit codes and JSON.
+//! Command line, exit codes and JSON output of the program.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -15,17 +15,23 @@
 }
 
 #[test]
-fn wrong_usage_names_the_nearest_word_and_exits_with_2() {
+fn an_invalid_command_line_names_the_nearest_word_and_exits_with_2() {
     let cases: [(&[&str], &str); 6] = [
-        (&["sumbit"], "the nearest is submit"),
-        (&["history", "--limt", "3"], "the nearest is --limit"),
+        (
+            &["sumbit"],
+            "unknown command 'sumbit'; did you mean 'submit'?",
+        ),
+        (
+            &["history", "--limt", "3"],
+            "unknown option '--limt'; did you mean '--limit'?",
+        ),
         (
             &["history", "--limit", "many"],
-            "--limit has a value that can't be read",
+            "invalid value \"many\" for option '--limit'",
         ),
-        (&["history"], "--platform is missing"),
-        (&["check"], "no file of declarations is named"),
-        (&[], "no command is named"),
+        (&["history"], "missing option '--platform'"),
+        (&["check"], "missing declaration file"),
+        (&[], "missing command"),
     ];
     for (args, expected) in cases {
         let output = run(args);
--- a/crates/damaskvane-ctl/tests/tickets.rs
+++ b/crates/damaskvane-ctl/tests/tickets.rs
@@ -1,11 +1,11 @@
-//! Tickets through the command's own code against the platform's stand-in.
+//! Runs the commands against the platform's stand-in.
 
 use std::path::PathBuf;
 
 use damaskvane_config::document::Document;
 use damaskvane_core::ids::{ConfigVersion, TicketNumber};
 use damaskvane_core::time::SpanMs;
-use damaskvane_ctl::command::{self, Submit, SubmitReport};
+use damaskvane_ctl::command::{self, SubmitReport, SubmitRequest};
 use damaskvane_ctl::error::CtlError;
 use damaskvane_ctl::store;
 use damaskvane_objects::backoff::{Backoff, BackoffSettings};
@@ -36,8 +36,8 @@
         }
     }
 
-    fn api(&self, who: &str) -> HttpObjectApi {
-        let token = format!("secret-{who}").parse().expect("a token");
+    fn api(&self, operator: &str) -> HttpObjectApi {
+        let token = format!("secret-{operator}").parse().expect("a token");
         HttpObjectApi::new(PlatformSettings {
             timeout_ms: SpanMs::new(5_000),
             calls_per_second: 2_000,
@@ -45,21 +45,30 @@
         })
     }
 
-    fn submit(&self, who: &str, text: &str, base: Option<u64>) -> Result<SubmitReport, CtlError> {
+    fn submit(
+        &self,
+        operator: &str,
+        text: &str,
+        base: Option<u64>,
+    ) -> Result<SubmitReport, CtlError> {
         let document = Document::parse("t.toml", text).expect("well formed");
-        self.put(
-            who,
-            Submit {
+        self.submit_request(
+            operator,
+            SubmitRequest {
                 base: base.map(ConfigVersion::new),
-                ..Submit::of(&document)
+                ..SubmitRequest::of(&document)
             },
         )
     }
 
-    fn put(&self, who: &str, request: Submit) -> Result<SubmitReport, CtlError> {
+    fn submit_request(
+        &self,
+        operator: &str,
+        request: SubmitRequest,
+    ) -> Result<SubmitReport, CtlError> {
         self.nonce.set(self.nonce.get() + 1);
-        let request = Submit {
-            reason: format!("{who}'s reason"),
+        let request = SubmitRequest {
+            reason: format!("{operator}'s reason"),
             nonce: self.nonce.get(),
             ..request
         };
@@ -67,12 +76,12 @@
             first_ms: SpanMs::new(2),
             max_ms: SpanMs::new(5),
         };
-        command::submit(&self.api(who), request, &mut Backoff::new(settings, 7))
+        command::submit(&self.api(operator), request, &mut Backoff::new(settings, 7))
     }
 }
 
 #[test]
-fn a_ticket_is_kept_as_accepted_with_its_author_reason_time_and_base() {
+fn a_ticket_is_stored_as_accepted_with_its_author_reason_time_and_base() {
     let fixture = Fixture::new();
     let text = format!("{ZONES}{}", server(1, 6));
     assert_eq!(
@@ -107,9 +116,9 @@
     assert!(matches!(missing, Err(CtlError::NoTicket(_))));
 }
 
-/// Ben's files were written before Anna's ticket. Submitting them would put back what she changed.
+/// Ben's files were written before Anna's ticket. Accepting them would revert Anna's change.
 #[test]
-fn a_conflict_names_the_object_who_changed_it_and_by_which_ticket() {
+fn a_conflict_names_the_object_and_the_author_and_ticket_of_the_change() {
     let fixture = Fixture::new();
     fixture
         .submit("ben", &format!("{ZONES}{}", server(1, 6)), None)
@@ -133,14 +142,14 @@
     assert_eq!(other.ticket.get(), 4);
 }
 
-/// Anna deleted what Ben still has in his files. Submitting them would bring it back to life.
+/// Anna deleted an object that Ben's files still declare. Accepting them would create the object again.
 #[test]
-fn a_deletion_since_the_base_is_a_conflict_too() {
+fn a_deletion_since_the_base_version_is_a_conflict() {
     let fixture = Fixture::new();
     let text = format!("{ZONES}{}{}", server(1, 6), server(2, 6));
     fixture.submit("ben", &text, None).expect("accepted");
-    let gone = "delete = [\"backend_server/rider-desk-sask-a-2\"]\n";
-    fixture.submit("anna", gone, None).expect("accepted");
+    let deletion = "delete = [\"backend_server/rider-desk-sask-a-2\"]\n";
+    fixture.submit("anna", deletion, None).expect("accepted");
     let refused = fixture
         .submit("ben", &server(2, 6), Some(1))
         .expect_err("deleted since");
@@ -150,10 +159,10 @@
     );
 }
 
-/// The platform loses the answer to the head's update. The operator must be told the truth, and the
-/// history must hold the ticket once.
+/// The platform loses the response to the update of the head. The command must report the ticket as accepted, and
+/// the history must contain the ticket once.
 #[test]
-fn a_lost_answer_is_told_as_accepted_once() {
+fn a_ticket_is_accepted_once_if_the_response_is_lost() {
     let fixture = Fixture::new();
     fixture.submit("anna", ZONES, None).expect("accepted");
     for (number, faults) in [
@@ -186,20 +195,20 @@
     assert_eq!(history.tickets.len(), 3);
 }
 
-/// Eight operators submit at one moment, each to a server of its own. Every ticket must land, each
-/// with a number of its own and without a gap.
+/// Eight operators submit concurrently, each a change of a different server. Every ticket must be accepted, with
+/// consecutive numbers.
 #[test]
-fn racing_tickets_on_disjoint_objects_all_land_without_a_gap() {
+fn concurrent_tickets_on_disjoint_objects_are_all_accepted_without_a_gap() {
     let fixture = Fixture::new();
     fixture.submit("anna", ZONES, None).expect("accepted");
     let api = fixture.api("anna");
     let accepted = std::thread::scope(|scope| {
         let submit = |number: u16| {
             let document = Document::parse("t", &server(number, 6)).expect("well formed");
-            let request = Submit {
+            let request = SubmitRequest {
                 reason: "race".into(),
                 nonce: 100 + u128::from(number),
-                ..Submit::of(&document)
+                ..SubmitRequest::of(&document)
             };
             let mut backoff = Backoff::new(BackoffSettings::default(), u64::from(number));
             command::submit(&api, request, &mut backoff)
@@ -228,7 +237,7 @@
 }
 
 #[test]
-fn drain_and_undrain_are_tickets_and_explain_names_them() {
+fn drain_and_undrain_submit_tickets_that_explain_names() {
     let fixture = Fixture::new();
     fixture
         .submit(
@@ -241,7 +250,7 @@
     let id = "rider-desk-sask-a-2".parse().expect("an id");
     let drain = |draining| {
         let accepted = store::read_accepted(&api).expect("read");
-        fixture.put(
+        fixture.submit_request(
             "ben",
             command::set_draining(&accepted, &id, draining).expect("there"),
         )
@@ -257,12 +266,12 @@
         .find(|part| part.part.contains("drained"));
     assert_eq!(drained.expect("named").ticket.get(), 2);
     assert_eq!(drain(false).expect("accepted").ticket.get(), 3);
-    let gone = "nobody".parse().expect("an id");
-    assert!(command::set_draining(&accepted, &gone, true).is_err());
+    let unknown = "nobody".parse().expect("an id");
+    assert!(command::set_draining(&accepted, &unknown, true).is_err());
 }
 
 #[test]
-fn a_refused_ticket_leaves_no_trace_and_the_next_number_is_its_own() {
+fn a_refused_ticket_uses_no_ticket_number() {
     let fixture = Fixture::new();
     fixture
         .submit("anna", &format!("{ZONES}{}", server(1, 6)), None)
@@ -275,12 +284,12 @@
             .exit_code(),
         3
     );
-    let nameless = command::submit(
+    let without_reason = command::submit(
         &fixture.api("anna"),
-        Submit::default(),
+        SubmitRequest::default(),
         &mut Backoff::new(BackoffSettings::default(), 7),
     );
-    assert_eq!(nameless.expect_err("no reason").exit_code(), 2);
+    assert_eq!(without_reason.expect_err("no reason").exit_code(), 2);
     assert_eq!(
         fixture
             .submit("ben", &server(2, 6), None)
@@ -292,7 +301,7 @@
 }
 
 #[test]
-fn the_export_holds_every_ticket_and_refuses_to_hide_a_changed_one() {
+fn the_export_writes_every_ticket_and_rejects_a_changed_file() {
     let fixture = Fixture::new();
     fixture.submit("anna", ZONES, None).expect("accepted");
     fixture
@@ -316,12 +325,12 @@
     std::fs::write(directory.join("00000001.json"), "{}").expect("changed");
     assert!(matches!(
         command::export(&api, &directory),
-        Err(CtlError::Broken(_))
+        Err(CtlError::InvalidData(_))
     ));
 }
 
 #[test]
-fn diff_shows_keys_and_the_version_compared_with() {
+fn diff_shows_changed_keys_and_the_base_version() {
     let fixture = Fixture::new();
     fixture
         .submit("anna", &format!("{ZONES}{}", server(1, 6)), None)
@@ -341,17 +350,17 @@
     assert_eq!(file.objects, 2);
 }
 
-/// One instance doesn't answer. The operator must see which, and that the version is not in force
-/// everywhere, without waiting long.
+/// One instance does not respond. The report must name the instance and show that the version is not in effect
+/// everywhere, without a long wait.
 #[test]
-fn status_names_silent_instances_and_versions_by_zone() {
+fn status_lists_unresponsive_instances_and_versions_by_zone() {
     use damaskvane_objects::api::{ObjectApi, ObjectKey, ObjectVersion, WriteId};
     let fixture = Fixture::new();
     fixture.submit("anna", ZONES, None).expect("accepted");
-    let answer = |_: &rouille::Request| {
+    let response = |_: &rouille::Request| {
         rouille::Response::from_data("application/json", r#"{"config_version":1}"#)
     };
-    let server = rouille::Server::new("127.0.0.1:0", answer).expect("a free port");
+    let server = rouille::Server::new("127.0.0.1:0", response).expect("a free port");
     let address = server.server_addr();
     let (handle, stop) = server.stoppable();
     let api = fixture.api("anna");
@@ -376,10 +385,10 @@
             command::status(&api, SpanMs::new(3_000)).expect("read")
         })
         .find(|report| report.zones.values().any(|zone| zone.instances.len() == 2));
-    let report = report.expect("listed in the end");
+    let report = report.expect("both instances listed");
     let zone = report.zones.values().next().expect("one zone");
     assert_eq!(zone.versions.get(&ConfigVersion::new(1)), Some(&1));
-    assert_eq!(zone.silent[0].as_str(), "sask-a-2");
+    assert_eq!(zone.unresponsive[0].as_str(), "sask-a-2");
     assert!(!report.in_force_everywhere);
     stop.send(()).expect("running");
     handle.join().expect("no panic");
