--- a/crates/damaskvane-ctl/src/store.rs
+++ b/crates/damaskvane-ctl/src/store.rs
@@ -11,7 +11,7 @@
 
 use damaskvane_config::manifest::Head;
 use damaskvane_config::state::{self, Chunks, ConfigState};
-use damaskvane_config::submit::{StoreResponse, Call, Outcome, Step, Submission};
+use damaskvane_config::submit::{Call, Outcome, Step, StoreResponse, Submission};
 use damaskvane_config::{chunk, ticket};
 use damaskvane_core::hash::ContentHash;
 use damaskvane_objects::api::{ObjectApi, ObjectKey, ObjectVersion, WriteId, WriteResult};
@@ -44,7 +44,7 @@
     ///
     /// Fails with every problem if the resulting configuration is invalid.
     pub fn state_with(&self, draft: &ticket::Draft) -> Result<ConfigState, CtlError> {
-        let head = draft.on(&self.head).head_after(&self.head);
+        let head = draft.ticket_after(&self.head).head_after(&self.head);
         let mut chunks = self.chunks.clone();
         let new = draft.object_chunks().into_values();
         chunks.extend(new.map(|chunk| (chunk.hash(), chunk)));
@@ -114,7 +114,7 @@
     let mut submission = Submission::new(draft);
     loop {
         match submission.next_step() {
-            Step::Call(call) => submission.answer(&call, execute(api, &call)),
+            Step::Call(call) => submission.handle_response(&call, execute(api, &call)),
             Step::Pause => thread::sleep(backoff.pause().to_duration()),
             Step::Done(outcome) => return outcome,
         }
--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -265,7 +265,11 @@
             .submit(store::StoreJob::ListInstances { requested_at: now });
     }
 
-    pub(super) fn apply_list(&mut self, records: Vec<api::InstanceRecord>, requested_at: time::TimeMs) {
+    pub(super) fn apply_list(
+        &mut self,
+        records: Vec<api::InstanceRecord>,
+        requested_at: time::TimeMs,
+    ) {
         let now = self.now();
         self.instance_list.is_pending = false;
         self.instance_list.instance_count = records.len();
