--- a/crates/damaskvane-explain/src/losses.rs
+++ b/crates/damaskvane-explain/src/losses.rs
@@ -9,7 +9,7 @@
 //!
 //! let line = r#"{"msg":"request not served","reason":"overloaded","route":"look"}"#;
 //! let table = losses::Table::of([("a.log", line)]);
-//! assert_eq!(table.count(losses::Cause::Refused(losses::Refusal::Overloaded)), 1);
+//! assert_eq!(table.count(losses::Cause::Refused(losses::NotServedReason::Overloaded)), 1);
 //! ```
 
 mod cause;
@@ -18,7 +18,7 @@
 mod plot;
 mod table;
 
-pub use cause::{Cause, FirstRun, Refusal};
+pub use cause::{Cause, FirstRun, NotServedReason};
 pub use event::Rejected;
 pub use plot::draw;
 
--- a/crates/damaskvane-explain/src/losses/cause.rs
+++ b/crates/damaskvane-explain/src/losses/cause.rs
@@ -36,7 +36,7 @@
 
 /// Why an instance turned a request away, or had no answer for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Refusal {
+pub enum NotServedReason {
     /// All servers of the object were at the limit.
     Overloaded,
     /// The cold servers had their share.
@@ -77,12 +77,12 @@
     /// Late: the server took longer than others.
     SlowServer,
     /// Not served.
-    Refused(Refusal),
+    Refused(NotServedReason),
     /// Late for no reason that the lines show.
     Unexplained,
 }
 
-impl Refusal {
+impl NotServedReason {
     pub(super) fn of(reason: &str) -> Self {
         match reason {
             "overloaded" => Self::Overloaded,
--- a/crates/damaskvane-explain/src/losses/history.rs
+++ b/crates/damaskvane-explain/src/losses/history.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::losses::cause::{Cause, FirstRun, Refusal};
+use crate::losses::cause::{Cause, FirstRun, NotServedReason};
 use crate::losses::event::{Event, Exchange, Subject};
 
 /// From this load for each slot on, a request waits.
@@ -32,7 +32,9 @@
                 self.evacuated.clone_from(zones);
                 None
             }
-            Subject::NotServed { reason } => is_last.then(|| Cause::Refused(Refusal::of(reason))),
+            Subject::NotServed { reason } => {
+                is_last.then(|| Cause::Refused(NotServedReason::of(reason)))
+            }
             Subject::Exchange(exchange) => {
                 let cause = self.judge(&event.route, exchange);
                 self.remember(&event.route, exchange);
@@ -43,7 +45,7 @@
 
     fn judge(&self, route: &str, exchange: &Exchange) -> Option<Cause> {
         if exchange.is_failed {
-            return Some(Cause::Refused(Refusal::ServerFailed));
+            return Some(Cause::Refused(NotServedReason::ServerFailed));
         }
         if !exchange.is_answered || exchange.after_ms <= exchange.objective_ms {
             return None;
--- a/crates/damaskvane-explain/tests/losses.rs
+++ b/crates/damaskvane-explain/tests/losses.rs
@@ -1,6 +1,6 @@
 //! The table of losses, from lines as instances write them.
 
-use damaskvane_explain::losses::{self, Cause, FirstRun, Refusal, Table};
+use damaskvane_explain::losses::{self, Cause, FirstRun, NotServedReason, Table};
 
 const START: &str = r#"{"msg":"start","zone":"east-a"}"#;
 
@@ -152,7 +152,7 @@
     let text = [failed, failed, refused].join("\n");
     let table = Table::of([("a.log", text.as_str())]);
     assert_eq!(table.total(), 1);
-    assert_eq!(table.count(Cause::Refused(Refusal::Overloaded)), 1);
+    assert_eq!(table.count(Cause::Refused(NotServedReason::Overloaded)), 1);
 }
 
 /// Losses are drawn over time; a directory that doesn't exist is named with what to do.
