--- a/crates/damaskvane-explain/src/losses.rs
+++ b/crates/damaskvane-explain/src/losses.rs
@@ -9,7 +9,7 @@
 //!
 //! let line = r#"{"msg":"request not served","reason":"overloaded","route":"look"}"#;
 //! let table = losses::Table::of([("a.log", line)]);
-//! assert_eq!(table.count(losses::Cause::Refused(losses::NotServedReason::Overloaded)), 1);
+//! assert_eq!(table.count(losses::Cause::NotServed(losses::NotServedReason::Overloaded)), 1);
 //! ```
 
 mod cause;
--- a/crates/damaskvane-explain/src/losses/cause.rs
+++ b/crates/damaskvane-explain/src/losses/cause.rs
@@ -77,7 +77,7 @@
     /// Late: the server took longer than others.
     SlowServer,
     /// Not served.
-    Refused(NotServedReason),
+    NotServed(NotServedReason),
     /// Late for no reason that the lines show.
     Unexplained,
 }
@@ -156,7 +156,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (group, detail) = match self {
             Self::FirstRun(why) => ("first run", why.as_str()),
-            Self::Refused(why) => ("not served", why.as_str()),
+            Self::NotServed(why) => ("not served", why.as_str()),
             Self::Waited => ("late", "waited"),
             Self::TriedAgain => ("late", "tried_again"),
             Self::SlowServer => ("late", "slow_server"),
--- a/crates/damaskvane-explain/src/losses/history.rs
+++ b/crates/damaskvane-explain/src/losses/history.rs
@@ -33,7 +33,7 @@
                 None
             }
             Subject::NotServed { reason } => {
-                is_last.then(|| Cause::Refused(NotServedReason::of(reason)))
+                is_last.then(|| Cause::NotServed(NotServedReason::of(reason)))
             }
             Subject::Exchange(exchange) => {
                 let cause = self.judge(&event.route, exchange);
@@ -45,7 +45,7 @@
 
     fn judge(&self, route: &str, exchange: &Exchange) -> Option<Cause> {
         if exchange.is_failed {
-            return Some(Cause::Refused(NotServedReason::ServerFailed));
+            return Some(Cause::NotServed(NotServedReason::ServerFailed));
         }
         if !exchange.is_answered || exchange.after_ms <= exchange.objective_ms {
             return None;
--- a/crates/damaskvane-explain/tests/losses.rs
+++ b/crates/damaskvane-explain/tests/losses.rs
@@ -152,7 +152,10 @@
     let text = [failed, failed, refused].join("\n");
     let table = Table::of([("a.log", text.as_str())]);
     assert_eq!(table.total(), 1);
-    assert_eq!(table.count(Cause::Refused(NotServedReason::Overloaded)), 1);
+    assert_eq!(
+        table.count(Cause::NotServed(NotServedReason::Overloaded)),
+        1
+    );
 }
 
 /// Losses are drawn over time; a directory that doesn't exist is named with what to do.
