--- a/crates/damaskvane-explain/src/losses/cause.rs
+++ b/crates/damaskvane-explain/src/losses/cause.rs
@@ -56,7 +56,7 @@
     /// The client's or the route's time was over.
     Timeout,
     /// A server had it, and its answer was lost.
-    Unknown,
+    ResponseLost,
     /// The client left.
     ClientLeft,
     /// A server failed it.
@@ -94,7 +94,7 @@
             "no_route" => Self::NoRoute,
             "quarantined" => Self::Quarantined,
             "timeout" => Self::Timeout,
-            "unknown" => Self::Unknown,
+            "unknown" => Self::ResponseLost,
             "client_left" => Self::ClientLeft,
             _ => Self::Other,
         }
@@ -111,7 +111,7 @@
             Self::NoRoute => "no_route",
             Self::Quarantined => "quarantined",
             Self::Timeout => "timeout",
-            Self::Unknown => "answer_lost",
+            Self::ResponseLost => "answer_lost",
             Self::ClientLeft => "client_left",
             Self::ServerFailed => "server_failed",
             Self::Other => "other",
