--- a/crates/damaskvane-explain/src/losses/cause.rs
+++ b/crates/damaskvane-explain/src/losses/cause.rs
@@ -58,7 +58,7 @@
     /// A server had it, and its answer was lost.
     ResponseLost,
     /// The client left.
-    ClientLeft,
+    ClientDisconnected,
     /// A server failed it.
     ServerFailed,
     /// Any other reason.
@@ -95,7 +95,7 @@
             "quarantined" => Self::Quarantined,
             "timeout" => Self::Timeout,
             "unknown" => Self::ResponseLost,
-            "client_left" => Self::ClientLeft,
+            "client_left" => Self::ClientDisconnected,
             _ => Self::Other,
         }
     }
@@ -112,7 +112,7 @@
             Self::Quarantined => "quarantined",
             Self::Timeout => "timeout",
             Self::ResponseLost => "answer_lost",
-            Self::ClientLeft => "client_left",
+            Self::ClientDisconnected => "client_left",
             Self::ServerFailed => "server_failed",
             Self::Other => "other",
         }
