--- a/crates/damaskvane-explain/src/losses/cause.rs
+++ b/crates/damaskvane-explain/src/losses/cause.rs
@@ -46,7 +46,7 @@
     /// It could not be answered in the time left.
     TooLate,
     /// A server turned it away, and no other one was asked.
-    TurnedAway,
+    RejectedByServer,
     /// No configuration was known yet.
     Starting,
     /// No route takes its host and path.
@@ -89,7 +89,7 @@
             "cold" => Self::Cold,
             "no_server" => Self::NoServer,
             "too_late" => Self::TooLate,
-            "turned_away" => Self::TurnedAway,
+            "turned_away" => Self::RejectedByServer,
             "starting" => Self::Starting,
             "no_route" => Self::NoRoute,
             "quarantined" => Self::Quarantined,
@@ -106,7 +106,7 @@
             Self::Cold => "cold",
             Self::NoServer => "no_server",
             Self::TooLate => "too_late",
-            Self::TurnedAway => "turned_away",
+            Self::RejectedByServer => "turned_away",
             Self::Starting => "starting",
             Self::NoRoute => "no_route",
             Self::Quarantined => "quarantined",
