--- a/crates/damaskvane-explain/src/losses/cause.rs
+++ b/crates/damaskvane-explain/src/losses/cause.rs
@@ -73,7 +73,7 @@
     /// Late: it waited behind others.
     Waited,
     /// Late: an earlier exchange came to nothing.
-    TriedAgain,
+    Retried,
     /// Late: the server took longer than others.
     SlowServer,
     /// Not served.
@@ -158,7 +158,7 @@
             Self::FirstRun(why) => ("first run", why.as_str()),
             Self::NotServed(why) => ("not served", why.as_str()),
             Self::Waited => ("late", "waited"),
-            Self::TriedAgain => ("late", "tried_again"),
+            Self::Retried => ("late", "tried_again"),
             Self::SlowServer => ("late", "slow_server"),
             Self::Unexplained => ("late", "unexplained"),
         };
--- a/crates/damaskvane-explain/src/losses/history.rs
+++ b/crates/damaskvane-explain/src/losses/history.rs
@@ -51,7 +51,7 @@
             return None;
         }
         if exchange.tried > 0 {
-            return Some(Cause::TriedAgain);
+            return Some(Cause::Retried);
         }
         let Some(object) = exchange.object else {
             return Some(late_on_known(exchange));
--- a/crates/damaskvane-explain/tests/losses.rs
+++ b/crates/damaskvane-explain/tests/losses.rs
@@ -34,7 +34,7 @@
     ];
     let late = [
         Cause::Waited,
-        Cause::TriedAgain,
+        Cause::Retried,
         Cause::SlowServer,
         Cause::Unexplained,
     ];
