--- a/crates/damaskvane-explain/src/losses/cause.rs
+++ b/crates/damaskvane-explain/src/losses/cause.rs
@@ -31,7 +31,7 @@
     /// Another server won more for other reasons.
     Outbid,
     /// The same server had run it before, and took its full time again.
-    Forgotten,
+    Evicted,
 }
 
 /// Why an instance turned a request away, or had no answer for it.
@@ -147,7 +147,7 @@
             Self::Failing => "failing",
             Self::Stalled => "stalled",
             Self::Outbid => "outbid",
-            Self::Forgotten => "forgotten",
+            Self::Evicted => "forgotten",
         }
     }
 }
--- a/crates/damaskvane-explain/src/losses/history.rs
+++ b/crates/damaskvane-explain/src/losses/history.rs
@@ -99,7 +99,7 @@
     if exchange.waiting > 0.0 || exchange.load >= FULL_LOAD {
         Cause::Waited
     } else if exchange.was_sent && exchange.took_ms >= exchange.first_ms / SLOW_FACTOR {
-        Cause::FirstRun(FirstRun::Forgotten)
+        Cause::FirstRun(FirstRun::Evicted)
     } else if exchange.took_ms >= exchange.remembered_ms * SLOW_FACTOR {
         Cause::SlowServer
     } else {
--- a/crates/damaskvane-explain/tests/losses.rs
+++ b/crates/damaskvane-explain/tests/losses.rs
@@ -30,7 +30,7 @@
         FirstRun::Failing,
         FirstRun::Stalled,
         FirstRun::Outbid,
-        FirstRun::Forgotten,
+        FirstRun::Evicted,
     ];
     let late = [
         Cause::Waited,
@@ -55,7 +55,7 @@
     let cases = [
         (format!(r#"{sent},"waiting":3"#), Cause::Waited),
         (format!(r#"{sent},"load":1.2"#), Cause::Waited),
-        (sent.to_owned(), Cause::FirstRun(FirstRun::Forgotten)),
+        (sent.to_owned(), Cause::FirstRun(FirstRun::Evicted)),
         (r#","first_ms":900.0"#.to_owned(), Cause::SlowServer),
         (
             r#","first_ms":900.0,"remembered_ms":380.0"#.to_owned(),
