--- a/crates/damaskvane-explain/src/bin/damaskvane-explain.rs
+++ b/crates/damaskvane-explain/src/bin/damaskvane-explain.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use damaskvane_explain::{Story, costs, losses};
+use damaskvane_explain::{Explanation, costs, losses};
 use lexopt::ValueExt;
 
 const HELP: &str = "\
@@ -132,7 +132,7 @@
         .iter()
         .map(|(name, text)| (name.as_str(), text.as_str()));
     match &arguments.question {
-        Question::Request(request) => tell_story(&Story::of(request, logs)),
+        Question::Request(request) => tell_story(&Explanation::of(request, logs)),
         Question::Losses { is_json, plot } => {
             tell_losses(&losses::Table::of(logs), *is_json, plot.as_ref())
         }
@@ -185,7 +185,7 @@
     ExitCode::SUCCESS
 }
 
-fn tell_story(story: &Story) -> ExitCode {
+fn tell_story(story: &Explanation) -> ExitCode {
     println!("{story}");
     if story.is_known() {
         ExitCode::SUCCESS
--- a/crates/damaskvane-explain/src/lib.rs
+++ b/crates/damaskvane-explain/src/lib.rs
@@ -6,13 +6,13 @@
 //!
 //! # Crate guide
 //!
-//! - [`Story`]: what became of one request, with what the instance believed.
+//! - [`Explanation`]: what became of one request, with what the instance believed.
 //! - [`costs`]: what instances caused that their users pay for.
 //! - [`losses`]: why requests were late or not served, by route, zone and time.
 //!
 //! ```
 //! let line = r#"{"msg":"request not served","request_id":"r1","reason":"overloaded"}"#;
-//! let story = damaskvane_explain::Story::of("r1", [("a.log", line)]);
+//! let story = damaskvane_explain::Explanation::of("r1", [("a.log", line)]);
 //! assert!(story.to_string().contains("overloaded"));
 //! ```
 
@@ -23,4 +23,4 @@
 mod plot;
 mod story;
 
-pub use story::Story;
+pub use story::Explanation;
--- a/crates/damaskvane-explain/src/story.rs
+++ b/crates/damaskvane-explain/src/story.rs
@@ -18,13 +18,13 @@
 
 /// What all logs tell of a request.
 #[derive(Debug)]
-pub struct Story {
+pub struct Explanation {
     request: String,
     chapters: Vec<Chapter>,
     logs: usize,
 }
 
-impl Story {
+impl Explanation {
     /// Reads the logs, each with its name and its text.
     pub fn of<'a>(request: &str, logs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let mut story = Self {
@@ -72,7 +72,7 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.chapters.is_empty() {
             return write!(
