--- a/crates/damaskvane-explain/src/bin/damaskvane-explain.rs
+++ b/crates/damaskvane-explain/src/bin/damaskvane-explain.rs
@@ -1,4 +1,4 @@
-//! Tells on-call engineers what became of a request, and what was lost and why, from the logs of the instances.
+//! Explains from the logs of instances what became of a request, and why requests were late or not served.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -9,26 +9,25 @@
 use lexopt::ValueExt;
 
 const HELP: &str = "\
-damaskvane-explain: what became of requests, from the logs of the instances
+Explains from the logs of instances what became of a request, and why requests were late or not served.
 
 Usage: damaskvane-explain --request ID FILE...
        damaskvane-explain losses [--json] [--plot SVG] FILE...
        damaskvane-explain costs [--json] [--plot SVG] FILE...
 
-  --request ID  the request's id, as the client sent it
-  losses        why requests were late or not served, by cause, route, zone and two seconds
-  costs         what the instances caused that is paid for: bytes between zones and regions, calls on the store,
-                connections to servers, by cause, zone and five seconds
-  --json        one object for each row, and one for what was read
-  --plot SVG    draws the losses, or the calls on the store, over time into this file
-  FILE          logs of instances, one JSON object a line
-  --help        this text
-
-The table counts what the logs hold: set failures_per_s and successes_per_s under [decision_log] in the settings
-of the instances high for a study.
+  --request ID  explain what became of the request for which the client sent this id
+  losses        count late and unserved requests by cause, route, zone and two seconds
+  costs         count bytes between zones and regions, store calls and connections by cause, zone and five seconds
+  --json        print one JSON object per row, and a last one on what was read
+  --plot SVG    draw the losses, or the store calls, over time into the file SVG
+  FILE          read the log of an instance, one JSON object per line
+  --help        print this help
+
+The tables count only what the logs contain: for a study, set failures_per_s and successes_per_s under
+[decision_log] in the settings of the instances to high values.
 ";
 
-enum Question {
+enum Command {
     Request(String),
     Losses {
         is_json: bool,
@@ -40,21 +39,21 @@
     },
 }
 
-/// What a table is wanted of.
+/// The kind of table to print.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Verb {
+enum TableKind {
     Losses,
     Costs,
 }
 
 struct Arguments {
-    question: Question,
+    command: Command,
     files: Vec<PathBuf>,
 }
 
 fn main() -> ExitCode {
-    match arguments() {
-        Ok(Some(arguments)) => tell(&arguments),
+    match parse_arguments() {
+        Ok(Some(arguments)) => run(&arguments),
         Ok(None) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("damaskvane-explain: {error}; see --help");
@@ -63,10 +62,10 @@
     }
 }
 
-fn arguments() -> Result<Option<Arguments>, lexopt::Error> {
+fn parse_arguments() -> Result<Option<Arguments>, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
     let mut request = None;
-    let mut verb = None;
+    let mut table_kind = None;
     let mut is_json = false;
     let mut plot = None;
     let mut files = Vec::new();
@@ -76,36 +75,41 @@
             lexopt::Arg::Long("json") => is_json = true,
             lexopt::Arg::Long("plot") => plot = Some(PathBuf::from(parser.value()?)),
             lexopt::Arg::Value(word) if word == "losses" && files.is_empty() => {
-                verb = Some(Verb::Losses);
+                table_kind = Some(TableKind::Losses);
             }
             lexopt::Arg::Value(word) if word == "costs" && files.is_empty() => {
-                verb = Some(Verb::Costs);
+                table_kind = Some(TableKind::Costs);
             }
             lexopt::Arg::Value(file) => files.push(PathBuf::from(file)),
             lexopt::Arg::Long("help") => {
                 print!("{HELP}");
                 return Ok(None);
             }
-            other => return Err(other.unexpected()),
+            lexopt::Arg::Long(name) => return Err(format!("unknown option '--{name}'").into()),
+            lexopt::Arg::Short(letter) => return Err(format!("unknown option '-{letter}'").into()),
         }
     }
-    let question = match (request, verb) {
-        (Some(request), None) if !is_json && plot.is_none() => Question::Request(request),
-        (Some(_), _) => return Err("--request goes with no other verb or option".into()),
-        (None, Some(Verb::Losses)) => Question::Losses { is_json, plot },
-        (None, Some(Verb::Costs)) => Question::Costs { is_json, plot },
-        (None, None) => return Err("no question: give --request ID, or losses, or costs".into()),
+    let command = match (request, table_kind) {
+        (Some(request), None) if !is_json && plot.is_none() => Command::Request(request),
+        (Some(_), _) => {
+            return Err("--request excludes losses, costs, --json and --plot; choose one".into());
+        }
+        (None, Some(TableKind::Losses)) => Command::Losses { is_json, plot },
+        (None, Some(TableKind::Costs)) => Command::Costs { is_json, plot },
+        (None, None) => {
+            return Err("no command; give --request ID, losses or costs before the files".into());
+        }
     };
     if files.is_empty() {
-        return Err("no log: name one file or more".into());
+        return Err("no log file; give one or more FILE arguments".into());
     }
-    Ok(Some(Arguments { question, files }))
+    Ok(Some(Arguments { command, files }))
 }
 
-fn tell(arguments: &Arguments) -> ExitCode {
-    if let Question::Costs { is_json, plot } = &arguments.question {
+fn run(arguments: &Arguments) -> ExitCode {
+    if let Command::Costs { is_json, plot } = &arguments.command {
         return match read_costs(&arguments.files) {
-            Ok(table) => tell_costs(&table, *is_json, plot.as_ref()),
+            Ok(table) => print_costs(&table, *is_json, plot.as_ref()),
             Err(error) => {
                 eprintln!("damaskvane-explain: {error}");
                 ExitCode::FAILURE
@@ -121,7 +125,7 @@
             }
             Err(error) => {
                 eprintln!(
-                    "damaskvane-explain: {} can't be read: {error}; check its name",
+                    "damaskvane-explain: cannot read {}: {error}; check the path",
                     file.display()
                 );
                 return ExitCode::FAILURE;
@@ -131,27 +135,27 @@
     let logs = logs
         .iter()
         .map(|(name, text)| (name.as_str(), text.as_str()));
-    match &arguments.question {
-        Question::Request(request) => tell_story(&Explanation::of(request, logs)),
-        Question::Losses { is_json, plot } => {
-            tell_losses(&losses::Table::of(logs), *is_json, plot.as_ref())
+    match &arguments.command {
+        Command::Request(request) => print_explanation(&Explanation::of(request, logs)),
+        Command::Losses { is_json, plot } => {
+            print_losses(&losses::Table::of(logs), *is_json, plot.as_ref())
         }
-        // Answered above, line by line.
-        Question::Costs { .. } => ExitCode::SUCCESS,
+        // Handled above, where the logs are read line by line.
+        Command::Costs { .. } => ExitCode::SUCCESS,
     }
 }
 
-/// Reads logs line by line: those of a day of hundreds of instances don't fit in memory.
+/// Reads logs line by line, because the logs of a day from hundreds of instances do not fit in memory.
 fn read_costs(files: &[PathBuf]) -> Result<costs::Table, String> {
     let mut table = costs::Table::default();
     for file in files {
         let name = file.display().to_string();
-        let told = |error| format!("{name} can't be read: {error}; check its name");
-        let mut reader = BufReader::new(File::open(file).map_err(told)?);
+        let read_error = |error| format!("cannot read {name}: {error}; check the path");
+        let mut reader = BufReader::new(File::open(file).map_err(read_error)?);
         let mut line = Vec::new();
         for number in 1.. {
             line.clear();
-            if reader.read_until(b'\n', &mut line).map_err(told)? == 0 {
+            if reader.read_until(b'\n', &mut line).map_err(read_error)? == 0 {
                 break;
             }
             table.read_line(&name, number, &String::from_utf8_lossy(&line));
@@ -160,24 +164,24 @@
     Ok(table)
 }
 
-fn tell_costs(table: &costs::Table, is_json: bool, plot: Option<&PathBuf>) -> ExitCode {
-    for rejected in table.rejected() {
-        eprintln!("damaskvane-explain: {rejected}");
+fn print_costs(table: &costs::Table, is_json: bool, plot: Option<&PathBuf>) -> ExitCode {
+    for line in table.unreadable_lines() {
+        eprintln!("damaskvane-explain: {line}");
     }
     if is_json {
         for row in table.rows() {
             println!("{}", serde_json::json!(row));
         }
         let read = serde_json::json!({"lines": table.lines(),
-            "lines_not_read": table.rejected().len()});
+            "lines_not_read": table.unreadable_lines().len()});
         println!("{read}");
     } else {
         println!("{table}");
     }
-    drawn(plot.map(|file| costs::draw(file, table)))
+    plot_exit_code(plot.map(|file| costs::draw(file, table)))
 }
 
-fn drawn(result: Option<Result<(), losses::PlotError>>) -> ExitCode {
+fn plot_exit_code(result: Option<Result<(), losses::PlotError>>) -> ExitCode {
     if let Some(Err(error)) = result {
         eprintln!("damaskvane-explain: {error}");
         return ExitCode::FAILURE;
@@ -185,28 +189,28 @@
     ExitCode::SUCCESS
 }
 
-fn tell_story(story: &Explanation) -> ExitCode {
-    println!("{story}");
-    if story.is_known() {
+fn print_explanation(explanation: &Explanation) -> ExitCode {
+    println!("{explanation}");
+    if explanation.is_known() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn tell_losses(table: &losses::Table, is_json: bool, plot: Option<&PathBuf>) -> ExitCode {
-    for rejected in table.rejected() {
-        eprintln!("damaskvane-explain: {rejected}");
+fn print_losses(table: &losses::Table, is_json: bool, plot: Option<&PathBuf>) -> ExitCode {
+    for line in table.unreadable_lines() {
+        eprintln!("damaskvane-explain: {line}");
     }
     if is_json {
         for row in table.rows() {
             println!("{}", serde_json::json!(row));
         }
         let read = serde_json::json!({"coverage": table.coverage(), "losses": table.total(),
-            "lines_not_read": table.rejected().len()});
+            "lines_not_read": table.unreadable_lines().len()});
         println!("{read}");
     } else {
         println!("{table}");
     }
-    drawn(plot.map(|file| losses::draw(file, table)))
+    plot_exit_code(plot.map(|file| losses::draw(file, table)))
 }
--- a/crates/damaskvane-explain/src/costs.rs
+++ b/crates/damaskvane-explain/src/costs.rs
@@ -1,7 +1,7 @@
-//! What instances caused that their users pay for, by cause, zone and time.
+//! The use of billed resources by instances, by cause, zone and time.
 //!
-//! Each instance writes now and then what it has caused since its start. The table holds the differences of
-//! consecutive lines only, so that a whole day of hundreds of instances is read line by line.
+//! Each instance periodically logs its totals since its start. The table stores only the differences between
+//! consecutive lines of an instance, so that logs of a day from hundreds of instances can be read line by line.
 //!
 //! ```
 //! use damaskvane_explain::costs;
--- a/crates/damaskvane-explain/src/costs/plot.rs
+++ b/crates/damaskvane-explain/src/costs/plot.rs
@@ -1,4 +1,4 @@
-//! Calls on the store over time, a stack of causes for each window.
+//! A plot of store calls over time, with one bar per window and one segment per cause.
 
 use std::path::Path;
 
@@ -6,11 +6,11 @@
 use crate::losses::PlotError;
 use crate::plot::{self, Stacks};
 
-/// Draws the calls on the store over time into an SVG file.
+/// Draws the table's store calls over time into an SVG file.
 ///
 /// # Errors
 ///
-/// Fails if the file can't be written.
+/// Returns an error if the file cannot be written.
 pub fn draw(file: impl AsRef<Path>, table: &Table) -> Result<(), PlotError> {
     let mut stacks = Stacks::default();
     for row in table.rows().filter(|row| kind(&row.cause) == "calls") {
--- a/crates/damaskvane-explain/src/beliefs.rs
+++ b/crates/damaskvane-explain/src/instance_state.rs
@@ -1,10 +1,10 @@
-//! What an instance believed, line by line.
+//! The state of an instance, reconstructed from its log lines.
 
 use std::collections::BTreeMap;
 
 use super::line::Line;
 
-/// Messages on the whole process, of which the last one counts.
+/// Messages on the state of the whole process; the last line of each message is current.
 const STATE_MESSAGES: [&str; 9] = [
     "start",
     "configuration in force",
@@ -16,19 +16,19 @@
     "own phase",
     "reload",
 ];
-/// Messages on one backend server.
+/// Messages on the state of one backend server.
 const SERVER_MESSAGES: [&str; 2] = ["backend server", "backend server probed"];
 
-/// The last line of each matter.
+/// The last line of each message on the process, and the last line on each backend server.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Beliefs {
+pub(super) struct InstanceState {
     state: BTreeMap<&'static str, Line>,
     servers: BTreeMap<String, Line>,
 }
 
-impl Beliefs {
-    /// Takes in a line, if it tells of a belief.
-    pub(super) fn note(&mut self, line: &Line) {
+impl InstanceState {
+    /// Records a line on the state of the process or of a backend server, and ignores any other line.
+    pub(super) fn record(&mut self, line: &Line) {
         let message = line.message();
         if let Some(known) = STATE_MESSAGES.iter().find(|known| **known == message) {
             self.state.insert(known, line.clone());
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The lines on the process.
-    pub(super) fn state(&self) -> impl Iterator<Item = &Line> {
+    /// Returns the last line of each message on the process.
+    pub(super) fn process_lines(&self) -> impl Iterator<Item = &Line> {
         self.state.values()
     }
 
-    /// The last line on a server.
-    pub(super) fn server(&self, id: &str) -> Option<&Line> {
+    /// Returns the last line on a backend server.
+    pub(super) fn server_line(&self, id: &str) -> Option<&Line> {
         self.servers.get(id)
     }
 }
--- a/crates/damaskvane-explain/src/lib.rs
+++ b/crates/damaskvane-explain/src/lib.rs
@@ -1,26 +1,26 @@
-//! What the logs of instances tell: the story of one request, and what was lost and why.
+//! Explains from the logs of instances what became of a request, and why requests were late or not served.
 //!
-//! Clocks of two machines differ by little and are never trusted to order events: lines of one log keep their
-//! order, and logs are told one after the other. Only the table of losses sorts lines of several logs by their
-//! time, for windows of seconds.
+//! The clocks of two machines differ slightly, so events of several logs are not ordered by their timestamps: lines of
+//! one log keep their order, and logs are read one after the other. Only the table of losses sorts the lines of several
+//! logs by timestamp, because its windows last seconds.
 //!
 //! # Crate guide
 //!
-//! - [`Explanation`]: what became of one request, with what the instance believed.
-//! - [`costs`]: what instances caused that their users pay for.
-//! - [`losses`]: why requests were late or not served, by route, zone and time.
+//! - [`Explanation`]: the log lines on one request, with the state of the instance that handled the request.
+//! - [`costs`]: the use of billed resources by instances: bytes, store calls and connections.
+//! - [`losses`]: the causes of late and unserved requests, by route, zone and time.
 //!
 //! ```
 //! let line = r#"{"msg":"request not served","request_id":"r1","reason":"overloaded"}"#;
-//! let story = damaskvane_explain::Explanation::of("r1", [("a.log", line)]);
-//! assert!(story.to_string().contains("overloaded"));
+//! let explanation = damaskvane_explain::Explanation::of("r1", [("a.log", line)]);
+//! assert!(explanation.to_string().contains("overloaded"));
 //! ```
 
-mod beliefs;
 pub mod costs;
+mod explanation;
+mod instance_state;
 mod line;
 pub mod losses;
 mod plot;
-mod story;
 
-pub use story::Explanation;
+pub use explanation::Explanation;
--- a/crates/damaskvane-explain/src/line.rs
+++ b/crates/damaskvane-explain/src/line.rs
@@ -1,10 +1,10 @@
-//! One line of a log.
+//! A log line with typed access to its JSON fields.
 
 use std::time::SystemTime;
 
 use serde_json::{Map, Value};
 
-/// A line, read as JSON; whatever stands before the object is left out.
+/// The JSON object of a log line, without any text that precedes the object.
 #[derive(Debug, Clone)]
 pub(super) struct Line(Map<String, Value>);
 
@@ -22,7 +22,7 @@
         self.0.get(field)?.as_f64()
     }
 
-    pub(super) fn whole(&self, field: &str) -> Option<u64> {
+    pub(super) fn integer(&self, field: &str) -> Option<u64> {
         self.0.get(field)?.as_u64()
     }
 
@@ -38,31 +38,32 @@
         self.text("msg").unwrap_or_default()
     }
 
-    /// The time of day, by the instance's own clock.
+    /// Returns the line's timestamp in milliseconds since the Unix epoch, by the clock of the instance's machine.
     pub(super) fn at_ms(&self) -> Option<u64> {
         let at = humantime::parse_rfc3339(self.text("ts")?).ok()?;
         let since = at.duration_since(SystemTime::UNIX_EPOCH).ok()?;
         u64::try_from(since.as_millis()).ok()
     }
 
-    /// Lines on requests that were left out before this one.
+    /// Returns the number of lines on requests that the instance omitted from the log before this line.
     pub(super) fn left_out(&self) -> u64 {
-        self.whole("lines_left_out").unwrap_or_default()
+        self.integer("lines_left_out").unwrap_or_default()
     }
 
-    /// The line for a reader: time, message, and all other fields that hold something.
-    pub(super) fn told(&self) -> String {
-        const LEFT_OUT: [&str; 6] = ["msg", "ts", "level", "instance", "program", "request_id"];
-        let mut told = format!("{} {}", self.text("ts").unwrap_or("-"), self.message());
+    /// Returns the line in readable form: timestamp, message and all other fields that are not null.
+    pub(super) fn to_text(&self) -> String {
+        const HIDDEN_FIELDS: [&str; 6] =
+            ["msg", "ts", "level", "instance", "program", "request_id"];
+        let mut text = format!("{} {}", self.text("ts").unwrap_or("-"), self.message());
         for (field, value) in &self.0 {
-            if LEFT_OUT.contains(&field.as_str()) || value.is_null() {
+            if HIDDEN_FIELDS.contains(&field.as_str()) || value.is_null() {
                 continue;
             }
             let value = value
                 .as_str()
                 .map_or_else(|| value.to_string(), str::to_owned);
-            told.push_str(&format!(", {field} {value}"));
+            text.push_str(&format!(", {field} {value}"));
         }
-        told
+        text
     }
 }
--- a/crates/damaskvane-explain/src/losses.rs
+++ b/crates/damaskvane-explain/src/losses.rs
@@ -1,8 +1,8 @@
-//! Why requests were late or not served, by route, zone and two seconds.
+//! Causes of late and unserved requests, by route, zone and window of two seconds.
 //!
-//! Each request that was late or not served has one cause, so that the causes add up; what no rule explains is
-//! counted as unexplained. Lines that an instance left out under load are counted too, and the table says which
-//! part of all lines it has seen.
+//! Each request that was late or not served has exactly one cause, so that the counts of all causes add up to the
+//! number of losses. A late request that matches no rule is counted as unexplained. The table also counts the lines
+//! that instances omitted under load, and reports the share of all lines that the logs contain.
 //!
 //! ```
 //! use damaskvane_explain::losses;
@@ -19,7 +19,7 @@
 mod table;
 
 pub use cause::{Cause, FirstRun, NotServedReason};
-pub use event::Rejected;
+pub use event::UnreadableLine;
 pub use plot::draw;
 
 pub use crate::plot::PlotError;
--- a/crates/damaskvane-explain/src/losses/cause.rs
+++ b/crates/damaskvane-explain/src/losses/cause.rs
@@ -1,90 +1,91 @@
-//! The causes of a loss.
+//! Causes of late and unserved requests.
 
 use core::fmt;
 
-/// Why a request ran on a server that didn't remember its object.
+/// The reason why a request ran on a backend server that had not handled the request's object recently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FirstRun {
-    /// Nobody had asked for the object before.
+    /// No earlier request for the object is in the logs.
     First,
-    /// The server that had it has left.
+    /// The server that handled the object before has left, is draining, or is missing from the store after an outage.
     Left,
-    /// The zone of the server that had it was evacuated.
+    /// The zone of the server that handled the object before was evacuated.
     Evacuated,
-    /// The server that had it has restarted.
+    /// The server that handled the object before has restarted.
     Restarted,
-    /// The object's first server has changed though the one before is still there: servers have joined or left, or
-    /// callers in another zone ask for it.
+    /// The object's first server has changed although the previous first server is still listed: servers joined or
+    /// left, or clients in another zone request the object.
     Moved,
-    /// The first server was cold.
+    /// The object's first server was cold.
     Cold,
-    /// The first server was at the limit of its load.
+    /// The first server's load was at its limit.
     Full,
-    /// The first server had a queue.
+    /// All slots of the first server were in use.
     Busy,
-    /// The first server was slow.
+    /// The first server took considerably longer than usual.
     Slow,
-    /// The first server's exchanges failed.
+    /// A considerable share of the first server's recent exchanges failed.
     Failing,
-    /// The first server's exchanges hung.
+    /// An open exchange with the first server lasted far longer than usual.
     Stalled,
-    /// Another server won more for other reasons.
-    Outbid,
-    /// The same server had run it before, and took its full time again.
+    /// Another server had a higher score for other reasons.
+    LowerScore,
+    /// The same server had handled the object before, but took the time of a first run again.
     Evicted,
 }
 
-/// Why an instance turned a request away, or had no answer for it.
+/// The reason why an instance rejected a request or returned no usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NotServedReason {
-    /// All servers of the object were at the limit.
+    /// All servers of the object were at their load limit.
     Overloaded,
-    /// The cold servers had their share.
+    /// Only cold servers had capacity, and they had received their limit of requests.
     Cold,
-    /// No server could be used.
+    /// The service had no server that the request could use.
     NoServer,
-    /// It could not be answered in the time left.
+    /// No response was possible before the request's deadline.
     TooLate,
-    /// A server turned it away, and no other one was asked.
+    /// A server rejected the request, and no other server was tried.
     RejectedByServer,
-    /// No configuration was known yet.
+    /// The instance had no configuration yet.
     Starting,
-    /// No route takes its host and path.
+    /// No route matches the request's host and path.
     NoRoute,
-    /// It crashes servers.
+    /// The request is quarantined because it crashes servers.
     Quarantined,
-    /// The client's or the route's time was over.
+    /// The client's deadline or the route's timeout passed.
     Timeout,
-    /// A server had it, and its answer was lost.
+    /// A server received the request, and the response was lost.
     ResponseLost,
-    /// The client left.
+    /// The client disconnected.
     ClientDisconnected,
-    /// A server failed it.
+    /// A server responded with an error.
     ServerFailed,
     /// Any other reason.
     Other,
 }
 
-/// Why a request was late or not served.
+/// The cause of a late or unserved request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// Late: the server didn't remember the object.
+    /// Late because the server had not handled the object recently.
     FirstRun(FirstRun),
-    /// Late: it waited behind others.
+    /// Late because the request waited behind other requests.
     Waited,
-    /// Late: an earlier exchange came to nothing.
+    /// Late because an earlier exchange brought no usable response.
     Retried,
-    /// Late: the server took longer than others.
+    /// Late because the server took longer than usual.
     SlowServer,
-    /// Not served.
+    /// Not served, for the given reason.
     NotServed(NotServedReason),
-    /// Late for no reason that the lines show.
+    /// Late for a reason that the log lines do not show.
     Unexplained,
 }
 
 impl NotServedReason {
-    pub(super) fn of(reason: &str) -> Self {
-        match reason {
+    /// Returns the reason for a label in the log, or `Other` for an unknown label.
+    pub(super) fn from_label(label: &str) -> Self {
+        match label {
             "overloaded" => Self::Overloaded,
             "cold" => Self::Cold,
             "no_server" => Self::NoServer,
@@ -120,16 +121,16 @@
 }
 
 impl FirstRun {
-    /// The reason why the object's first server was passed over, as an instance logs it.
-    pub(super) fn of_passed_over(word: &str) -> Self {
-        match word {
+    /// Returns the reason for the label with which an instance logs why it passed over the object's first server.
+    pub(super) fn from_passed_over(label: &str) -> Self {
+        match label {
             "cold" => Self::Cold,
             "full" => Self::Full,
             "busy" => Self::Busy,
             "slow" => Self::Slow,
             "failing" => Self::Failing,
             "stalled" => Self::Stalled,
-            _ => Self::Outbid,
+            _ => Self::LowerScore,
         }
     }
 
@@ -146,7 +147,7 @@
             Self::Slow => "slow",
             Self::Failing => "failing",
             Self::Stalled => "stalled",
-            Self::Outbid => "outbid",
+            Self::LowerScore => "outbid",
             Self::Evicted => "forgotten",
         }
     }
@@ -155,8 +156,8 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (group, detail) = match self {
-            Self::FirstRun(why) => ("first run", why.as_str()),
-            Self::NotServed(why) => ("not served", why.as_str()),
+            Self::FirstRun(reason) => ("first run", reason.as_str()),
+            Self::NotServed(reason) => ("not served", reason.as_str()),
             Self::Waited => ("late", "waited"),
             Self::Retried => ("late", "tried_again"),
             Self::SlowServer => ("late", "slow_server"),
--- a/crates/damaskvane-explain/src/losses/event.rs
+++ b/crates/damaskvane-explain/src/losses/event.rs
@@ -1,19 +1,19 @@
-//! What a line says of a request or a server, decoded once.
+//! Log lines on requests and backend servers, decoded into typed events.
 
 use core::fmt;
 
 use crate::line::Line;
 
-/// A line that could not be read.
+/// The position of a log line that could not be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Rejected {
-    /// The log.
+pub struct UnreadableLine {
+    /// Name of the log.
     pub file: String,
-    /// The line's number, from 1.
+    /// Number of the line, starting at 1.
     pub line: usize,
 }
 
-impl fmt::Display for Rejected {
+impl fmt::Display for UnreadableLine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -23,7 +23,7 @@
     }
 }
 
-/// An exchange that ended with an answer or without one.
+/// An exchange with a backend server that ended, with or without a response.
 #[derive(Debug, Clone)]
 pub(super) struct Exchange {
     pub(super) object: Option<u64>,
@@ -43,7 +43,7 @@
     pub(super) waiting: f64,
 }
 
-/// What a line is about.
+/// The subject of a line, with the fields of that subject.
 #[derive(Debug, Clone)]
 pub(super) enum Subject {
     Exchange(Exchange),
@@ -52,10 +52,10 @@
     Evacuations { zones: String },
 }
 
-/// A line that matters for losses.
+/// A log line that the classification of losses uses.
 #[derive(Debug, Clone)]
 pub(super) struct Event {
-    /// The time of day, by the instance's own clock.
+    /// Timestamp in milliseconds since the Unix epoch, by the clock of the instance's machine.
     pub(super) at_ms: Option<u64>,
     pub(super) request: Option<String>,
     pub(super) zone: String,
@@ -64,8 +64,8 @@
 }
 
 impl Event {
-    /// Decodes a line of an instance of this zone; `None` for lines on other matters.
-    pub(super) fn of(line: &Line, zone: &str) -> Option<Self> {
+    /// Decodes a line of an instance in `zone`, and returns `None` for a line on any other subject.
+    pub(super) fn from_line(line: &Line, zone: &str) -> Option<Self> {
         let subject = match line.message() {
             "exchange ended" => Subject::Exchange(exchange(line)),
             "request not served" => Subject::NotServed {
@@ -98,7 +98,7 @@
     let number = |field| line.number(field).unwrap_or_default();
     let outcome = line.text("outcome").unwrap_or_default();
     Exchange {
-        object: line.whole("object"),
+        object: line.integer("object"),
         server: line.text("backend_server").unwrap_or_default().to_owned(),
         server_zone: line.text("server_zone").unwrap_or_default().to_owned(),
         is_answered: outcome == "answered",
@@ -110,7 +110,7 @@
         first_ms: number("first_ms"),
         was_sent: line.flag("was_sent"),
         passed_over: line.text("passed_over").map(str::to_owned),
-        tried: line.whole("tried").unwrap_or_default(),
+        tried: line.integer("tried").unwrap_or_default(),
         load: number("load"),
         waiting: number("waiting"),
     }
--- a/crates/damaskvane-explain/src/losses/plot.rs
+++ b/crates/damaskvane-explain/src/losses/plot.rs
@@ -1,4 +1,4 @@
-//! Losses over time, a stack of causes for each window.
+//! A plot of losses over time, with one bar per window and one segment per cause.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the file can't be written.
+/// Returns an error if the file cannot be written.
 pub fn draw(file: impl AsRef<Path>, table: &Table) -> Result<(), PlotError> {
     let mut stacks = Stacks::default();
     for (from_s, causes) in table.windows() {
--- a/crates/damaskvane-explain/src/losses/table.rs
+++ b/crates/damaskvane-explain/src/losses/table.rs
@@ -1,4 +1,4 @@
-//! The table of losses.
+//! A table of late and unserved requests.
 
 use core::fmt;
 use std::collections::{BTreeMap, HashMap};
@@ -7,66 +7,68 @@
 
 use crate::line::Line;
 use crate::losses::cause::Cause;
-use crate::losses::event::{Event, Rejected};
+use crate::losses::event::{Event, UnreadableLine};
 use crate::losses::history::History;
 
-/// The span of a window.
+/// Length of a window in milliseconds.
 const WINDOW_MS: u64 = 2_000;
 
-/// Requests that were lost for one cause, at one place and time.
+/// The number of losses with one cause, on one route, in one zone and window.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Row {
-    /// The route.
+    /// Name of the route, or `-` if the line names none.
     pub route: String,
-    /// The availability zone of the instance that had them.
+    /// Availability zone of the instances that handled the requests.
     pub zone: String,
-    /// Seconds from the first line of all logs to the start of the window.
+    /// Start of the window in seconds after the first line of all logs.
     pub from_s: u64,
-    /// Why they were late or not served.
+    /// Cause in its printed form, such as `not served: overloaded`.
     pub cause: String,
-    /// How many.
+    /// Number of requests.
     pub requests: u64,
 }
 
-type Place = (String, String, u64, Cause);
+/// Route, zone, start of the window in seconds, and cause.
+type LossKey = (String, String, u64, Cause);
 
-/// Requests that were late or not served, by cause.
+/// Counts of late and unserved requests by route, zone, window and cause.
 #[derive(Debug, Default)]
 pub struct Table {
-    losses: BTreeMap<Place, u64>,
+    losses: BTreeMap<LossKey, u64>,
     lines: u64,
     lines_left_out: u64,
-    rejected: Vec<Rejected>,
+    unreadable_lines: Vec<UnreadableLine>,
 }
 
 impl Table {
-    /// Reads logs, each with its name and its text.
+    /// Reads `logs`, pairs of a log's name and text.
     pub fn of<'a>(logs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let mut table = Self::default();
         let mut events = Vec::new();
         for (name, text) in logs {
             events.extend(table.read(name, text));
         }
-        // Stable: lines of one log with the same time keep their order.
+        // The sort is stable: lines of one log with equal timestamps keep their order.
         events.sort_by_key(|(event, _)| event.at_ms);
         let start_ms = events.iter().find_map(|(event, _)| event.at_ms);
         let mut history = History::default();
         for (event, is_last) in &events {
-            let Some(cause) = history.note(event, *is_last) else {
+            let Some(cause) = history.record(event, *is_last) else {
                 continue;
             };
             let since_ms =
                 event.at_ms.unwrap_or(0) - start_ms.unwrap_or(0).min(event.at_ms.unwrap_or(0));
             let from_s = since_ms / WINDOW_MS * WINDOW_MS / 1_000;
-            let place = (event.route.clone(), event.zone.clone(), from_s, cause);
-            *table.losses.entry(place).or_default() += 1;
+            let key = (event.route.clone(), event.zone.clone(), from_s, cause);
+            *table.losses.entry(key).or_default() += 1;
         }
         table
     }
 
-    /// The lines that matter of one log, and whether each is the last one on its request there.
+    /// Returns the events of one log, each with whether the event is the log's last one on its request.
     fn read(&mut self, name: &str, text: &str) -> Vec<(Event, bool)> {
-        // A file may hold lines of several instances; one without a name is that of the file.
+        // A file may contain lines of several instances; lines without an instance name share the zone of the last
+        // start line without one.
         let mut zones: HashMap<String, String> = HashMap::new();
         let mut events: Vec<Event> = Vec::new();
         for (index, text) in text.lines().enumerate() {
@@ -74,7 +76,7 @@
                 continue;
             }
             let Some(line) = Line::parse(text) else {
-                self.rejected.push(Rejected {
+                self.unreadable_lines.push(UnreadableLine {
                     file: name.to_owned(),
                     line: index + 1,
                 });
@@ -87,7 +89,7 @@
             }
             self.lines_left_out += line.left_out();
             let zone = zones.get(instance).map_or("", String::as_str);
-            let Some(event) = Event::of(&line, zone) else {
+            let Some(event) = Event::from_line(&line, zone) else {
                 continue;
             };
             self.lines += 1;
@@ -104,28 +106,29 @@
             request.is_none_or(|request| last.get(request) == Some(index))
         };
         let numbered: Vec<_> = events.into_iter().enumerate().collect();
-        let flags: Vec<bool> = numbered.iter().map(is_last).collect();
+        let are_last: Vec<bool> = numbered.iter().map(is_last).collect();
         numbered
             .into_iter()
             .map(|(_, event)| event)
-            .zip(flags)
+            .zip(are_last)
             .collect()
     }
 
-    /// Requests that were lost for this cause.
+    /// Returns the number of requests with this cause.
     #[must_use]
     pub fn count(&self, cause: Cause) -> u64 {
         let of_cause = self.losses.iter().filter(|((_, _, _, of), _)| *of == cause);
         of_cause.map(|(_, requests)| requests).sum()
     }
 
-    /// All losses.
+    /// Returns the number of requests with any cause.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.losses.values().sum()
     }
 
-    /// The part of all lines on requests that the logs hold; the rest was left out under load.
+    /// Returns the share (0 to 1) of lines on requests and servers that the logs contain; instances omitted the rest
+    /// under load.
     #[must_use]
     pub fn coverage(&self) -> f64 {
         let all = self.lines + self.lines_left_out;
@@ -135,13 +138,13 @@
         self.lines as f64 / all as f64
     }
 
-    /// Lines that could not be read.
+    /// Returns the positions of the lines that could not be read.
     #[must_use]
-    pub fn rejected(&self) -> &[Rejected] {
-        &self.rejected
+    pub fn unreadable_lines(&self) -> &[UnreadableLine] {
+        &self.unreadable_lines
     }
 
-    /// A row for each route, zone, window and cause.
+    /// Returns a row for each route, zone, window and cause.
     pub fn rows(&self) -> impl Iterator<Item = Row> {
         self.losses
             .iter()
@@ -167,13 +170,16 @@
         windows
     }
 
-    fn by<'a, K: Ord>(&'a self, key: impl Fn(&'a Place) -> K) -> BTreeMap<K, BTreeMap<Cause, u64>> {
+    fn sum_by<'a, K: Ord>(
+        &'a self,
+        key: impl Fn(&'a LossKey) -> K,
+    ) -> BTreeMap<K, BTreeMap<Cause, u64>> {
         let mut sums: BTreeMap<K, BTreeMap<Cause, u64>> = BTreeMap::new();
-        for (place, requests) in &self.losses {
+        for (loss_key, requests) in &self.losses {
             *sums
-                .entry(key(place))
+                .entry(key(loss_key))
                 .or_default()
-                .entry(place.3)
+                .entry(loss_key.3)
                 .or_default() += requests;
         }
         sums
@@ -184,7 +190,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let total = self.total().max(1) as f64;
         writeln!(f, "{:<28} {:>8} {:>6}", "cause", "requests", "share")?;
-        let mut causes: Vec<(Cause, u64)> = self.by(|_| ()).into_values().flatten().collect();
+        let mut causes: Vec<(Cause, u64)> = self.sum_by(|_| ()).into_values().flatten().collect();
         causes.sort_by_key(|(_, requests)| std::cmp::Reverse(*requests));
         for (cause, requests) in &causes {
             let share = *requests as f64 * 100.0 / total;
@@ -192,17 +198,17 @@
         }
         writeln!(f, "{:<28} {:>8}", "all", self.total())?;
         for (title, sums) in [
-            ("route", self.by(|place| place.0.clone())),
-            ("zone", self.by(|place| place.1.clone())),
+            ("route", self.sum_by(|key| key.0.clone())),
+            ("zone", self.sum_by(|key| key.1.clone())),
         ] {
             writeln!(f, "\n{title}")?;
             for (name, causes) in sums {
-                writeln!(f, "{name}: {}", listed(&causes))?;
+                writeln!(f, "{name}: {}", join_counts(&causes))?;
             }
         }
         writeln!(f, "\nfrom second")?;
         for (from_s, causes) in self.windows() {
-            writeln!(f, "{from_s}: {}", listed(&causes))?;
+            writeln!(f, "{from_s}: {}", join_counts(&causes))?;
         }
         write!(
             f,
@@ -214,11 +220,11 @@
     }
 }
 
-fn listed(causes: &BTreeMap<Cause, u64>) -> String {
+fn join_counts(causes: &BTreeMap<Cause, u64>) -> String {
     let mut causes: Vec<_> = causes.iter().collect();
     causes.sort_by_key(|(_, requests)| std::cmp::Reverse(**requests));
-    let words = causes
+    let items = causes
         .iter()
         .map(|(cause, requests)| format!("{requests} {cause}"));
-    words.collect::<Vec<_>>().join(", ")
+    items.collect::<Vec<_>>().join(", ")
 }
--- a/crates/damaskvane-explain/src/plot.rs
+++ b/crates/damaskvane-explain/src/plot.rs
@@ -1,4 +1,4 @@
-//! Stacked bars over time.
+//! SVG plots of counts over time, as stacked bars.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,27 +10,27 @@
 const SIZE_PIXELS: (u32, u32) = (1_100, 560);
 const MARGIN_PIXELS: u32 = 40;
 const LEGEND_PIXELS: i32 = 12;
-/// The width of the only bar, in seconds.
-const LONE_WIDTH_S: u64 = 2;
+/// Width of the bar in seconds if the plot has only one bar.
+const SINGLE_BAR_WIDTH_S: u64 = 2;
 
-/// Counts by the second at which a bar begins, and by name.
+/// Counts by the start of the bar in seconds, and by the name of the bar's segment.
 pub(super) type Stacks = BTreeMap<u64, BTreeMap<String, u64>>;
 
-/// {file} can't be drawn: {cause}; name a file in a directory that can be written
+/// cannot write the plot to {file}: {cause}; give a path in a writable directory
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub struct PlotError {
     file: String,
     cause: String,
 }
 
-/// Draws bars into an SVG file.
+/// Draws the stacked bars into an SVG file.
 pub(super) fn draw(
     file: &Path,
     caption: &str,
-    counted: &str,
+    y_label: &str,
     stacks: &Stacks,
 ) -> Result<(), PlotError> {
-    draw_bars(file, caption, counted, stacks).map_err(|cause| PlotError {
+    draw_bars(file, caption, y_label, stacks).map_err(|cause| PlotError {
         file: file.display().to_string(),
         cause: cause.to_string(),
     })
@@ -39,15 +39,15 @@
 fn draw_bars(
     file: &Path,
     caption: &str,
-    counted: &str,
+    y_label: &str,
     stacks: &Stacks,
 ) -> Result<(), Box<dyn core::error::Error>> {
     let starts: Vec<u64> = stacks.keys().copied().collect();
     let widths = starts.windows(2).map(|pair| pair[1] - pair[0]);
-    let width_s = widths.min().unwrap_or(LONE_WIDTH_S);
-    let until_s = starts.last().map_or(width_s, |last| last + width_s);
+    let width_s = widths.min().unwrap_or(SINGLE_BAR_WIDTH_S);
+    let end_s = starts.last().map_or(width_s, |last| last + width_s);
     let sums = stacks.values().map(|names| names.values().sum::<u64>());
-    let most = sums.max().unwrap_or(1);
+    let max_sum = sums.max().unwrap_or(1);
     let mut names: Vec<&String> = stacks.values().flat_map(BTreeMap::keys).collect();
     names.sort_unstable();
     names.dedup();
@@ -58,18 +58,21 @@
         .caption(caption, ("sans-serif", 18))
         .x_label_area_size(MARGIN_PIXELS)
         .y_label_area_size(MARGIN_PIXELS)
-        .build_cartesian_2d(0..until_s, 0..most)?;
+        .build_cartesian_2d(0..end_s, 0..max_sum)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
-        .y_desc(counted)
+        .y_desc(y_label)
         .draw()?;
     for (number, name) in names.into_iter().enumerate() {
         let colour = Palette99::pick(number).to_rgba();
-        let bars = stacks.iter().filter_map(|(from_s, of)| {
-            let count = of.get(name).copied()?;
-            let below: u64 = of.range::<String, _>(..name).map(|(_, count)| count).sum();
-            let corners = [(*from_s, below), (from_s + width_s, below + count)];
+        let bars = stacks.iter().filter_map(|(from_s, counts)| {
+            let count = counts.get(name).copied()?;
+            let bottom: u64 = counts
+                .range::<String, _>(..name)
+                .map(|(_, count)| count)
+                .sum();
+            let corners = [(*from_s, bottom), (from_s + width_s, bottom + count)];
             Some(Rectangle::new(corners, colour.filled()))
         });
         chart
--- a/crates/damaskvane-explain/tests/costs.rs
+++ b/crates/damaskvane-explain/tests/costs.rs
@@ -1,14 +1,14 @@
-//! What instances caused, from their lines.
+//! Tests of the table of costs, with log lines in the form in which instances write them.
 
 use damaskvane_explain::{costs, losses};
 
-fn start(instance: &str, zone: &str) -> String {
+fn start_line(instance: &str, zone: &str) -> String {
     format!(
         r#"{{"msg":"start","instance":"{instance}","zone":"{zone}","ts":"2026-12-01T10:00:00.000Z"}}"#
     )
 }
 
-fn told(instance: &str, second: u32, figures: &str) -> String {
+fn costs_line(instance: &str, second: u32, figures: &str) -> String {
     format!(
         r#"{{"msg":"costs","instance":"{instance}","ts":"2026-12-01T10:00:{second:02}.000Z","figures":"{figures}"}}"#
     )
@@ -22,15 +22,15 @@
     table
 }
 
-/// Guards against sums that count each line anew: instances tell what they caused since their start.
+/// Guards against sums that add up the totals of all lines: instances log their totals since their start.
 #[test]
-fn consecutive_lines_of_an_instance_add_up_to_its_last_word() {
+fn consecutive_lines_of_an_instance_add_up_to_its_last_totals() {
     let table = table(&[
-        start("a-1", "a"),
-        start("b-1", "b"),
-        told("a-1", 5, "calls.servers.list.ok=3 openings.probe=1"),
-        told("b-1", 5, "calls.servers.list.ok=10"),
-        told("a-1", 10, "calls.servers.list.ok=4 openings.probe=1"),
+        start_line("a-1", "a"),
+        start_line("b-1", "b"),
+        costs_line("a-1", 5, "calls.servers.list.ok=3 openings.probe=1"),
+        costs_line("b-1", 5, "calls.servers.list.ok=10"),
+        costs_line("a-1", 10, "calls.servers.list.ok=4 openings.probe=1"),
     ]);
     assert_eq!(table.total("calls.servers.list.ok"), 14);
     assert_eq!(table.total("openings.probe"), 1);
@@ -44,14 +44,14 @@
     assert_eq!(late.len(), 1);
 }
 
-/// Guards against an instance that restarts and whose counts begin anew below what they were.
+/// Guards against lost counts after an instance restarts and its totals are below those before the restart.
 #[test]
-fn a_new_start_counts_anew() {
+fn the_counts_of_a_restarted_instance_are_added() {
     let table = table(&[
-        start("a-1", "a"),
-        told("a-1", 5, "openings.none_kept=9"),
-        start("a-1", "a"),
-        told("a-1", 20, "openings.none_kept=2"),
+        start_line("a-1", "a"),
+        costs_line("a-1", 5, "openings.none_kept=9"),
+        start_line("a-1", "a"),
+        costs_line("a-1", 20, "openings.none_kept=2"),
     ]);
     assert_eq!(table.total("openings.none_kept"), 11);
 }
@@ -59,19 +59,23 @@
 #[test]
 fn a_line_that_cannot_be_read_is_named_and_the_others_count() {
     let table = table(&[
-        start("a-1", "a"),
+        start_line("a-1", "a"),
         "no line".to_owned(),
-        told("a-1", 5, "openings.probe=many"),
-        told("a-1", 10, "openings.probe=2"),
+        costs_line("a-1", 5, "openings.probe=many"),
+        costs_line("a-1", 10, "openings.probe=2"),
     ]);
-    let named: Vec<String> = table.rejected().iter().map(ToString::to_string).collect();
+    let named: Vec<String> = table
+        .unreadable_lines()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     assert_eq!(named.len(), 2);
     assert!(named[0].starts_with("mixed.log:2:"), "{named:?}");
     assert!(named[1].starts_with("mixed.log:3:"), "{named:?}");
     assert_eq!(table.total("openings.probe"), 2);
 }
 
-/// Guards against losses that all go to the zone of the last instance of a file.
+/// Guards against counting all losses for the zone of the last instance in a file.
 #[test]
 fn lines_of_several_instances_in_one_file_keep_their_zones() {
     let refused = |instance: &str| {
@@ -80,10 +84,10 @@
         )
     };
     let lines = [
-        start("a-1", "a"),
-        start("b-1", "b"),
+        start_line("a-1", "a"),
+        start_line("b-1", "b"),
         refused("a-1"),
-        start("c-1", "c"),
+        start_line("c-1", "c"),
         refused("b-1"),
         refused("c-1"),
         refused("a-1").replace("\"request_id\":\"a-1\"", "\"request_id\":\"a-2\""),
--- a/crates/damaskvane-explain/tests/losses.rs
+++ b/crates/damaskvane-explain/tests/losses.rs
@@ -1,11 +1,11 @@
-//! The table of losses, from lines as instances write them.
+//! Tests of the table of losses, with log lines in the form in which instances write them.
 
 use damaskvane_explain::losses::{self, Cause, FirstRun, NotServedReason, Table};
 
 const START: &str = r#"{"msg":"start","zone":"east-a"}"#;
 
-/// A late answer with these further fields.
-fn late(server: &str, fields: &str) -> String {
+/// Returns the line of a late response, with additional `fields`.
+fn late_line(server: &str, fields: &str) -> String {
     format!(
         r#"{{"msg":"exchange ended","ts":"2026-01-01T00:00:05Z","route":"look","object":7,"backend_server":"{server}",
         "server_zone":"east-a","outcome":"answered","took_ms":400,"after_ms":400,"objective_ms":250,
@@ -29,7 +29,7 @@
         FirstRun::Slow,
         FirstRun::Failing,
         FirstRun::Stalled,
-        FirstRun::Outbid,
+        FirstRun::LowerScore,
         FirstRun::Evicted,
     ];
     let late = [
@@ -46,11 +46,11 @@
     found
 }
 
-/// A queue, a slow server or nothing that shows makes an answer late of a server that had run the object: callers
-/// wait for different reasons, and each needs another remedy.
+/// A server that had handled the object before responds late because of a queue, a slow server, an eviction or an
+/// unknown reason. The causes must not be mixed, because each needs another remedy.
 #[test]
 fn a_server_that_had_run_the_object() {
-    let first = late("s-0", "");
+    let first = late_line("s-0", "");
     let sent = r#","was_sent":true"#;
     let cases = [
         (format!(r#"{sent},"waiting":3"#), Cause::Waited),
@@ -63,36 +63,37 @@
         ),
     ];
     for (fields, cause) in cases {
-        let found = causes(&[first.clone(), late("s-0", &fields)]);
+        let found = causes(&[first.clone(), late_line("s-0", &fields)]);
         assert!(found.contains(&(cause, 1)), "{fields}: {found:?}");
         assert_eq!(found.len(), 2, "{fields}: {found:?}");
     }
 }
 
-/// An object runs on a second server, which takes several times as long. What the first one lacked is in the line.
+/// A second server handles an object and takes several times as long. The line contains the reason why the object's
+/// first server was passed over.
 #[test]
 fn an_object_that_ran_elsewhere_before() {
-    let words = [
+    let labels = [
         ("cold", FirstRun::Cold),
         ("full", FirstRun::Full),
         ("busy", FirstRun::Busy),
         ("slow", FirstRun::Slow),
         ("failing", FirstRun::Failing),
         ("stalled", FirstRun::Stalled),
-        ("outbid", FirstRun::Outbid),
+        ("outbid", FirstRun::LowerScore),
     ];
-    for (word, why) in words {
-        let second = late("s-1", &format!(r#","passed_over":"{word}""#));
-        let found = causes(&[late("s-0", ""), second]);
+    for (label, reason) in labels {
+        let second = late_line("s-1", &format!(r#","passed_over":"{label}""#));
+        let found = causes(&[late_line("s-0", ""), second]);
         assert!(
-            found.contains(&(Cause::FirstRun(why), 1)),
-            "{word}: {found:?}"
+            found.contains(&(Cause::FirstRun(reason), 1)),
+            "{label}: {found:?}"
         );
     }
 }
 
-/// The first server of an object is another one than before: it has left, restarted, its zone was evacuated, or the
-/// order has changed.
+/// The first server of an object has changed: the previous one has left or restarted, its zone was evacuated, or the
+/// order of servers has changed.
 #[test]
 fn an_object_whose_first_server_changed() {
     let server = |change: &str| {
@@ -108,32 +109,46 @@
         (evacuated.to_owned(), FirstRun::Evacuated),
         (server("joined"), FirstRun::Moved),
     ];
-    for (between, why) in cases {
-        let found = causes(&[late("s-0", ""), between.clone(), late("s-1", "")]);
+    for (between, reason) in cases {
+        let found = causes(&[late_line("s-0", ""), between.clone(), late_line("s-1", "")]);
         assert!(
-            found.contains(&(Cause::FirstRun(why), 1)),
+            found.contains(&(Cause::FirstRun(reason), 1)),
             "{between}: {found:?}"
         );
     }
 }
 
-/// A log is cut in the middle of a line, and another file is no log at all. The good lines count, and each bad one is
-/// named with its file and number.
+/// A log is truncated within a line, and another file is not a log. The readable lines must count, and each unreadable
+/// line must be listed with its file and number.
 #[test]
 fn lines_that_cannot_be_read() {
-    let log = format!("{START}\nnot a line\n{}\n{{\"msg\":", late("s-0", ""));
+    let log = format!("{START}\nnot a line\n{}\n{{\"msg\":", late_line("s-0", ""));
     let table = Table::of([("a.log", log.as_str()), ("b.txt", "hello\n")]);
     assert_eq!(table.total(), 1);
-    let rejected: Vec<String> = table.rejected().iter().map(ToString::to_string).collect();
-    assert_eq!(rejected.len(), 3);
-    assert!(rejected[0].starts_with("a.log:2:"), "{rejected:?}");
-    assert!(rejected[2].starts_with("b.txt:1:"), "{rejected:?}");
+    let unreadable_lines: Vec<String> = table
+        .unreadable_lines()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
+    assert_eq!(unreadable_lines.len(), 3);
+    assert!(
+        unreadable_lines[0].starts_with("a.log:2:"),
+        "{unreadable_lines:?}"
+    );
+    assert!(
+        unreadable_lines[2].starts_with("b.txt:1:"),
+        "{unreadable_lines:?}"
+    );
 }
 
-/// An instance under load leaves lines out. The table would look better than the day was, so it tells what it saw.
+/// An instance under load omits lines. The table must report its coverage, otherwise it shows too few losses.
 #[test]
 fn lines_that_were_left_out() {
-    let lines = [late("s-0", ""), late("s-0", r#","lines_left_out":2"#)].join("\n");
+    let lines = [
+        late_line("s-0", ""),
+        late_line("s-0", r#","lines_left_out":2"#),
+    ]
+    .join("\n");
     let table = Table::of([("a.log", lines.as_str())]);
     assert!(
         (table.coverage() - 0.5).abs() < 0.01,
@@ -143,7 +158,7 @@
     assert!(table.to_string().contains("2 left out"), "{table}");
 }
 
-/// A request is tried twice and then refused: it is one loss, for its last reason.
+/// A request fails twice and is then rejected. It must count as one loss, with its last reason.
 #[test]
 fn a_request_counts_once() {
     let failed = r#"{"msg":"exchange ended","request_id":"r1","outcome":"failed","route":"look"}"#;
@@ -158,17 +173,20 @@
     );
 }
 
-/// Losses are drawn over time; a directory that doesn't exist is named with what to do.
+/// The losses are drawn to an SVG file. The error for a missing directory must contain the remedy.
 #[test]
-fn a_picture_of_losses() {
-    let text = [late("s-0", ""), late("s-1", "")].join("\n");
+fn a_plot_of_losses() {
+    let text = [late_line("s-0", ""), late_line("s-1", "")].join("\n");
     let table = Table::of([("a.log", text.as_str())]);
     let file = std::env::temp_dir().join(format!("damaskvane-losses-{}.svg", std::process::id()));
-    losses::draw(&file, &table).expect("a picture");
+    losses::draw(&file, &table).expect("a plot");
     let drawn = std::fs::read_to_string(&file).expect("a file");
     std::fs::remove_file(&file).expect("a file");
     assert!(drawn.contains("<rect"), "bars are drawn");
     let error = losses::draw("no/such/directory/a.svg", &table);
     let error = error.expect_err("no directory").to_string();
-    assert!(error.contains("name a file in a directory"), "{error}");
+    assert!(
+        error.contains("give a path in a writable directory"),
+        "{error}"
+    );
 }
