--- a/crates/damaskvane-config/tests/adopt.rs
+++ b/crates/damaskvane-config/tests/adopt.rs
@@ -1,4 +1,4 @@
-//! Adoption of heads that are old, incomplete, corrupted or not valid.
+//! Handling of heads that are old, incomplete, corrupted or not valid.
 
 mod support;
 
@@ -11,106 +11,116 @@
 
 const QUEUE: &str = "[service.rider-desk]\nqueue_limit = 7\n";
 
-fn adopt(applier: &mut Applier, store: &Store) -> ApplyOutcome {
+fn apply_newest(applier: &mut Applier, store: &Store) -> ApplyOutcome {
     applier.offer_head(&store.head().encode());
     applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref))
 }
 
-fn adopted(version: u64) -> ApplyOutcome {
+fn applied(version: u64) -> ApplyOutcome {
     ApplyOutcome::Applied(damaskvane_core::ids::ConfigVersion::new(version))
 }
 
-/// A peer that was paused or cut off comes back and offers the head it had. If it were taken,
-/// callers of this instance would see a change undone that holds everywhere else.
+/// A peer that was paused or partitioned sends its outdated head. If this instance applied the
+/// head, it would revert a change that is active on all other instances.
 #[test]
-fn an_old_head_is_never_taken_back() {
+fn an_old_head_is_ignored() {
     let mut store = Store::default();
     let old = store.accept(ZONES).encode();
     let mut applier = Applier::default();
-    assert_eq!(adopt(&mut applier, &store), adopted(1));
+    assert_eq!(apply_newest(&mut applier, &store), applied(1));
     store.accept(QUEUE);
-    assert_eq!(adopt(&mut applier, &store), adopted(2));
-    let verdict = applier.offer_head(&old);
-    assert_eq!(verdict, ApplyOutcome::Ignored(IgnoreReason::NotNewer));
+    assert_eq!(apply_newest(&mut applier, &store), applied(2));
+    let outcome = applier.offer_head(&old);
+    assert_eq!(outcome, ApplyOutcome::Ignored(IgnoreReason::NotNewer));
     assert_eq!(applier.version().get(), 2);
     assert_eq!(applier.counts().unsafe_switches, 0);
 }
 
-/// Chunks arrive one by one. Until the last one is there the old state must serve whole; a state
-/// put together from both would send callers to servers that belong to neither.
+/// Chunks arrive one by one. Until the last one is here, the old state must stay active unchanged:
+/// a mix of both states would route clients to servers that belong to neither.
 #[test]
-fn the_old_state_serves_until_the_new_one_is_whole() {
+fn the_old_state_stays_active_until_the_new_one_is_complete() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut applier = Applier::default();
-    adopt(&mut applier, &store);
-    let before = applier.active_config().expect("in force").state_hash();
+    apply_newest(&mut applier, &store);
+    let before = applier
+        .active_config()
+        .expect("active configuration")
+        .state_hash();
     let more = "[service.a]\n[service.b]\n[service.c]\n";
     store.accept(&format!("{QUEUE}{more}"));
     let ApplyOutcome::MissingChunks(missing) = applier.offer_head(&store.head().encode()) else {
         panic!("chunks are missing");
     };
-    assert_eq!(missing.len(), 4, "only what changed is fetched");
+    assert_eq!(
+        missing.len(),
+        4,
+        "only chunks of changed objects are missing"
+    );
     for (index, hash) in missing.iter().enumerate() {
         assert_eq!(
-            applier.active_config().expect("in force").state_hash(),
+            applier
+                .active_config()
+                .expect("active configuration")
+                .state_hash(),
             before
         );
-        let chunk = store.chunk(&hash.to_string()).expect("stored");
-        let verdict = applier.offer_chunks([chunk.as_ref()]);
-        assert_eq!(verdict == adopted(2), index == 3);
+        let chunk = store.chunk(&hash.to_string()).expect("stored chunk");
+        let outcome = applier.offer_chunks([chunk.as_ref()]);
+        assert_eq!(outcome == applied(2), index == 3);
     }
 }
 
-/// A chunk is changed on its way. It hashes to another name, so it must be counted, dropped and
-/// fetched again; taken, it would be in force on this instance alone.
+/// A chunk is corrupted in transit, so its hash differs. It must be counted, dropped and fetched
+/// again; if it were accepted, it would be active on this instance only.
 #[test]
-fn a_corrupted_chunk_is_dropped_and_still_wanted() {
+fn a_corrupted_chunk_is_dropped_and_stays_missing() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut applier = Applier::default();
     applier.offer_head(&store.head().encode());
     let mut chunks: Vec<Vec<u8>> = store.chunks().iter().map(|chunk| chunk.to_vec()).collect();
     chunks[0][3] ^= 1;
-    let verdict = applier.offer_chunks(chunks.iter().map(AsRef::as_ref));
+    let outcome = applier.offer_chunks(chunks.iter().map(AsRef::as_ref));
     assert!(
-        matches!(&verdict, ApplyOutcome::MissingChunks(hashes) if hashes.len() == 1),
-        "{verdict:?}"
+        matches!(&outcome, ApplyOutcome::MissingChunks(hashes) if hashes.len() == 1),
+        "{outcome:?}"
     );
     assert_eq!(applier.counts().stray_chunks, 1);
-    assert_eq!(adopt(&mut applier, &store), adopted(1));
+    assert_eq!(apply_newest(&mut applier, &store), applied(1));
 }
 
-/// A head with a high version can't be completed, because whoever offered it is gone. It must not
-/// keep a lower one, that can be, from coming into force.
+/// A head can't be completed, because the instance that sent it has stopped. It must not block a
+/// complete head of a lower version.
 #[test]
-fn a_head_that_can_not_be_completed_holds_up_no_other() {
+fn a_head_that_can_not_be_completed_blocks_no_other() {
     let mut store = Store::default();
     store.accept(ZONES);
-    let mut lost = store.clone();
+    let mut lost_store = store.clone();
     for _ in 0..9 {
-        lost.accept(&format!("[service.s{}]\n", lost.head().ticket));
+        lost_store.accept(&format!("[service.s{}]\n", lost_store.head().ticket));
     }
     let mut applier = Applier::default();
     assert!(matches!(
-        applier.offer_head(&lost.head().encode()),
+        applier.offer_head(&lost_store.head().encode()),
         ApplyOutcome::MissingChunks(_)
     ));
-    assert_eq!(adopt(&mut applier, &store), adopted(1));
+    assert_eq!(apply_newest(&mut applier, &store), applied(1));
 }
 
-/// A head names objects that don't fit each other. Its version is higher, but in force it would
-/// leave services that nobody can reach.
+/// A head of a higher version names inconsistent objects. If it were active, clients could not
+/// reach some services.
 #[test]
-fn a_head_that_is_not_valid_is_refused_once_and_for_all() {
+fn an_invalid_head_is_rejected_once_and_then_ignored() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut applier = Applier::default();
-    adopt(&mut applier, &store);
+    apply_newest(&mut applier, &store);
     let mut head = store.head();
     head.version = head.version.next();
     head.ticket = head.ticket.next();
-    let region = "region/mb".parse().expect("an id");
+    let region = "region/mb".parse().expect("valid object id");
     head.objects.remove(&region);
     assert!(matches!(
         applier.offer_head(&head.encode()),
@@ -121,10 +131,10 @@
     assert_eq!(applier.version().get(), 1);
 }
 
-/// During an upgrade a newer program declares an object of a kind that this one doesn't know. If this
-/// one refused the head, the change would not be in force everywhere until the upgrade is through.
+/// During an upgrade a newer program declares an object of an unknown kind. If older instances
+/// rejected the head, the change would not be active everywhere until the upgrade is complete.
 #[test]
-fn a_head_with_a_kind_of_a_newer_program_is_adopted_and_passed_on_unchanged() {
+fn a_head_with_an_unknown_kind_is_applied_and_forwarded_unchanged() {
     let mut store = Store::default();
     let chunk = b"{\"kind\":\"quota\",\"name\":\"x\"}".as_slice();
     let mut head = store.accept(ZONES);
@@ -135,18 +145,18 @@
     head.unknown_objects.insert("quota/x".into(), entry);
     let mut applier = Applier::default();
     applier.offer_head(&head.encode());
-    let verdict = applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref));
-    assert_eq!(verdict, ApplyOutcome::MissingChunks(vec![entry.hash]));
-    assert_eq!(applier.offer_chunks([chunk]), adopted(1));
-    let active_config = applier.active_config().expect("in force");
+    let outcome = applier.offer_chunks(store.chunks().iter().map(AsRef::as_ref));
+    assert_eq!(outcome, ApplyOutcome::MissingChunks(vec![entry.hash]));
+    assert_eq!(applier.offer_chunks([chunk]), applied(1));
+    let active_config = applier.active_config().expect("active configuration");
     assert_eq!(active_config.chunk(&entry.hash).as_deref(), Some(chunk));
     assert_eq!(Head::decode(&active_config.head_bytes()), Ok(head));
 }
 
-/// Objects that a ticket does not change are taken over from the state in force. If one were taken over
-/// that did change, this instance would serve something else than all others.
+/// Objects that a ticket does not change are reused from the active state. If a changed object were
+/// reused, this instance would serve another state than all others.
 #[test]
-fn a_state_after_many_changes_is_the_one_read_afresh() {
+fn a_state_after_many_changes_equals_one_assembled_from_scratch() {
     let mut store = Store::default();
     let mut applier = Applier::default();
     let texts = [
@@ -159,52 +169,55 @@
     ];
     for text in texts {
         store.accept(text);
-        adopt(&mut applier, &store);
-        let afresh = state::assemble(&store.head(), &support::chunks_of(&store));
-        let active_config = applier.active_config().expect("in force").state();
-        assert_eq!(afresh.as_ref(), Ok(active_config.as_ref()));
+        apply_newest(&mut applier, &store);
+        let from_scratch = state::assemble(&store.head(), &support::chunks_of(&store));
+        let active_config = applier
+            .active_config()
+            .expect("active configuration")
+            .state();
+        assert_eq!(from_scratch.as_ref(), Ok(active_config.as_ref()));
     }
     let mut head = store.head();
     let chunk = b"{\"name\":\"c\",\"kind\":\"client_blocks\",\"near\":\"mb-a\",\"names\":[\"x\"]}";
     let (hash, ticket) = (hash::ContentHash::of(chunk), head.ticket.next());
     let entry = manifest::ObjectEntry { hash, ticket };
-    let id = "client_blocks/c".parse().expect("an id");
+    let id = "client_blocks/c".parse().expect("valid object id");
     head.objects.insert(id, entry);
     (head.version, head.ticket) = (head.version.next(), ticket);
     applier.offer_head(&head.encode());
-    let verdict = applier.offer_chunks([chunk.as_slice()]);
+    let outcome = applier.offer_chunks([chunk.as_slice()]);
     assert!(
-        matches!(verdict, ApplyOutcome::Rejected(_)),
-        "x is in two sets: {verdict:?}"
+        matches!(outcome, ApplyOutcome::Rejected(_)),
+        "x is in two sets: {outcome:?}"
     );
 }
 
-/// Two instances at one version hold different states. Callers would get answers that depend on
-/// whom they ask, so it must be seen and counted.
+/// Two instances hold different states of one version. Responses to clients would depend on the
+/// instance, so the mismatch must be detected and counted.
 #[test]
 fn another_state_under_the_same_version_is_counted() {
     let mut store = Store::default();
     let head = store.accept(ZONES);
     let mut applier = Applier::default();
-    adopt(&mut applier, &store);
+    apply_newest(&mut applier, &store);
     assert!(applier.check_peer_state(head.version, &head.state_hash()));
     assert!(!applier.check_peer_state(head.version, &Head::default().state_hash()));
     assert_eq!(applier.counts().state_mismatches, 1);
 }
 
 proptest! {
-    /// What peers send is outside input: no bytes may end the process or come into force.
+    /// Messages of peers are untrusted input: no bytes may cause a panic or become active.
     #[test]
-    fn arbitrary_bytes_are_never_adopted(bytes: Vec<u8>, chunk: Vec<u8>) {
+    fn arbitrary_bytes_are_never_applied(bytes: Vec<u8>, chunk: Vec<u8>) {
         let mut applier = Applier::default();
         applier.offer_head(&bytes);
         applier.offer_chunks([chunk.as_slice()]);
         assert!(applier.active_config().is_none());
     }
 
-    /// A head that is changed in one place is refused, ignored or wants chunks that nobody has.
+    /// A head with one flipped bit is rejected, ignored, or names chunks that no instance has.
     #[test]
-    fn a_head_changed_in_one_byte_is_harmless(index in any::<prop::sample::Index>(), bit in 0..8_u8) {
+    fn a_head_with_a_flipped_bit_is_harmless(index in any::<prop::sample::Index>(), bit in 0..8_u8) {
         let mut store = Store::default();
         let mut bytes = store.accept(ZONES).encode();
         let index = index.index(bytes.len());
--- a/crates/damaskvane-config/tests/document.rs
+++ b/crates/damaskvane-config/tests/document.rs
@@ -1,4 +1,4 @@
-//! Every error of declarations is found, with its place and its remedy.
+//! Reports of errors in declarations, each with its place and its remedy.
 
 mod support;
 
@@ -83,8 +83,11 @@
     ];
     for (text, expected) in cases {
         let found = problems(text);
-        let is_found = found.iter().any(|problem| problem.contains(expected));
-        assert!(is_found, "{text:?} gave {found:#?} instead of {expected:?}");
+        let is_reported = found.iter().any(|problem| problem.contains(expected));
+        assert!(
+            is_reported,
+            "{text:?} gave {found:#?} instead of {expected:?}"
+        );
     }
     let with_zones = [
         (server("a", 1, "") + &server("b", 1, ""), "is the address of a too"),
@@ -97,13 +100,16 @@
     ];
     for (text, expected) in with_zones {
         let found = problems(&format!("{ZONES}{text}"));
-        let is_found = found.iter().any(|problem| problem.contains(expected));
-        assert!(is_found, "{text:?} gave {found:#?} instead of {expected:?}");
+        let is_reported = found.iter().any(|problem| problem.contains(expected));
+        assert!(
+            is_reported,
+            "{text:?} gave {found:#?} instead of {expected:?}"
+        );
     }
 }
 
 #[test]
-fn a_peak_above_the_slots_and_a_shift_above_the_link_are_found() {
+fn a_peak_above_the_slots_and_a_shift_above_the_link_are_reported() {
     let busy = ZONES.replace(
         "[service.rider-desk]\n",
         "[service.rider-desk]\npeak_requests_per_second = 200\ntypical_answer_bytes = 100000\n",
@@ -127,7 +133,7 @@
 }
 
 #[test]
-fn a_client_block_in_two_sets_is_found_however_it_is_declared() {
+fn a_client_block_in_two_sets_is_reported_for_names_and_ranges() {
     let set =
         |name: &str, blocks: &str| format!("[client_blocks.{name}]\nnear = \"mb-a\"\n{blocks}\n");
     let range = |first: u32, last: u32| {
@@ -161,9 +167,9 @@
     }
 }
 
-/// Millions of blocks compared each with each would hold up every adoption for hours.
+/// Comparing millions of blocks pairwise would delay every change of the configuration by hours.
 #[test]
-fn many_blocks_are_checked_without_comparing_each_with_each() {
+fn many_blocks_are_checked_without_pairwise_comparison() {
     let sets: String = (0..4)
         .map(|set| {
             let names: Vec<String> = (0..20_000)
@@ -179,7 +185,7 @@
 }
 
 #[test]
-fn all_errors_of_a_file_are_found_at_once() {
+fn all_errors_of_a_file_are_reported_at_once() {
     let text = "[service.x]\nqueue_limt = 4\nrequest_timeout_ms = \"fast\"\nlookup_ttl_ms = []\n\
         [backend_server.y]\nservice = \"x\"\naddress = \"nowhere\"\n";
     let found = problems(text);
@@ -199,7 +205,7 @@
 }
 
 #[test]
-fn the_keys_of_every_kind_are_those_of_its_encoding() {
+fn the_valid_keys_of_every_kind_match_its_encoding() {
     let text = format!(
         "{ZONES}{}[site.s]\navailability_zone = \"mb-a\"\n\
          [link.l]\nfrom = \"mb\"\nto = \"sask\"\ncapacity_mbps = 1\n\
@@ -208,13 +214,13 @@
          cap_permille_per_window = 1\nwindow_ms = 1000\n",
         server("a", 1, "")
     );
-    let document = Document::parse("a.toml", &text).expect("valid");
+    let document = Document::parse("a.toml", &text).expect("valid document");
     let mut kinds = Vec::new();
     for (object, state) in document.changes() {
-        let json = serde_json::to_value(state).expect("encodes");
+        let json = serde_json::to_value(state).expect("encodable declaration");
         let mut keys: Vec<&str> = json
             .as_object()
-            .expect("a map")
+            .expect("JSON object")
             .keys()
             .map(String::as_str)
             .collect();
@@ -229,18 +235,20 @@
     assert_eq!(kinds, ObjectKind::ALL);
 }
 
-/// During an upgrade a newer program adds a key. An older instance that refused it would stay on the
-/// old version until its own upgrade, and the change would not be in force everywhere.
+/// During an upgrade a newer program adds a key. An older instance that rejected the chunk would
+/// keep the old configuration until its own upgrade, so the change would not be active everywhere.
 #[test]
-fn a_key_of_a_newer_program_is_passed_over_in_a_chunk() {
+fn an_unknown_key_of_a_newer_program_is_ignored_in_a_chunk() {
     let newer = br#"{"name":"x","kind":"region","description":"","colour":"red"}"#.as_slice();
-    let (object, _) = Chunk::from_bytes(newer).decode().expect("known kind");
+    let (object, _) = Chunk::from_bytes(newer)
+        .decode()
+        .expect("chunk of a known kind");
     assert_eq!(object.to_string(), "region/x");
 }
 
 proptest! {
     #[test]
-    fn no_text_ends_the_process(text: String, keyed in "\\[(service|shift|delete)\\.[a-z]\\]\n[a-z_]{1,12} = .{0,9}") {
+    fn parsing_arbitrary_text_never_panics(text: String, keyed in "\\[(service|shift|delete)\\.[a-z]\\]\n[a-z_]{1,12} = .{0,9}") {
         let _ = Document::parse("a.toml", &text);
         let _ = Document::parse("a.toml", &keyed);
     }
--- a/crates/damaskvane-config/tests/relay.rs
+++ b/crates/damaskvane-config/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Dissemination when the store, the watch, peers or messages fail.
+//! Distribution of heads when the store, its watch, peers or messages fail.
 
 mod support;
 
@@ -8,10 +8,12 @@
 use support::{Store, ZONES};
 
 fn member(instance: &str) -> Member {
-    let (zone, _) = instance.rsplit_once('-').expect("zone-number");
+    let (zone, _) = instance
+        .rsplit_once('-')
+        .expect("instance id of the form zone-number");
     Member {
-        instance: instance.parse().expect("an id"),
-        availability_zone: zone.parse().expect("an id"),
+        instance: instance.parse().expect("valid instance id"),
+        availability_zone: zone.parse().expect("valid zone id"),
     }
 }
 
@@ -33,7 +35,7 @@
     TimeMs::new(ms)
 }
 
-fn heard(from: &str, version: u64) -> Event {
+fn version_reported(from: &str, version: u64) -> Event {
     Event::VersionReported {
         from: id(from),
         version: damaskvane_core::ids::ConfigVersion::new(version),
@@ -51,7 +53,7 @@
     Event::Chunks { from, chunks }
 }
 
-/// A relay of sask-a with two neighbours in its zone and two other zones.
+/// Returns a relay of zone sask-a with two peers in that zone and three in two other zones.
 fn relay() -> Relay {
     let settings = RelaySettings {
         relays_per_zone: 9,
@@ -64,7 +66,7 @@
     relay
 }
 
-fn announced(actions: &[Action]) -> Vec<String> {
+fn announced_to(actions: &[Action]) -> Vec<String> {
     let to = actions.iter().filter_map(|action| match action {
         Action::Announce { to, .. } => Some(to.to_string()),
         _ => None,
@@ -72,65 +74,75 @@
     to.collect()
 }
 
-fn adopt_from(relay: &mut Relay, store: &Store, now: u64, from: &Source) -> Vec<Action> {
+fn deliver_head_and_chunks(
+    relay: &mut Relay,
+    store: &Store,
+    now: u64,
+    from: &Source,
+) -> Vec<Action> {
     let mut actions = relay.handle(at(now), head(store, from.clone()));
     actions.extend(relay.handle(at(now), chunks(store, from.clone())));
     actions
 }
 
 #[test]
-fn a_head_from_the_store_is_told_to_the_zone_and_to_one_instance_of_each_other_zone() {
+fn a_head_from_the_store_is_announced_to_the_zone_and_one_instance_per_other_zone() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut relay = relay();
-    let actions = adopt_from(&mut relay, &store, 10, &Source::Store);
-    let told = announced(&actions);
-    assert_eq!(told.len(), 4, "{told:?}");
-    assert!(told.contains(&"sask-a-2".to_owned()) && told.contains(&"sask-a-3".to_owned()));
-    assert!(told.contains(&"ab-a-1".to_owned()));
+    let actions = deliver_head_and_chunks(&mut relay, &store, 10, &Source::Store);
+    let announced = announced_to(&actions);
+    assert_eq!(announced.len(), 4, "{announced:?}");
+    assert!(
+        announced.contains(&"sask-a-2".to_owned()) && announced.contains(&"sask-a-3".to_owned())
+    );
+    assert!(announced.contains(&"ab-a-1".to_owned()));
 }
 
 #[test]
-fn a_head_from_another_zone_is_told_to_the_zone_only() {
+fn a_head_from_another_zone_is_announced_only_to_its_sender_and_the_zone() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut relay = relay();
-    let actions = adopt_from(&mut relay, &store, 10, &peer("mb-a-1"));
-    let mut told = announced(&actions);
-    told.sort();
+    let actions = deliver_head_and_chunks(&mut relay, &store, 10, &peer("mb-a-1"));
+    let mut announced = announced_to(&actions);
+    announced.sort();
     assert_eq!(
-        told,
+        announced,
         ["mb-a-1", "sask-a-2", "sask-a-3"],
-        "the teller is told back"
+        "the sender gets an announcement too"
     );
 }
 
-/// An announcement is lost. Without another one that instance would serve the old state until some
-/// heartbeat shows it, past the promised seconds.
+/// An announcement is lost. Without a repetition the peer would serve the old state until a
+/// heartbeat reports the new version, later than the guaranteed number of seconds.
 #[test]
-fn an_announcement_is_made_again_until_the_peer_shows_that_it_knows() {
+fn an_announcement_is_repeated_until_the_peer_reports_the_version() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut relay = relay();
-    adopt_from(&mut relay, &store, 10, &Source::Store);
-    relay.handle(at(20), heard("sask-a-2", 1));
-    let again = announced(&relay.handle(at(400), Event::Tick));
+    deliver_head_and_chunks(&mut relay, &store, 10, &Source::Store);
+    relay.handle(at(20), version_reported("sask-a-2", 1));
+    let again = announced_to(&relay.handle(at(400), Event::Tick));
     assert!(again.contains(&"sask-a-3".to_owned()));
     assert!(!again.contains(&"sask-a-2".to_owned()));
     let total: usize = (0..100)
-        .map(|step| announced(&relay.handle(at(500 + step * 100), Event::Tick)).len())
+        .map(|step| announced_to(&relay.handle(at(500 + step * 100), Event::Tick)).len())
         .sum();
-    assert!(total <= 9, "a dead instance is not told for ever: {total}");
+    assert!(
+        total <= 9,
+        "announcements to a crashed instance must end: {total}"
+    );
 }
 
-/// The watch went silent: the connection is open, but whatever stood between has lost it. The relay
-/// would never learn of a ticket again.
+/// The watch's connection is open, but a network device in between has lost its state. Without
+/// reads of the head the relay would miss all later tickets.
 #[test]
-fn a_relay_with_a_silent_watch_still_reads_the_head() {
+fn a_relay_whose_watch_reports_nothing_still_reads_the_head() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut relay = relay();
-    adopt_from(&mut relay, &store, 300, &Source::Store);
+    deliver_head_and_chunks(&mut relay, &store, 300, &Source::Store);
     let from = Source::Store;
     let read = Action::FetchHead { from };
     let reads = (1..=120)
@@ -146,14 +158,14 @@
     assert!((4..=9).contains(&reads), "{reads} reads in two minutes");
 }
 
-/// The watch fires, and the read is answered from before the write. The zone would keep the old head
-/// until the next poll.
+/// The watch fires, but the read returns the head from before the write. Without another read the
+/// zone would keep the old head until the next poll.
 #[test]
-fn a_stale_read_after_the_watch_fired_is_made_again() {
+fn a_stale_read_after_the_watch_fired_is_repeated() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut relay = relay();
-    adopt_from(&mut relay, &store, 300, &Source::Store);
+    deliver_head_and_chunks(&mut relay, &store, 300, &Source::Store);
     let from = Source::Store;
     let read = Action::FetchHead { from };
     relay.handle(at(310), head(&store, Source::Store));
@@ -166,10 +178,10 @@
     assert!(again);
 }
 
-/// The store is down and an instance is replaced. The new one must come into service from its peers,
-/// though it can read nothing itself.
+/// An instance is replaced while the store is down. The new instance must get its configuration
+/// from its peers.
 #[test]
-fn an_instance_that_boots_during_an_outage_takes_the_highest_head_of_its_peers() {
+fn an_instance_started_during_an_outage_applies_the_highest_head_of_its_peers() {
     let mut store = Store::default();
     store.accept(ZONES);
     store.accept("[service.logbook]\n");
@@ -180,23 +192,24 @@
             from: Source::Store,
         },
     );
-    relay.handle(at(2), heard("sask-a-2", 1));
+    relay.handle(at(2), version_reported("sask-a-2", 1));
     relay.handle(
         at(3),
         Event::FetchFailed {
             from: peer("sask-a-2"),
         },
     );
-    let actions = relay.handle(at(4), heard("mb-a-1", 2));
+    let actions = relay.handle(at(4), version_reported("mb-a-1", 2));
     let from = peer("mb-a-1");
     assert!(actions.contains(&Action::FetchHead { from }));
-    adopt_from(&mut relay, &store, 5, &peer("mb-a-1"));
+    deliver_head_and_chunks(&mut relay, &store, 5, &peer("mb-a-1"));
     assert_eq!(relay.applier().version().get(), 2);
 }
 
-/// The store takes seconds for each answer. A head that a peer already holds must not wait for it.
+/// The store takes seconds for each response. A fetch from a peer that has the head must not wait
+/// for the store.
 #[test]
-fn a_slow_store_does_not_hold_up_a_fetch_from_a_peer() {
+fn a_slow_store_does_not_delay_a_fetch_from_a_peer() {
     let mut relay = relay();
     let from = Source::Store;
     let started = (0..20).any(|step| {
@@ -204,48 +217,48 @@
         actions.contains(&Action::FetchHead { from: from.clone() })
     });
     assert!(started);
-    let actions = relay.handle(at(2_001), heard("sask-a-2", 1));
+    let actions = relay.handle(at(2_001), version_reported("sask-a-2", 1));
     let from = peer("sask-a-2");
     assert!(actions.contains(&Action::FetchHead { from }));
 }
 
-/// The peer that a head comes from is killed before it has sent the chunks.
+/// The peer that sent a head is killed before it has sent the chunks.
 #[test]
 fn chunks_of_a_killed_peer_are_fetched_from_another() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut relay = relay();
-    relay.handle(at(1), heard("sask-a-2", 1));
+    relay.handle(at(1), version_reported("sask-a-2", 1));
     relay.handle(at(2), head(&store, peer("sask-a-2")));
-    relay.handle(at(3), heard("sask-a-3", 1));
+    relay.handle(at(3), version_reported("sask-a-3", 1));
     let from = peer("sask-a-3");
     let next = Action::FetchHead { from };
-    let is_tried = (1..=5).any(|step| relay.handle(at(step * 100), Event::Tick).contains(&next));
-    assert!(is_tried);
-    adopt_from(&mut relay, &store, 600, &peer("sask-a-3"));
+    let is_fetched = (1..=5).any(|step| relay.handle(at(step * 100), Event::Tick).contains(&next));
+    assert!(is_fetched);
+    deliver_head_and_chunks(&mut relay, &store, 600, &peer("sask-a-3"));
     assert_eq!(relay.applier().version().get(), 1);
 }
 
-/// All chunks together are larger than one message, so a peer sends some of them. If that counted as a
-/// failure, a large configuration would never come whole from any peer.
+/// All chunks together exceed one message, so a peer sends some of them at a time. If an incomplete
+/// response counted as a failure, a large configuration could never be fetched from a peer.
 #[test]
-fn chunks_that_come_in_parts_are_asked_for_on_from_the_same_peer() {
+fn remaining_chunks_are_fetched_from_the_same_peer() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut relay = relay();
-    relay.handle(at(1), heard("sask-a-2", 1));
+    relay.handle(at(1), version_reported("sask-a-2", 1));
     relay.handle(at(2), head(&store, peer("sask-a-2")));
     let all = store.chunks();
-    let mut asked_on = 0;
+    let mut further_fetches = 0;
     for (index, chunk) in all.iter().enumerate() {
         let chunks = vec![chunk.clone()];
         let from = peer("sask-a-2");
         let actions = relay.handle(at(3), Event::Chunks { from, chunks });
-        let left = all.len() - index - 1;
-        let is_on = |action: &Action| matches!(action, Action::FetchChunks { from, hashes } if *from == peer("sask-a-2") && hashes.len() == left);
-        asked_on += usize::from(actions.iter().any(is_on));
+        let remaining = all.len() - index - 1;
+        let is_further_fetch = |action: &Action| matches!(action, Action::FetchChunks { from, hashes } if *from == peer("sask-a-2") && hashes.len() == remaining);
+        further_fetches += usize::from(actions.iter().any(is_further_fetch));
     }
-    assert_eq!(asked_on, all.len() - 1);
+    assert_eq!(further_fetches, all.len() - 1);
     assert_eq!(relay.applier().version().get(), 1);
     let chunks = vec![all[0].clone(), all[0].clone()];
     let from = peer("sask-a-2");
@@ -257,29 +270,30 @@
     );
 }
 
-/// An instance was paused and comes back with an old head.
+/// An instance resumes after a pause and reports an old version.
 #[test]
-fn an_instance_that_shows_an_old_version_is_told() {
+fn an_instance_that_reports_an_old_version_gets_an_announcement() {
     let mut store = Store::default();
     store.accept(ZONES);
     store.accept("[service.logbook]\n");
     let mut relay = relay();
-    adopt_from(&mut relay, &store, 10, &Source::Store);
+    deliver_head_and_chunks(&mut relay, &store, 10, &Source::Store);
     for step in 1..100 {
         relay.handle(at(step * 100), Event::Tick);
     }
-    let told = announced(&relay.handle(at(11_000), heard("ab-a-1", 1)));
-    assert_eq!(told, ["ab-a-1"]);
+    let announced = announced_to(&relay.handle(at(11_000), version_reported("ab-a-1", 1)));
+    assert_eq!(announced, ["ab-a-1"]);
 }
 
-/// A peer claims a version that it can't show. Believing it again and again would fetch without end.
+/// A peer reports a version whose head it can't send. If each report led to a fetch, the fetches
+/// would never end.
 #[test]
-fn a_claim_without_a_head_is_not_believed_twice() {
+fn a_reported_version_without_its_head_is_not_fetched_again() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut relay = relay();
-    adopt_from(&mut relay, &store, 10, &Source::Store);
-    relay.handle(at(20), heard("mb-a-1", 1_000_000));
+    deliver_head_and_chunks(&mut relay, &store, 10, &Source::Store);
+    relay.handle(at(20), version_reported("mb-a-1", 1_000_000));
     relay.handle(at(30), head(&store, peer("mb-a-1")));
     let from = peer("mb-a-1");
     let fetch = Action::FetchHead { from };
@@ -289,8 +303,8 @@
     assert_eq!(fetches, 0);
 }
 
-/// Reads of the store must not grow with the fleet: in an idle hour only relays read, whatever the
-/// number of instances in a zone.
+/// The number of store reads must not grow with the fleet: without changes only relays read, for
+/// any number of instances in a zone.
 #[test]
 fn store_reads_of_an_idle_zone_do_not_grow_with_its_instances() {
     let reads = [2, 4, 20].map(idle_store_reads);
@@ -309,9 +323,9 @@
         let others: Vec<&str> = others.map(String::as_str).collect();
         let mut relay = Relay::new(member(name), RelaySettings::default(), 7);
         relay.handle(at(0), view(&others));
-        adopt_from(&mut relay, &store, 1, &Source::Store);
+        deliver_head_and_chunks(&mut relay, &store, 1, &Source::Store);
         for second in 1..600 {
-            let mut actions = relay.handle(at(second * 1_000), heard(others[0], 1));
+            let mut actions = relay.handle(at(second * 1_000), version_reported(others[0], 1));
             actions.extend(relay.handle(at(second * 1_000), Event::Tick));
             let from = Source::Store;
             if actions.contains(&Action::FetchHead { from }) {
@@ -324,7 +338,7 @@
 }
 
 #[test]
-fn a_zone_has_as_many_relays_as_set_and_another_takes_over() {
+fn a_zone_has_the_configured_number_of_relays_and_replaces_a_lost_one() {
     let names = ["z-1", "z-2", "z-3", "z-4", "z-5"];
     let relays = |live: &[&str]| -> Vec<String> {
         let is_relay = |name: &&&str| {
--- a/crates/damaskvane-config/tests/submit.rs
+++ b/crates/damaskvane-config/tests/submit.rs
@@ -1,4 +1,4 @@
-//! Submissions against a store whose answers get lost and whose head others move.
+//! Submissions to a store that loses responses and whose head other operators update.
 
 mod support;
 
@@ -12,7 +12,7 @@
 const TTL: &str = "[service.rider-desk]\nlookup_ttl_ms = 900\n";
 const OTHER: &str = "[service.logbook]\n";
 
-fn lost() -> Option<StoreResponse> {
+fn lost_response() -> Option<StoreResponse> {
     Some(StoreResponse::Unknown("lost".into()))
 }
 
@@ -22,10 +22,10 @@
     }
 }
 
-/// The head's update takes effect and its answer is lost on the way back. An operator whose tool
-/// then submits again would see the change twice in the history.
+/// The head's update takes effect, but its response is lost. If the submission wrote the head
+/// again, the history would list the change twice.
 #[test]
-fn a_lost_answer_after_the_write_is_found_accepted_and_not_run_twice() {
+fn a_write_with_a_lost_response_is_detected_as_accepted_and_not_repeated() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut submission = Submission::new(draft(&store.head(), QUEUE, "mine"));
@@ -35,18 +35,18 @@
             return None;
         }
         head_writes += 1;
-        store.make(call);
-        lost()
+        store.make_call(call);
+        lost_response()
     });
     assert_eq!(outcome, accepted(2));
     assert_eq!(head_writes, 1);
     assert_eq!(store.head().ticket.get(), 2);
 }
 
-/// The answer is lost and before the retry another operator's ticket is accepted on top. A retry
-/// that compared the head alone would submit again and undo the later ticket.
+/// The response is lost, and before the retry other operators' tickets are accepted on top. A retry
+/// that compared only the head would submit again and revert a later ticket.
 #[test]
-fn a_lost_answer_is_found_accepted_below_a_later_ticket_which_stays() {
+fn a_write_with_a_lost_response_is_detected_below_later_tickets() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut submission = Submission::new(draft(&store.head(), QUEUE, "mine"));
@@ -56,24 +56,25 @@
             return None;
         }
         is_first = false;
-        store.make(call);
+        store.make_call(call);
         store.accept(TTL);
         store.accept(OTHER);
-        lost()
+        lost_response()
     });
     assert_eq!(outcome, accepted(2));
     assert_eq!(store.head().ticket.get(), 4);
-    let service = "service/rider-desk".parse().expect("an id");
+    let service = "service/rider-desk".parse().expect("valid object id");
     assert_eq!(
         store.head().base_of(&service).get(),
         3,
-        "the later ticket stays"
+        "the later ticket is not reverted"
     );
 }
 
-/// The head's update is lost before it takes effect. It must be made again, once.
+/// The head's update is lost before it takes effect. It must be repeated until it takes effect
+/// once.
 #[test]
-fn a_write_lost_before_it_took_effect_is_made_again() {
+fn a_write_lost_before_it_took_effect_is_repeated() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut submission = Submission::new(draft(&store.head(), QUEUE, "mine"));
@@ -81,15 +82,15 @@
     let outcome = run(&mut store, &mut submission, |_, call| {
         let is_lost = matches!(call, Call::WriteHead { .. }) && losses > 0;
         losses -= i32::from(is_lost);
-        is_lost.then(lost).flatten()
+        is_lost.then(lost_response).flatten()
     });
     assert_eq!(outcome, accepted(2));
 }
 
-/// The store goes silent for good after an answer was lost. Telling the operator "not accepted"
-/// could be false, so it must say that it does not know.
+/// The store stays unreachable after a response was lost. The write may have taken effect, so the
+/// outcome must be unknown: "not accepted" could be false.
 #[test]
-fn an_outage_after_a_lost_answer_ends_as_unknown_and_before_it_as_not_accepted() {
+fn an_outage_ends_as_unknown_after_a_lost_response_and_else_as_not_accepted() {
     for (lose_first, expect_unknown) in [(true, true), (false, false)] {
         let mut store = Store::default();
         let mut submission = Submission::new(draft(&store.head(), ZONES, "mine"));
@@ -116,10 +117,10 @@
     }
 }
 
-/// Two operators change the same service from the same version. If the second were merged or simply
-/// written, the first one's change would be gone without a word.
+/// Two operators change the same service from the same version. If the second change were merged or
+/// simply written, the first one would be lost without notice.
 #[test]
-fn racing_tickets_on_one_object_leave_the_loser_with_the_object_and_the_winner() {
+fn a_ticket_that_loses_a_race_on_an_object_reports_the_object_and_the_winner() {
     let mut store = Store::default();
     let base = store.accept(ZONES);
     let mut submission = Submission::new(draft(&base, QUEUE, "mine"));
@@ -143,10 +144,10 @@
     assert_eq!(store.head().ticket.get(), 2);
 }
 
-/// Two operators change different services from the same version. Neither stands in the other's
-/// way, so both must land, one after the other, without a gap in the numbers.
+/// Two operators change different services from the same version. The changes don't conflict, so
+/// both must be accepted, one after the other, without a gap in the ticket numbers.
 #[test]
-fn racing_tickets_on_disjoint_objects_both_land_in_order() {
+fn racing_tickets_on_disjoint_objects_are_both_accepted_in_order() {
     let mut store = Store::default();
     let base = store.accept(ZONES);
     let mut submission = Submission::new(draft(&base, QUEUE, "mine"));
@@ -160,15 +161,15 @@
     });
     assert_eq!(outcome, accepted(3));
     let head = store.head();
-    let ticket_of = |id: &str| head.base_of(&id.parse().expect("an id")).get();
+    let ticket_of = |id: &str| head.base_of(&id.parse().expect("valid object id")).get();
     assert_eq!(ticket_of("service/logbook"), 2);
     assert_eq!(ticket_of("service/rider-desk"), 3);
 }
 
-/// One operator deletes a region while another adds a zone to it. Each is valid by itself; together
-/// they name a region that is not there, and no instance could adopt that.
+/// One operator deletes a region while another adds a zone to it. Each ticket is valid by itself,
+/// but together the zone's region is missing, and no instance could apply that state.
 #[test]
-fn a_ticket_valid_alone_but_not_with_what_landed_is_refused() {
+fn a_ticket_that_is_invalid_after_another_accepted_ticket_is_rejected() {
     let mut store = Store::default();
     let base = store.accept("[region.sask]\n[region.mb]\n");
     let zone = "[availability_zone.mb-a]\nregion = \"mb\"\n";
@@ -191,10 +192,10 @@
     );
 }
 
-/// A read is answered from before the operator's own base. Every object would look changed, and the
-/// ticket would be refused though nothing stands in its way.
+/// A read returns a head older than the draft's base. Every object would seem changed, and the
+/// ticket would be rejected although nothing conflicts with it.
 #[test]
-fn a_stale_head_is_read_again_and_refuses_nothing() {
+fn a_stale_head_is_read_again_and_rejects_no_ticket() {
     let mut store = Store::default();
     store.accept(ZONES);
     let mut old = store.clone();
@@ -204,13 +205,13 @@
     let outcome = run(&mut store, &mut submission, |_, call| {
         let is_stale = *call == Call::ReadHead && stale_reads > 0;
         stale_reads -= i32::from(is_stale);
-        is_stale.then(|| old.make(call))
+        is_stale.then(|| old.make_call(call))
     });
     assert_eq!(outcome, accepted(3));
 }
 
-/// Reads are answered for good from before another ticket, and the head's update is refused each time.
-/// A submission that took each such read for news would call the store without pause and end never.
+/// All reads return a head from before another ticket, so each update of the head is a conflict. A
+/// submission that took each such read for a new head would call the store without pause or end.
 #[test]
 fn a_head_that_stays_stale_after_a_conflict_ends_as_not_accepted() {
     let mut store = Store::default();
@@ -221,14 +222,14 @@
     let mut head_writes = 0;
     let outcome = run(&mut store, &mut submission, |_, call| {
         head_writes += u32::from(matches!(call, Call::WriteHead { .. }));
-        (*call == Call::ReadHead).then(|| old.make(call))
+        (*call == Call::ReadHead).then(|| old.make_call(call))
     });
     assert!(matches!(outcome, Outcome::NotAccepted(_)), "{outcome:?}");
     assert_eq!(head_writes, 1);
 }
 
-/// Something broken stands in the store under the hash of a new chunk. A head that names it could be
-/// adopted nowhere, and the fleet would stay on the old version for good.
+/// A corrupted object is stored under the hash of a new chunk. No instance could apply a head that
+/// names the chunk, and the fleet would keep the old version forever.
 #[test]
 fn a_broken_chunk_under_a_new_hash_is_repaired_before_a_head_names_it() {
     for repairable in [true, false] {
@@ -243,9 +244,9 @@
             if repairable && !core::mem::take(&mut is_first) {
                 return None;
             }
-            store.make(call);
+            store.make_call(call);
             store.corrupt("chunk", &chunk.hash().to_string());
-            lost()
+            lost_response()
         });
         if repairable {
             assert_eq!(outcome, accepted(2));
@@ -258,13 +259,13 @@
     }
 }
 
-/// The store lost or changed a chunk of what is in force. No ticket can be validated on top of it,
-/// so somebody must be able to bring it back from version control.
+/// The store lost or changed a chunk of the active configuration. No ticket can be validated on top
+/// of that state, so an operator must be able to restore the object from version control.
 #[test]
-fn a_chunk_that_the_store_lost_or_broke_is_named_and_comes_back_with_its_object() {
+fn a_corrupted_chunk_is_reported_and_restored_by_submitting_its_object() {
     let mut store = Store::default();
     let head = store.accept(ZONES);
-    let service = "service/rider-desk".parse().expect("an id");
+    let service = "service/rider-desk".parse().expect("valid object id");
     let hash = head.objects[&service].hash.to_string();
     store.corrupt("chunk", &hash);
     let mut other = Submission::new(draft(&head, OTHER, "other"));
@@ -278,19 +279,19 @@
     assert!(state::assemble(&store.head(), &support::chunks_of(&store)).is_ok());
 }
 
-/// Every accepted ticket must be readable later exactly as accepted, though the head names only the
-/// newest.
+/// Every accepted ticket must stay readable exactly as accepted, although the head names only the
+/// newest one.
 #[test]
-fn every_ticket_but_the_newest_is_filed_as_the_next_one_names_it() {
+fn every_ticket_but_the_newest_is_filed_with_the_bytes_its_successor_names() {
     let mut store = Store::default();
     for text in [ZONES, QUEUE, TTL, OTHER] {
         store.accept(text);
     }
     let mut named = store.head().ticket_hash;
     for number in (1..=4).rev() {
-        let hash = named.expect("a hash");
-        let bytes = store.chunk(&hash.to_string()).expect("stored");
-        let ticket = Ticket::decode(&bytes).expect("a ticket");
+        let hash = named.expect("ticket hash");
+        let bytes = store.chunk(&hash.to_string()).expect("stored chunk");
+        let ticket = Ticket::decode(&bytes).expect("valid ticket");
         assert_eq!(ticket.number.get(), number);
         let filed = store.ticket(number);
         assert_eq!(filed, (number < 4).then_some(bytes), "ticket {number}");
--- a/crates/damaskvane-config/tests/support/mod.rs
+++ b/crates/damaskvane-config/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A store in memory and a history of tickets for the tests of this crate.
+//! An in-memory store and helpers that submit tickets to it, for the tests of this crate.
 #![allow(dead_code, unreachable_pub)]
 
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     [availability_zone.mb-a]\nregion = \"mb\"\n\
     [service.rider-desk]\n";
 
-/// Objects with versions; a write of another version than asked for is a conflict.
+/// Versioned objects; a write that expects another version than the stored one is a conflict.
 #[derive(Debug, Default, Clone)]
 pub struct Store {
     objects: BTreeMap<Key, Versioned>,
@@ -25,7 +25,7 @@
 type Versioned = (u64, Arc<[u8]>);
 
 impl Store {
-    pub fn make(&mut self, call: &Call) -> StoreResponse {
+    pub fn make_call(&mut self, call: &Call) -> StoreResponse {
         let key = call.key();
         let present = self.objects.get(&key).cloned();
         let (if_version, bytes) = match call {
@@ -50,13 +50,13 @@
 
     pub fn corrupt(&mut self, kind: &'static str, name: &str) {
         let entry = self.objects.get_mut(&(kind, name.to_owned()));
-        entry.expect("there").1 = b"broken".as_slice().into();
+        entry.expect("stored object").1 = b"broken".as_slice().into();
     }
 
     pub fn head(&self) -> Head {
         let head = self.objects.get(&("head", "config".to_owned()));
         head.map_or_else(Head::default, |(_, bytes)| {
-            Head::decode(bytes).expect("a head")
+            Head::decode(bytes).expect("valid head")
         })
     }
 
@@ -70,7 +70,7 @@
         Some(Arc::clone(&object.1))
     }
 
-    /// Submits declarations without any fault.
+    /// Submits declarations without any store fault and returns the new head.
     pub fn accept(&mut self, text: &str) -> Head {
         let draft = draft(&self.head(), text, &format!("w{}", self.head().ticket));
         let mut submission = Submission::new(draft);
@@ -79,7 +79,7 @@
         self.head()
     }
 
-    /// The chunks of the newest head.
+    /// Returns the chunks of the newest head.
     pub fn chunks(&self) -> Vec<Arc<[u8]>> {
         let head = self.head();
         let hashes = head.objects.values().map(|entry| entry.hash.to_string());
@@ -88,7 +88,9 @@
 }
 
 pub fn draft(head: &Head, text: &str, write_id: &str) -> Draft {
-    let changes = Document::parse("t.toml", text).expect("valid").to_changes();
+    let changes = Document::parse("t.toml", text)
+        .expect("valid document")
+        .to_changes();
     let base = changes
         .keys()
         .map(|object| (object.clone(), head.base_of(object)));
@@ -104,8 +106,10 @@
     }
 }
 
-/// Runs a submission to its end; `fault` may answer a call in the store's place, before or after
-/// passing it on itself.
+/// Runs a submission to its end.
+///
+/// `fault` gets each call first. If it returns a response, that response replaces the store's; it
+/// may also make the call on the store itself.
 pub fn run(
     store: &mut Store,
     submission: &mut Submission,
@@ -114,14 +118,14 @@
     for _ in 0..500 {
         match submission.next_step() {
             Step::Call(call) => {
-                let answer = fault(store, &call).unwrap_or_else(|| store.make(&call));
-                submission.handle_response(&call, answer);
+                let response = fault(store, &call).unwrap_or_else(|| store.make_call(&call));
+                submission.handle_response(&call, response);
             }
             Step::Pause => {}
             Step::Done(outcome) => return outcome,
         }
     }
-    panic!("the submission does not end");
+    panic!("the submission does not end within 500 steps");
 }
 
 pub fn chunks_of(store: &Store) -> Chunks {
