--- a/crates/damaskvane-scenario/src/random/report.rs
+++ b/crates/damaskvane-scenario/src/random/report.rs
@@ -43,16 +43,16 @@
 
 impl Report {
     pub(super) fn of(seed: u64, world: &World, chaos: &Chaos) -> Self {
-        let tally = world.tally();
+        let request_counts = world.request_counts();
         let violations = world.violations();
         Self {
             seed,
             ran_ms: world.now.get(),
-            sent: tally.sent,
-            completed: tally.completed,
-            not_run: tally.not_run,
-            unknown: tally.unknown,
-            unanswered: tally.unanswered,
+            sent: request_counts.sent,
+            completed: request_counts.completed,
+            not_run: request_counts.not_run,
+            unknown: request_counts.unknown,
+            unanswered: request_counts.unanswered,
             runs: world.all_runs(),
             faults: chaos.begun,
             last_faults: if violations.is_empty() {
--- a/crates/damaskvane-scenario/src/world.rs
+++ b/crates/damaskvane-scenario/src/world.rs
@@ -21,9 +21,9 @@
 mod faults;
 mod network;
 mod platform;
+mod request_counts;
 mod server;
 mod settings;
-mod tally;
 mod truth;
 
 use std::collections::BTreeMap;
@@ -34,10 +34,10 @@
 use rand_pcg::Pcg64Mcg;
 
 pub use clients::{ClientRequest, ClientState};
+pub use request_counts::RequestCounts;
 pub use server::Execution;
 pub(crate) use server::Server;
 pub use settings::WorldSettings;
-pub use tally::Tally;
 
 use delivery::Delivery;
 
@@ -58,7 +58,7 @@
     homes: BTreeMap<ids::IdempotencyKey, home::Home>,
     broken: Vec<String>,
     /// Counts of requests that were dropped since.
-    forgotten: Tally,
+    forgotten: RequestCounts,
 }
 
 impl Default for World {
@@ -85,7 +85,7 @@
             requests: BTreeMap::new(),
             homes: BTreeMap::new(),
             broken: Vec::new(),
-            forgotten: Tally::default(),
+            forgotten: RequestCounts::default(),
         }
     }
 
--- a/crates/damaskvane-scenario/src/world/tally.rs
+++ b/crates/damaskvane-scenario/src/world/request_counts.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_scenario::world;
 //!
-//! assert_eq!(world::World::default().tally().sent, 0);
+//! assert_eq!(world::World::default().request_counts().sent, 0);
 //! ```
 
 use damaskvane_core::{ids, time};
@@ -17,7 +17,7 @@
 
 /// What clients were told.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct RequestCounts {
     /// Tries.
     pub sent: u64,
     /// Whole answers.
@@ -30,7 +30,7 @@
     pub unanswered: u64,
 }
 
-impl Tally {
+impl RequestCounts {
     const fn add(&mut self, state: &ClientState) {
         self.sent += 1;
         match state {
@@ -47,12 +47,12 @@
 impl World {
     /// Counts of what clients were told so far.
     #[must_use]
-    pub fn tally(&self) -> Tally {
-        let mut tally = self.forgotten;
+    pub fn request_counts(&self) -> RequestCounts {
+        let mut request_counts = self.forgotten;
         for sent in self.requests.values() {
-            tally.add(&sent.state);
+            request_counts.add(&sent.state);
         }
-        tally
+        request_counts
     }
 
     /// Drops what is too old to matter, into the counts.
