--- a/crates/damaskvane-scenario/src/random.rs
+++ b/crates/damaskvane-scenario/src/random.rs
@@ -45,7 +45,7 @@
             if !world.violations().is_empty() {
                 return Report::of(settings.seed, &world, &chaos);
             }
-            world.forget_answered();
+            world.drop_old_requests();
         }
     }
     chaos.end_all(&mut world);
--- a/crates/damaskvane-scenario/src/world/request_counts.rs
+++ b/crates/damaskvane-scenario/src/world/request_counts.rs
@@ -56,7 +56,7 @@
     }
 
     /// Drops what is too old to matter, into the counts.
-    pub fn forget_answered(&mut self) {
+    pub fn drop_old_requests(&mut self) {
         let now = self.now;
         let forgotten = &mut self.forgotten;
         self.requests.retain(|_, sent| {
