--- a/crates/damaskvane-scenario/src/play/check.rs
+++ b/crates/damaskvane-scenario/src/play/check.rs
@@ -150,7 +150,7 @@
 }
 
 fn no_new_work(world: &World, server: &ids::BackendServerId) -> Checked {
-    match server_of(world, server)?.late_work {
+    match server_of(world, server)?.late_requests {
         0 => Ok(()),
         late => Err(format!(
             "found {late} requests started later than 2 s after the order"
--- a/crates/damaskvane-scenario/src/world/server.rs
+++ b/crates/damaskvane-scenario/src/world/server.rs
@@ -64,7 +64,7 @@
     pub(crate) cancelled: u64,
     pub(crate) log: Vec<Execution>,
     pub(super) drained_since: Option<time::TimeMs>,
-    pub(crate) late_work: u64,
+    pub(crate) late_requests: u64,
 }
 
 impl Server {
@@ -87,7 +87,7 @@
             cancelled: 0,
             log: Vec::new(),
             drained_since: None,
-            late_work: 0,
+            late_requests: 0,
         }
     }
 
@@ -113,7 +113,7 @@
             at: now,
         });
         let is_late = |since: time::TimeMs| now.since(since) > DRAIN_NOTICE;
-        self.late_work += u64::from(self.drained_since.is_some_and(is_late));
+        self.late_requests += u64::from(self.drained_since.is_some_and(is_late));
     }
 }
 
--- a/crates/damaskvane-scenario/src/world/truth.rs
+++ b/crates/damaskvane-scenario/src/world/truth.rs
@@ -90,10 +90,10 @@
             if server.peak > slots {
                 found.push(format!("{id} ran {} on {slots} slots", server.peak));
             }
-            if server.late_work > 0 {
+            if server.late_requests > 0 {
                 found.push(format!(
                     "{id} got {} requests while leaving",
-                    server.late_work
+                    server.late_requests
                 ));
             }
         }
