--- a/crates/damaskvane-scenario/src/random.rs
+++ b/crates/damaskvane-scenario/src/random.rs
@@ -58,7 +58,7 @@
         seed: settings.seed,
         jitter: time::SpanMs::new(8),
         loss_permille: settings.loss_permille,
-        doubled_permille: settings.doubled_permille,
+        duplicated_permille: settings.duplicated_permille,
         run_spread_permille: 800,
         ..world::WorldSettings::default()
     });
--- a/crates/damaskvane-scenario/src/random/settings.rs
+++ b/crates/damaskvane-scenario/src/random/settings.rs
@@ -24,7 +24,7 @@
     /// How many of a thousand messages between instances are lost.
     pub loss_permille: u32,
     /// How many of a thousand messages between instances arrive twice.
-    pub doubled_permille: u32,
+    pub duplicated_permille: u32,
     /// How many faults begin in a minute.
     pub faults_a_minute: u64,
     /// How many requests clients begin in a second.
@@ -40,7 +40,7 @@
             entries_a_zone: 2,
             servers_a_zone: 3,
             loss_permille: 10,
-            doubled_permille: 10,
+            duplicated_permille: 10,
             faults_a_minute: 20,
             requests_a_second: 40,
         }
--- a/crates/damaskvane-scenario/src/world/network.rs
+++ b/crates/damaskvane-scenario/src/world/network.rs
@@ -52,7 +52,7 @@
             return Vec::new();
         }
         let mut ways = vec![self.way()];
-        if self.is_hit(self.settings.doubled_permille) {
+        if self.is_hit(self.settings.duplicated_permille) {
             ways.push(self.way());
         }
         ways
--- a/crates/damaskvane-scenario/src/world/settings.rs
+++ b/crates/damaskvane-scenario/src/world/settings.rs
@@ -21,7 +21,7 @@
     /// How many of a thousand messages between instances are lost.
     pub loss_permille: u32,
     /// How many of a thousand messages between instances arrive twice.
-    pub doubled_permille: u32,
+    pub duplicated_permille: u32,
     /// By how many thousandths the time of a request on a backend server varies, up and down.
     pub run_spread_permille: u32,
     /// How many keys one incarnation of an entry instance takes.
@@ -37,7 +37,7 @@
             delay: time::SpanMs::new(1),
             jitter: time::SpanMs::new(2),
             loss_permille: 0,
-            doubled_permille: 0,
+            duplicated_permille: 0,
             run_spread_permille: 0,
             max_keys: None,
             key_window: None,
