--- a/crates/damaskvane-scenario/src/play/check.rs
+++ b/crates/damaskvane-scenario/src/play/check.rs
@@ -161,7 +161,7 @@
 fn stopped(world: &World, instance: &ids::InstanceId) -> Checked {
     match world.entries.get(instance) {
         Some(entry) if entry.has_stopped => Ok(()),
-        Some(entry) => Err(format!("found it {:?}", entry.life)),
+        Some(entry) => Err(format!("found it {:?}", entry.process_state)),
         None => Err(format!("there is no entry instance {instance}")),
     }
 }
--- a/crates/damaskvane-scenario/src/world/control.rs
+++ b/crates/damaskvane-scenario/src/world/control.rs
@@ -14,7 +14,7 @@
 
 use crate::script::{Control, SetUp};
 use crate::world::delivery::Input;
-use crate::world::entry::Life;
+use crate::world::entry::ProcessState;
 use crate::world::{World, server};
 
 const FIRST_PORT: u16 = 9_000;
@@ -146,7 +146,7 @@
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        if entry.life == Life::Ended || entry.record.leaving {
+        if entry.process_state == ProcessState::Ended || entry.record.leaving {
             return;
         }
         entry.record.leaving = true;
--- a/crates/damaskvane-scenario/src/world/delivery.rs
+++ b/crates/damaskvane-scenario/src/world/delivery.rs
@@ -10,7 +10,7 @@
 use damaskvane_membership::view;
 
 use crate::world::World;
-use crate::world::entry::Life;
+use crate::world::entry::ProcessState;
 
 /// Something that reaches an entry instance.
 #[derive(Debug)]
@@ -81,9 +81,9 @@
         if incarnation.is_some_and(|wanted| wanted != entry.incarnation()) {
             return;
         }
-        match entry.life {
-            Life::Running => self.take(&to, input),
-            Life::Paused => {
+        match entry.process_state {
+            ProcessState::Running => self.take(&to, input),
+            ProcessState::Paused => {
                 let held = Delivery::ToEntry {
                     to,
                     incarnation,
@@ -91,7 +91,7 @@
                 };
                 entry.held.push(held);
             }
-            Life::Ended => {
+            ProcessState::Ended => {
                 if let Input::Submit(request) = input {
                     self.connection_lost(&request);
                 }
--- a/crates/damaskvane-scenario/src/world/entry.rs
+++ b/crates/damaskvane-scenario/src/world/entry.rs
@@ -23,7 +23,7 @@
 
 /// Whether an instance's process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Life {
+pub(crate) enum ProcessState {
     Running,
     Paused,
     Ended,
@@ -35,7 +35,7 @@
     pub(super) record: record::InstanceRecord,
     pub(super) engine: engine::Engine,
     pub(super) membership: view::Membership,
-    pub(crate) life: Life,
+    pub(crate) process_state: ProcessState,
     /// What arrived while the process was paused.
     pub(super) held: Vec<Delivery>,
     /// The configuration it has.
@@ -62,7 +62,7 @@
 
     /// Whether clients are told to come here.
     pub(crate) const fn is_offered(&self) -> bool {
-        matches!(self.life, Life::Running) && !self.record.leaving
+        matches!(self.process_state, ProcessState::Running) && !self.record.leaving
     }
 
     pub(crate) fn quarantined(&self, now: time::TimeMs) -> Vec<quarantine::QuarantineEntry> {
@@ -91,7 +91,7 @@
                 record,
                 engine: engine::Engine::new(me, settings),
                 membership: view::Membership::new(own, membership_settings, self.now),
-                life: Life::Running,
+                process_state: ProcessState::Running,
                 held: Vec::new(),
                 config: super::control::Config::default(),
                 clients: BTreeMap::new(),
--- a/crates/damaskvane-scenario/src/world/faults.rs
+++ b/crates/damaskvane-scenario/src/world/faults.rs
@@ -9,7 +9,7 @@
 use crate::script::Fault;
 use crate::world::World;
 use crate::world::delivery::Delivery;
-use crate::world::entry::Life;
+use crate::world::entry::ProcessState;
 
 impl World {
     /// Causes a fault.
@@ -40,7 +40,7 @@
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        entry.life = Life::Ended;
+        entry.process_state = ProcessState::Ended;
         entry.held.clear();
         let clients = core::mem::take(&mut entry.clients);
         for label in clients.into_values() {
@@ -53,7 +53,7 @@
         let Some(entry) = self.entries.get(instance) else {
             return;
         };
-        if entry.life != Life::Ended {
+        if entry.process_state != ProcessState::Ended {
             return;
         }
         let mut record = entry.record.clone();
@@ -68,10 +68,10 @@
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        if entry.life != Life::Running {
+        if entry.process_state != ProcessState::Running {
             return;
         }
-        entry.life = Life::Paused;
+        entry.process_state = ProcessState::Paused;
         let incarnation = entry.incarnation();
         self.schedule(span, Delivery::Resume(instance.clone(), incarnation));
     }
@@ -80,10 +80,10 @@
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
-        if entry.life != Life::Paused || entry.incarnation() != incarnation {
+        if entry.process_state != ProcessState::Paused || entry.incarnation() != incarnation {
             return;
         }
-        entry.life = Life::Running;
+        entry.process_state = ProcessState::Running;
         for held in core::mem::take(&mut entry.held) {
             self.schedule(time::SpanMs::ZERO, held);
         }
--- a/crates/damaskvane-scenario/src/world/platform.rs
+++ b/crates/damaskvane-scenario/src/world/platform.rs
@@ -12,7 +12,7 @@
 
 use crate::world::World;
 use crate::world::delivery::Input;
-use crate::world::entry::Life;
+use crate::world::entry::ProcessState;
 
 /// The name under which the platform is cut off.
 const PLATFORM: &str = "platform";
@@ -74,11 +74,11 @@
         instance: ids::InstanceId,
         incarnation: ids::Incarnation,
     ) {
-        let life = self.entries.get(&instance).map(|entry| entry.life);
-        let outcome = match life {
+        let process_state = self.entries.get(&instance).map(|entry| entry.process_state);
+        let outcome = match process_state {
             _ if self.network.is_cut(&from.instance, &instance) => view::ProbeOutcome::Silent,
-            None | Some(Life::Ended) => view::ProbeOutcome::Refused,
-            Some(Life::Running | Life::Paused) => view::ProbeOutcome::Answered,
+            None | Some(ProcessState::Ended) => view::ProbeOutcome::Refused,
+            Some(ProcessState::Running | ProcessState::Paused) => view::ProbeOutcome::Answered,
         };
         let event = view::Event::Probed {
             instance,
