--- a/crates/damaskvane-scenario/src/play/check.rs
+++ b/crates/damaskvane-scenario/src/play/check.rs
@@ -112,8 +112,8 @@
 fn described(state: &ClientState) -> String {
     match state {
         ClientState::Waiting => "none".to_owned(),
-        ClientState::Lost => "none (connection lost)".to_owned(),
-        ClientState::Gone => "none (client gone)".to_owned(),
+        ClientState::ConnectionLost => "none (connection lost)".to_owned(),
+        ClientState::Disconnected => "none (client gone)".to_owned(),
         ClientState::Answered { outcome, .. } => {
             let reason = outcome.reason().map(|reason| format!(" {reason}"));
             format!("{}{}", outcome.as_str(), reason.unwrap_or_default())
--- a/crates/damaskvane-scenario/src/world/clients.rs
+++ b/crates/damaskvane-scenario/src/world/clients.rs
@@ -1,7 +1,7 @@
 //! The clients: what they asked, and what they know.
 //!
 //! ```text
-//! Waiting -> Answered | Lost (the instance ended) | Gone (the client did)
+//! Waiting -> Answered | ConnectionLost (the instance ended) | Disconnected (by the client)
 //! ```
 
 use std::sync::Arc;
@@ -27,9 +27,9 @@
         at: time::TimeMs,
     },
     /// The connection broke, or none could be made.
-    Lost,
+    ConnectionLost,
     /// The client went away.
-    Gone,
+    Disconnected,
 }
 
 /// One try of a client.
@@ -157,7 +157,7 @@
         if let Some(sent) = self.requests.get_mut(label)
             && matches!(sent.state, ClientState::Waiting)
         {
-            sent.state = ClientState::Lost;
+            sent.state = ClientState::ConnectionLost;
         }
     }
 
@@ -169,7 +169,7 @@
         if !matches!(sent.state, ClientState::Waiting) {
             return;
         }
-        sent.state = ClientState::Gone;
+        sent.state = ClientState::Disconnected;
         let via = sent.via.clone();
         let Some((incarnation, number)) = sent.taken_as else {
             return;
--- a/crates/damaskvane-scenario/src/world/request_counts.rs
+++ b/crates/damaskvane-scenario/src/world/request_counts.rs
@@ -39,7 +39,9 @@
                 outcome::Outcome::NotRun(_) => self.not_run += 1,
                 outcome::Outcome::Unknown(_) => self.unknown += 1,
             },
-            ClientState::Waiting | ClientState::Lost | ClientState::Gone => self.unanswered += 1,
+            ClientState::Waiting | ClientState::ConnectionLost | ClientState::Disconnected => {
+                self.unanswered += 1
+            }
         }
     }
 }
