--- a/crates/damaskvane-scenario/src/play.rs
+++ b/crates/damaskvane-scenario/src/play.rs
@@ -66,8 +66,8 @@
         script::Statement::SetUp(set_up) => world.set_up(set_up.clone()),
         script::Statement::Request(request) => world.send(request),
         script::Statement::Disconnect(label) => world.disconnect(label),
-        script::Statement::Fault(fault) => world.fault(fault),
-        script::Statement::Control(control) => world.order(control),
+        script::Statement::Fault(fault) => world.inject_fault(fault),
+        script::Statement::Control(control) => world.apply_control(control),
         script::Statement::Advance(span) => world.advance(*span),
         script::Statement::Expect(expectation) => check::check(world, expectation)?,
     }
--- a/crates/damaskvane-scenario/src/random/chaos.rs
+++ b/crates/damaskvane-scenario/src/random/chaos.rs
@@ -86,12 +86,12 @@
 
     fn cause(&mut self, world: &mut World, fault: &Fault) {
         self.note(world.now, &format!("{fault:?}"));
-        world.fault(fault);
+        world.inject_fault(fault);
     }
 
     fn order(&mut self, world: &mut World, control: &Control) {
         self.note(world.now, &format!("{control:?}"));
-        world.order(control);
+        world.apply_control(control);
     }
 
     fn end_later(&mut self, world: &World, most_ms: u64, end: End) {
--- a/crates/damaskvane-scenario/src/world/control.rs
+++ b/crates/damaskvane-scenario/src/world/control.rs
@@ -118,7 +118,7 @@
     }
 
     /// Does what operators order.
-    pub fn order(&mut self, control: &Control) {
+    pub fn apply_control(&mut self, control: &Control) {
         match control {
             Control::Drain(server) => self.set_draining(server, true),
             Control::Undrain(server) => self.set_draining(server, false),
--- a/crates/damaskvane-scenario/src/world/faults.rs
+++ b/crates/damaskvane-scenario/src/world/faults.rs
@@ -13,7 +13,7 @@
 
 impl World {
     /// Causes a fault.
-    pub fn fault(&mut self, fault: &Fault) {
+    pub fn inject_fault(&mut self, fault: &Fault) {
         match fault {
             Fault::Server { server, mode } => {
                 if let Some(server) = self.servers.get_mut(server) {
