--- a/crates/damaskvane-scenario/src/world.rs
+++ b/crates/damaskvane-scenario/src/world.rs
@@ -1,7 +1,8 @@
-//! The runner: entry instances' real decision code in virtual time, with fakes at its interfaces.
+//! A simulation that runs the real decision code of entry instances in virtual time.
 //!
-//! Only delays, losses and cuts are modelled. Each entry instance is one real `Engine` and one real
-//! `Membership`; backend servers, clients and the platform's list are small fakes.
+//! Each entry instance is one real `Engine` and one real `Membership`. Backend servers, clients and
+//! the platform's list of instances are small fakes. The network model covers only delayed, lost
+//! and duplicated messages and cut links.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -12,7 +13,6 @@
 //! assert!(world.violations().is_empty());
 //! ```
 
-mod answers;
 mod clients;
 mod control;
 mod delivery;
@@ -22,9 +22,10 @@
 mod network;
 mod platform;
 mod request_counts;
+mod responses;
 mod server;
 mod settings;
-mod truth;
+mod violations;
 
 use std::collections::BTreeMap;
 
@@ -41,7 +42,7 @@
 
 use delivery::Delivery;
 
-/// Everything there is, at one point in virtual time.
+/// The state of the whole simulated system at one point in virtual time.
 #[derive(Debug)]
 pub struct World {
     pub(crate) now: time::TimeMs,
@@ -56,9 +57,9 @@
     pub(crate) servers: BTreeMap<ids::BackendServerId, Server>,
     pub(crate) requests: BTreeMap<ids::RequestId, ClientRequest>,
     homes: BTreeMap<ids::IdempotencyKey, home::Home>,
-    broken: Vec<String>,
-    /// Counts of requests that were dropped since.
-    forgotten: RequestCounts,
+    broken_invariants: Vec<String>,
+    /// Counts of the requests that were dropped from `requests`.
+    dropped: RequestCounts,
 }
 
 impl Default for World {
@@ -68,7 +69,7 @@
 }
 
 impl World {
-    /// An empty world.
+    /// Returns a world without services, backend servers and entry instances.
     #[must_use]
     pub fn new(settings: WorldSettings) -> Self {
         Self {
@@ -84,22 +85,22 @@
             servers: BTreeMap::new(),
             requests: BTreeMap::new(),
             homes: BTreeMap::new(),
-            broken: Vec::new(),
-            forgotten: RequestCounts::default(),
+            broken_invariants: Vec::new(),
+            dropped: RequestCounts::default(),
         }
     }
 
-    /// The settings that set-up statements change.
+    /// Returns the settings, which set-up statements of a script change.
     pub const fn settings_mut(&mut self) -> &mut WorldSettings {
         &mut self.settings
     }
 
-    /// Starts all randomness anew.
+    /// Restarts the random number generator from a seed.
     pub fn reseed(&mut self, seed: u64) {
         self.rng = Pcg64Mcg::seed_from_u64(seed);
     }
 
-    /// Lets time pass; everything that is due happens in its order.
+    /// Advances virtual time by `span` and processes all deliveries that become due, in time order.
     pub fn advance(&mut self, span: time::SpanMs) {
         let until = self.now + span;
         while let Some(entry) = self.queue.first_entry() {
@@ -114,7 +115,7 @@
         self.now = until;
     }
 
-    /// The home that look-ups name for an instance.
+    /// Returns the home that lookups name for an instance, or `None` for an unknown instance.
     #[must_use]
     pub fn home(&self, instance: &ids::InstanceId) -> Option<home::Home> {
         let entry = self.entries.get(instance)?;
@@ -127,7 +128,7 @@
         self.queue.insert((due, self.next_serial), delivery);
     }
 
-    fn random_ms(&mut self, least: u64, most: u64) -> time::SpanMs {
-        time::SpanMs::new(self.rng.random_range(least..=most))
+    fn random_ms(&mut self, min: u64, max: u64) -> time::SpanMs {
+        time::SpanMs::new(self.rng.random_range(min..=max))
     }
 }
--- a/crates/damaskvane-scenario/src/world/clients.rs
+++ b/crates/damaskvane-scenario/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: what they asked, and what they know.
+//! Simulated clients, their requests and the state of each request at its client.
 //!
 //! ```text
 //! Waiting -> Answered | ConnectionLost (the instance ended) | Disconnected (by the client)
@@ -14,49 +14,49 @@
 use crate::world::World;
 use crate::world::delivery::{Delivery, Input};
 
-/// What a client knows of its request.
+/// The state of a request at its client.
 #[derive(Debug, Clone)]
 pub enum ClientState {
-    /// Nothing yet.
+    /// The client waits for the response.
     Waiting,
-    /// The answer, and when it came.
+    /// The client received a response.
     Answered {
-        /// The answer.
+        /// The outcome that the response reports.
         outcome: outcome::Outcome<Arc<message::BackendResponse>>,
-        /// When it came.
+        /// The virtual time at which the response arrived.
         at: time::TimeMs,
     },
-    /// The connection broke, or none could be made.
+    /// The connection was lost or could not be opened.
     ConnectionLost,
-    /// The client went away.
+    /// The client closed its connection before a response arrived.
     Disconnected,
 }
 
-/// One try of a client.
+/// One attempt of a client.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// What it sent.
+    /// The request as the client sent it.
     pub request: message::ServiceRequest,
-    /// Where to.
+    /// The entry instance that the client sent the request to.
     pub via: ids::InstanceId,
-    /// When.
+    /// The virtual time at which the client sent the request.
     pub sent_at: time::TimeMs,
-    /// What it knows.
+    /// Whether the client waits, received a response or lost its connection.
     pub state: ClientState,
-    taken_as: Option<(ids::Incarnation, event::RequestNumber)>,
+    submitted_as: Option<(ids::Incarnation, event::RequestNumber)>,
 }
 
 impl World {
-    /// A client sends a request, or a series of them.
-    pub fn send(&mut self, asked: &script::Request) {
-        for number in 1..=asked.times {
-            let label = if asked.times == 1 {
-                asked.label.clone()
+    /// Sends a client's request, or a series of numbered requests.
+    pub fn send(&mut self, spec: &script::Request) {
+        for number in 1..=spec.times {
+            let label = if spec.times == 1 {
+                spec.label.clone()
             } else {
-                numbered(&asked.label, number)
+                numbered(&spec.label, number)
             };
-            let request = self.build(asked, &label);
-            self.send_one(asked.via.clone(), label, request);
+            let request = self.build_request(spec, &label);
+            self.send_one(spec.via.clone(), label, request);
         }
     }
 
@@ -71,7 +71,7 @@
             via: via.clone(),
             sent_at: self.now,
             state: ClientState::Waiting,
-            taken_as: None,
+            submitted_as: None,
         };
         self.requests.insert(label.clone(), sent);
         let arrives = Delivery::ToEntry {
@@ -82,31 +82,31 @@
         self.schedule(time::SpanMs::ZERO, arrives);
     }
 
-    fn build(
+    fn build_request(
         &mut self,
-        asked: &script::Request,
+        spec: &script::Request,
         label: &ids::RequestId,
     ) -> message::ServiceRequest {
-        let method = if asked.is_repeatable { "GET" } else { "POST" };
-        let idempotency = match (&asked.key, &asked.home) {
+        let method = if spec.is_repeatable { "GET" } else { "POST" };
+        let idempotency = match (&spec.key, &spec.home) {
             (Some(key), Some(home)) => Some(message::Idempotency {
                 key: key.clone(),
                 home: self.home_of(key, home),
-                try_number: asked.try_number,
+                try_number: spec.try_number,
             }),
             _ => None,
         };
         message::ServiceRequest {
             method: method.to_owned(),
-            body: asked.body.clone().into_bytes(),
+            body: spec.body.clone().into_bytes(),
             idempotency,
-            priority: asked.priority,
-            time_left: asked.deadline,
-            ..message::ServiceRequest::get(asked.service.clone(), asked.path.clone(), label.clone())
+            priority: spec.priority,
+            time_left: spec.deadline,
+            ..message::ServiceRequest::get(spec.service.clone(), spec.path.clone(), label.clone())
         }
     }
 
-    /// The home that the look-up named when the key was made; equal on every try.
+    /// Returns the home that the lookup named when the key was created; equal on every attempt.
     fn home_of(&mut self, key: &ids::IdempotencyKey, instance: &ids::InstanceId) -> home::Home {
         if let Some(home) = self.homes.get(key) {
             return home.clone();
@@ -130,12 +130,12 @@
         entry.next_number += 1;
         let number = event::RequestNumber::new(entry.next_number);
         entry.clients.insert(number, label.clone());
-        sent.taken_as = Some((entry.incarnation(), number));
+        sent.submitted_as = Some((entry.incarnation(), number));
         let request = Box::new(sent.request.clone());
-        self.tell_engine(to, event::Event::Submit { number, request });
+        self.pass_to_engine(to, event::Event::Submit { number, request });
     }
 
-    pub(super) fn answered(
+    pub(super) fn handle_outcome(
         &mut self,
         me: &home::Home,
         number: event::RequestNumber,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// A client closes its connection.
+    /// Closes a client's connection if the client still waits for a response.
     pub fn disconnect(&mut self, label: &ids::RequestId) {
         let Some(sent) = self.requests.get_mut(label) else {
             return;
@@ -171,17 +171,17 @@
         }
         sent.state = ClientState::Disconnected;
         let via = sent.via.clone();
-        let Some((incarnation, number)) = sent.taken_as else {
+        let Some((incarnation, number)) = sent.submitted_as else {
             return;
         };
-        let gone = event::Event::ClientDisconnected { number };
-        let start = home::Home::new(via, incarnation);
-        let input = Input::Engine(Box::new(gone));
-        self.send_to_start(&start, time::SpanMs::ZERO, input);
+        let disconnected = event::Event::ClientDisconnected { number };
+        let target = home::Home::new(via, incarnation);
+        let input = Input::Engine(Box::new(disconnected));
+        self.send_to_incarnation(&target, time::SpanMs::ZERO, input);
     }
 }
 
-/// The label of one request of a series.
+/// Returns the label of one request of a series, for example `a.2`.
 pub(crate) fn numbered(label: &ids::RequestId, number: u32) -> ids::RequestId {
     let text = format!("{label}.{number}");
     text.parse().unwrap_or_else(|_| label.clone())
--- a/crates/damaskvane-scenario/src/world/control.rs
+++ b/crates/damaskvane-scenario/src/world/control.rs
@@ -1,7 +1,7 @@
-//! Set-up, configuration and operators.
+//! Set-up of the world, distribution of its configuration and orders of operators.
 //!
 //! ```text
-//! declared -> each instance hears of it within 200 ms -> its directory
+//! declared -> each instance receives the configuration within 200 ms -> its directory
 //! ```
 
 use std::collections::BTreeMap;
@@ -20,9 +20,10 @@
 const FIRST_PORT: u16 = 9_000;
 const CONNECTIONS: u32 = 330;
 const LOOKUP_TTL: time::SpanMs = time::SpanMs::new(2_000);
-const NOTICE_MS: (u64, u64) = (20, 200);
+/// Minimum and maximum delay of a new configuration to an entry instance, in milliseconds.
+const CONFIG_DELAY_MS: (u64, u64) = (20, 200);
 
-/// The declared state that the fake platform keeps.
+/// A version of the declared services and backend servers.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Config {
     version: ids::ConfigVersion,
@@ -31,7 +32,7 @@
 }
 
 impl World {
-    /// Declares what there is.
+    /// Applies a set-up statement of a script.
     pub fn set_up(&mut self, set_up: SetUp) {
         match set_up {
             SetUp::Seed(seed) => self.reseed(seed),
@@ -103,7 +104,7 @@
     fn add_entry(&mut self, instance: ids::InstanceId, zone: ids::AvailabilityZoneId) {
         let region = region_of(&zone);
         let address = net::SocketAddr::from(([127, 0, 0, 1], 1));
-        self.start(record::InstanceRecord {
+        self.start_process(record::InstanceRecord {
             instance,
             zone,
             region,
@@ -117,7 +118,7 @@
         });
     }
 
-    /// Does what operators order.
+    /// Drains or undrains a backend server, or begins a planned stop of an entry instance.
     pub fn apply_control(&mut self, control: &Control) {
         match control {
             Control::Drain(server) => self.set_draining(server, true),
@@ -137,8 +138,8 @@
         self.config.version = self.config.version.next();
         let entries: Vec<ids::InstanceId> = self.entries.keys().cloned().collect();
         for entry in entries {
-            let notice = self.random_ms(NOTICE_MS.0, NOTICE_MS.1);
-            self.send_to_entry(&entry, notice, Input::Configure);
+            let delay = self.random_ms(CONFIG_DELAY_MS.0, CONFIG_DELAY_MS.1);
+            self.send_to_entry(&entry, delay, Input::Configure);
         }
     }
 
@@ -151,7 +152,7 @@
         }
         entry.record.leaving = true;
         let record = entry.record.clone();
-        self.platform.announce(record);
+        self.platform.register(record);
         let leave = Input::Membership(Box::new(view::Event::Leave));
         self.send_to_entry(instance, time::SpanMs::ZERO, leave);
         let leave = Input::Engine(Box::new(event::Event::Leave));
@@ -177,7 +178,7 @@
             .config
             .servers
             .iter()
-            .filter(|(_, (stands_in, _))| *stands_in == zone)
+            .filter(|(_, (server_zone, _))| *server_zone == zone)
             .map(|(id, (_, server))| (id.clone(), server.clone()))
             .collect();
         let directory = directory::Directory {
@@ -193,7 +194,7 @@
                 .map(|view| peer(&view))
                 .collect(),
         };
-        self.tell_engine(instance, event::Event::Directory(Arc::new(directory)));
+        self.pass_to_engine(instance, event::Event::Directory(Arc::new(directory)));
     }
 }
 
@@ -202,7 +203,7 @@
     let region = text.rsplit_once('-').map_or(text, |(region, _)| region);
     region
         .parse()
-        .unwrap_or_else(|_| unreachable!("a part of a valid name is one"))
+        .unwrap_or_else(|_| unreachable!("a prefix of a valid zone name is a valid region name"))
 }
 
 fn peer(view: &view::InstanceView<'_>) -> (ids::InstanceId, directory::PeerInstance) {
--- a/crates/damaskvane-scenario/src/world/delivery.rs
+++ b/crates/damaskvane-scenario/src/world/delivery.rs
@@ -1,7 +1,7 @@
-//! What is on its way, and what happens when it is there.
+//! Scheduled deliveries and their handling when they are due.
 //!
 //! ```text
-//! due time -> delivery -> an entry instance (held while it is paused), a backend server or the platform
+//! due time -> delivery -> entry instance (held while it is paused) or backend server
 //! ```
 
 use damaskvane_core::{ids, time};
@@ -12,7 +12,7 @@
 use crate::world::World;
 use crate::world::entry::ProcessState;
 
-/// Something that reaches an entry instance.
+/// An input to an entry instance.
 #[derive(Debug)]
 pub(super) enum Input {
     EngineTick,
@@ -22,20 +22,20 @@
     Engine(Box<event::Event>),
     Membership(Box<view::Event>),
     Submit(ids::RequestId),
-    /// The thread of an exchange is about to send it.
+    /// The thread of an exchange is ready to send the request.
     SendExchange(Box<event::Exchange>),
 }
 
-/// Something that happens at a point in time.
+/// A scheduled event of the simulation.
 #[derive(Debug)]
 pub(super) enum Delivery {
     ToEntry {
         to: ids::InstanceId,
-        /// The start it is meant for; nothing if any start takes it.
+        /// The only incarnation that may receive the input; `None` if any may.
         incarnation: Option<ids::Incarnation>,
         input: Input,
     },
-    /// A request reaches a backend server.
+    /// A request arrives at a backend server.
     Arrive {
         from: home::Home,
         exchange: Box<event::Exchange>,
@@ -44,13 +44,13 @@
         server: ids::BackendServerId,
         request_id: ids::RequestId,
     },
-    /// A request on a backend server has run, or its time is over.
+    /// A request on a backend server has completed or passed its deadline.
     RunEnds {
         server: ids::BackendServerId,
         execution: u64,
     },
     Crash(ids::BackendServerId),
-    Revive(ids::BackendServerId),
+    Recover(ids::BackendServerId),
     Resume(ids::InstanceId, ids::Incarnation),
     Restart(ids::InstanceId),
 }
@@ -62,34 +62,42 @@
                 to,
                 incarnation,
                 input,
-            } => self.reach(to, incarnation, input),
+            } => self.deliver_to_entry(to, incarnation, input),
             Delivery::Arrive { from, exchange } => self.arrive(from, *exchange),
             Delivery::Cancel { server, request_id } => self.cancel(&server, &request_id),
-            Delivery::RunEnds { server, execution } => self.run_ends(&server, execution),
+            Delivery::RunEnds { server, execution } => self.end_run(&server, execution),
             Delivery::Crash(server) => self.crash(&server),
-            Delivery::Revive(server) => self.revive(&server),
+            Delivery::Recover(server) => self.recover(&server),
             Delivery::Resume(instance, incarnation) => self.resume(&instance, incarnation),
             Delivery::Restart(instance) => self.restart(&instance),
         }
     }
 
-    /// What reaches a paused instance waits in its sockets and happens when it goes on.
-    fn reach(&mut self, to: ids::InstanceId, incarnation: Option<ids::Incarnation>, input: Input) {
+    /// Passes an input to an entry instance.
+    ///
+    /// Inputs to a paused instance are held, as they would wait in its sockets, until the instance
+    /// resumes.
+    fn deliver_to_entry(
+        &mut self,
+        to: ids::InstanceId,
+        incarnation: Option<ids::Incarnation>,
+        input: Input,
+    ) {
         let Some(entry) = self.entries.get_mut(&to) else {
             return;
         };
-        if incarnation.is_some_and(|wanted| wanted != entry.incarnation()) {
+        if incarnation.is_some_and(|expected| expected != entry.incarnation()) {
             return;
         }
         match entry.process_state {
-            ProcessState::Running => self.take(&to, input),
+            ProcessState::Running => self.handle_input(&to, input),
             ProcessState::Paused => {
                 let held = Delivery::ToEntry {
                     to,
                     incarnation,
                     input,
                 };
-                entry.held.push(held);
+                entry.held_inputs.push(held);
             }
             ProcessState::Ended => {
                 if let Input::Submit(request) = input {
@@ -99,35 +107,35 @@
         }
     }
 
-    fn take(&mut self, to: &ids::InstanceId, input: Input) {
+    fn handle_input(&mut self, to: &ids::InstanceId, input: Input) {
         match input {
             Input::EngineTick => {
-                self.tell_engine(to, event::Event::Tick);
-                self.tick_again(to, Input::EngineTick, super::entry::ENGINE_TICK);
+                self.pass_to_engine(to, event::Event::Tick);
+                self.schedule_tick(to, Input::EngineTick, super::entry::ENGINE_TICK);
                 self.end_if_drained(to);
             }
             Input::MembershipTick => {
-                self.tell_membership(to, view::Event::Tick);
+                self.pass_to_membership(to, view::Event::Tick);
                 let period = super::entry::MEMBERSHIP_TICK;
-                self.tick_again(to, Input::MembershipTick, period);
+                self.schedule_tick(to, Input::MembershipTick, period);
             }
             Input::ReadList => {
                 self.read_list(to);
-                self.tick_again(to, Input::ReadList, super::entry::LIST_PERIOD);
+                self.schedule_tick(to, Input::ReadList, super::entry::LIST_PERIOD);
             }
             Input::Configure => self.configure(to),
-            Input::Engine(event) => self.tell_engine(to, *event),
-            Input::Membership(event) => self.tell_membership(to, *event),
+            Input::Engine(event) => self.pass_to_engine(to, *event),
+            Input::Membership(event) => self.pass_to_membership(to, *event),
             Input::Submit(request) => self.submit(to, &request),
             Input::SendExchange(exchange) => self.send_exchange(to, *exchange),
         }
     }
 
-    fn tick_again(&mut self, to: &ids::InstanceId, input: Input, period: time::SpanMs) {
+    fn schedule_tick(&mut self, to: &ids::InstanceId, input: Input, period: time::SpanMs) {
         self.send_to_entry(to, period, input);
     }
 
-    /// Something for the present start of an instance.
+    /// Schedules an input to the current incarnation of an instance.
     pub(super) fn send_to_entry(
         &mut self,
         to: &ids::InstanceId,
@@ -143,7 +151,12 @@
         self.schedule(after, delivery);
     }
 
-    pub(super) fn send_to_start(&mut self, to: &home::Home, after: time::SpanMs, input: Input) {
+    pub(super) fn send_to_incarnation(
+        &mut self,
+        to: &home::Home,
+        after: time::SpanMs,
+        input: Input,
+    ) {
         let delivery = Delivery::ToEntry {
             to: to.instance.clone(),
             incarnation: Some(to.incarnation),
--- a/crates/damaskvane-scenario/src/world/entry.rs
+++ b/crates/damaskvane-scenario/src/world/entry.rs
@@ -1,7 +1,7 @@
-//! An entry instance: the real engine and the real membership.
+//! A simulated entry instance with a real engine and a real membership.
 //!
 //! ```text
-//! event -> engine or membership -> actions -> messages, exchanges, answers
+//! event -> engine or membership -> actions -> messages, exchanges, responses
 //! ```
 
 use std::collections::BTreeMap;
@@ -14,14 +14,14 @@
 use crate::world::World;
 use crate::world::delivery::{Delivery, Input};
 
-/// How often the engine is told that time has passed.
+/// The period of the engine's tick events.
 pub(super) const ENGINE_TICK: time::SpanMs = time::SpanMs::new(10);
 pub(super) const MEMBERSHIP_TICK: time::SpanMs = time::SpanMs::new(100);
 pub(super) const LIST_PERIOD: time::SpanMs = time::SpanMs::new(1_000);
-/// From the start of a process until it holds the configuration.
-const CONFIGURED_AFTER: time::SpanMs = time::SpanMs::new(50);
+/// The time from the start of a process until it has the configuration.
+const CONFIGURATION_DELAY: time::SpanMs = time::SpanMs::new(50);
 
-/// Whether an instance's process runs.
+/// Whether the process of an entry instance runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProcessState {
     Running,
@@ -29,20 +29,20 @@
     Ended,
 }
 
-/// One entry instance, in its latest start.
+/// The latest incarnation of one entry instance.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(super) record: record::InstanceRecord,
     pub(super) engine: engine::Engine,
     pub(super) membership: view::Membership,
     pub(crate) process_state: ProcessState,
-    /// What arrived while the process was paused.
-    pub(super) held: Vec<Delivery>,
-    /// The configuration it has.
+    /// Inputs that arrived while the process was paused.
+    pub(super) held_inputs: Vec<Delivery>,
+    /// The configuration that the instance last received.
     pub(super) config: super::control::Config,
     pub(super) clients: BTreeMap<event::RequestNumber, ids::RequestId>,
     pub(super) next_number: u64,
-    /// Whether a planned stop came to its end.
+    /// Whether a planned stop ended with all clients served.
     pub(crate) has_stopped: bool,
 }
 
@@ -55,12 +55,12 @@
         home::Home::new(self.record.instance.clone(), self.record.incarnation)
     }
 
-    /// What look-ups name: the home of new keys.
+    /// Returns the home of new keys, which lookups name.
     pub(super) fn lookup_home(&self) -> home::Home {
         self.engine.home().clone()
     }
 
-    /// Whether clients are told to come here.
+    /// Returns whether lookups name this instance.
     pub(crate) const fn is_offered(&self) -> bool {
         matches!(self.process_state, ProcessState::Running) && !self.record.leaving
     }
@@ -71,8 +71,8 @@
 }
 
 impl World {
-    /// Starts a process of an instance; a later one replaces an earlier one.
-    pub(super) fn start(&mut self, record: record::InstanceRecord) {
+    /// Starts a process of an instance, which replaces an earlier process of that instance.
+    pub(super) fn start_process(&mut self, record: record::InstanceRecord) {
         let instance = record.instance.clone();
         let own = view::OwnInstance::new(instance.clone(), record.zone.clone(), record.incarnation);
         let me = home::Home::new(instance.clone(), record.incarnation);
@@ -84,7 +84,7 @@
             settings.keys.window_ms = window.get();
         }
         let membership_settings = membership_settings::MembershipSettings::default();
-        self.platform.announce(record.clone());
+        self.platform.register(record.clone());
         self.entries.insert(
             instance.clone(),
             Entry {
@@ -92,7 +92,7 @@
                 engine: engine::Engine::new(me, settings),
                 membership: view::Membership::new(own, membership_settings, self.now),
                 process_state: ProcessState::Running,
-                held: Vec::new(),
+                held_inputs: Vec::new(),
                 config: super::control::Config::default(),
                 clients: BTreeMap::new(),
                 next_number: 0,
@@ -102,31 +102,31 @@
         self.send_to_entry(&instance, time::SpanMs::ZERO, Input::EngineTick);
         self.send_to_entry(&instance, time::SpanMs::ZERO, Input::MembershipTick);
         self.send_to_entry(&instance, time::SpanMs::ZERO, Input::ReadList);
-        self.send_to_entry(&instance, CONFIGURED_AFTER, Input::Configure);
+        self.send_to_entry(&instance, CONFIGURATION_DELAY, Input::Configure);
     }
 
-    pub(super) fn tell_engine(&mut self, instance: &ids::InstanceId, event: event::Event) {
+    pub(super) fn pass_to_engine(&mut self, instance: &ids::InstanceId, event: event::Event) {
         let now = self.now;
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
         };
         let me = entry.home();
         for action in entry.engine.handle(now, event) {
-            self.carry_out(&me, action);
+            self.execute_action(&me, action);
         }
     }
 
-    fn carry_out(&mut self, me: &home::Home, action: event::Action) {
+    fn execute_action(&mut self, me: &home::Home, action: event::Action) {
         match action {
-            event::Action::Respond { number, outcome } => self.answered(me, number, outcome),
+            event::Action::Respond { number, outcome } => self.handle_outcome(me, number, outcome),
             event::Action::Start(exchange) => self.start_exchange(me, exchange),
             event::Action::Cancel {
                 address,
                 request_id,
-            } => self.ask_to_cancel(address, request_id),
+            } => self.send_cancel(address, request_id),
             event::Action::Send { to, message } => self.send_message(me, &to, &message),
             event::Action::Broken { invariant } => {
-                self.broken.push(format!("{me}: {invariant}"));
+                self.broken_invariants.push(format!("{me}: {invariant}"));
             }
             event::Action::HomeRenewed { .. }
             | event::Action::CountRefusal(_)
@@ -141,7 +141,7 @@
         to: &ids::InstanceId,
         message: &peer::PeerMessage,
     ) {
-        for delay in self.ways(&from.instance, to) {
+        for delay in self.message_delays(&from.instance, to) {
             let event = event::Event::Peer {
                 from: from.clone(),
                 message: Box::new(message.clone()),
@@ -155,7 +155,7 @@
         }
     }
 
-    pub(super) fn tell_membership(&mut self, instance: &ids::InstanceId, event: view::Event) {
+    pub(super) fn pass_to_membership(&mut self, instance: &ids::InstanceId, event: view::Event) {
         let now = self.now;
         let Some(entry) = self.entries.get_mut(instance) else {
             return;
@@ -165,16 +165,16 @@
         let actions = entry.membership.handle(now, event);
         let roster = entry.membership.roster();
         for action in actions {
-            has_changed |= self.carry_out_membership(&me, action);
+            has_changed |= self.execute_membership_action(&me, action);
         }
-        self.tell_engine(instance, event::Event::Roster(Box::new(roster)));
+        self.pass_to_engine(instance, event::Event::Roster(Box::new(roster)));
         if has_changed {
             self.publish_directory(instance);
         }
     }
 
-    /// Carries an action out; true if it changes who takes work.
-    fn carry_out_membership(&mut self, me: &home::Home, action: view::Action) -> bool {
+    /// Executes an action and returns whether it changes the instances that accept requests.
+    fn execute_membership_action(&mut self, me: &home::Home, action: view::Action) -> bool {
         match action {
             view::Action::Send { to, heartbeat, .. } => self.send_heartbeat(me, &to, &heartbeat),
             view::Action::Probe {
@@ -190,7 +190,7 @@
             view::Action::RemoveFenceRecord {
                 instance,
                 incarnation,
-            } => self.unmark(&me.instance, &instance, incarnation),
+            } => self.remove_fence_record(&me.instance, &instance, incarnation),
             view::Action::AllowPeers(_) | view::Action::Changed { .. } => return true,
             view::Action::OwnFenced => {
                 self.kill(&me.instance);
@@ -207,7 +207,7 @@
         to: &ids::InstanceId,
         heartbeat: &heartbeat::Heartbeat,
     ) {
-        for delay in self.ways(&from.instance, to) {
+        for delay in self.message_delays(&from.instance, to) {
             let event = view::Event::Heartbeat {
                 from: from.instance.clone(),
                 incarnation: from.incarnation,
--- a/crates/damaskvane-scenario/src/world/exchanges.rs
+++ b/crates/damaskvane-scenario/src/world/exchanges.rs
@@ -1,7 +1,7 @@
-//! Exchanges on the entry instance's side: the lease is checked again before anything is sent.
+//! Exchanges of an entry instance with backend servers, with a check of the lease before sending.
 //!
 //! ```text
-//! Start -> a thread -> lease still holds? -> backend server; its end, or silence past the deadline
+//! Start -> thread -> lease still valid? -> backend server -> response or timeout
 //! ```
 
 use std::net;
@@ -13,17 +13,19 @@
 use crate::world::World;
 use crate::world::delivery::{Delivery, Input};
 
-/// How long an answer that left at its deadline may still be on its way.
-const LATE_ANSWER_MS: u64 = 150;
+/// Maximum delay of a response that was sent at its deadline, in milliseconds.
+const LATE_RESPONSE_MS: u64 = 150;
 
-/// From the decision until the exchange's thread sends.
-const HANDED_TO_THREAD: time::SpanMs = time::SpanMs::new(1);
+/// The time from the engine's decision until the thread of the exchange sends the request.
+const THREAD_HANDOVER_DELAY: time::SpanMs = time::SpanMs::new(1);
 
 impl World {
-    /// The decision and the sending are apart: a pause can fall in between.
+    /// Schedules the sending of an exchange.
+    ///
+    /// The decision and the sending are separate steps, since a process may be paused in between.
     pub(super) fn start_exchange(&mut self, me: &home::Home, exchange: event::Exchange) {
         let input = Input::SendExchange(Box::new(exchange));
-        self.send_to_start(me, HANDED_TO_THREAD, input);
+        self.send_to_incarnation(me, THREAD_HANDOVER_DELAY, input);
     }
 
     pub(super) fn send_exchange(&mut self, from: &ids::InstanceId, exchange: event::Exchange) {
@@ -36,24 +38,24 @@
                 exchange: number,
                 end: event::ExchangeEnd::NotSent,
             };
-            self.tell_engine(from, event);
+            self.pass_to_engine(from, event);
             return;
         }
-        let wait = time::SpanMs::new(exchange.deadline.get() + LATE_ANSWER_MS);
-        let silent = event::Event::ExchangeEnded {
+        let wait = time::SpanMs::new(exchange.deadline.get() + LATE_RESPONSE_MS);
+        let timeout = event::Event::ExchangeEnded {
             exchange: number,
             end: event::ExchangeEnd::Timeout,
         };
-        self.send_to_start(&me, wait, Input::Engine(Box::new(silent)));
+        self.send_to_incarnation(&me, wait, Input::Engine(Box::new(timeout)));
         let arrive = Delivery::Arrive {
             from: me,
             exchange: Box::new(exchange),
         };
-        let way = self.way();
-        self.schedule(way, arrive);
+        let delay = self.random_delay();
+        self.schedule(delay, arrive);
     }
 
-    pub(super) fn ask_to_cancel(&mut self, address: net::SocketAddr, request_id: ids::RequestId) {
+    pub(super) fn send_cancel(&mut self, address: net::SocketAddr, request_id: ids::RequestId) {
         let found = self
             .servers
             .values()
@@ -61,7 +63,7 @@
         let Some(server) = found.map(|server| server.id.clone()) else {
             return;
         };
-        let way = self.way();
-        self.schedule(way, Delivery::Cancel { server, request_id });
+        let delay = self.random_delay();
+        self.schedule(delay, Delivery::Cancel { server, request_id });
     }
 }
--- a/crates/damaskvane-scenario/src/world/faults.rs
+++ b/crates/damaskvane-scenario/src/world/faults.rs
@@ -1,7 +1,7 @@
-//! What goes wrong: processes end, pause and come back; ways are cut.
+//! Injected faults: modes of backend servers, killed or paused entry instances and cut links.
 //!
 //! ```text
-//! kill -> its clients lose their connections; pause -> everything waits; restart -> a later incarnation
+//! kill -> clients lose their connections; pause -> inputs are held; restart -> a later incarnation
 //! ```
 
 use damaskvane_core::{ids, time};
@@ -12,7 +12,7 @@
 use crate::world::entry::ProcessState;
 
 impl World {
-    /// Causes a fault.
+    /// Injects the fault of a script statement, or heals a cut link.
     pub fn inject_fault(&mut self, fault: &Fault) {
         match fault {
             Fault::Server { server, mode } => {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Lets every message pass again.
+    /// Heals all cut links.
     pub fn heal_all(&mut self) {
         self.network.heal_all();
     }
@@ -41,14 +41,14 @@
             return;
         };
         entry.process_state = ProcessState::Ended;
-        entry.held.clear();
+        entry.held_inputs.clear();
         let clients = core::mem::take(&mut entry.clients);
         for label in clients.into_values() {
             self.connection_lost(&label);
         }
     }
 
-    /// A new process of an instance that has ended.
+    /// Starts a new process of an instance whose process has ended.
     pub(super) fn restart(&mut self, instance: &ids::InstanceId) {
         let Some(entry) = self.entries.get(instance) else {
             return;
@@ -57,11 +57,11 @@
             return;
         }
         let mut record = entry.record.clone();
-        // Incarnations are milliseconds of the wall clock: no later start has a number that an earlier
-        // one could have reached by renewal.
+        // Incarnations are milliseconds of the wall clock, so a later process never gets a number
+        // that an earlier process could have reached by renewal.
         record.incarnation = ids::Incarnation::new(1_000 + self.now.get());
         record.leaving = false;
-        self.start(record);
+        self.start_process(record);
     }
 
     fn pause(&mut self, instance: &ids::InstanceId, span: time::SpanMs) {
@@ -84,12 +84,12 @@
             return;
         }
         entry.process_state = ProcessState::Running;
-        for held in core::mem::take(&mut entry.held) {
+        for held in core::mem::take(&mut entry.held_inputs) {
             self.schedule(time::SpanMs::ZERO, held);
         }
     }
 
-    /// A planned stop whose work is done ends the process.
+    /// Ends the process of a leaving instance as soon as its engine is drained.
     pub(super) fn end_if_drained(&mut self, instance: &ids::InstanceId) {
         let now = self.now;
         let Some(entry) = self.entries.get_mut(instance) else {
@@ -99,7 +99,7 @@
             return;
         }
         entry.has_stopped = entry.clients.is_empty();
-        self.platform.withdraw(instance);
+        self.platform.deregister(instance);
         self.kill(instance);
     }
 }
--- a/crates/damaskvane-scenario/src/world/network.rs
+++ b/crates/damaskvane-scenario/src/world/network.rs
@@ -1,7 +1,7 @@
-//! Ways of messages: how long they take, which are lost or doubled, which are cut.
+//! The fake network, which delays, loses and duplicates messages and cuts links.
 //!
 //! ```text
-//! (from, to) -> no way (lost, cut), one delay, or two (doubled)
+//! (from, to) -> no delay (message lost, link cut), one delay, or two (message duplicated)
 //! ```
 
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 
 use crate::world::World;
 
-/// The cuts between two, in both directions.
+/// The cut links between two instances, or an instance and the platform, in both directions.
 #[derive(Debug, Default)]
 pub(super) struct Network {
     cuts: BTreeSet<(ids::InstanceId, ids::InstanceId)>,
@@ -42,28 +42,28 @@
 }
 
 impl World {
-    /// The delays of the copies of one message that arrive.
-    pub(super) fn ways(
+    /// Returns the delay of each copy of one message that arrives; empty if the message is lost.
+    pub(super) fn message_delays(
         &mut self,
         from: &ids::InstanceId,
         to: &ids::InstanceId,
     ) -> Vec<time::SpanMs> {
-        if self.network.is_cut(from, to) || self.is_hit(self.settings.loss_permille) {
+        if self.network.is_cut(from, to) || self.is_chosen(self.settings.loss_permille) {
             return Vec::new();
         }
-        let mut ways = vec![self.way()];
-        if self.is_hit(self.settings.duplicated_permille) {
-            ways.push(self.way());
+        let mut delays = vec![self.random_delay()];
+        if self.is_chosen(self.settings.duplicated_permille) {
+            delays.push(self.random_delay());
         }
-        ways
+        delays
     }
 
-    pub(super) fn way(&mut self) -> time::SpanMs {
-        let least = self.settings.delay.get();
-        self.random_ms(least, least + self.settings.jitter.get())
+    pub(super) fn random_delay(&mut self) -> time::SpanMs {
+        let min = self.settings.delay.get();
+        self.random_ms(min, min + self.settings.jitter.get())
     }
 
-    fn is_hit(&mut self, permille: u32) -> bool {
+    fn is_chosen(&mut self, permille: u32) -> bool {
         permille > 0 && self.rng.random_range(0..1_000) < permille
     }
 }
--- a/crates/damaskvane-scenario/src/world/platform.rs
+++ b/crates/damaskvane-scenario/src/world/platform.rs
@@ -1,7 +1,9 @@
 //! The fake platform's list of instances, and probes of their addresses.
 //!
 //! ```text
-//! list read -> records; fence -> record marked if it still has the incarnation; unmark -> marked record deleted
+//! read list -> records
+//! fence -> record marked as fenced if it still has the incarnation
+//! remove fence record -> record deleted if it is fenced and has the incarnation
 //! ```
 
 use std::collections::BTreeMap;
@@ -14,35 +16,35 @@
 use crate::world::delivery::Input;
 use crate::world::entry::ProcessState;
 
-/// The name under which the platform is cut off.
+/// The name of the platform in scripts that cut its links to entry instances.
 const PLATFORM: &str = "platform";
 
-/// The list of instances.
+/// The platform's list of entry instances.
 #[derive(Debug, Default)]
 pub(super) struct Platform {
     records: BTreeMap<ids::InstanceId, record::InstanceRecord>,
 }
 
 impl Platform {
-    pub(super) fn announce(&mut self, record: record::InstanceRecord) {
+    pub(super) fn register(&mut self, record: record::InstanceRecord) {
         self.records.insert(record.instance.clone(), record);
     }
 
-    fn mark(&mut self, instance: &ids::InstanceId, goes_on_alone: bool) {
+    fn fence(&mut self, instance: &ids::InstanceId, goes_on_alone: bool) {
         if let Some(record) = self.records.get_mut(instance) {
             record.fenced = true;
             record.goes_on_alone |= goes_on_alone;
         }
     }
 
-    fn unmark(&mut self, instance: &ids::InstanceId, incarnation: ids::Incarnation) {
+    fn remove_fence_record(&mut self, instance: &ids::InstanceId, incarnation: ids::Incarnation) {
         let record = self.records.get(instance);
         if record.is_some_and(|record| record.fenced && record.incarnation == incarnation) {
             self.records.remove(instance);
         }
     }
 
-    pub(super) fn withdraw(&mut self, instance: &ids::InstanceId) {
+    pub(super) fn deregister(&mut self, instance: &ids::InstanceId) {
         self.records.remove(instance);
     }
 }
@@ -58,16 +60,19 @@
         if !self.reaches_platform(to) {
             return;
         }
-        let way = self.way();
+        let delay = self.random_delay();
         let event = view::Event::List {
             records: self.platform.records.values().cloned().collect(),
-            age: way,
+            age: delay,
             source: view::ListSource::Platform,
         };
-        self.send_to_entry(to, way, Input::Membership(Box::new(event)));
+        self.send_to_entry(to, delay, Input::Membership(Box::new(event)));
     }
 
-    /// A refused connection proves that the process is gone; a cut or a pause proves nothing.
+    /// Probes an instance's address.
+    ///
+    /// A refused connection proves that the process has ended. With a cut link the probe times out,
+    /// and a paused process still accepts connections, so neither proves an end.
     pub(super) fn probe(
         &mut self,
         from: &home::Home,
@@ -85,8 +90,8 @@
             incarnation,
             outcome,
         };
-        let way = self.way();
-        self.send_to_start(from, way, Input::Membership(Box::new(event)));
+        let delay = self.random_delay();
+        self.send_to_incarnation(from, delay, Input::Membership(Box::new(event)));
     }
 
     pub(super) fn fence(
@@ -99,7 +104,7 @@
         let listed = self.platform.records.get(&instance);
         let is_current = listed.is_some_and(|record| record.incarnation == incarnation);
         let event = if self.reaches_platform(&from.instance) && is_current {
-            self.platform.mark(&instance, goes_on_alone);
+            self.platform.fence(&instance, goes_on_alone);
             view::Event::Fenced {
                 instance,
                 incarnation,
@@ -107,22 +112,22 @@
         } else {
             view::Event::FenceFailed { instance }
         };
-        let way = self.way();
-        self.send_to_start(from, way, Input::Membership(Box::new(event)));
+        let delay = self.random_delay();
+        self.send_to_incarnation(from, delay, Input::Membership(Box::new(event)));
     }
 
-    pub(super) fn unmark(
+    pub(super) fn remove_fence_record(
         &mut self,
         from: &ids::InstanceId,
         instance: &ids::InstanceId,
         incarnation: ids::Incarnation,
     ) {
         if self.reaches_platform(from) {
-            self.platform.unmark(instance, incarnation);
+            self.platform.remove_fence_record(instance, incarnation);
         }
     }
 
-    /// How long a new process takes to be there.
+    /// Schedules a restart of an instance, since a new process takes time to start.
     pub(super) fn restart_later(&mut self, instance: &ids::InstanceId) {
         let restart = super::delivery::Delivery::Restart(instance.clone());
         self.schedule(time::SpanMs::new(500), restart);
--- a/crates/damaskvane-scenario/src/world/request_counts.rs
+++ b/crates/damaskvane-scenario/src/world/request_counts.rs
@@ -1,4 +1,4 @@
-//! Counts of what clients were told, for long runs that can't keep every request.
+//! Counts of client requests by outcome, for long runs that can't keep every request.
 //!
 //! ```
 //! use damaskvane_scenario::world;
@@ -12,21 +12,21 @@
 use crate::world::entry::Entry;
 use crate::world::{ClientState, World};
 
-/// An answered request is forgotten so long after: by then nothing of its key runs any more.
-const REMEMBERED: time::SpanMs = time::SpanMs::new(120_000);
+/// Time after which a request is dropped: by then no request with its key is running.
+const REQUEST_RETENTION: time::SpanMs = time::SpanMs::new(120_000);
 
-/// What clients were told.
+/// Counts of client requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Tries.
+    /// Attempts of clients.
     pub sent: u64,
-    /// Whole answers.
+    /// Complete responses of a backend server.
     pub completed: u64,
-    /// Answers *not run*.
+    /// Responses *not run*: no backend server ran the request.
     pub not_run: u64,
-    /// Answers *unknown*.
+    /// Responses *unknown*: a backend server may have run the request.
     pub unknown: u64,
-    /// No answer.
+    /// Requests without a response: the client waits or the connection ended.
     pub unanswered: u64,
 }
 
@@ -47,54 +47,54 @@
 }
 
 impl World {
-    /// Counts of what clients were told so far.
+    /// Returns the counts of all requests so far.
     #[must_use]
     pub fn request_counts(&self) -> RequestCounts {
-        let mut request_counts = self.forgotten;
+        let mut counts = self.dropped;
         for sent in self.requests.values() {
-            request_counts.add(&sent.state);
+            counts.add(&sent.state);
         }
-        request_counts
+        counts
     }
 
-    /// Drops what is too old to matter, into the counts.
+    /// Drops requests above the retention time, after adding them to the counts.
     pub fn drop_old_requests(&mut self) {
         let now = self.now;
-        let forgotten = &mut self.forgotten;
+        let dropped = &mut self.dropped;
         self.requests.retain(|_, sent| {
-            let is_kept = now.since(sent.sent_at) < REMEMBERED;
+            let is_kept = now.since(sent.sent_at) < REQUEST_RETENTION;
             if !is_kept {
-                forgotten.add(&sent.state);
+                dropped.add(&sent.state);
             }
             is_kept
         });
     }
 
-    /// How many requests backend servers have run.
+    /// Returns how many requests backend servers have run, repeated runs included.
     #[must_use]
     pub fn all_runs(&self) -> u64 {
         let logs = self.servers.values().map(|server| server.log.len() as u64);
         logs.sum()
     }
 
-    /// The instances that look-ups name.
+    /// Returns the entry instances that lookups name.
     #[must_use]
     pub fn offered(&self) -> Vec<ids::InstanceId> {
         self.names(Entry::is_offered)
     }
 
-    /// Every instance, in whatever state.
+    /// Returns all entry instances, whether their processes run or not.
     #[must_use]
     pub fn instances(&self) -> Vec<ids::InstanceId> {
         self.names(|_| true)
     }
 
-    fn names(&self, is_wanted: impl Fn(&Entry) -> bool) -> Vec<ids::InstanceId> {
-        let wanted = self.entries.iter().filter(|(_, entry)| is_wanted(entry));
-        wanted.map(|(instance, _)| instance.clone()).collect()
+    fn names(&self, is_selected: impl Fn(&Entry) -> bool) -> Vec<ids::InstanceId> {
+        let selected = self.entries.iter().filter(|(_, entry)| is_selected(entry));
+        selected.map(|(instance, _)| instance.clone()).collect()
     }
 
-    /// Every backend server.
+    /// Returns all backend servers, crashed and draining ones included.
     #[must_use]
     pub fn backend_servers(&self) -> Vec<ids::BackendServerId> {
         self.servers.keys().cloned().collect()
--- a/crates/damaskvane-scenario/src/world/server.rs
+++ b/crates/damaskvane-scenario/src/world/server.rs
@@ -1,7 +1,7 @@
-//! A fake backend server: slots watched, an execution log, and the ways in which it fails.
+//! A fake backend server, which counts used slots, logs executions and fails by its mode.
 //!
 //! ```text
-//! arrive -> refuse | run until done, cancelled or past the given deadline -> answer in the server's mode
+//! arrive -> reject | run until completed, cancelled or past the deadline -> respond by mode
 //! ```
 
 use std::collections::BTreeMap;
@@ -15,38 +15,38 @@
 use crate::world::World;
 use crate::world::delivery::{Delivery, Input};
 
-/// Paths that begin so kill whatever runs them.
-const CRASH_PATH: &str = "/crash";
-/// From the reading of a request that kills its server until it dies.
-const CRASH_AFTER: time::SpanMs = time::SpanMs::new(5);
-/// How long a crashed backend server takes to be back.
-const REVIVED_AFTER: time::SpanMs = time::SpanMs::new(300);
-/// A leaving backend server gets no new work later than this after the order.
-const DRAIN_NOTICE: time::SpanMs = time::SpanMs::new(2_000);
-const STATUS_DONE: u16 = 200;
-const STATUS_GIVEN_UP: u16 = 504;
-
-/// One run of a request.
+/// A request whose path has this prefix crashes the backend server that runs it.
+const CRASH_PATH_PREFIX: &str = "/crash";
+/// The time from the arrival of a request that crashes its backend server to the crash.
+const CRASH_DELAY: time::SpanMs = time::SpanMs::new(5);
+/// The time from a crash of a backend server until it accepts requests again.
+const RECOVERY_DELAY: time::SpanMs = time::SpanMs::new(300);
+/// The time after the order to drain a backend server in which new requests may still arrive.
+const DRAIN_TOLERANCE: time::SpanMs = time::SpanMs::new(2_000);
+const STATUS_COMPLETED: u16 = 200;
+const STATUS_TIMED_OUT: u16 = 504;
+
+/// A log entry for one run of a request on a backend server.
 #[derive(Debug, Clone)]
 pub struct Execution {
-    /// The try that ran.
+    /// The id of the client's attempt that ran.
     pub request_id: ids::RequestId,
-    /// Its key.
+    /// The idempotency key; `None` if the request has no key.
     pub key: Option<ids::IdempotencyKey>,
-    /// Which try of the client it was; 0 where tries are not numbered.
+    /// The number of the client's attempt; 0 if attempts are not numbered.
     pub try_number: u32,
-    /// What the key is bound to: another body is another request.
+    /// The fingerprint that the key is bound to: another body is another request.
     pub fingerprint: fingerprint::Fingerprint,
-    /// When it began.
+    /// The virtual time at which the run began.
     pub at: time::TimeMs,
 }
 
-/// A request that runs.
+/// A request that is running on a backend server.
 #[derive(Debug)]
 struct Run {
     from: home::Home,
     exchange: event::Exchange,
-    is_cut_short: bool,
+    is_aborted: bool,
 }
 
 /// A fake backend server.
@@ -57,7 +57,7 @@
     pub(super) slots: units::Slots,
     pub(super) mode: ServerMode,
     pub(super) run_time: time::SpanMs,
-    is_dead: bool,
+    is_crashed: bool,
     runs: BTreeMap<u64, Run>,
     next_run: u64,
     pub(crate) peak: usize,
@@ -80,7 +80,7 @@
             slots,
             mode: ServerMode::Healthy,
             run_time,
-            is_dead: false,
+            is_crashed: false,
             runs: BTreeMap::new(),
             next_run: 0,
             peak: 0,
@@ -93,7 +93,7 @@
 
     pub(super) fn set_mode(&mut self, mode: ServerMode) {
         self.mode = mode;
-        self.is_dead = false;
+        self.is_crashed = false;
     }
 
     const fn time(&self) -> time::SpanMs {
@@ -103,7 +103,7 @@
         }
     }
 
-    fn note(&mut self, now: time::TimeMs, request: &message::ServiceRequest) {
+    fn record_execution(&mut self, now: time::TimeMs, request: &message::ServiceRequest) {
         let key = request.idempotency.as_ref();
         self.log.push(Execution {
             request_id: request.request_id.clone(),
@@ -112,7 +112,7 @@
             fingerprint: request.fingerprint(),
             at: now,
         });
-        let is_late = |since: time::TimeMs| now.since(since) > DRAIN_NOTICE;
+        let is_late = |since: time::TimeMs| now.since(since) > DRAIN_TOLERANCE;
         self.late_requests += u64::from(self.drained_since.is_some_and(is_late));
     }
 }
@@ -124,7 +124,7 @@
             return;
         };
         let refused = match server.mode {
-            _ if server.is_dead => Some(event::ExchangeEnd::NotSent),
+            _ if server.is_crashed => Some(event::ExchangeEnd::NotSent),
             ServerMode::Down => Some(event::ExchangeEnd::NotSent),
             ServerMode::Shed => Some(event::ExchangeEnd::Refused),
             ServerMode::Silent => return,
@@ -134,7 +134,7 @@
             self.exchange_ended(&from, exchange.number, end);
             return;
         }
-        server.note(now, &exchange.request);
+        server.record_execution(now, &exchange.request);
         let (time, id) = (server.time(), server.id.clone());
         if server.mode == ServerMode::HangUp {
             self.exchange_ended(&from, exchange.number, event::ExchangeEnd::Lost);
@@ -142,11 +142,11 @@
         let Some(server) = self.servers.get(&id) else {
             return;
         };
-        let is_deadly =
-            server.mode == ServerMode::Die || exchange.request.path.starts_with(CRASH_PATH);
-        let time = self.spread(time);
+        let crashes_server =
+            server.mode == ServerMode::Die || exchange.request.path.starts_with(CRASH_PATH_PREFIX);
+        let time = self.random_run_time(time);
         let deadline = exchange.deadline;
-        let is_cut_short = time > deadline;
+        let is_aborted = time > deadline;
         let Some(server) = self.servers.get_mut(&id) else {
             return;
         };
@@ -155,12 +155,12 @@
         let run = Run {
             from,
             exchange,
-            is_cut_short,
+            is_aborted,
         };
         server.runs.insert(execution, run);
         server.peak = server.peak.max(server.runs.len());
-        if is_deadly {
-            self.schedule(CRASH_AFTER, Delivery::Crash(id.clone()));
+        if crashes_server {
+            self.schedule(CRASH_DELAY, Delivery::Crash(id.clone()));
         }
         let ends = Delivery::RunEnds {
             server: id,
@@ -169,34 +169,34 @@
         self.schedule(time.min(deadline), ends);
     }
 
-    fn spread(&mut self, span: time::SpanMs) -> time::SpanMs {
-        let part_ms = span.get() * u64::from(self.settings.run_spread_permille) / 1_000;
-        self.random_ms(span.get() - part_ms, span.get() + part_ms)
+    fn random_run_time(&mut self, span: time::SpanMs) -> time::SpanMs {
+        let spread_ms = span.get() * u64::from(self.settings.run_spread_permille) / 1_000;
+        self.random_ms(span.get() - spread_ms, span.get() + spread_ms)
     }
 
-    pub(super) fn run_ends(&mut self, server: &ids::BackendServerId, execution: u64) {
+    pub(super) fn end_run(&mut self, server: &ids::BackendServerId, execution: u64) {
         let Some(server) = self.servers.get_mut(server) else {
             return;
         };
         let mode = server.mode;
         if let Some(run) = server.runs.remove(&execution) {
-            self.answer_run(mode, &run);
+            self.send_response(mode, &run);
         }
     }
 
-    fn answer_run(&mut self, mode: ServerMode, run: &Run) {
+    fn send_response(&mut self, mode: ServerMode, run: &Run) {
         let end = match mode {
             ServerMode::Swallow | ServerMode::Silent | ServerMode::HangUp => return,
             ServerMode::Cut => event::ExchangeEnd::TruncatedResponse,
             ServerMode::Cross => event::ExchangeEnd::MismatchedResponse,
             _ => event::ExchangeEnd::Answered(message::BackendResponse {
-                status: if run.is_cut_short {
-                    STATUS_GIVEN_UP
+                status: if run.is_aborted {
+                    STATUS_TIMED_OUT
                 } else {
-                    STATUS_DONE
+                    STATUS_COMPLETED
                 },
                 headers: Vec::new(),
-                body: super::answers::body(&run.exchange.request).into_bytes(),
+                body: super::responses::expected_body(&run.exchange.request).into_bytes(),
             }),
         };
         self.exchange_ended(&run.from, run.exchange.number, end);
@@ -216,29 +216,29 @@
             return;
         };
         server.cancelled += 1;
-        run.is_cut_short = true;
-        self.answer_run(mode, &run);
+        run.is_aborted = true;
+        self.send_response(mode, &run);
     }
 
-    /// The process dies: every connection to it breaks.
+    /// Crashes a backend server, so that each exchange that it runs loses its connection.
     pub(super) fn crash(&mut self, id: &ids::BackendServerId) {
         let Some(server) = self.servers.get_mut(id) else {
             return;
         };
-        server.is_dead = true;
-        let comes_back = server.mode != ServerMode::Die;
+        server.is_crashed = true;
+        let recovers = server.mode != ServerMode::Die;
         let runs = core::mem::take(&mut server.runs);
         for run in runs.into_values() {
             self.exchange_ended(&run.from, run.exchange.number, event::ExchangeEnd::Lost);
         }
-        if comes_back {
-            self.schedule(REVIVED_AFTER, Delivery::Revive(id.clone()));
+        if recovers {
+            self.schedule(RECOVERY_DELAY, Delivery::Recover(id.clone()));
         }
     }
 
-    pub(super) fn revive(&mut self, id: &ids::BackendServerId) {
+    pub(super) fn recover(&mut self, id: &ids::BackendServerId) {
         if let Some(server) = self.servers.get_mut(id) {
-            server.is_dead = false;
+            server.is_crashed = false;
         }
     }
 
@@ -249,7 +249,7 @@
         end: event::ExchangeEnd,
     ) {
         let event = event::Event::ExchangeEnded { exchange, end };
-        let way = self.way();
-        self.send_to_start(to, way, Input::Engine(Box::new(event)));
+        let delay = self.random_delay();
+        self.send_to_incarnation(to, delay, Input::Engine(Box::new(event)));
     }
 }
--- a/crates/damaskvane-scenario/src/world/settings.rs
+++ b/crates/damaskvane-scenario/src/world/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the world.
+//! Settings of the simulated network, backend servers and key tables.
 //!
 //! ```
 //! use damaskvane_scenario::world;
@@ -9,24 +9,24 @@
 
 use damaskvane_core::time;
 
-/// Settings of the world.
+/// Settings of a [`World`](super::World).
 #[derive(Debug, Clone)]
 pub struct WorldSettings {
-    /// The seed of all delays and losses.
+    /// The seed of all random delays, losses and run times.
     pub seed: u64,
-    /// The shortest way of a message between instances.
+    /// The minimum delay of a message.
     pub delay: time::SpanMs,
-    /// What is added to it at most.
+    /// The maximum random delay that is added to the minimum.
     pub jitter: time::SpanMs,
-    /// How many of a thousand messages between instances are lost.
+    /// How many of 1,000 messages between entry instances are lost.
     pub loss_permille: u32,
-    /// How many of a thousand messages between instances arrive twice.
+    /// How many of 1,000 messages between entry instances arrive twice.
     pub duplicated_permille: u32,
-    /// By how many thousandths the time of a request on a backend server varies, up and down.
+    /// The maximum deviation of a request's run time from its mean, up or down, in thousandths.
     pub run_spread_permille: u32,
-    /// How many keys one incarnation of an entry instance takes.
+    /// The maximum number of keys of one incarnation; `None` for the engine's default.
     pub max_keys: Option<usize>,
-    /// How long the outcome of a key is kept.
+    /// The time for which the outcome of a key is retained; `None` for the engine's default.
     pub key_window: Option<time::SpanMs>,
 }
 
--- a/crates/damaskvane-scenario/src/world/truth.rs
+++ b/crates/damaskvane-scenario/src/world/violations.rs
@@ -1,7 +1,7 @@
-//! Compares what ran with what clients were told.
+//! Checks of the execution logs of backend servers against the responses that clients received.
 //!
 //! ```text
-//! execution log + answers -> promises that were broken, in plain words
+//! execution logs + responses -> violated guarantees as text
 //! ```
 
 use std::collections::BTreeMap;
@@ -14,24 +14,24 @@
 use crate::world::{ClientState, Execution, World};
 
 impl World {
-    /// Every promise that was broken so far, in plain words.
+    /// Returns a text for each violation of a guarantee so far.
     #[must_use]
     pub fn violations(&self) -> Vec<String> {
-        let mut found = self.broken.clone();
-        self.find_second_runs(&mut found);
-        self.find_false_answers(&mut found);
+        let mut found = self.broken_invariants.clone();
+        self.find_duplicate_runs(&mut found);
+        self.find_false_responses(&mut found);
         self.find_server_faults(&mut found);
         found
     }
 
-    /// How often a key was run.
+    /// Returns how often backend servers ran a request with this key.
     #[must_use]
     pub fn runs(&self, key: &ids::IdempotencyKey) -> u64 {
         let all = self.servers.values().flat_map(|server| &server.log);
         all.filter(|run| run.key.as_ref() == Some(key)).count() as u64
     }
 
-    fn find_second_runs(&self, found: &mut Vec<String>) {
+    fn find_duplicate_runs(&self, found: &mut Vec<String>) {
         let mut first: BTreeMap<&ids::IdempotencyKey, (&ids::BackendServerId, &Execution)> =
             BTreeMap::new();
         for server in self.servers.values() {
@@ -53,7 +53,7 @@
         }
     }
 
-    fn find_false_answers(&self, found: &mut Vec<String>) {
+    fn find_false_responses(&self, found: &mut Vec<String>) {
         let mut ran: BTreeMap<(&ids::IdempotencyKey, Fingerprint), u32> = BTreeMap::new();
         let mut ran_ids: BTreeMap<&ids::RequestId, time::TimeMs> = BTreeMap::new();
         for run in self.servers.values().flat_map(|server| &server.log) {
@@ -66,8 +66,8 @@
             let ClientState::Answered { outcome, .. } = &sent.state else {
                 continue;
             };
-            if let outcome::Outcome::Completed(answer) = outcome
-                && answer.body != super::answers::body(&sent.request).into_bytes()
+            if let outcome::Outcome::Completed(response) = outcome
+                && response.body != super::responses::expected_body(&sent.request).into_bytes()
             {
                 found.push(format!("{label} got an answer that is not its own"));
             }
