--- a/crates/damaskvane-scenario/src/world/request_counts.rs
+++ b/crates/damaskvane-scenario/src/world/request_counts.rs
@@ -40,7 +40,7 @@
                 outcome::Outcome::Unknown(_) => self.unknown += 1,
             },
             ClientState::Waiting | ClientState::ConnectionLost | ClientState::Disconnected => {
-                self.unanswered += 1
+                self.unanswered += 1;
             }
         }
     }
