--- a/crates/damaskvane-bench/src/requests.rs
+++ b/crates/damaskvane-bench/src/requests.rs
@@ -42,7 +42,7 @@
         match name {
             "minutes" => minutes = arguments::value(parser)?,
             "virtual-s" => virtual_s = arguments::value(parser)?,
-            "faults" => settings.faults_a_minute = arguments::value(parser)?,
+            "faults" => settings.faults_per_minute = arguments::value(parser)?,
             "loss" => settings.loss_permille = arguments::value(parser)?,
             _ => return Ok(false),
         }
--- a/crates/damaskvane-scenario/src/random/chaos.rs
+++ b/crates/damaskvane-scenario/src/random/chaos.rs
@@ -40,7 +40,7 @@
     pub(super) fn new(settings: &RandomSettings) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(settings.seed ^ CHAOS_STREAM),
-            between_ms: 60_000 / settings.faults_a_minute.max(1),
+            between_ms: 60_000 / settings.faults_per_minute.max(1),
             next_at: time::TimeMs::ZERO,
             ends: Vec::new(),
             begun: 0,
--- a/crates/damaskvane-scenario/src/random/settings.rs
+++ b/crates/damaskvane-scenario/src/random/settings.rs
@@ -26,7 +26,7 @@
     /// How many of a thousand messages between instances arrive twice.
     pub duplicated_permille: u32,
     /// How many faults begin in a minute.
-    pub faults_a_minute: u64,
+    pub faults_per_minute: u64,
     /// How many requests clients begin in a second.
     pub requests_a_second: u64,
 }
@@ -41,7 +41,7 @@
             servers_a_zone: 3,
             loss_permille: 10,
             duplicated_permille: 10,
-            faults_a_minute: 20,
+            faults_per_minute: 20,
             requests_a_second: 40,
         }
     }
