--- a/crates/damaskvane-scenario/src/script/reader.rs
+++ b/crates/damaskvane-scenario/src/script/reader.rs
@@ -111,7 +111,7 @@
 fn keys(line: &mut TokenLine<'_>) -> Read<SetUp> {
     let remedy = "write: keys most=100 window=10m";
     Ok(SetUp::Keys {
-        most: line.needed("most", remedy)?,
+        max_keys: line.needed("most", remedy)?,
         window: line
             .span_option("window", remedy)?
             .unwrap_or(DEFAULT_WINDOW),
--- a/crates/damaskvane-scenario/src/script/set_up.rs
+++ b/crates/damaskvane-scenario/src/script/set_up.rs
@@ -27,7 +27,7 @@
     /// The table of idempotency keys of each entry instance.
     Keys {
         /// How many one incarnation takes.
-        most: usize,
+        max_keys: usize,
         /// How long outcomes are kept.
         window: time::SpanMs,
     },
--- a/crates/damaskvane-scenario/src/world/control.rs
+++ b/crates/damaskvane-scenario/src/world/control.rs
@@ -45,8 +45,8 @@
                 self.settings.jitter = jitter;
                 self.settings.loss_permille = loss_permille;
             }
-            SetUp::Keys { most, window } => {
-                self.settings.max_keys = Some(most);
+            SetUp::Keys { max_keys, window } => {
+                self.settings.max_keys = Some(max_keys);
                 self.settings.key_window = Some(window);
             }
             SetUp::Zone(_) => {}
