--- a/crates/damaskvane-scenario/src/lib.rs
+++ b/crates/damaskvane-scenario/src/lib.rs
@@ -1,11 +1,11 @@
-//! The scenario language and its runner over the pure decision code, in virtual time.
+//! Failure scenarios: a script language and a simulator that runs the decision code in virtual time.
 //!
 //! # Crate guide
 //!
-//! - [`script`]: the language; `docs/SCENARIOS.md` describes it.
-//! - [`world`]: the runner: real engines and memberships, fakes at their interfaces.
-//! - [`play`]: plays a script in a world and says what was not as expected.
-//! - [`random`]: seeded random traffic and faults in the same world.
+//! - [`script`]: parses the language, which `docs/SCENARIOS.md` describes.
+//! - [`world`]: simulates entry instances with their real engines and memberships, behind fake interfaces.
+//! - [`play`]: runs a script in a world and reports the first expectation that is not met.
+//! - [`random`]: generates seeded random traffic and faults in the same world.
 //!
 //! ```
 //! use damaskvane_scenario::{play, script};
--- a/crates/damaskvane-scenario/src/play.rs
+++ b/crates/damaskvane-scenario/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a script in a world.
+//! Runs a parsed script in a simulated world and reports the first statement that fails.
 //!
 //! ```
 //! use damaskvane_scenario::{play, script};
@@ -16,37 +16,38 @@
 use crate::script;
 use crate::world;
 
-/// Until every backend server has an owner that has heard the others.
-const SETTLING: time::SpanMs = time::SpanMs::new(8_000);
+/// Virtual time after the set-up until each backend server has an owner that has received messages of the
+/// other instances.
+const SETTLING_TIME: time::SpanMs = time::SpanMs::new(8_000);
 
 /// {file}:{line}: {text}: {found}; read the scenario's comments and the decision code it names
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct Failure {
-    /// The file.
+    /// The file name of the scenario.
     pub file: String,
-    /// The line, from 1.
+    /// The line number of the failed statement, counted from 1.
     pub line: usize,
-    /// The statement.
+    /// The text of the failed statement, without surrounding white space.
     pub text: String,
-    /// What was found in place of what it says.
+    /// The value found instead of the expected one, or the violated guarantee.
     pub found: String,
 }
 
-/// Plays a script; after each statement no promise may be broken.
+/// Runs the statements of a script in order and checks all guarantees after each statement.
 ///
 /// # Errors
 ///
-/// The first statement that was not fulfilled, with what was found.
+/// Returns the first statement whose expectation is not met or after which a guarantee is violated.
 pub fn play(script: &script::Script) -> Result<(), Failure> {
     let mut world = world::World::default();
     let mut is_settled = false;
     for line in &script.lines {
         let is_set_up = matches!(line.statement, script::Statement::SetUp(_));
         if !is_set_up && !is_settled {
-            world.advance(SETTLING);
+            world.advance(SETTLING_TIME);
             is_settled = true;
         }
-        let found = step(&mut world, &line.statement)
+        let found = execute(&mut world, &line.statement)
             .err()
             .or_else(|| world.violations().into_iter().next());
         if let Some(found) = found {
@@ -61,7 +62,7 @@
     Ok(())
 }
 
-fn step(world: &mut world::World, statement: &script::Statement) -> Result<(), String> {
+fn execute(world: &mut world::World, statement: &script::Statement) -> Result<(), String> {
     match statement {
         script::Statement::SetUp(set_up) => world.set_up(set_up.clone()),
         script::Statement::Request(request) => world.send(request),
--- a/crates/damaskvane-scenario/src/play/check.rs
+++ b/crates/damaskvane-scenario/src/play/check.rs
@@ -1,60 +1,62 @@
-//! Compares an expectation with the world.
+//! Checks the expectations of a script against the state of the world.
 //!
 //! ```text
-//! expectation + world -> fulfilled, or what was found
+//! expectation + world -> Ok, or Err with the value found
 //! ```
 
 use damaskvane_core::ids;
 use damaskvane_dispatch::{fingerprint, outcome};
 
-use crate::script::{Comparison, Expectation, ExpectedAnswer};
+use crate::script::{Comparison, Expectation, ExpectedResponse};
 use crate::world::{ClientState, Server, World};
 
-type Checked = Result<(), String>;
+type CheckResult = Result<(), String>;
 
-pub(super) fn check(world: &World, expectation: &Expectation) -> Checked {
+pub(super) fn check(world: &World, expectation: &Expectation) -> CheckResult {
     match expectation {
-        Expectation::Answer { label, expected } => answer(world, label, *expected),
-        Expectation::Answers {
+        Expectation::Response { label, expected } => check_response(world, label, *expected),
+        Expectation::Responses {
             label,
             expected,
             count,
-        } => answers(world, label, *expected, *count),
-        Expectation::Runs { key, count } => number(world.runs(key), *count),
+        } => check_responses(world, label, *expected, *count),
+        Expectation::Runs { key, count } => compare(world.runs(key), *count),
         Expectation::Peak { server, count } => {
-            number(server_of(world, server)?.peak as u64, *count)
+            compare(find_server(world, server)?.peak as u64, *count)
         }
         Expectation::Started { server, count } => {
-            number(server_of(world, server)?.log.len() as u64, *count)
+            compare(find_server(world, server)?.log.len() as u64, *count)
         }
         Expectation::Cancelled { server, count } => {
-            number(server_of(world, server)?.cancelled, *count)
+            compare(find_server(world, server)?.cancelled, *count)
         }
-        Expectation::Waited { label, wait_ms } => waited(world, label, *wait_ms),
-        Expectation::RetryAfter { label, wait_ms } => retry_after(world, label, *wait_ms),
-        Expectation::Incarnation { instance, number } => incarnation(world, instance, *number),
-        Expectation::NoNewWork(server) => no_new_work(world, server),
-        Expectation::Stopped(instance) => stopped(world, instance),
-        Expectation::Quarantined(path) => quarantined(world, path),
+        Expectation::Waited { label, wait_ms } => check_wait(world, label, *wait_ms),
+        Expectation::RetryAfter { label, wait_ms } => check_retry_after(world, label, *wait_ms),
+        Expectation::Incarnation { instance, number } => {
+            check_incarnation(world, instance, *number)
+        }
+        Expectation::NoNewWork(server) => check_no_new_work(world, server),
+        Expectation::Stopped(instance) => check_stopped(world, instance),
+        Expectation::Quarantined(path) => check_quarantined(world, path),
     }
 }
 
-fn number(measured: u64, wanted: Comparison) -> Checked {
-    if wanted.holds(measured) {
+fn compare(measured: u64, expected: Comparison) -> CheckResult {
+    if expected.holds(measured) {
         Ok(())
     } else {
         Err(format!("found {measured}"))
     }
 }
 
-fn server_of<'a>(world: &'a World, server: &ids::BackendServerId) -> Result<&'a Server, String> {
+fn find_server<'a>(world: &'a World, server: &ids::BackendServerId) -> Result<&'a Server, String> {
     world
         .servers
         .get(server)
         .ok_or_else(|| format!("there is no backend server {server}"))
 }
 
-fn state<'a>(world: &'a World, label: &ids::RequestId) -> Result<&'a ClientState, String> {
+fn client_state<'a>(world: &'a World, label: &ids::RequestId) -> Result<&'a ClientState, String> {
     world
         .requests
         .get(label)
@@ -62,54 +64,58 @@
         .ok_or_else(|| format!("nobody sent {label}"))
 }
 
-fn answer(world: &World, label: &ids::RequestId, expected: ExpectedAnswer) -> Checked {
-    let state = state(world, label)?;
-    if is_as_expected(state, expected) {
+fn check_response(
+    world: &World,
+    label: &ids::RequestId,
+    expected: ExpectedResponse,
+) -> CheckResult {
+    let state = client_state(world, label)?;
+    if matches_expected(state, expected) {
         Ok(())
     } else {
-        Err(format!("found {}", described(state)))
+        Err(format!("found {}", describe(state)))
     }
 }
 
-fn answers(
+fn check_responses(
     world: &World,
     label: &ids::RequestId,
-    expected: ExpectedAnswer,
+    expected: ExpectedResponse,
     count: Comparison,
-) -> Checked {
+) -> CheckResult {
     let prefix = format!("{label}.");
-    let series: Vec<&ClientState> = world
+    let responses: Vec<&ClientState> = world
         .requests
         .iter()
         .filter(|(label, _)| label.as_str().starts_with(&prefix))
         .map(|(_, sent)| &sent.state)
         .collect();
-    let fitting = series
+    let matching = responses
         .iter()
-        .filter(|state| is_as_expected(state, expected));
-    number(fitting.count() as u64, count).map_err(|found| {
-        let all: Vec<String> = series.iter().map(|state| described(state)).collect();
-        format!("{found} of {}", all.join(", "))
+        .filter(|state| matches_expected(state, expected));
+    compare(matching.count() as u64, count).map_err(|found| {
+        let descriptions: Vec<String> = responses.iter().map(|state| describe(state)).collect();
+        format!("{found} of {}", descriptions.join(", "))
     })
 }
 
-fn is_as_expected(state: &ClientState, expected: ExpectedAnswer) -> bool {
+fn matches_expected(state: &ClientState, expected: ExpectedResponse) -> bool {
     let ClientState::Answered { outcome, .. } = state else {
-        return expected == ExpectedAnswer::None;
+        return expected == ExpectedResponse::None;
     };
     match (outcome, expected) {
-        (outcome::Outcome::Completed(_), ExpectedAnswer::Completed) => true,
-        (outcome::Outcome::NotRun(found), ExpectedAnswer::NotRun(wanted)) => {
-            wanted.is_none_or(|wanted| wanted == found.reason())
+        (outcome::Outcome::Completed(_), ExpectedResponse::Completed) => true,
+        (outcome::Outcome::NotRun(found), ExpectedResponse::NotRun(reason)) => {
+            reason.is_none_or(|reason| reason == found.reason())
         }
-        (outcome::Outcome::Unknown(found), ExpectedAnswer::Unknown(wanted)) => {
-            wanted.is_none_or(|wanted| wanted == found.reason())
+        (outcome::Outcome::Unknown(found), ExpectedResponse::Unknown(reason)) => {
+            reason.is_none_or(|reason| reason == found.reason())
         }
         _ => false,
     }
 }
 
-fn described(state: &ClientState) -> String {
+fn describe(state: &ClientState) -> String {
     match state {
         ClientState::Waiting => "none".to_owned(),
         ClientState::ConnectionLost => "none (connection lost)".to_owned(),
@@ -121,36 +127,40 @@
     }
 }
 
-fn waited(world: &World, label: &ids::RequestId, wanted: Comparison) -> Checked {
+fn check_wait(world: &World, label: &ids::RequestId, expected: Comparison) -> CheckResult {
     let Some(sent) = world.requests.get(label) else {
         return Err(format!("nobody sent {label}"));
     };
     match &sent.state {
-        ClientState::Answered { at, .. } => number(at.since(sent.sent_at).get(), wanted),
-        other => Err(format!("found {}", described(other))),
+        ClientState::Answered { at, .. } => compare(at.since(sent.sent_at).get(), expected),
+        other => Err(format!("found {}", describe(other))),
     }
 }
 
-fn retry_after(world: &World, label: &ids::RequestId, wanted: Comparison) -> Checked {
-    match state(world, label)? {
+fn check_retry_after(world: &World, label: &ids::RequestId, expected: Comparison) -> CheckResult {
+    match client_state(world, label)? {
         ClientState::Answered {
             outcome: outcome::Outcome::NotRun(refused),
             ..
-        } => number(refused.retry_after().get(), wanted),
-        other => Err(format!("found {}", described(other))),
+        } => compare(refused.retry_after().get(), expected),
+        other => Err(format!("found {}", describe(other))),
     }
 }
 
-/// Incarnations count from the number that the instance's first start had.
-fn incarnation(world: &World, instance: &ids::InstanceId, wanted: Comparison) -> Checked {
+/// Compares the absolute incarnation number; the first incarnation of each instance is 1000.
+fn check_incarnation(
+    world: &World,
+    instance: &ids::InstanceId,
+    expected: Comparison,
+) -> CheckResult {
     match world.home(instance) {
-        Some(home) => number(home.incarnation.get(), wanted),
+        Some(home) => compare(home.incarnation.get(), expected),
         None => Err(format!("there is no entry instance {instance}")),
     }
 }
 
-fn no_new_work(world: &World, server: &ids::BackendServerId) -> Checked {
-    match server_of(world, server)?.late_requests {
+fn check_no_new_work(world: &World, server: &ids::BackendServerId) -> CheckResult {
+    match find_server(world, server)?.late_requests {
         0 => Ok(()),
         late => Err(format!(
             "found {late} requests started later than 2 s after the order"
@@ -158,7 +168,7 @@
     }
 }
 
-fn stopped(world: &World, instance: &ids::InstanceId) -> Checked {
+fn check_stopped(world: &World, instance: &ids::InstanceId) -> CheckResult {
     match world.entries.get(instance) {
         Some(entry) if entry.has_stopped => Ok(()),
         Some(entry) => Err(format!("found it {:?}", entry.process_state)),
@@ -166,8 +176,8 @@
     }
 }
 
-/// Refused for the path on every running instance that knows of it.
-fn quarantined(world: &World, path: &str) -> Checked {
+/// Checks that at least one entry instance rejects a request that was sent with this path.
+fn check_quarantined(world: &World, path: &str) -> CheckResult {
     let fingerprints: Vec<fingerprint::Fingerprint> = world
         .requests
         .values()
--- a/crates/damaskvane-scenario/src/random.rs
+++ b/crates/damaskvane-scenario/src/random.rs
@@ -1,4 +1,4 @@
-//! Seeded random traffic and faults over the same world.
+//! Random traffic and faults from a seed, in the same simulated world that scripts use.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -8,7 +8,7 @@
 //! assert!(random::run(&settings).violations.is_empty());
 //! ```
 
-mod chaos;
+mod fault_injector;
 mod report;
 mod settings;
 mod traffic;
@@ -22,35 +22,37 @@
 use crate::world;
 
 const STEP: time::SpanMs = time::SpanMs::new(20);
-const SETTLING: time::SpanMs = time::SpanMs::new(8_000);
+const SETTLING_TIME: time::SpanMs = time::SpanMs::new(8_000);
 const CHECK_PERIOD: time::SpanMs = time::SpanMs::new(10_000);
-/// After the last fault, until all that still runs has ended.
-const COOLING: time::SpanMs = time::SpanMs::new(40_000);
+/// Virtual time after the end of the last fault until all running requests have ended.
+const COMPLETION_TIME: time::SpanMs = time::SpanMs::new(40_000);
 
-/// Runs for the span of virtual time, and checks every promise every ten seconds and at the end.
+/// Runs traffic and faults for the given virtual time; checks all guarantees every 10 s and at the end.
+///
+/// Stops at the first check that finds a violated guarantee.
 #[must_use]
 pub fn run(settings: &RandomSettings) -> Report {
     let mut world = build(settings);
     let mut traffic = traffic::Traffic::new(settings);
-    let mut chaos = chaos::Chaos::new(settings);
-    world.advance(SETTLING);
+    let mut fault_injector = fault_injector::FaultInjector::new(settings);
+    world.advance(SETTLING_TIME);
     let end = world.now + settings.span;
     let mut next_check = world.now;
     while world.now < end {
-        chaos.act(&mut world);
-        traffic.act(&mut world);
+        fault_injector.step(&mut world);
+        traffic.step(&mut world);
         world.advance(STEP);
         if world.now >= next_check {
             next_check = world.now + CHECK_PERIOD;
             if !world.violations().is_empty() {
-                return Report::of(settings.seed, &world, &chaos);
+                return Report::of(settings.seed, &world, &fault_injector);
             }
             world.drop_old_requests();
         }
     }
-    chaos.end_all(&mut world);
-    world.advance(COOLING);
-    Report::of(settings.seed, &world, &chaos)
+    fault_injector.recover_all(&mut world);
+    world.advance(COMPLETION_TIME);
+    Report::of(settings.seed, &world, &fault_injector)
 }
 
 fn build(settings: &RandomSettings) -> world::World {
@@ -62,51 +64,51 @@
         run_spread_permille: 800,
         ..world::WorldSettings::default()
     });
-    for set_up in declared(settings) {
+    for set_up in set_up_statements(settings) {
         world.set_up(set_up);
     }
     world
 }
 
-fn declared(settings: &RandomSettings) -> Vec<SetUp> {
-    let mut declared = vec![SetUp::Service {
+fn set_up_statements(settings: &RandomSettings) -> Vec<SetUp> {
+    let mut set_up_statements = vec![SetUp::Service {
         service: traffic::service(),
         timeout: time::SpanMs::new(2_000),
         queue: 12,
         time: time::SpanMs::new(60),
     }];
     for zone in 0..settings.zones {
-        for number in 0..settings.servers_a_zone {
-            declared.push(SetUp::Server {
+        for number in 0..settings.servers_per_zone {
+            set_up_statements.push(SetUp::Server {
                 server: server_id(zone, number),
                 zone: zone_id(zone),
                 service: traffic::service(),
                 slots: units::Slots::new(2),
             });
         }
-        for number in 0..settings.entries_a_zone {
-            declared.push(SetUp::Entry {
+        for number in 0..settings.entries_per_zone {
+            set_up_statements.push(SetUp::Entry {
                 instance: entry_id(zone, number),
                 zone: zone_id(zone),
             });
         }
     }
-    declared
+    set_up_statements
 }
 
-fn named<T: core::str::FromStr>(text: &str) -> T {
+fn parse_id<T: core::str::FromStr>(text: &str) -> T {
     text.parse()
-        .unwrap_or_else(|_| unreachable!("a letter and numbers are a name"))
+        .unwrap_or_else(|_| unreachable!("ids built from letters and numbers are valid"))
 }
 
 fn zone_id(zone: u32) -> ids::AvailabilityZoneId {
-    named(&format!("sask-{zone}"))
+    parse_id(&format!("sask-{zone}"))
 }
 
 fn server_id(zone: u32, number: u32) -> ids::BackendServerId {
-    named(&format!("r{zone}-{number}"))
+    parse_id(&format!("r{zone}-{number}"))
 }
 
 fn entry_id(zone: u32, number: u32) -> ids::InstanceId {
-    named(&format!("e{zone}-{number}"))
+    parse_id(&format!("e{zone}-{number}"))
 }
--- a/crates/damaskvane-scenario/src/random/report.rs
+++ b/crates/damaskvane-scenario/src/random/report.rs
@@ -1,4 +1,4 @@
-//! What a random run found.
+//! The report of a random run: counters of requests and faults, and violated guarantees.
 //!
 //! ```
 //! use damaskvane_scenario::random;
@@ -11,38 +11,40 @@
 
 use core::fmt;
 
-use crate::random::chaos::Chaos;
+use crate::random::fault_injector::FaultInjector;
 use crate::world::World;
 
-/// What a random run found.
+/// The result of a random run.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// The seed that repeats it.
+    /// The seed of the run; the same seed and settings repeat the run.
     pub seed: u64,
-    /// Virtual time in milliseconds.
+    /// The virtual time that the run took, in milliseconds.
     pub ran_ms: u64,
-    /// Tries that clients sent.
+    /// Attempts that clients sent.
     pub sent: u64,
-    /// Tries answered with a whole answer.
+    /// Attempts that received the complete response of a backend server.
     pub completed: u64,
-    /// Tries answered with *not run*.
+    /// Attempts that received the outcome *not run*.
     pub not_run: u64,
-    /// Tries answered with *unknown*.
+    /// Attempts that received the outcome *unknown*.
     pub unknown: u64,
-    /// Tries that got no answer: their instance ended, or their client went away.
+    /// Attempts without a response: the request is waiting, its instance ended, or its client disconnected.
     pub unanswered: u64,
-    /// Requests that backend servers ran.
+    /// Requests that backend servers started.
     pub runs: u64,
-    /// Faults, the last ones first.
+    /// Faults that were injected.
     pub faults: u64,
-    /// Promises that were broken, in plain words.
+    /// Descriptions of the violated guarantees.
     pub violations: Vec<String>,
-    /// The latest faults, to make a scenario of.
+    /// The latest faults and recoveries, newest first; empty without violations.
+    ///
+    /// A script that reproduces the violation can be written from them.
     pub last_faults: Vec<String>,
 }
 
 impl Report {
-    pub(super) fn of(seed: u64, world: &World, chaos: &Chaos) -> Self {
+    pub(super) fn of(seed: u64, world: &World, fault_injector: &FaultInjector) -> Self {
         let request_counts = world.request_counts();
         let violations = world.violations();
         Self {
@@ -54,11 +56,11 @@
             unknown: request_counts.unknown,
             unanswered: request_counts.unanswered,
             runs: world.all_runs(),
-            faults: chaos.begun,
+            faults: fault_injector.fault_count,
             last_faults: if violations.is_empty() {
                 Vec::new()
             } else {
-                chaos.last.iter().cloned().collect()
+                fault_injector.recent_faults.iter().cloned().collect()
             },
             violations,
         }
--- a/crates/damaskvane-scenario/src/random/settings.rs
+++ b/crates/damaskvane-scenario/src/random/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a random run.
+//! The settings of a random run: topology, message loss, and rates of requests and faults.
 //!
 //! ```
 //! use damaskvane_scenario::random;
@@ -8,27 +8,27 @@
 
 use damaskvane_core::time;
 
-/// Settings of a random run.
+/// The settings of a random run; the default is one minute of virtual time in two zones.
 #[derive(Debug, Clone)]
 pub struct RandomSettings {
-    /// The seed of everything.
+    /// The seed of all random choices: network, faults and traffic.
     pub seed: u64,
-    /// How much virtual time passes under traffic and faults.
+    /// The virtual time during which traffic and faults are generated.
     pub span: time::SpanMs,
-    /// Availability zones.
+    /// The number of availability zones.
     pub zones: u32,
-    /// Entry instances in each.
-    pub entries_a_zone: u32,
-    /// Backend servers in each.
-    pub servers_a_zone: u32,
-    /// How many of a thousand messages between instances are lost.
+    /// The number of entry instances in each zone.
+    pub entries_per_zone: u32,
+    /// The number of backend servers in each zone.
+    pub servers_per_zone: u32,
+    /// The number of messages between instances that are lost, per thousand.
     pub loss_permille: u32,
-    /// How many of a thousand messages between instances arrive twice.
+    /// The number of messages between instances that arrive twice, per thousand.
     pub duplicated_permille: u32,
-    /// How many faults begin in a minute.
+    /// The mean number of faults that begin in a minute of virtual time.
     pub faults_per_minute: u64,
-    /// How many requests clients begin in a second.
-    pub requests_a_second: u64,
+    /// The number of new requests per second of virtual time, without retries.
+    pub requests_per_second: u64,
 }
 
 impl Default for RandomSettings {
@@ -37,12 +37,12 @@
             seed: 1,
             span: time::SpanMs::new(60_000),
             zones: 2,
-            entries_a_zone: 2,
-            servers_a_zone: 3,
+            entries_per_zone: 2,
+            servers_per_zone: 3,
             loss_permille: 10,
             duplicated_permille: 10,
             faults_per_minute: 20,
-            requests_a_second: 40,
+            requests_per_second: 40,
         }
     }
 }
--- a/crates/damaskvane-scenario/src/random/traffic.rs
+++ b/crates/damaskvane-scenario/src/random/traffic.rs
@@ -1,7 +1,8 @@
-//! Random clients: look-ups, and bookings that are tried again and again, through any instance.
+//! Generates the traffic of random clients: repeatable requests, and keyed requests that clients retry
+//! through any instance.
 //!
 //! ```text
-//! new booking -> a home that look-ups name -> up to four tries, some at once, some after an answer
+//! new keyed request -> home from a lookup -> up to five attempts, some before the previous one ended
 //! ```
 
 use std::collections::VecDeque;
@@ -12,65 +13,66 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::random::{RandomSettings, named};
+use crate::random::{RandomSettings, parse_id};
 use crate::script::Request;
 use crate::world::World;
 
-const MOST_TRIES: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 const TRAFFIC_STREAM: u64 = 0x7261_6666_6963;
-/// A request for this path kills what runs it.
+/// Share of repeatable requests with a path that crashes the backend server, in thousandths.
 const CRASH_PERMILLE: u32 = 3;
-const GONE_PERMILLE: u32 = 40;
+const DISCONNECT_PERMILLE: u32 = 40;
 
 pub(super) fn service() -> ids::ServiceId {
-    named("rider-desk")
+    parse_id("rider-desk")
 }
 
-/// A booking whose client may try it again.
+/// A non-repeatable request with an idempotency key, which the client may send again.
 #[derive(Debug)]
-struct Booking {
+struct KeyedRequest {
     number: u64,
     home: ids::InstanceId,
-    tries: u32,
+    attempts: u32,
     next_at: time::TimeMs,
 }
 
-/// All clients.
+/// The state of all clients.
 #[derive(Debug)]
 pub(super) struct Traffic {
     rng: Pcg64Mcg,
-    a_second: u64,
-    bookings: Vec<Booking>,
-    patience: VecDeque<(time::TimeMs, ids::RequestId)>,
+    requests_per_second: u64,
+    keyed_requests: Vec<KeyedRequest>,
+    pending_disconnects: VecDeque<(time::TimeMs, ids::RequestId)>,
     next_number: u64,
-    owed_permille: u64,
+    /// Requests that are due and not sent yet, in thousandths of a request.
+    due_thousandths: u64,
 }
 
 impl Traffic {
     pub(super) fn new(settings: &RandomSettings) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(settings.seed ^ TRAFFIC_STREAM),
-            a_second: settings.requests_a_second,
-            bookings: Vec::new(),
-            patience: VecDeque::new(),
+            requests_per_second: settings.requests_per_second,
+            keyed_requests: Vec::new(),
+            pending_disconnects: VecDeque::new(),
             next_number: 0,
-            owed_permille: 0,
+            due_thousandths: 0,
         }
     }
 
-    pub(super) fn act(&mut self, world: &mut World) {
-        self.owed_permille += self.a_second * super::STEP.get();
-        while self.owed_permille >= 1_000 {
-            self.owed_permille -= 1_000;
-            self.begin(world);
+    pub(super) fn step(&mut self, world: &mut World) {
+        self.due_thousandths += self.requests_per_second * super::STEP.get();
+        while self.due_thousandths >= 1_000 {
+            self.due_thousandths -= 1_000;
+            self.start_request(world);
         }
-        self.try_again(world);
-        self.lose_patience(world);
+        self.send_due_attempts(world);
+        self.disconnect_due(world);
     }
 
-    fn begin(&mut self, world: &mut World) {
-        let offered = world.offered();
-        let Some(via) = offered.choose(&mut self.rng).cloned() else {
+    fn start_request(&mut self, world: &mut World) {
+        let offered_instances = world.offered();
+        let Some(via) = offered_instances.choose(&mut self.rng).cloned() else {
             return;
         };
         self.next_number += 1;
@@ -83,10 +85,10 @@
             self.send(world, &request);
             return;
         }
-        self.bookings.push(Booking {
+        self.keyed_requests.push(KeyedRequest {
             number,
             home: via,
-            tries: 0,
+            attempts: 0,
             next_at: world.now,
         });
     }
@@ -100,7 +102,7 @@
         ];
         let priority = priorities.choose(&mut self.rng).copied();
         Request {
-            label: named(label),
+            label: parse_id(label),
             is_repeatable: true,
             via,
             service: service(),
@@ -115,62 +117,68 @@
         }
     }
 
-    /// The first try goes to the home; later ones to any instance, whether or not the last was answered.
-    fn try_again(&mut self, world: &mut World) {
+    /// Sends the attempts that are due: the first to the home, later ones to any instance.
+    ///
+    /// A later attempt does not wait for the response to the previous one.
+    fn send_due_attempts(&mut self, world: &mut World) {
         let now = world.now;
-        let all = world.instances();
-        let (due, later): (Vec<Booking>, Vec<Booking>) = self
-            .bookings
+        let instances = world.instances();
+        let (due, later): (Vec<KeyedRequest>, Vec<KeyedRequest>) = self
+            .keyed_requests
             .drain(..)
-            .partition(|booking| booking.next_at <= now);
-        self.bookings = later;
-        for mut booking in due {
-            booking.tries += 1;
-            let is_first = booking.tries == 1;
-            let via = match all.choose(&mut self.rng) {
+            .partition(|keyed_request| keyed_request.next_at <= now);
+        self.keyed_requests = later;
+        for mut keyed_request in due {
+            keyed_request.attempts += 1;
+            let is_first = keyed_request.attempts == 1;
+            let via = match instances.choose(&mut self.rng) {
                 Some(any) if !is_first => any.clone(),
-                _ => booking.home.clone(),
+                _ => keyed_request.home.clone(),
             };
-            let label = format!("p{}.{}", booking.number, booking.tries);
+            let label = format!("p{}.{}", keyed_request.number, keyed_request.attempts);
             let request = Request {
                 is_repeatable: false,
-                key: Some(named(&format!("k{}", booking.number))),
-                home: Some(booking.home.clone()),
-                try_number: booking.tries,
+                key: Some(parse_id(&format!("k{}", keyed_request.number))),
+                home: Some(keyed_request.home.clone()),
+                try_number: keyed_request.attempts,
                 body: "meals".to_owned(),
                 path: "/book".to_owned(),
                 ..self.request(&label, via)
             };
             self.send(world, &request);
-            if booking.tries < MOST_TRIES && self.rng.random_range(0..3) > 0 {
-                booking.next_at = now + self.pause();
-                self.bookings.push(booking);
+            if keyed_request.attempts < MAX_ATTEMPTS && self.rng.random_range(0..3) > 0 {
+                keyed_request.next_at = now + self.retry_delay();
+                self.keyed_requests.push(keyed_request);
             }
         }
     }
 
-    /// Mostly soon, at times much later: after a restart, or when the home is back.
-    fn pause(&mut self) -> time::SpanMs {
-        let longest_ms = *[20, 500, 3_000, 15_000]
+    /// Returns the delay before the next attempt.
+    ///
+    /// Most delays are short; with a long delay the attempt arrives after a restart or a recovery of the home.
+    fn retry_delay(&mut self) -> time::SpanMs {
+        let max_ms = *[20, 500, 3_000, 15_000]
             .choose(&mut self.rng)
             .unwrap_or(&20);
-        time::SpanMs::new(self.rng.random_range(0..=longest_ms))
+        time::SpanMs::new(self.rng.random_range(0..=max_ms))
     }
 
     fn send(&mut self, world: &mut World, request: &Request) {
         world.send(request);
-        if self.rng.random_range(0..1_000) < GONE_PERMILLE {
+        if self.rng.random_range(0..1_000) < DISCONNECT_PERMILLE {
             let after = time::SpanMs::new(self.rng.random_range(0..=200));
-            self.patience
+            self.pending_disconnects
                 .push_back((world.now + after, request.label.clone()));
         }
     }
 
-    fn lose_patience(&mut self, world: &mut World) {
+    fn disconnect_due(&mut self, world: &mut World) {
         let now = world.now;
-        let (due, later): (Vec<_>, Vec<_>) =
-            self.patience.drain(..).partition(|(at, _)| *at <= now);
-        self.patience = later.into();
+        let (due, later): (Vec<_>, Vec<_>) = self
+            .pending_disconnects
+            .drain(..)
+            .partition(|(at, _)| *at <= now);
+        self.pending_disconnects = later.into();
         for (_, label) in due {
             world.disconnect(&label);
         }
--- a/crates/damaskvane-scenario/src/script.rs
+++ b/crates/damaskvane-scenario/src/script.rs
@@ -1,4 +1,4 @@
-//! The scenario language: one statement a line, read into typed statements.
+//! The scenario language: parses a script of one statement per line into typed statements.
 //!
 //! ```
 //! use damaskvane_scenario::script;
@@ -12,14 +12,14 @@
 mod expectation;
 mod fault;
 mod line;
-mod reader;
+mod parser;
 mod request;
 mod set_up;
 mod statement;
 mod token;
 
 pub use error::ScriptError;
-pub use expectation::{Comparison, Expectation, ExpectedAnswer, Operator};
+pub use expectation::{Comparison, Expectation, ExpectedResponse, Operator};
 pub use fault::{Fault, ServerMode};
 pub use request::Request;
 pub use set_up::SetUp;
--- a/crates/damaskvane-scenario/src/script/error.rs
+++ b/crates/damaskvane-scenario/src/script/error.rs
@@ -1,4 +1,4 @@
-//! A mistake in a scenario file.
+//! The syntax error of a scenario file.
 //!
 //! ```
 //! use damaskvane_scenario::script;
@@ -10,14 +10,14 @@
 /// {file}:{line}:{column}: {problem}; {remedy}
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ScriptError {
-    /// The file.
+    /// The file name that was given to the parser.
     pub file: String,
-    /// The line, from 1.
+    /// The line number, counted from 1.
     pub line: usize,
-    /// The column, from 1.
+    /// The column in characters, counted from 1.
     pub column: usize,
-    /// What is wrong there.
+    /// The error at this position.
     pub problem: String,
-    /// What to write in its place.
+    /// The syntax to write instead.
     pub remedy: String,
 }
--- a/crates/damaskvane-scenario/src/script/expectation.rs
+++ b/crates/damaskvane-scenario/src/script/expectation.rs
@@ -1,4 +1,4 @@
-//! What a scenario expects to have happened.
+//! The expectations of a script: conditions on the state of the world at one point of the script.
 //!
 //! ```
 //! use damaskvane_scenario::script;
@@ -12,7 +12,7 @@
 use damaskvane_core::ids;
 use damaskvane_dispatch::refusal;
 
-/// How a number is compared.
+/// A comparison operator of the scenario language.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operator {
     /// `=`
@@ -23,17 +23,17 @@
     AtLeast,
 }
 
-/// A number to compare with.
+/// A condition on a number: an operator and its right-hand side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Comparison {
-    /// How.
+    /// The operator between the measured number and `value`.
     pub operator: Operator,
-    /// With what.
+    /// The right-hand side of the comparison.
     pub value: u64,
 }
 
 impl Comparison {
-    /// Whether a measured number is as expected.
+    /// Returns whether a measured number satisfies the comparison.
     #[must_use]
     pub const fn holds(self, measured: u64) -> bool {
         match self.operator {
@@ -55,91 +55,91 @@
     }
 }
 
-/// The answer a client is expected to hold.
+/// The response that a client is expected to have received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ExpectedAnswer {
-    /// The backend server's whole answer.
+pub enum ExpectedResponse {
+    /// The complete response of a backend server.
     Completed,
-    /// *Not run*, for this reason where one is given.
+    /// The outcome *not run*; `None` accepts any reason.
     NotRun(Option<refusal::RefusalReason>),
-    /// *Outcome unknown*, for this reason where one is given.
+    /// The outcome *unknown*; `None` accepts any reason.
     Unknown(Option<refusal::RefusalReason>),
-    /// No answer (yet).
+    /// No response: the request is waiting, its connection was lost, or its client disconnected.
     None,
 }
 
-/// What a scenario expects to have happened.
+/// A condition that the world must satisfy when the statement runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Expectation {
-    /// One request has this answer.
-    Answer {
-        /// The request.
+    /// One request received this response.
+    Response {
+        /// The label of the request.
         label: ids::RequestId,
-        /// The answer.
-        expected: ExpectedAnswer,
+        /// The expected response.
+        expected: ExpectedResponse,
     },
-    /// So many requests of a series have this answer.
-    Answers {
-        /// The label of the series.
+    /// A number of requests of a series received this response.
+    Responses {
+        /// The label of the series, without the number of a single request.
         label: ids::RequestId,
-        /// The answer.
-        expected: ExpectedAnswer,
-        /// How many.
+        /// The expected response.
+        expected: ExpectedResponse,
+        /// The expected number of requests.
         count: Comparison,
     },
-    /// A key was run so often.
+    /// Backend servers ran the requests of an idempotency key a number of times.
     Runs {
-        /// The key.
+        /// The idempotency key.
         key: ids::IdempotencyKey,
-        /// How often.
+        /// The expected number of runs.
         count: Comparison,
     },
-    /// So many requests ran on a backend server at a time, at most.
+    /// The highest number of requests that a backend server ran at the same time.
     Peak {
-        /// The backend server.
+        /// The id of the backend server.
         server: ids::BackendServerId,
-        /// How many.
+        /// The expected number of requests.
         count: Comparison,
     },
-    /// So many requests were started on a backend server.
+    /// The number of requests that a backend server started.
     Started {
-        /// The backend server.
+        /// The id of the backend server.
         server: ids::BackendServerId,
-        /// How many.
+        /// The expected number of requests.
         count: Comparison,
     },
-    /// So many requests on a backend server were cancelled while they ran.
+    /// The number of requests that were cancelled while a backend server ran them.
     Cancelled {
-        /// The backend server.
+        /// The id of the backend server.
         server: ids::BackendServerId,
-        /// How many.
+        /// The expected number of requests.
         count: Comparison,
     },
-    /// A client waited so many milliseconds for its answer.
+    /// The time from the sending of a request to its response.
     Waited {
-        /// The request.
+        /// The label of the request.
         label: ids::RequestId,
         /// How long, in milliseconds.
         wait_ms: Comparison,
     },
-    /// An answer *not run* names so many milliseconds until the client should come back.
+    /// The retry delay that a response *not run* gives the client.
     RetryAfter {
-        /// The request.
+        /// The label of the request.
         label: ids::RequestId,
         /// How long, in milliseconds.
         wait_ms: Comparison,
     },
-    /// The home of an instance's keys has this incarnation.
+    /// The home that a lookup returns for an instance has this incarnation.
     Incarnation {
-        /// The instance.
+        /// The entry instance.
         instance: ids::InstanceId,
-        /// The incarnation.
+        /// The expected incarnation number.
         number: Comparison,
     },
-    /// A draining backend server got no work later than two seconds after the order.
+    /// No request was started on a draining backend server later than two seconds after the drain order.
     NoNewWork(ids::BackendServerId),
-    /// A planned stop ended by itself, with nobody cut off.
+    /// A planned stop completed, and no client lost its connection.
     Stopped(ids::InstanceId),
-    /// Requests for a path are refused because they crash backend servers.
+    /// At least one entry instance rejects requests of this path because they crash backend servers.
     Quarantined(String),
 }
--- a/crates/damaskvane-scenario/src/script/fault.rs
+++ b/crates/damaskvane-scenario/src/script/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a scenario.
+//! The faults that a script injects into backend servers, entry instances and the network.
 //!
 //! ```
 //! use damaskvane_scenario::script;
@@ -8,54 +8,54 @@
 
 use damaskvane_core::{ids, time};
 
-/// How a backend server behaves.
+/// The behaviour of a backend server towards new connections and requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerMode {
-    /// It runs what it gets and answers (`ok`).
+    /// Runs each request and responds (`ok` in scripts).
     Healthy,
-    /// It refuses everything before running it.
+    /// Refuses each request before running it.
     Shed,
-    /// The next request is read, begun, and kills it.
+    /// Starts the next request and crashes while running it; stays down until the mode changes.
     Die,
-    /// It reads a request, its connection breaks, and the request runs on.
+    /// Closes the connection after reading a request, and continues to run the request.
     HangUp,
-    /// It runs requests and never answers.
+    /// Runs requests and never responds.
     Swallow,
-    /// Connections open, and nothing is read from them.
+    /// Accepts connections and reads nothing from them.
     Silent,
-    /// It runs requests, and its answers end early.
+    /// Runs requests and truncates the responses.
     Cut,
-    /// It runs requests, and answers with another one's answer.
+    /// Runs requests and responds with the response of another request.
     Cross,
-    /// Nothing listens.
+    /// Refuses connections, as no process listens on the address.
     Down,
-    /// Each request takes this long.
+    /// Runs each request for this time.
     Slow(time::SpanMs),
 }
 
-/// What goes wrong.
+/// A fault, or its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// A backend server changes its behaviour.
+    /// Changes the behaviour of a backend server.
     Server {
-        /// Which one.
+        /// The id of the backend server.
         server: ids::BackendServerId,
-        /// What it does from now on.
+        /// The behaviour until the next change.
         mode: ServerMode,
     },
-    /// An entry instance ends without warning.
+    /// Ends the process of an entry instance without a planned stop.
     Kill(ids::InstanceId),
-    /// An entry instance ends without warning, where it still runs, and starts anew.
+    /// Starts a new process of an entry instance; ends a running process first, without a planned stop.
     Restart(ids::InstanceId),
-    /// An entry instance does nothing for a while.
+    /// Suspends the process of an entry instance.
     Pause {
-        /// Which one.
+        /// The id of the entry instance.
         instance: ids::InstanceId,
-        /// For how long.
+        /// The virtual time until the process resumes.
         span: time::SpanMs,
     },
-    /// No message passes between two; the second may be `platform`.
+    /// Drops all messages between two instances; the second may be `platform`, the list of instances.
     Cut(ids::InstanceId, ids::InstanceId),
-    /// Messages pass again.
+    /// Ends a `Cut` between the same two instances.
     Heal(ids::InstanceId, ids::InstanceId),
 }
--- a/crates/damaskvane-scenario/src/script/line.rs
+++ b/crates/damaskvane-scenario/src/script/line.rs
@@ -1,7 +1,7 @@
-//! Takes the tokens of one line one by one; every mistake names its column and the remedy.
+//! A cursor over the tokens of one line; each syntax error has its column and the remedy.
 //!
 //! ```text
-//! word -> word -> options, in any order -> nothing left
+//! word -> word -> options, in any order -> end of the line
 //! ```
 
 use core::str;
@@ -10,16 +10,16 @@
 
 use crate::script::error::ScriptError;
 use crate::script::expectation::{Comparison, Operator};
-use crate::script::token::{self, Kind, Token};
+use crate::script::token::{self, Token, TokenKind};
 
-/// The tokens of a line that are not taken yet.
+/// The tokens of one line and the position of the next token to read.
 #[derive(Debug)]
 pub(super) struct TokenLine<'a> {
     file: &'a str,
     number: usize,
     text: &'a str,
     tokens: Vec<Token<'a>>,
-    next: usize,
+    next_index: usize,
     last_offset: usize,
 }
 
@@ -30,10 +30,10 @@
             number,
             text,
             tokens: Vec::new(),
-            next: 0,
+            next_index: 0,
             last_offset: 0,
         };
-        line.tokens = token::tokens(text).map_err(|offset| {
+        line.tokens = token::tokenize(text).map_err(|offset| {
             line.error_at(
                 offset,
                 "this character belongs to no statement",
@@ -58,70 +58,72 @@
         }
     }
 
-    /// A mistake in the token taken last.
+    /// Returns a syntax error at the token that was read last.
     pub(super) fn error(&self, problem: &str, remedy: &str) -> ScriptError {
         self.error_at(self.last_offset, problem, remedy)
     }
 
-    fn take(&mut self, remedy: &str) -> Result<Kind<'a>, ScriptError> {
-        let Some(token) = self.tokens.get(self.next).copied() else {
+    fn next_token(&mut self, remedy: &str) -> Result<TokenKind<'a>, ScriptError> {
+        let Some(token) = self.tokens.get(self.next_index).copied() else {
             let end = self.text.trim_end().len();
             return Err(self.error_at(end, "the line ends too early", remedy));
         };
-        self.next += 1;
+        self.next_index += 1;
         self.last_offset = token.offset;
         Ok(token.kind)
     }
 
-    /// The next word.
+    /// Reads the next token, which must be a word.
     pub(super) fn word(&mut self, remedy: &str) -> Result<&'a str, ScriptError> {
-        match self.take(remedy)? {
-            Kind::Word(word) => Ok(word),
-            Kind::Option(..) | Kind::Comparison(_) => Err(self.error("a word is missing", remedy)),
+        match self.next_token(remedy)? {
+            TokenKind::Word(word) => Ok(word),
+            TokenKind::Option(..) | TokenKind::Comparison(_) => {
+                Err(self.error("a word is missing", remedy))
+            }
         }
     }
 
-    /// The next word, as a name or a number.
+    /// Reads the next word and parses it as a name or a number.
     pub(super) fn value<T: str::FromStr>(&mut self, remedy: &str) -> Result<T, ScriptError> {
         let word = self.word(remedy)?;
-        self.parsed(word, remedy)
+        self.parse_value(word, remedy)
     }
 
     pub(super) fn span(&mut self, remedy: &str) -> Result<time::SpanMs, ScriptError> {
         let word = self.word(remedy)?;
-        self.parsed_span(word, remedy)
+        self.parse_span_value(word, remedy)
     }
 
-    fn parsed<T: str::FromStr>(&self, text: &str, remedy: &str) -> Result<T, ScriptError> {
+    fn parse_value<T: str::FromStr>(&self, text: &str, remedy: &str) -> Result<T, ScriptError> {
         text.parse()
             .map_err(|_| self.error(&format!("'{text}' does not fit here"), remedy))
     }
 
-    fn parsed_span(&self, text: &str, remedy: &str) -> Result<time::SpanMs, ScriptError> {
+    fn parse_span_value(&self, text: &str, remedy: &str) -> Result<time::SpanMs, ScriptError> {
         parse_span(text).ok_or_else(|| {
             let problem = format!("'{text}' is no span of time");
             self.error(&problem, &format!("write 200ms, 2s or 1m; {remedy}"))
         })
     }
 
-    /// A word that may be missing.
+    /// Reads the next token if it is a word.
     pub(super) fn optional_word(&mut self) -> Option<&'a str> {
-        let token = self.tokens.get(self.next)?;
-        let Kind::Word(word) = token.kind else {
+        let token = self.tokens.get(self.next_index)?;
+        let TokenKind::Word(word) = token.kind else {
             return None;
         };
         self.last_offset = token.offset;
-        self.next += 1;
+        self.next_index += 1;
         Some(word)
     }
 
-    /// `<= 2` and the like; spans count in milliseconds.
+    /// Reads a comparison such as `<= 2`; converts a time span to milliseconds.
     pub(super) fn comparison(&mut self, remedy: &str) -> Result<Comparison, ScriptError> {
-        let operator = match self.take(remedy)? {
-            Kind::Comparison("=") => Operator::Equal,
-            Kind::Comparison("<=") => Operator::AtMost,
-            Kind::Comparison(_) => Operator::AtLeast,
-            Kind::Word(_) | Kind::Option(..) => {
+        let operator = match self.next_token(remedy)? {
+            TokenKind::Comparison("=") => Operator::Equal,
+            TokenKind::Comparison("<=") => Operator::AtMost,
+            TokenKind::Comparison(_) => Operator::AtLeast,
+            TokenKind::Word(_) | TokenKind::Option(..) => {
                 return Err(self.error("a comparison is missing", remedy));
             }
         };
@@ -132,13 +134,13 @@
         Ok(Comparison { operator, value })
     }
 
-    /// Takes an option by its name, wherever it stands in the rest of the line.
-    fn option_text(&mut self, wanted: &str) -> Option<&'a str> {
-        let rest = self.tokens.iter().enumerate().skip(self.next);
+    /// Removes the option of this name from the remaining tokens, at any position, and returns its value.
+    fn option_text(&mut self, option_name: &str) -> Option<&'a str> {
+        let rest = self.tokens.iter().enumerate().skip(self.next_index);
         let found = rest
             .into_iter()
             .find_map(|(index, token)| match token.kind {
-                Kind::Option(name, value) if name == wanted => Some((index, value)),
+                TokenKind::Option(name, value) if name == option_name => Some((index, value)),
                 _ => None,
             });
         let (index, value) = found?;
@@ -153,11 +155,11 @@
     ) -> Result<Option<T>, ScriptError> {
         match self.option_text(name) {
             None => Ok(None),
-            Some(text) => self.parsed(text, remedy).map(Some),
+            Some(text) => self.parse_value(text, remedy).map(Some),
         }
     }
 
-    pub(super) fn needed<T: str::FromStr>(
+    pub(super) fn required_option<T: str::FromStr>(
         &mut self,
         name: &str,
         remedy: &str,
@@ -175,19 +177,19 @@
     ) -> Result<Option<time::SpanMs>, ScriptError> {
         match self.option_text(name) {
             None => Ok(None),
-            Some(text) => self.parsed_span(text, remedy).map(Some),
+            Some(text) => self.parse_span_value(text, remedy).map(Some),
         }
     }
 
-    /// Whether nothing is left over.
-    pub(super) fn end(&mut self, remedy: &str) -> Result<(), ScriptError> {
-        let Some(token) = self.tokens.get(self.next) else {
+    /// Checks that no token is left on the line.
+    pub(super) fn expect_end(&mut self, remedy: &str) -> Result<(), ScriptError> {
+        let Some(token) = self.tokens.get(self.next_index) else {
             return Ok(());
         };
         let problem = match token.kind {
-            Kind::Option(name, _) => format!("the option {name}= is not known here"),
-            Kind::Word(word) => format!("'{word}' is too much"),
-            Kind::Comparison(operator) => format!("'{operator}' is too much"),
+            TokenKind::Option(name, _) => format!("the option {name}= is not known here"),
+            TokenKind::Word(word) => format!("'{word}' is too much"),
+            TokenKind::Comparison(operator) => format!("'{operator}' is too much"),
         };
         Err(self.error_at(token.offset, &problem, remedy))
     }
--- a/crates/damaskvane-scenario/src/script/request.rs
+++ b/crates/damaskvane-scenario/src/script/request.rs
@@ -1,4 +1,4 @@
-//! A client's request in a scenario.
+//! The requests that the clients of a script send.
 //!
 //! ```
 //! use damaskvane_scenario::script;
@@ -12,31 +12,31 @@
 use damaskvane_core::{ids, time};
 use damaskvane_dispatch::admission;
 
-/// One request, or a series of equal ones.
+/// One request of a client, or a series of equal requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Its name; in a series, `.1`, `.2` and so on are added.
+    /// The request id; each request of a series gets `.1`, `.2` and so on appended.
     pub label: ids::RequestId,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once (`get` in scripts).
     pub is_repeatable: bool,
-    /// The entry instance it is sent to.
+    /// The entry instance that receives the request.
     pub via: ids::InstanceId,
-    /// The service.
+    /// The service that the request is addressed to.
     pub service: ids::ServiceId,
-    /// The idempotency key of a non-repeatable request.
+    /// The idempotency key; `None` for a repeatable request.
     pub key: Option<ids::IdempotencyKey>,
-    /// The home of the key, as the client's look-up named it.
+    /// The home instance of the key, as the client's lookup returned it; `None` for a repeatable request.
     pub home: Option<ids::InstanceId>,
-    /// Which try of the client this is; 0 where tries are not numbered.
+    /// The number of the client's attempt, from 1; 0 if the client does not number its attempts.
     pub try_number: u32,
-    /// The body.
+    /// The body, sent as UTF-8.
     pub body: String,
-    /// The path.
+    /// The path; a path that begins with `/crash` crashes the backend server that runs the request.
     pub path: String,
-    /// The time that the client gives it.
+    /// The time from the sending until the client's deadline.
     pub deadline: time::SpanMs,
-    /// How urgent it is.
+    /// The priority for admission on the entry instance.
     pub priority: admission::Priority,
-    /// How many requests like this are sent.
+    /// The number of requests in the series; 1 for a single request.
     pub times: u32,
 }
--- a/crates/damaskvane-scenario/src/script/set_up.rs
+++ b/crates/damaskvane-scenario/src/script/set_up.rs
@@ -1,4 +1,4 @@
-//! What a scenario starts with.
+//! The set-up statements of a script: settings, zones, services, backend servers and entry instances.
 //!
 //! ```
 //! use damaskvane_scenario::script;
@@ -10,56 +10,56 @@
 
 use damaskvane_core::{ids, time, units};
 
-/// What a scenario starts with.
+/// A setting of the world or an object that a script declares.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SetUp {
-    /// The seed of all delays and losses.
+    /// The seed of the random delays and losses.
     Seed(u64),
-    /// How messages between instances travel.
+    /// The transport of messages between instances.
     Network {
-        /// The shortest way.
+        /// The minimum delay of a message.
         delay: time::SpanMs,
-        /// What is added at most.
+        /// The maximum random time added to `delay`.
         jitter: time::SpanMs,
-        /// How many of a thousand are lost.
+        /// The number of lost messages per thousand.
         loss_permille: u32,
     },
     /// The table of idempotency keys of each entry instance.
     Keys {
-        /// How many one incarnation takes.
+        /// The maximum number of keys of one incarnation.
         max_keys: usize,
-        /// How long outcomes are kept.
+        /// The time for which the outcome of a key is retained.
         window: time::SpanMs,
     },
     /// An availability zone; the part before the last `-` is its region.
     Zone(ids::AvailabilityZoneId),
-    /// A service.
+    /// A service and the limits of its requests.
     Service {
-        /// Its name.
+        /// The id of the service.
         service: ids::ServiceId,
-        /// The longest a request may take.
+        /// The maximum duration of a request.
         timeout: time::SpanMs,
-        /// How many requests wait on one entry instance.
+        /// The maximum number of requests that wait on one entry instance.
         queue: u32,
-        /// How long a request runs on a backend server.
+        /// The time for which a request runs on a healthy backend server.
         time: time::SpanMs,
     },
-    /// A backend server.
+    /// A backend server, which runs requests of one service.
     Server {
-        /// Its name.
+        /// The id of the backend server.
         server: ids::BackendServerId,
-        /// Where it stands.
+        /// The zone of the backend server.
         zone: ids::AvailabilityZoneId,
-        /// What it runs.
+        /// The service whose requests the backend server runs.
         service: ids::ServiceId,
-        /// How many requests it runs at a time.
+        /// The maximum number of requests that may run at the same time.
         slots: units::Slots,
     },
-    /// An entry instance.
+    /// An entry instance; its first process starts with this statement.
     Entry {
-        /// Its name.
+        /// The id of the entry instance.
         instance: ids::InstanceId,
-        /// Where it stands.
+        /// The zone of the entry instance.
         zone: ids::AvailabilityZoneId,
     },
 }
--- a/crates/damaskvane-scenario/src/script/statement.rs
+++ b/crates/damaskvane-scenario/src/script/statement.rs
@@ -1,4 +1,4 @@
-//! A whole scenario and its statements.
+//! A parsed script and its statements.
 //!
 //! ```
 //! use damaskvane_scenario::script;
@@ -10,69 +10,69 @@
 
 use damaskvane_core::{ids, time};
 
-use crate::script::{error, expectation, fault, reader, request, set_up};
+use crate::script::{error, expectation, fault, parser, request, set_up};
 
-/// What operators order.
+/// An operator's command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Control {
-    /// A backend server takes no new work.
+    /// Drains a backend server: it gets no new requests.
     Drain(ids::BackendServerId),
-    /// It takes work again.
+    /// Ends the drain of a backend server.
     Undrain(ids::BackendServerId),
-    /// A planned stop of an entry instance.
+    /// Begins the planned stop of an entry instance.
     Stop(ids::InstanceId),
 }
 
-/// One statement.
+/// A statement of the scenario language.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
-    /// What there is.
+    /// Sets a parameter or declares a zone, service, backend server or entry instance.
     SetUp(set_up::SetUp),
-    /// A client sends a request.
+    /// Sends a request, or a series of requests, from a client.
     Request(request::Request),
-    /// A client goes away.
+    /// Closes the connection of the client that sent this request.
     Disconnect(ids::RequestId),
-    /// Something goes wrong.
+    /// Injects or ends a fault.
     Fault(fault::Fault),
-    /// Operators act.
+    /// Runs an operator's command.
     Control(Control),
-    /// Time passes.
+    /// Advances the virtual time.
     Advance(time::SpanMs),
-    /// Something must have happened.
+    /// Checks a condition on the world.
     Expect(expectation::Expectation),
 }
 
-/// A statement and where it stands.
+/// A statement with its position in the script.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// The line, from 1.
+    /// The line number, counted from 1.
     pub number: usize,
-    /// What it says.
+    /// The text of the line, without surrounding white space.
     pub text: String,
-    /// What it means.
+    /// The parsed form of `text`.
     pub statement: Statement,
 }
 
-/// A whole scenario.
+/// A parsed scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Script {
-    /// The file it was read from.
+    /// The file name, which failures and syntax errors name.
     pub file: String,
-    /// Its statements, in order.
+    /// The statements in the order of the file, without blank lines and comments.
     pub lines: Vec<Line>,
 }
 
 impl Script {
-    /// Reads a scenario; `file` is named in errors.
+    /// Parses the text of a scenario; `file` is only used in error messages.
     ///
     /// # Errors
     ///
-    /// The first line that is no statement of the language.
+    /// Returns the syntax error of the first invalid line.
     pub fn read(file: &str, text: &str) -> Result<Self, error::ScriptError> {
         let mut lines = Vec::new();
         for (index, text) in text.lines().enumerate() {
             let number = index + 1;
-            if let Some(statement) = reader::read(file, number, text)? {
+            if let Some(statement) = parser::parse_line(file, number, text)? {
                 lines.push(Line {
                     number,
                     text: text.trim().to_owned(),
--- a/crates/damaskvane-scenario/src/script/token.rs
+++ b/crates/damaskvane-scenario/src/script/token.rs
@@ -1,7 +1,7 @@
-//! Splits one line into words, options (`name=value`) and comparisons.
+//! The tokenizer: splits one line into words, options (`name=value`) and comparisons.
 //!
 //! ```text
-//! expect peak r1 <= 2      # words, a comparison, a word; the rest is a comment
+//! expect peak r1 <= 2      # three words, a comparison, a word; `#` begins a comment
 //! ```
 
 use core::ops::Range;
@@ -14,23 +14,24 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// What a token is.
+/// The kind of a token, with its text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Kind<'a> {
+pub(super) enum TokenKind<'a> {
     Word(&'a str),
     Option(&'a str, &'a str),
     Comparison(&'a str),
 }
 
-/// One token and where it begins, in bytes.
+/// A token and its byte offset in the line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Token<'a> {
-    pub(super) kind: Kind<'a>,
+    pub(super) kind: TokenKind<'a>,
     pub(super) offset: usize,
 }
 
-/// The tokens of a line, or the offset of a character that belongs to none.
-pub(super) fn tokens(line: &str) -> Result<Vec<Token<'_>>, usize> {
+/// Splits a line into tokens; returns the byte offset of the first character that no token can contain as
+/// the error.
+pub(super) fn tokenize(line: &str) -> Result<Vec<Token<'_>>, usize> {
     let all = preceded(space0, repeat(0.., terminated(token, space0)));
     terminated(all, opt(preceded('#', rest)))
         .parse(LocatingSlice::new(line))
@@ -38,31 +39,31 @@
 }
 
 fn token<'a>(input: &mut Input<'a>) -> ModalResult<Token<'a>> {
-    alt((option, comparison, word.map(Kind::Word)))
+    alt((option, comparison, word.map(TokenKind::Word)))
         .with_span()
-        .map(|(kind, span): (Kind<'a>, Range<usize>)| Token {
+        .map(|(kind, span): (TokenKind<'a>, Range<usize>)| Token {
             kind,
             offset: span.start,
         })
         .parse_next(input)
 }
 
-fn option<'a>(input: &mut Input<'a>) -> ModalResult<Kind<'a>> {
+fn option<'a>(input: &mut Input<'a>) -> ModalResult<TokenKind<'a>> {
     separated_pair(word, '=', word)
-        .map(|(name, value)| Kind::Option(name, value))
+        .map(|(name, value)| TokenKind::Option(name, value))
         .parse_next(input)
 }
 
-fn comparison<'a>(input: &mut Input<'a>) -> ModalResult<Kind<'a>> {
+fn comparison<'a>(input: &mut Input<'a>) -> ModalResult<TokenKind<'a>> {
     alt(("<=", ">=", "="))
-        .map(Kind::Comparison)
+        .map(TokenKind::Comparison)
         .parse_next(input)
 }
 
 fn word<'a>(input: &mut Input<'a>) -> ModalResult<&'a str> {
-    take_while(1.., is_in_word).parse_next(input)
+    take_while(1.., is_word_character).parse_next(input)
 }
 
-const fn is_in_word(character: char) -> bool {
+const fn is_word_character(character: char) -> bool {
     character.is_ascii_alphanumeric() || matches!(character, '-' | '_' | '.' | '/' | '?' | '&')
 }
--- a/crates/damaskvane-scenario/tests/random.rs
+++ b/crates/damaskvane-scenario/tests/random.rs
@@ -1,13 +1,14 @@
-//! Random traffic and faults by fixed seeds; `damaskvane-bench requests` goes on without an end.
+//! Random traffic and faults from fixed seeds; `damaskvane-bench requests` runs further seeds.
 
 use damaskvane_core::time;
 use damaskvane_scenario::random;
 
-/// Processes die, pause and restart, messages are lost, doubled and cut, backend servers fail in every
-/// way, several at once, while clients try their bookings again and again. A client would notice a booking
-/// that ran twice, a *not run* that ran, another's answer; an operator a backend server over its slots.
+/// Guards against a keyed request that runs twice, an outcome *not run* for a request that ran, a response to
+/// another request, and a backend server that runs more requests than it has slots. Clients retry keyed
+/// requests while processes crash, pause and restart, messages are lost, duplicated and blocked, and backend
+/// servers fail in every mode, several at once.
 #[test]
-fn no_promise_breaks_under_random_faults() {
+fn no_guarantee_is_violated_under_random_faults() {
     for seed in 1..=4 {
         let settings = random::RandomSettings {
             seed,
@@ -20,9 +21,9 @@
     }
 }
 
-/// A failure found by a seed is of use only if the same seed finds it again.
+/// A failure that a seed finds can be reproduced only if the same seed gives the same run.
 #[test]
-fn a_seed_repeats_its_run() {
+fn the_same_seed_gives_the_same_report() {
     let settings = random::RandomSettings {
         seed: 3,
         span: time::SpanMs::new(2_000),
--- a/crates/damaskvane-scenario/tests/scenarios.rs
+++ b/crates/damaskvane-scenario/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Plays every script under `scenarios/`; each tells in its first lines how the failure comes about and
-//! what a user notices.
+//! Runs every script under `scenarios/`; the first lines of each script describe how the failure comes about
+//! and what a user notices.
 
 use std::{fs, path};
 
--- a/crates/damaskvane-scenario/tests/syntax.rs
+++ b/crates/damaskvane-scenario/tests/syntax.rs
@@ -1,17 +1,18 @@
-//! Mistakes in scenario files: each names file, line, column and the remedy.
+//! Errors of scenario files: syntax errors name file, line, column and remedy, failures the value found.
 
 use damaskvane_scenario::{play, script};
 
-fn mistake(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     match script::Script::read("a.scn", text) {
-        Ok(script) => format!("no mistake in {script:?}"),
+        Ok(script) => format!("no syntax error in {script:?}"),
         Err(error) => error.to_string(),
     }
 }
 
-/// Somebody mistypes a statement. Without a place and a remedy they would read the parser to find out.
+/// Guards against syntax errors without a position and a remedy, which would force authors of scenarios to
+/// read the parser.
 #[test]
-fn a_mistake_names_its_place_and_the_remedy() {
+fn a_syntax_error_names_its_position_and_the_remedy() {
     let cases = [
         (
             "# fine\nadvanec 2s",
@@ -83,7 +84,7 @@
         ),
     ];
     for (text, expected) in cases {
-        let found = mistake(text);
+        let found = parse_error(text);
         assert!(
             found.starts_with(expected),
             "{text:?}\n  {found}\n  {expected}"
@@ -91,7 +92,7 @@
     }
 }
 
-/// Comments, blank lines and trailing blanks are no statements, and lines keep their numbers.
+/// Comments, blank lines and trailing blanks are not statements, and the other lines keep their numbers.
 #[test]
 fn comments_and_blank_lines_are_skipped() {
     let text = "# told first\n\n  advance 1m   # a minute\n";
@@ -100,9 +101,10 @@
     assert_eq!(script.lines[0].number, 3);
 }
 
-/// A scenario that checks a promise wrongly would pass for ever. Each of these must fail, and say where.
+/// Guards against expectations that always pass: each of these must fail and name the line and the value
+/// found.
 #[test]
-fn an_unfulfilled_expectation_names_what_was_found() {
+fn a_failed_expectation_reports_what_was_found() {
     let set_up = "service s time=50ms\nserver r1 zone=a service=s slots=1\nentry e1 zone=a\n";
     let cases = [
         (
