--- a/crates/damaskvane-scenario/src/script/expectation.rs
+++ b/crates/damaskvane-scenario/src/script/expectation.rs
@@ -119,14 +119,14 @@
     Waited {
         /// The label of the request.
         label: ids::RequestId,
-        /// How long, in milliseconds.
+        /// The expected time, in milliseconds.
         wait_ms: Comparison,
     },
     /// The retry delay that a response *not run* gives the client.
     RetryAfter {
         /// The label of the request.
         label: ids::RequestId,
-        /// How long, in milliseconds.
+        /// The expected time, in milliseconds.
         wait_ms: Comparison,
     },
     /// The home that a lookup returns for an instance has this incarnation.
--- a/crates/damaskvane-scenario/src/script/token.rs
+++ b/crates/damaskvane-scenario/src/script/token.rs
@@ -29,8 +29,11 @@
     pub(super) offset: usize,
 }
 
-/// Splits a line into tokens; returns the byte offset of the first character that no token can contain as
-/// the error.
+/// Splits a line into tokens.
+///
+/// # Errors
+///
+/// Returns the byte offset of the first character that no token can contain.
 pub(super) fn tokenize(line: &str) -> Result<Vec<Token<'_>>, usize> {
     let all = preceded(space0, repeat(0.., terminated(token, space0)));
     terminated(all, opt(preceded('#', rest)))
