--- a/crates/damaskvane-scenario/src/random/fault_injector.rs
+++ b/crates/damaskvane-scenario/src/random/fault_injector.rs
@@ -90,12 +90,12 @@
 
     fn inject(&mut self, world: &mut World, fault: &Fault) {
         self.record(world.now, &format!("{fault:?}"));
-        world.fault(fault);
+        world.inject_fault(fault);
     }
 
     fn apply_control(&mut self, world: &mut World, control: &Control) {
         self.record(world.now, &format!("{control:?}"));
-        world.order(control);
+        world.apply_control(control);
     }
 
     fn schedule_recovery(&mut self, world: &World, max_ms: u64, recovery: Recovery) {
