--- a/crates/damaskvane-routing/src/placement.rs
+++ b/crates/damaskvane-routing/src/placement.rs
@@ -1,10 +1,12 @@
-//! Selects the backend server for a request, or the reason for refusing the request.
+//! Selects the backend server for a request, or refuses the request with a reason.
 //!
-//! A server runs a request several times faster if it has handled the same object recently. Placement is therefore by
-//! object: every instance ranks the servers of an object by the same hash and uses the first few. Among these few, a
-//! request goes to the server with the highest score, which is the expected value of the answer minus the cost of the
-//! slot time. Growing queues don't spread load over more servers: those servers have not handled the objects recently,
-//! would take longer, and the queues would grow further. Requests beyond the load limit are refused at once.
+//! An object is the item that a request concerns, as named by the client. A server runs a request several times faster
+//! if it has handled the same object recently. Placement is therefore by object: every instance ranks the servers of an
+//! object by the same hash and uses the first few servers of this order. Among these few, a request goes to the server
+//! with the highest score, which is the expected value of the response minus the cost of the slot time. A slot is a
+//! server's capacity to run one request at a time; slot time is the time for which the request occupies a slot. Growing
+//! queues don't spread load over more servers: servers that have not handled the objects recently would take longer,
+//! and the queues would grow further. Requests beyond the load limit of their object's servers are refused at once.
 //!
 //! ```
 //! use damaskvane_routing::placement;
--- a/crates/damaskvane-routing/src/placement/candidates.rs
+++ b/crates/damaskvane-routing/src/placement/candidates.rs
@@ -1,10 +1,14 @@
 //! Finds the first servers of an object, in the object's order of servers.
 //!
-//! An object has a home region, usually the region of its callers, and one server there: each further server costs a
-//! slow first run and displaces another object from the few recent objects for which a server is faster. The object's
-//! second server is in another region, whose load peaks at other times. Popular objects have one server in each zone of
-//! their home region instead: callers use the server of their own zone, and the other servers take the requests beyond
-//! its capacity.
+//! An object is the item that a client's request names. Every instance computes the same order by the object's hash. A
+//! slot is a server's capacity to run one request at a time. A first run is the first request for an object on a
+//! server.
+//!
+//! An object has a home region, usually the region of the clients that request it, and one server there: each further
+//! server costs a slow first run and displaces another object from the few recent objects for which a server is faster.
+//! The object's second server is in another region, whose load peaks at other times. Popular objects have one server in
+//! each zone of their home region instead: clients use the server of their own zone, and the servers of the other zones
+//! take the requests beyond its capacity.
 
 use damaskvane_core::ids;
 
@@ -13,12 +17,13 @@
 use crate::placement::shares::Shares;
 use crate::pool::{RegionIndex, RingPoint, ServerHandle, ServerPool, ServiceServers, ZoneIndex};
 
-/// Maximum number of steps on a ring in search of the next server. Each server has several points on the ring: a
-/// search on a ring of two servers takes two steps on average, and a search of 64 steps has seen every server.
+/// Maximum number of steps on the consistent hash ring of a zone in search of the zone's next server. Each server has
+/// several points on the ring: a search on a ring of two servers takes two steps on average, and a search of 64 steps
+/// has seen every server.
 const MAX_RING_STEPS: usize = 64;
-/// One of this many servers of an object is in another region than its home region.
+/// One in this number of an object's servers is outside the object's home region.
 const SERVERS_PER_REMOTE_SERVER: usize = 2;
-/// Minimum number of servers in other regions, which directly follow the first server.
+/// Minimum number of servers outside the home region; they directly follow the first server in the object's order.
 const MIN_REMOTE_SERVERS: usize = 2;
 
 /// Zone and region of the instance that places the request.
@@ -37,7 +42,7 @@
     Zones,
 }
 
-/// Which regions the servers may be in.
+/// The regions in which a search looks for servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Scope {
     /// All regions that the route allows.
@@ -62,7 +67,7 @@
 struct Cursor {
     zone: ZoneIndex,
     region: RegionIndex,
-    /// Point of the next server, or `None` if the zone has no further server.
+    /// Ring point of the zone's next server, or `None` if the zone has no further server.
     point: Option<RingPoint>,
     /// Number of this zone's servers that were selected so far.
     selected: usize,
@@ -83,7 +88,7 @@
         &self.found
     }
 
-    /// Finds the first servers of an object that may take the request.
+    /// Finds the first servers of an object to which the request may be sent.
     pub(super) fn find(
         &mut self,
         pool: &ServerPool,
@@ -131,7 +136,7 @@
         }
     }
 
-    /// Sets a cursor to the first server of each zone that may take the request.
+    /// Creates one cursor for each zone whose servers may take the request, at the zone's first server for the object.
     fn reset_cursors(
         &mut self,
         pool: &ServerPool,
@@ -178,7 +183,7 @@
         best.map(|(region, _)| region)
     }
 
-    /// Returns whether the slots of the callers' zone suffice for this object.
+    /// Returns whether the object is among those for which the slots of this instance's own zone suffice.
     fn prefers_own_zone(
         &self,
         pool: &ServerPool,
@@ -200,7 +205,8 @@
 
     /// Selects servers from the eligible zones until `max_servers` are found.
     ///
-    /// Zones with the lowest `key` come first; among equal keys, the server nearest to `position` on its ring.
+    /// Zones with the lowest `key` come first; among zones with equal keys, the zone whose next server is nearest to
+    /// `position` on its ring.
     fn select<K: Ord>(
         &mut self,
         servers: &ServiceServers,
--- a/crates/damaskvane-routing/src/placement/choice.rs
+++ b/crates/damaskvane-routing/src/placement/choice.rs
@@ -1,4 +1,7 @@
 //! Results of placement: the selected server, or a refusal with its reason.
+//!
+//! An object is the item that a client's request names; all instances try its servers in the same order. A slot is a
+//! server's capacity to run one request at a time. A cold server has started recently and gets few requests.
 
 use std::net;
 
@@ -7,19 +10,19 @@
 /// The reason why an object's first server was not selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum PassedOver {
-    /// The server is cold and has received its limit of requests for this second.
+    /// The server is cold and has received the requests that this instance may send to it in this second.
     Cold,
     /// The server's load is at the limit for the request's priority.
     Full,
-    /// An open exchange with the server has lasted far longer than usual.
+    /// A request to the server has been waiting for its response far longer than usual.
     Stalled,
-    /// A considerable share of the server's recent exchanges failed.
+    /// A considerable share of the recent requests to the server failed.
     Failing,
-    /// The server takes considerably longer than usual.
+    /// The server takes considerably longer for requests than servers usually take.
     Slow,
     /// All slots of the server are in use.
     Busy,
-    /// Another server has a higher score for other reasons.
+    /// Another server has a higher score, and none of the other reasons applies.
     LowerScore,
 }
 
@@ -52,7 +55,7 @@
     pub expected_ms: f64,
     /// Expected time if the server has not handled the request's object recently.
     pub first_ms: f64,
-    /// Lower bound of the expected time.
+    /// Lower bound of the request's time at this server, also with the round trip and the wait.
     pub min_ms: f64,
     /// Whether the server is assumed to have handled the object recently.
     pub is_warm: bool,
@@ -60,9 +63,9 @@
     pub was_sent: bool,
     /// Usual time of a request if the server has handled the object recently, including the network round trip.
     pub remembered_ms: f64,
-    /// Reason for passing over the object's first server, or `None` if the first server was selected.
+    /// Reason why the object's first server was not selected, or `None` if the first server was selected.
     pub passed_over: Option<PassedOver>,
-    /// Estimated load of the server per slot.
+    /// Estimated number of requests on the server, divided by its slots.
     pub load: f64,
     /// Rank of the server in the object's order of servers; 0 is the first server.
     pub rank: usize,
@@ -75,9 +78,10 @@
     NoServer,
     /// All servers of the object are at the load limit for the request's priority.
     Overloaded,
-    /// Only cold servers have capacity, and they have received their limit of requests for this second.
+    /// Only cold servers have capacity, and they have received the requests that this instance may send to them in this
+    /// second.
     Cold,
-    /// No answer is possible before the request's deadline.
+    /// No response is possible before the request's deadline.
     TooLate,
 }
 
--- a/crates/damaskvane-routing/src/placement/latency_score.rs
+++ b/crates/damaskvane-routing/src/placement/latency_score.rs
@@ -1,24 +1,25 @@
-//! Scores the value of an answer to its caller by the expected latency.
+//! Scores the value of a response to its client by the expected latency.
 
 /// Width of the smooth transition at a time limit, as a share of the limit.
 const SMOOTHING_SHARE: f64 = 0.08;
 
-/// The score of an answer over time: 1 within the objective, lower after the objective, 0 after the deadline.
+/// The score of a response by its latency: 1 within the route's objective, lower after the objective, 0 after the
+/// deadline.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct LatencyScore {
-    /// Time within which an answer scores 1.
+    /// Latency up to which a response scores 1.
     pub(super) objective_ms: f64,
-    /// Time until the deadline; a later answer scores 0.
+    /// Time until the deadline; a later response scores 0.
     pub(super) remaining_ms: f64,
-    /// Score of an answer between the objective and the deadline.
+    /// Score of a response between the objective and the deadline.
     pub(super) late_score: f64,
 }
 
 impl LatencyScore {
-    /// Returns the score of an answer that is expected after `expected_ms`.
+    /// Returns the score of a response that is expected after `expected_ms`.
     ///
-    /// The transitions at the limits are smooth because the time is an estimate: a server that is expected to miss
-    /// the objective narrowly scores higher than one that misses it by far.
+    /// The score changes smoothly at both limits because `expected_ms` is an estimate: a server that is expected to
+    /// miss the objective narrowly scores higher than a server that misses the objective by far.
     pub(super) fn at(&self, expected_ms: f64) -> f64 {
         let in_time = probability_within(expected_ms, self.objective_ms);
         let before_deadline = probability_within(expected_ms, self.remaining_ms);
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -1,4 +1,5 @@
-//! Selects the backend server for each request and learns from the answers.
+//! Selects the backend server for each request, and records the times of the responses. An object is the item that a
+//! request names; a first run is the first request for an object on a server. A cold server has started recently.
 
 use damaskvane_core::ids;
 use damaskvane_core::time::TimeMs;
@@ -15,13 +16,13 @@
 };
 use crate::pool::{Baselines, Server, ServerHandle, ServerPool};
 
-/// Share of the `shift_most` setting by which the shifted share may rise in a window. The rest is reserved for
-/// changes in the number of callers.
+/// Fraction of the `shift_most` setting by which the share of requests sent to another region may rise in a window. The
+/// rest is reserved for changes in the number of clients.
 const SHIFT_STEP_SHARE: f64 = 0.5;
-/// Maximum number of candidates for a request without an object, or for one whose usual servers have no capacity
+/// Maximum number of candidates for a request without an object, or for a request whose usual servers have no capacity
 /// because they are cold.
 const MAX_CANDIDATES: usize = 12;
-/// Assumed round trip to a zone that no connection has reached yet.
+/// Assumed network round trip to a zone to which no connection was opened yet.
 const DEFAULT_ROUND_TRIP_MS: f64 = 5.0;
 
 /// Selects a backend server of the pool for each request of this instance.
@@ -29,9 +30,9 @@
 pub struct Placer {
     /// Costs, limits and thresholds of placement.
     pub settings: PlacementSettings,
-    /// Usual time of requests by route, as measured from answers.
+    /// Usual time of requests by route, as measured from responses.
     pub baselines: Baselines,
-    /// Round trip to each availability zone, as measured by connections.
+    /// Network round trip to each availability zone, measured when connections are opened.
     pub round_trips: RoundTrips,
     popularity: Popularity,
     region_shifts: RegionShifts,
@@ -70,16 +71,16 @@
         self.popularity.take_report()
     }
 
-    /// Adds the popularity report of this instance or of another instance of the zone.
+    /// Adds a popularity report of this instance or of another instance of the zone to the zone's counts.
     ///
     /// Only an aggregator calls this.
     pub fn apply_popularity_report(&mut self, now: TimeMs, report: &PopularityReport) {
         self.popularity.apply_popularity_report(now, report);
     }
 
-    /// Decides from all reports which share of each route's objects has a server in each zone.
+    /// Decides from all reports which share of each route's objects has a server in each zone of the region.
     ///
-    /// Only an aggregator calls this. Each call moves a route by at most one step.
+    /// Only an aggregator calls this. Each call changes a route's share by at most one step.
     pub fn decide_popularity(&mut self, now: TimeMs) -> Vec<PopularityDecision> {
         self.popularity.decide(now, &self.settings)
     }
@@ -97,7 +98,7 @@
 
     /// Selects the server for a request, or refuses the request.
     ///
-    /// `instances` is the number of instances that share the request rate which cold servers accept.
+    /// `instances` is the number of instances among which the rate limit of cold servers is divided.
     pub fn choose(
         &mut self,
         now: TimeMs,
@@ -119,7 +120,7 @@
         let mut best = self.best_of(now, pool, request, usable, 0, cold_share);
         if best == Err(RefusalReason::Cold) {
             // If only the rate limit of cold servers excludes the usual servers, a server that has not handled the
-            // object recently is better than no answer: few servers are cold, and only for a short time.
+            // object recently is better than no response: few servers are cold, and only for a short time.
             let considered = usable.len();
             let wide_search = Search {
                 scope: Scope::Everywhere,
@@ -138,9 +139,9 @@
         }
     }
 
-    /// Sends the request to the selected server, or refuses the request if no answer is possible before its deadline.
+    /// Returns the selected server, or a refusal if no response is possible before the request's deadline.
     ///
-    /// `home` is the first server of the request's object; a selected server in another region counts as a shift.
+    /// `home` is the first server of the request's object; a selected server in another region counts as shifted.
     fn send(
         &mut self,
         now: TimeMs,
@@ -158,7 +159,8 @@
         Choice::Send(pick)
     }
 
-    /// Records the time of an answered request, for its server and for the baseline of its route.
+    /// Records the time of an answered request, for its server and for its route's baseline, the usual time of
+    /// requests.
     pub fn record_answer(
         &mut self,
         now: TimeMs,
@@ -205,7 +207,7 @@
         })
     }
 
-    /// Returns whether an object uses one server of its region or one in each zone.
+    /// Returns whether an object uses one server of its home region or one server in each of the region's zones.
     ///
     /// Popular objects use a server in each zone while the load of the region is below `spread_load_limit`: the
     /// slow first run on each further server takes slots, which would make a shortage of slots worse.
@@ -234,8 +236,8 @@
         }
     }
 
-    /// Returns the search for servers that a request may use, or `None` if the pool's topology lacks this
-    /// instance's zone.
+    /// Returns the search parameters for a request's servers, or `None` if the pool's topology lacks this instance's
+    /// zone.
     fn search(
         &mut self,
         now: TimeMs,
@@ -276,7 +278,7 @@
         Some(search)
     }
 
-    /// Returns the candidate with capacity that has the highest score, or why no candidate has capacity.
+    /// Returns the candidate with the highest score among those with capacity, or the reason why none has capacity.
     ///
     /// `first_rank` is the rank of the first candidate in the object's order of servers.
     fn best_of(
@@ -353,7 +355,7 @@
     }
 }
 
-/// Returns the found servers that the object may use.
+/// Returns those of the found servers that the request may use.
 ///
 /// An object that is restricted to its home region and has one server there uses only that server while it is
 /// healthy, even if it has a queue: a queue does not justify a slow first run on another server, an unhealthy server
--- a/crates/damaskvane-routing/src/placement/popularity.rs
+++ b/crates/damaskvane-routing/src/placement/popularity.rs
@@ -1,10 +1,13 @@
 //! Decides which objects of a route are popular, from the requests of a whole zone.
 //!
-//! A server for an object in each zone saves traffic between zones, and costs one slow first run and a place among the
-//! few recent objects for which a server is faster. The saving exceeds the cost only for objects that are requested
-//! often. One of many instances sees too few of a zone's requests to decide, and instances that decide differently use
-//! different servers for an object. All instances therefore send a sample of the requested objects to the aggregators
-//! of the zone, which decide and send their decisions to the other instances.
+//! An object is the item that a client's request names. An aggregator is one of the instances that merge the reports of
+//! their zone. A first run is the first request for an object on a server, which is slow.
+//!
+//! A server for an object in each zone saves traffic between zones. Each such server costs one first run and a place
+//! among the few recent objects for which a server is faster. The saving exceeds the cost only for objects that are
+//! requested often. A single instance sees too few of a zone's requests to decide, and instances that decide
+//! differently use different servers for an object. All instances therefore send a sample of the requested objects to
+//! the aggregators of the zone, which decide and send their decisions to the other instances.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -22,20 +25,20 @@
 const MAX_REPORTED_ROUTES: usize = 6;
 /// Maximum number of decisions in one message, so that the message fits a datagram.
 const MAX_DECISIONS: usize = 64;
-/// Number of sampled requests of a route that are enough for a decision.
+/// Minimum number of sampled requests of a route for a decision before `MAX_WINDOW_MS`.
 const MIN_WINDOW_REQUESTS: u32 = 128;
-/// Time after which a decision is made from fewer requests.
+/// Time after which a decision is made from fewer requests than `MIN_WINDOW_REQUESTS`.
 const MAX_WINDOW_MS: u64 = 4_000;
 /// Number of steps in which the objects of a route gain a server in each zone, or lose it again. In a single step,
 /// the slow first runs of all objects would come at once.
 pub const POPULARITY_STEPS: u8 = 4;
 /// Time after which decisions expire if no aggregator repeats them.
 const DECISION_LIFETIME_MS: u64 = 10_000;
-/// Time after which the decisions of another aggregator replace those of the first one, if the first one sends none.
+/// Time without decisions of the zone's first aggregator by name after which another aggregator's decisions apply.
 const AGGREGATOR_TIMEOUT_MS: u64 = 4_000;
-/// Lower bound of a measured rate; lower rates make no difference to the decision.
+/// Lower bound of a measured rate of requests per object; lower rates make no difference to the decision.
 const MIN_RATE_PER_S: f64 = 0.001;
-/// Number of bisection steps in the search for a rate; each step halves the error.
+/// Number of bisection steps in the search for the requests per object; each step halves the error.
 const SEARCH_STEPS: u32 = 40;
 /// Upper bound of the search: no route has this many requests per object in a window.
 const MAX_REQUESTS_PER_OBJECT: f64 = 1_000.0;
@@ -46,13 +49,13 @@
 /// Which share of a route's objects has a server in each zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PopularityDecision {
-    /// Key of the route.
+    /// Key of the route: a hash of the route's name.
     pub route: RouteKey,
-    /// The share of objects, from 0 for none to [`POPULARITY_STEPS`] for all.
+    /// The share of the route's objects, from 0 for none to [`POPULARITY_STEPS`] for all.
     pub steps: u8,
 }
 
-/// Merged sample and state of the decision for one route, at an aggregator.
+/// Merged sample of the requested objects, and state of the decision, for one route at an aggregator.
 #[derive(Debug, Default)]
 struct RoutePopularity {
     window_start: TimeMs,
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Updates the decision if the merged sample is large or old enough. Each call moves the route by one step.
+    /// Updates the decision if the merged sample is large or old enough. Each call changes `steps` by at most one.
     fn decide(&mut self, now: TimeMs, settings: &PlacementSettings) {
         let span_ms = now.since(self.window_start).get();
         if self.sample.requests() >= MIN_WINDOW_REQUESTS || span_ms >= MAX_WINDOW_MS {
@@ -100,7 +103,7 @@
     }
 }
 
-/// The decisions in force, from one aggregator.
+/// The active decisions, which one aggregator has made.
 #[derive(Debug)]
 struct ReceivedDecisions {
     by: ids::InstanceId,
@@ -108,7 +111,7 @@
     steps: HashMap<RouteKey, u8>,
 }
 
-/// Request counts of this instance, merged samples of an aggregator, and the decisions in force.
+/// Request counts of this instance, the zone's merged samples if this instance is an aggregator, and active decisions.
 #[derive(Debug, Default)]
 pub(super) struct Popularity {
     requests: HashMap<RouteKey, ObjectSample>,
@@ -123,7 +126,7 @@
         requests.record(object, MAX_REPORTED_OBJECTS);
     }
 
-    /// Returns the counts since the last report, with the busiest routes first.
+    /// Returns the request counts since the last report, with the routes with most requests first.
     pub(super) fn take_report(&mut self) -> PopularityReport {
         let mut report: PopularityReport = self.requests.drain().collect();
         let scale = |sample: &ObjectSample| u64::from(sample.requests()) << sample.halvings();
@@ -132,7 +135,7 @@
         report
     }
 
-    /// Merges a report of an instance of the zone, at an aggregator.
+    /// Merges a report of an instance of the zone; only an aggregator calls this.
     pub(super) fn apply_popularity_report(&mut self, now: TimeMs, report: &PopularityReport) {
         for (route, sample) in report {
             let state = self.routes.entry(*route);
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Returns the decisions to send to the zone, at an aggregator.
+    /// Returns the decisions to send to the zone; only an aggregator calls this.
     pub(super) fn decide(
         &mut self,
         now: TimeMs,
@@ -164,7 +167,7 @@
 
     /// Applies the decisions of the aggregator `by`.
     ///
-    /// Of several aggregators, the decisions of the first by name are in force, so that all instances agree.
+    /// Of several aggregators, the decisions of the first aggregator by name apply, so that all instances agree.
     pub(super) fn apply_popularity_decisions(
         &mut self,
         now: TimeMs,
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Returns whether an object has a server in each zone by the decisions in force.
+    /// Returns whether an object has a server in each zone according to the active decisions.
     pub(super) fn is_popular(&self, now: TimeMs, route: &str, object: u64) -> bool {
         let Some(received) = &self.received else {
             return false;
--- a/crates/damaskvane-routing/src/placement/rank.rs
+++ b/crates/damaskvane-routing/src/placement/rank.rs
@@ -1,4 +1,6 @@
 //! Hashes that rank the regions and servers of an object equally on every instance.
+//!
+//! An object is the item that a client's request names.
 
 use damaskvane_core::ids;
 use xxhash_rust::xxh3;
@@ -6,8 +8,8 @@
 /// Returns the hash of an object's name within a route and service.
 ///
 /// A server is faster for an object only on the route for which it has handled the object recently: a request of
-/// another route for the same object takes its full time. Without the route in the hash, the measured times of both
-/// routes would mix, and both would load the same server without any gain.
+/// another route for the same object takes its full time. Without the route in the hash, the measured times of two
+/// routes would mix, and both routes would load the same server without any gain.
 #[must_use]
 pub fn object_hash(service: &ids::ServiceId, route: &str, object: &str) -> u64 {
     let service = xxh3::xxh3_64(service.as_str().as_bytes());
@@ -15,13 +17,13 @@
     xxh3::xxh3_64_with_seed(object.as_bytes(), route)
 }
 
-/// Returns the position of an object on the rings of servers.
+/// Returns the position of an object, given by its hash, on the consistent hash rings of servers.
 #[must_use]
 pub(super) const fn position(object: u64) -> u32 {
     (object >> 32) as u32
 }
 
-/// Returns a pseudo-object for a request that names no object, from a random number between 0 and 1.
+/// Returns an object hash for a request that names no object, from a random number between 0 and 1.
 #[must_use]
 pub(super) fn from_random(random: f64) -> u64 {
     xxh3::xxh3_64(&random.to_bits().to_le_bytes())
--- a/crates/damaskvane-routing/src/placement/region_shifts.rs
+++ b/crates/damaskvane-routing/src/placement/region_shifts.rs
@@ -1,12 +1,13 @@
-//! Limits the share of requests that are sent to another region because the object's region is busy.
+//! Limits the share of requests that are sent to another region because the servers of their object's region are busy.
 //!
 //! A burst fills the servers of a region within a second. If all requests beyond their capacity went to other regions
-//! at once, the servers there would run many objects that they have not handled recently, and callers everywhere would
-//! notice. The share of shifted requests may therefore rise by only one step from each window to the next.
+//! at once, the servers there would run requests for many objects that they have not handled recently, and clients of
+//! all regions would get slow responses. The share of shifted requests may therefore rise by only one step from each
+//! window to the next.
 
 use damaskvane_core::time::TimeMs;
 
-/// Length of the windows whose shares are compared.
+/// Length of the consecutive windows whose shares of shifted requests are compared.
 const WINDOW_MS: u64 = 2_000;
 
 /// Counts of all sent requests and of those shifted to another region, in one window.
@@ -38,11 +39,13 @@
         self.current.shifted += u32::from(is_shifted);
     }
 
-    /// Returns whether one more request may go to another region, if the share may rise by `step` in each window.
+    /// Returns whether one more request may go to another region. The share of shifted requests may rise by `step` from
+    /// one window to the next.
     pub(super) fn may_shift(&mut self, now: TimeMs, step: f64) -> bool {
         self.roll_window(now);
         let elapsed_windows = now.since(self.window_start).get() as f64 / WINDOW_MS as f64;
-        // Early in a window few requests are counted, so the rate of the previous window is a lower bound.
+        // Early in a window few requests are counted. The number that the previous window had in the same time is a
+        // minimum.
         let requests = f64::from(self.current.requests + 1)
             .max(f64::from(self.previous.requests) * elapsed_windows);
         let shifted = f64::from(self.current.shifted + 1);
--- a/crates/damaskvane-routing/src/placement/request.rs
+++ b/crates/damaskvane-routing/src/placement/request.rs
@@ -12,13 +12,15 @@
     pub route: &'a Route,
     /// Service whose servers may take the request.
     pub service: &'a ids::ServiceId,
-    /// Hash of the object, or `None` if the request names no object or the route has no affinity.
+    /// Hash of the object, the item that the request names, or `None` if the request names no object or if servers of
+    /// the route run no request faster after another one for its object.
     pub object: Option<u64>,
-    /// Servers that earlier tries of the request were sent to; they are excluded.
+    /// Servers to which earlier attempts of the request were sent; they are excluded.
     pub tried: &'a [ids::BackendServerId],
     /// Time until the request's deadline.
     pub remaining_ms: u64,
-    /// Random number between 0 and 1. It spreads the retries of refused clients, and requests without an object.
+    /// Random number between 0 and 1. It spreads the retries of refused clients over time, and requests without an
+    /// object over the servers.
     pub spread: f64,
 }
 
@@ -31,7 +33,7 @@
     pub pick: &'a Pick,
     /// Hash of the object, or `None` if the request was placed without an object.
     pub object: Option<u64>,
-    /// Time from sending the request to receiving the answer.
+    /// Time from sending the request to receiving the response.
     pub took_ms: u64,
     /// Whether the request may have waited in the server's queue; its time is then not used as a measurement.
     pub has_waited: bool,
--- a/crates/damaskvane-routing/src/placement/round_trips.rs
+++ b/crates/damaskvane-routing/src/placement/round_trips.rs
@@ -4,7 +4,7 @@
 
 use damaskvane_core::ids;
 
-/// Weight of a new measurement that is above the estimate.
+/// Weight in the estimate of a new measurement that is higher than the estimate.
 const RISE_WEIGHT: f64 = 0.1;
 
 /// Estimated round trip to each availability zone, from the time that connections take to open.
@@ -16,8 +16,8 @@
 impl RoundTrips {
     /// Records how long a connection to the zone took to open.
     ///
-    /// The estimate falls at once and rises slowly: a fast handshake is an upper bound of the round trip, while a
-    /// single slow handshake may have other causes.
+    /// A lower time replaces the estimate, a higher time raises it slowly: the round trip is at most the time of a fast
+    /// handshake, while a single slow handshake may have other causes.
     pub fn record(&mut self, zone: &ids::AvailabilityZoneId, took_ms: f64) {
         if let Some(estimate_ms) = self.zones.get_mut(zone) {
             *estimate_ms = if took_ms < *estimate_ms {
--- a/crates/damaskvane-routing/src/placement/sample.rs
+++ b/crates/damaskvane-routing/src/placement/sample.rs
@@ -1,4 +1,6 @@
 //! Samples of requested objects that can be merged across instances.
+//!
+//! An object is the item that a client's request names; samples identify it by a hash.
 
 use std::collections::BTreeMap;
 
@@ -16,20 +18,20 @@
         Self(xxh3::xxh3_64(route.as_bytes()) as u32)
     }
 
-    /// Returns the key as a number for messages.
+    /// Returns the key as a number, for use in a message.
     #[must_use]
     pub const fn get(self) -> u32 {
         self.0
     }
 
-    /// Returns the key for a number from a message.
+    /// Returns the key whose number was received in a message.
     #[must_use]
     pub const fn from_wire(key: u32) -> Self {
         Self(key)
     }
 }
 
-/// Request counts of one route by object, for a sample of all objects that is selected by their hash.
+/// Request counts of one route by object, for a share of all objects that is selected by the objects' hashes.
 ///
 /// Every instance omits the same objects, so the counts of several instances add up, however unevenly the requests
 /// for an object are distributed over the instances. The sampled share is halved until the sample is small enough.
@@ -37,15 +39,15 @@
 pub struct ObjectSample {
     /// Number of times that the sampled share was halved.
     halvings: u8,
-    /// Number of requests by the lower half of the object's hash.
+    /// Number of requests for each object, by the lower half of the object's hash.
     requests: BTreeMap<u32, u32>,
 }
 
-/// Maximum number of halvings: a sample of one object in a billion is empty.
+/// Maximum number of halvings: after it, a sample covers one object in a billion and is empty in practice.
 const MAX_HALVINGS: u8 = 30;
 
 impl ObjectSample {
-    /// Returns the sample for the fields of a message. Objects outside the sampled share are omitted.
+    /// Returns the sample whose fields were received in a message. Objects outside the sampled share are omitted.
     #[must_use]
     pub fn from_wire(halvings: u8, objects: impl IntoIterator<Item = (u32, u32)>) -> Self {
         let halvings = halvings.min(MAX_HALVINGS);
@@ -63,14 +65,14 @@
         self.halvings
     }
 
-    /// Returns the sampled objects with their request counts.
+    /// Returns the sampled objects, each as the lower half of its hash with its number of requests.
     pub fn objects(&self) -> impl Iterator<Item = (u32, u32)> {
         self.requests
             .iter()
             .map(|(object, count)| (*object, *count))
     }
 
-    /// Returns the number of distinct objects.
+    /// Returns the number of distinct objects in the sample.
     #[must_use]
     pub fn distinct(&self) -> usize {
         self.requests.len()
--- a/crates/damaskvane-routing/src/placement/server_score.rs
+++ b/crates/damaskvane-routing/src/placement/server_score.rs
@@ -1,4 +1,8 @@
-//! The score of one server for a request: the expected value of the answer minus its costs.
+//! The score of one server for a request: the expected value of the response minus its costs.
+//!
+//! An object is the item that a request names. A server is warm for an object, which means faster, if it has handled
+//! the object recently; the request without this is a first run. A cold server has started recently. A slot is a
+//! server's capacity to run one request at a time.
 
 use damaskvane_core::time::TimeMs;
 
@@ -7,7 +11,7 @@
 use crate::pool::{Baseline, Server};
 
 /// Probability that the first server of an object is faster for the object although this instance has not sent the
-/// object to it recently: all instances use the first server of an object, so others may have.
+/// object to the server recently: all instances use the first server of an object, so other instances may have sent it.
 const FIRST_SERVER_WARM_PROBABILITY: f64 = 0.9;
 /// The same probability for the object's other servers, which instances use only while the first server is busy or
 /// unhealthy.
@@ -16,35 +20,36 @@
 const SENT_OBJECT_WARM_PROBABILITY: f64 = 0.97;
 /// Factor by which work takes longer on a cold server.
 const COLD_SLOWDOWN: f64 = 2.0;
-/// Share of the usual time that is a lower bound for nearly all requests of a route.
+/// Share of a route's usual time that nearly all requests of the route exceed.
 const MIN_TIME_SHARE: f64 = 0.6;
 /// Load per slot above which a higher load doesn't raise the cost further.
 const MAX_COSTED_LOAD: f64 = 2.0;
-/// Share of failed exchanges above which failures are reported as the reason for passing over a server; up to this
-/// share a server counts as healthy.
+/// Share of failed requests above which failures are the reported reason for passing over a server; up to this share a
+/// server counts as healthy.
 const HIGH_FAILURE_SHARE: f64 = 0.2;
-/// Slowness above which it is reported as the reason for passing over a server.
+/// Slowness, the ratio of a server's time to the usual time, above which slowness is the reported reason for passing
+/// over a server.
 const HIGH_SLOWNESS: f64 = 1.5;
-/// Slowness from which a server counts as unhealthy: a first run on another server takes no longer.
+/// Slowness from which a server counts as unhealthy, because a first run on another server takes no longer.
 const MAX_HEALTHY_SLOWNESS: f64 = 3.0;
 
 /// Estimates of a request's run time and of the distance to one server.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Estimates {
-    /// Usual times of the route's requests on servers that have or haven't handled the object recently.
+    /// Usual times of the route's requests, on servers that have handled the object recently and on others.
     pub(super) baseline: Baseline,
     /// Network round trip to the server's zone.
     pub(super) round_trip_ms: f64,
-    /// Cost of the distance, where a timely answer scores 1.
+    /// Cost of the distance, on the scale on which a response within the route's objective scores 1.
     pub(super) distance_cost: f64,
 }
 
 /// The score of a server for one request, with the estimates behind it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ServerScore {
-    /// Expected value of the answer minus the costs of slot time, failures, stalls and distance.
+    /// Expected value of the response minus the costs of slot time, failures, stalled requests and distance.
     pub(super) score: f64,
-    /// Load of the server per slot.
+    /// Estimated number of requests on the server, divided by its slots.
     pub(super) load: f64,
     warm_probability: f64,
     baseline: Baseline,
@@ -106,7 +111,7 @@
         }
     }
 
-    /// Returns the decision to use this server, with the expected times.
+    /// Returns this server as the selected server, with the expected times of the request.
     pub(super) fn pick(
         &self,
         now: TimeMs,
@@ -115,7 +120,8 @@
         rank: usize,
         passed_over: Option<PassedOver>,
     ) -> Pick {
-        // A time that is not measured must not cause a refusal: a new route may be faster than its objective.
+        // A guessed time must not cause a refusal: the guess is derived from the objective, and a new route may be
+        // faster.
         let min_work_ms = if self.baseline.is_measured {
             self.baseline.warm_ms * MIN_TIME_SHARE
         } else {
@@ -140,7 +146,8 @@
     }
 }
 
-/// Returns whether a server is expected to do at least as well as one that has not handled the object recently.
+/// Returns whether an object's server is expected to be no worse than another server without a recent request for the
+/// object.
 pub(super) fn is_healthy(now: TimeMs, server: &Server) -> bool {
     !server.is_stalled(now)
         && server.failure_share(now) <= HIGH_FAILURE_SHARE
--- a/crates/damaskvane-routing/src/placement/settings.rs
+++ b/crates/damaskvane-routing/src/placement/settings.rs
@@ -1,10 +1,13 @@
-//! Settings of placement and admission.
+//! Settings that decide to which server a request is sent, and when a request is refused.
+//!
+//! An object is the item that a client's request names. A slot is a server's capacity to run one request at a time. The
+//! load per slot is the number of requests on a server divided by its slots.
 
 use serde::Deserialize;
 
-/// Limits and costs that decide where requests are sent and when they are refused.
+/// Limits and costs by which servers are compared and requests are refused.
 ///
-/// Costs and scores are relative to an answer within its objective, which scores 1.
+/// Costs and scores are relative to a response within its route's objective, which scores 1.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct PlacementSettings {
@@ -16,31 +19,32 @@
     pub load_limit_step: f64,
     /// Lower bound of the load limit for all priorities.
     pub load_limit_floor: f64,
-    /// Score of an answer after its objective and before its deadline.
+    /// Score of a response after the route's objective and before the request's deadline.
     pub late_worth: f64,
     /// Cost of a server in another availability zone of the region.
     pub other_zone_cost: f64,
     /// Cost of a server in another region.
     pub other_region_cost: f64,
-    /// Cost of using an idle server's slot for the duration of a request's objective.
+    /// Cost of using a slot of a server without other requests for as long as the route's objective.
     pub slot_cost: f64,
-    /// Additional cost of the same slot time if all slots of the server are in use.
+    /// Cost in addition to `slot_cost` for the same slot time if all slots of the server are in use.
     pub busy_cost: f64,
-    /// Cost of a server whose answers all fail; a lower share of failures costs proportionally less.
+    /// Cost of a server on which all requests fail; a lower share of failures costs proportionally less.
     pub failure_cost: f64,
-    /// Cost of a server with an open exchange that has lasted far longer than usual.
+    /// Cost of a server from which a request has been waiting for its response far longer than usual.
     pub stalled_cost: f64,
-    /// Requests per second and object from one zone above which a route's objects gain a server in each zone.
+    /// Requests per second and object from one zone above which a route's objects gain a server in each zone of the
+    /// region.
     pub popular_per_s: f64,
-    /// Rate below which a route's objects lose these servers again.
+    /// Requests per second and object from one zone below which a route's objects lose these servers again.
     pub rare_per_s: f64,
-    /// Maximum share of a region's requests that may move to another region within two seconds.
+    /// Maximum increase, within two seconds, of the share of a region's requests that are sent to another region.
     pub shift_most: f64,
     /// Load per slot of a region from which popular objects use only one server there.
     pub spread_load_limit: f64,
     /// Minimum time after which a refused client should retry.
     pub retry_after_ms: u64,
-    /// Random time of up to this length is added to the retry time of a refused client.
+    /// Maximum random time that is added to `retry_after_ms` for each refused client.
     pub retry_spread_ms: u64,
 }
 
--- a/crates/damaskvane-routing/src/placement/shares.rs
+++ b/crates/damaskvane-routing/src/placement/shares.rs
@@ -1,19 +1,21 @@
 //! Computes the share of a region's requests that the servers of each region take.
 //!
+//! A slot is a server's capacity to run one request at a time. An object is the item that a client's request names.
+//!
 //! Traffic between zones costs money and time, so a region's own servers take its requests as far as their slots
-//! suffice for the region's share of the load. The rest goes to the regions with spare slots. The shares depend only
-//! on the slots of the servers: all instances of a region compute the same shares without messages, and the shares
-//! change only when servers are added or removed.
+//! suffice for the region's share of the load. The remaining requests go to the regions with spare slots. The shares
+//! depend only on the slots of the servers: all instances of a region compute the same shares without messages, and the
+//! shares change only when servers are added or removed.
 
 use crate::pool::{RegionIndex, Topology};
 
-/// Share of a region's slots that its own objects may use; the rest absorbs uneven load.
+/// Share of a region's slots that requests from the region may use; the remaining slots absorb uneven load.
 const OWN_SLOTS_SHARE: f64 = 0.9;
-/// Minimum share of a region with servers. A server without requests is paid for and unused, and would have handled no
-/// object recently when it is needed.
+/// Minimum share of a region with servers. Servers without any requests would be paid for and unused, and would have
+/// handled no object recently when needed.
 const MIN_SHARE: f64 = 0.01;
 
-/// Slots of all regions. All zones are assumed to send the same number of requests.
+/// Slots of all regions, from which the shares are computed. All zones are assumed to send the same number of requests.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Shares<'a> {
     topology: &'a Topology,
@@ -23,7 +25,7 @@
 }
 
 impl<'a> Shares<'a> {
-    /// Returns the shares for the given slots by region index.
+    /// Returns the shares that follow from the slots of each region; the slice is indexed by region.
     pub(super) fn new(topology: &'a Topology, slots: &'a [Option<f64>]) -> Self {
         Self {
             topology,
@@ -49,26 +51,27 @@
         })
     }
 
-    /// Returns the share of a zone's requests that its own servers can take, among those that stay in the region.
+    /// Returns the share that the zone's own servers can take of those requests from the zone that stay in the region.
     pub(super) fn own_zone(&self, zone_slots: f64, region: RegionIndex) -> f64 {
         let zones = self.topology.zones_in(region).max(1);
         let local_slots = self.local_slots(region) / zones as f64;
         (zone_slots * OWN_SLOTS_SHARE / local_slots.max(1.0)).min(1.0)
     }
 
-    /// Returns the slots of a region that its own objects don't use, or `None` for a region without servers.
+    /// Returns the slots of a region that are left for requests from other regions, or `None` if the region has no
+    /// server.
     fn spare_slots(&self, region: RegionIndex) -> Option<f64> {
         let slots = self.slots[region.get()]?;
         Some(slots - self.local_slots(region))
     }
 
-    /// Returns the slots of a region that its own objects use.
+    /// Returns the slots of a region that requests from the region use.
     fn local_slots(&self, region: RegionIndex) -> f64 {
         let slots = self.slots[region.get()].unwrap_or_default();
         (slots * OWN_SLOTS_SHARE).min(self.demand_slots(region))
     }
 
-    /// Returns the slots that a region's requests would use if all slots of all regions were in use.
+    /// Returns the slots that requests from a region would use if all slots of all regions were in use.
     fn demand_slots(&self, region: RegionIndex) -> f64 {
         let zones: usize = self.topology.zones().count();
         self.total * self.topology.zones_in(region) as f64 / zones.max(1) as f64
