--- a/crates/damaskvane-routing/src/pool.rs
+++ b/crates/damaskvane-routing/src/pool.rs
@@ -1,5 +1,9 @@
 //! The known backend servers, with the load, speed, failures and liveness that this instance has observed.
 //!
+//! An exchange is one request that this instance sends to a server, with the response. A slot of a server is its
+//! capacity to run one request at a time. A server is cold for some time after its start and then warm; a cold server
+//! gets few requests.
+//!
 //! ```
 //! use damaskvane_routing::pool;
 //!
--- a/crates/damaskvane-routing/src/pool/entry.rs
+++ b/crates/damaskvane-routing/src/pool/entry.rs
@@ -1,4 +1,6 @@
-//! The entry that a backend server writes to the platform's store.
+//! The entry that a backend server writes periodically to the platform's store.
+//!
+//! A server is cold after its start, and warm when its warm-up time is over.
 
 use std::net;
 
@@ -13,7 +15,7 @@
     Draining,
 }
 
-/// The entry of a backend server, as the server wrote it.
+/// The data that a backend server reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerEntry {
     /// Name of the server; a restarted server usually has a new name.
@@ -32,15 +34,15 @@
     pub warmup_left_ms: u64,
     /// Start time by the server's own clock; only compared with other entries of the same name.
     pub started_unix_ms: u64,
-    /// Number of the entry, counted from the start of the server.
+    /// Serial number of the entry among the entries that the server has written since its start.
     pub sequence: u64,
 }
 
 impl ServerEntry {
     /// Returns whether this entry was written before `other`, an entry of the same server.
     ///
-    /// A delayed write can reach the store after a later one. If the older entry were applied, a server that has
-    /// left would seem ready again.
+    /// A delayed write can reach the store after a later one. If the older entry were applied last, a draining server
+    /// would seem ready again.
     #[must_use]
     pub const fn is_older_than(&self, other: &Self) -> bool {
         self.started_unix_ms < other.started_unix_ms
--- a/crates/damaskvane-routing/src/pool/exchange.rs
+++ b/crates/damaskvane-routing/src/pool/exchange.rs
@@ -1,38 +1,40 @@
 //! How an exchange with a backend server ended, and what the response reports about the server.
+//!
+//! An exchange is one request that this instance sends to a backend server, with the response.
 
 use crate::pool::LoadReport;
 
-/// Identifies an exchange of this instance while the exchange is in progress.
+/// Number that identifies an exchange of this instance while the exchange is in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub u64);
 
 /// The data about the server itself that a response carries.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ServerReport {
-    /// Load of the server; `None` if the response doesn't report the load.
+    /// Load of the server, or `None` if the response doesn't report the load.
     pub load: Option<LoadReport>,
 }
 
 /// How an exchange ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeEnd {
-    /// The server ran the request and sent its result.
+    /// The server ran the request and sent the result.
     Answered,
     /// The server ran the request and reported a failure.
     Failed,
-    /// The server reported that it did not run the request.
+    /// The server responded that it did not run the request.
     Shed,
-    /// Another server responded at the address.
+    /// A server of another name responded at the server's address.
     Misdirected,
     /// The connection broke after the request was written.
     Broken,
     /// The response was malformed or incomplete, or belonged to another request.
     Malformed,
-    /// No connection was established, so nothing was written.
+    /// No connection was established, so no part of the request was written.
     Unreachable,
-    /// No response arrived, and the peer didn't acknowledge the bytes that were sent.
+    /// No response arrived, and the server's host didn't acknowledge the bytes that were sent.
     Silent,
-    /// This instance or the client gave up while the server was processing the request.
+    /// This instance or the client stopped waiting before the server responded.
     Abandoned,
 }
 
--- a/crates/damaskvane-routing/src/pool/handle.rs
+++ b/crates/damaskvane-routing/src/pool/handle.rs
@@ -1,6 +1,7 @@
 //! The handle that identifies a server within one pool.
 
-/// Identifies a server while the server is in its pool. The handle of a removed server is reused.
+/// Identifies a server while the server is in its pool. After the server was removed, another server may get its
+/// handle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerHandle(u32);
 
--- a/crates/damaskvane-routing/src/pool/liveness.rs
+++ b/crates/damaskvane-routing/src/pool/liveness.rs
@@ -2,34 +2,36 @@
 
 use damaskvane_core::time::{SpanMs, TimeMs};
 
-/// Liveness of a server, derived from its last connections and probes.
+/// Liveness of a server, derived from its last connections and health probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
     /// The server accepts connections.
     Up,
-    /// A connection broke, so the server may have restarted under the same name and be cold.
+    /// A connection broke, so the server may have restarted under the same name. It then gets few requests, like any
+    /// server that has started recently, until a probe succeeds.
     Suspect {
         /// Time of the next probe.
         probe_at: TimeMs,
     },
-    /// The server accepted no connection, or sent no response.
+    /// The server accepted no connection, or sent no response to a request or probe.
     Down {
         /// Time of the next probe.
         probe_at: TimeMs,
         /// Number of consecutive failed probes.
         failed_probes: u32,
     },
-    /// Another server responds at the address.
+    /// A server of another name responds at the address.
     Replaced,
 }
 
-/// Delay before the first probe of a server that is down.
+/// Delay from the moment that a server is found down to its first probe.
 const FIRST_PROBE_DELAY_MS: u64 = 400;
-/// Longest delay between probes; a server that comes back is used again after this time at the latest.
+/// Maximum delay between two probes of a server that is down; a server that is up again is used after this time at the
+/// latest.
 const MAX_PROBE_DELAY_MS: u64 = 2_000;
 
 impl Liveness {
-    /// Returns the state of a server that has just been found down, with a probe after the first delay.
+    /// Returns the state of a server that has just been found down, with the first probe due after 400 ms.
     #[must_use]
     pub fn down(now: TimeMs) -> Self {
         Self::Down {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Returns the state after another failed probe, with the delay doubled up to its maximum.
+    /// Returns the state after another failed probe, with the delay to the next probe doubled up to its maximum.
     #[must_use]
     pub fn still_down(self, now: TimeMs) -> Self {
         let failed_probes = match self {
--- a/crates/damaskvane-routing/src/pool/load.rs
+++ b/crates/damaskvane-routing/src/pool/load.rs
@@ -1,29 +1,31 @@
 //! Estimates the load that other instances put on a backend server from the server's load reports.
+//!
+//! A slot is a server's capacity to run one request at a time.
 
 use damaskvane_core::time::TimeMs;
 
-/// The load that a server reports about itself.
+/// The load that a server reports about itself, in a response to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Number of requests that are running.
+    /// Number of requests that are running on the server.
     pub running: u32,
-    /// Number of requests that are waiting for a slot.
+    /// Number of requests that are waiting on the server for a free slot.
     pub waiting: u32,
-    /// Number of requests that can run concurrently.
+    /// Number of requests that the server can run concurrently.
     pub slots: u32,
 }
 
-/// Time constant of the exponential decay of a report's weight.
+/// Time constant with which the estimate moves from the last report to the moving average.
 const REPORT_DECAY_MS: f64 = 700.0;
 /// Time constant of the exponential decay of the average load while no report arrives. A server that seems full
 /// receives no request and so sends no report; without decay, one burst would leave the server unused for good.
 /// The time spans several reports, which are rare in a large fleet: a server with a queue must not seem idle between
 /// two reports.
 const AVERAGE_DECAY_MS: f64 = 6_000.0;
-/// Time constant of the moving average of the load by other instances.
+/// Time constant of the moving average of the load that other instances put on a server.
 const AVERAGE_WINDOW_MS: f64 = 4_000.0;
 
-/// The number of requests that other instances have on a server, estimated from the server's reports.
+/// The number of other instances' requests on a server, estimated from the server's reports.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct PeerLoad {
     latest: f64,
@@ -33,7 +35,8 @@
 }
 
 impl PeerLoad {
-    /// Records a report made at `now` that includes `own_in_flight` requests of this instance.
+    /// Records a load report that the server made at `now`. `own_in_flight` of the reported requests are from this
+    /// instance.
     pub(super) fn record(&mut self, now: TimeMs, report: LoadReport, own_in_flight: usize) {
         let total = f64::from(report.running) + f64::from(report.waiting);
         let others = (total - own_in_flight as f64).max(0.0);
@@ -54,7 +57,7 @@
         self.at
     }
 
-    /// Returns the estimated number of requests that other instances have on the server; 0 without any report.
+    /// Returns the estimated number of other instances' requests on the server; 0 if there was no report.
     #[must_use]
     pub(super) fn estimate(&self, now: TimeMs) -> f64 {
         if !self.has_report {
--- a/crates/damaskvane-routing/src/pool/peer_report.rs
+++ b/crates/damaskvane-routing/src/pool/peer_report.rs
@@ -1,9 +1,10 @@
 //! Reports of busy and unhealthy servers that instances of a zone send to each other.
 //!
-//! A server reports its load in each response. With many instances, each instance receives such a report about once
-//! a second, while a queue grows and shrinks within half a second. Instances of a zone prefer the same servers, so
-//! they relay the load of servers that have a queue. In a large fleet an instance sends a server a request only every
-//! few seconds, too few to detect by itself that the server is slow or failing, so instances relay that too.
+//! A server reports its load in each response. With many instances, each instance receives a report of a server about
+//! once a second, while a queue on the server grows and shrinks within half a second. Instances of a zone prefer the
+//! same servers, so they relay the load of servers that have a queue. In a large fleet an instance sends a server a
+//! request only every few seconds, too few to detect by itself that the server is slow or failing. Instances therefore
+//! also send each other the slowness and failures that they observe.
 
 use damaskvane_core::ids;
 use xxhash_rust::xxh3;
@@ -26,13 +27,13 @@
         Self(hash as u32)
     }
 
-    /// Returns the key as a number, for messages.
+    /// Returns the key as a number, for use in a message.
     #[must_use]
     pub const fn get(self) -> u32 {
         self.0
     }
 
-    /// Returns the key for a number that was received in a message.
+    /// Returns the key whose number was received in a message.
     #[must_use]
     pub const fn from_wire(key: u32) -> Self {
         Self(key)
@@ -44,18 +45,18 @@
 pub struct PeerServerReport {
     /// Server that the report is about.
     pub server: ServerKey,
-    /// Last load reported by the server, present if the server has a queue or its queue has just ended.
+    /// Last load that the server reported to the sender, present if the server has a queue or its queue has just ended.
     pub load: Option<LoadReport>,
     /// Observed slowness and failures, present if the sender has found the server slow or failing, or healthy again.
     pub health: Option<PeerHealthReport>,
-    /// Time since the observation in milliseconds, when the report was sent.
+    /// Age of the load report in milliseconds when this report was made; 0 if only `health` is present.
     pub age_ms: u64,
 }
 
 /// Slowness and failures of a server, as one instance has observed them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PeerHealthReport {
-    /// Ratio of the observed time to the usual time; 1 is usual.
+    /// Ratio of the time that requests take on the server to the time that they usually take; 1 means the usual time.
     pub slowness: f64,
     /// Share of the instance's exchanges with the server that failed, from 0 to 1.
     pub failure_share: f64,
--- a/crates/damaskvane-routing/src/pool/probes.rs
+++ b/crates/damaskvane-routing/src/pool/probes.rs
@@ -20,15 +20,15 @@
 pub enum ProbeResult {
     /// The probed server responded that it is healthy.
     Healthy {
-        /// Remaining warm-up time; 0 if the server is warm.
+        /// Remaining time in which the server counts as recently started; 0 if the server is warm.
         warmup_left_ms: u64,
     },
-    /// The probed server responded, but is full, leaving or unhealthy.
+    /// The probed server responded that it is full, leaving or unhealthy.
     Unhealthy,
-    /// Another server responded at the address.
+    /// A server of another name responded at the address.
     OtherServer,
     /// The connection was refused because the server's process has ended.
     Refused,
-    /// No response arrived.
+    /// No response to the probe arrived.
     NoAnswer,
 }
--- a/crates/damaskvane-routing/src/pool/region_load.rs
+++ b/crates/damaskvane-routing/src/pool/region_load.rs
@@ -1,4 +1,6 @@
 //! The load of a service's servers in one region, averaged over the servers' load reports.
+//!
+//! A slot is a server's capacity to run one request at a time.
 
 use damaskvane_core::time::TimeMs;
 
@@ -16,7 +18,7 @@
 }
 
 impl RegionLoad {
-    /// Records a load report of a server; `per_slot` is the load divided by the server's slots.
+    /// Records a load report of a server; `per_slot` is the server's number of requests divided by its slots.
     pub(super) fn record(&mut self, now: TimeMs, per_slot: f64) {
         let age_ms = now.since(self.at).get() as f64;
         let previous = self.per_slot(now);
@@ -25,12 +27,14 @@
         self.at = self.at.max(now);
     }
 
-    /// Replaces `before` by `after` in the number of this instance's requests to the region.
+    /// Changes the number of this instance's requests in flight to the region, of which one server has `after` instead
+    /// of `before`.
     pub(super) fn change_in_flight(&mut self, before: usize, after: usize) {
         self.in_flight = (self.in_flight + after).saturating_sub(before);
     }
 
-    /// Returns the estimated load per slot; `slots` is the number of slots in the region.
+    /// Returns the estimated load per slot: the average of the reports, or this instance's own requests per slot if
+    /// higher. `slots` is the number of slots in the region.
     pub(super) fn estimate(&self, now: TimeMs, slots: f64) -> f64 {
         let own = self.in_flight as f64 / slots.max(1.0);
         self.per_slot(now).max(own)
--- a/crates/damaskvane-routing/src/pool/ring.rs
+++ b/crates/damaskvane-routing/src/pool/ring.rs
@@ -1,4 +1,7 @@
 //! A consistent hash ring of servers.
+//!
+//! A slot is a server's capacity to run one request at a time. An object is the item that a client's request names; its
+//! server is the one whose point follows the object's position.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -8,18 +11,19 @@
 
 use crate::pool::ServerHandle;
 
-/// Points for each slot of a server. With this number the shares of servers with six slots differ by about a seventh,
-/// less than the numbers of objects on them differ anyway, and adding a thousand servers is fast on a small machine.
+/// Number of ring points for each slot of a server. With this number, the shares of the ring of servers with six slots
+/// differ by about a seventh, less than the numbers of objects on them differ anyway, and adding a thousand servers is
+/// fast on a small machine.
 const POINTS_PER_SLOT: u32 = 8;
-/// Most points of one server; limits the cost of an entry with an implausible number of slots.
+/// Maximum number of points of one server; limits the cost of a server that reports an implausible number of slots.
 const MAX_POINTS: u32 = 1_024;
 
 /// A point of a server on the ring.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RingPoint {
     position: u32,
-    /// Server of the point. If two servers share a position, instances may order them differently, which affects
-    /// one object in a billion.
+    /// Server of the point. If points of two servers have the same position, instances may order them differently,
+    /// which affects one object in a billion.
     pub server: ServerHandle,
 }
 
@@ -46,7 +50,7 @@
         self.points.extend(points(id, server, slots));
     }
 
-    /// Removes the points of a server that was added with the same number of slots.
+    /// Removes the points of a server. `slots` has to be the number of slots with which the server was added.
     pub(super) fn remove(&mut self, id: &ids::BackendServerId, server: ServerHandle, slots: u32) {
         for point in points(id, server, slots) {
             self.points.remove(&point);
@@ -61,8 +65,8 @@
         next.or_else(|| self.points.first()).copied()
     }
 
-    /// Returns the point that follows `point` in a search that started at position `from`, or `None` at the end of
-    /// the round.
+    /// Returns the point that follows `point` in a search that started at position `from`, or `None` if the search is
+    /// back at that position.
     #[must_use]
     pub fn after(&self, from: u32, point: RingPoint) -> Option<RingPoint> {
         let start = range_start(from);
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -1,4 +1,4 @@
-//! One backend server: its entry, and the state that this instance has observed.
+//! One backend server: its entry in the platform's store, and the state that this instance has observed.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,17 +13,17 @@
     ServerKey, ServerReport,
 };
 
-/// Time for which a server is assumed to run requests for an object faster after a request for the object.
+/// Time after a request for an object in which a server is assumed to run further requests for it faster.
 const RECENT_OBJECT_MS: u64 = 30_000;
-/// Most recent objects stored for each server; well above the number of objects for which a server is faster.
+/// Maximum number of recent objects stored per server; well above the number for which a server is faster.
 const MAX_OBJECTS: usize = 1_024;
-/// Multiple of the usual time after which an exchange in progress indicates a stalled server.
+/// Multiple of the usual time after which an exchange (a request and its response) indicates a stalled server.
 const STALLED_FACTOR: f64 = 3.0;
 /// Time up to which an exchange never indicates a stalled server, because one lost packet costs about as much.
 const MIN_STALLED_MS: f64 = 350.0;
-/// Weight of a new sample in the moving average of failures.
+/// Weight of a new exchange in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.2;
-/// Time in which the share of failures decays to about a third.
+/// Time in which the share of failures decays to about a third if no exchange ends.
 const FAILURE_DECAY_MS: f64 = 4_000.0;
 /// Slowness and share of failures from which a server is reported to the zone; well above the effect of one outlier.
 const MIN_REPORTED_SLOWNESS: f64 = 2.0;
@@ -41,7 +41,7 @@
     /// Entry of the server in the store.
     pub entry: ServerEntry,
     region: Option<ids::RegionId>,
-    /// End of the warm-up; in the past if the server is warm.
+    /// End of the warm-up; a cold server gets few requests until then. In the past if the server is warm.
     pub cold_until: TimeMs,
     /// Time at which the server is removed, set if its entry is missing after a store outage.
     pub expires_at: Option<TimeMs>,
@@ -50,9 +50,9 @@
     cold_rate: ColdRate,
     requests: BTreeMap<ExchangeId, InFlightRequest>,
     peer_load: PeerLoad,
-    /// Last load report from the server to this instance and its time, until the report is taken for the zone.
+    /// Last load report from the server and its time, until it was sent to the zone's other instances.
     last_report: Option<(TimeMs, LoadReport)>,
-    /// Last load per slot reported to this instance, for the region's load; excludes peers' reports of busy servers.
+    /// Last load per slot that the server reported, for the region's load; excludes peers' reports of busy servers.
     load_sample: Option<(TimeMs, f64)>,
     /// Whether the last report to the zone reported a queue.
     is_reported_busy: bool,
@@ -62,7 +62,7 @@
     failures_at: TimeMs,
     /// Last health report from another instance and its time.
     peer_health: Option<(TimeMs, PeerHealthReport)>,
-    /// Whether this instance has observed a change of health that was not reported to the zone yet.
+    /// Whether this instance has observed a change of health that it has not reported to the zone.
     has_unreported_health: bool,
     /// Whether the last report to the zone reported the server as slow or failing.
     is_reported_unhealthy: bool,
@@ -71,7 +71,7 @@
 }
 
 impl Server {
-    /// Returns a server of which only the entry is known.
+    /// Returns a server whose entry was read at `now` and about which this instance has observed nothing.
     #[must_use]
     pub fn new(now: TimeMs, entry: ServerEntry, region: Option<ids::RegionId>) -> Self {
         let cold_until = now + SpanMs::new(entry.warmup_left_ms);
@@ -124,13 +124,13 @@
         self.liveness = Liveness::Up;
     }
 
-    /// Returns whether the limit on cold servers applies, because the server is cold or may have restarted.
+    /// Returns whether the rate limit of cold servers applies: the server is cold or may have restarted.
     #[must_use]
     pub fn is_cold(&self, now: TimeMs) -> bool {
         now < self.cold_until || matches!(self.liveness, Liveness::Suspect { .. })
     }
 
-    /// Returns whether the server is warm, or one more request stays within `share` of the limit on cold servers.
+    /// Returns whether the server is warm, or has received fewer requests than this instance's `share` allows.
     #[must_use]
     pub fn has_cold_capacity(&self, now: TimeMs, share: usize) -> bool {
         !self.is_cold(now) || self.cold_rate.has_capacity(now, share)
@@ -148,7 +148,7 @@
         self.peer_load.estimate(now) + self.requests.len() as f64
     }
 
-    /// Returns the ratio of the server's time to the usual time, as observed by this instance or reported by a peer.
+    /// Returns the ratio of the server's time to the usual time of requests, by observation or a peer's report.
     #[must_use]
     pub fn slowness(&self, now: TimeMs) -> f64 {
         let own = self.own_slowness(now);
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Returns the share of recent exchanges that failed, as observed by this instance or reported by a peer.
+    /// Returns the share of recent exchanges that failed, by this instance's observation or a peer's report.
     #[must_use]
     pub fn failure_share(&self, now: TimeMs) -> f64 {
         let own = self.own_failure_share(now);
@@ -186,13 +186,13 @@
 
     /// Returns whether an exchange in progress has lasted far longer than usual.
     ///
-    /// The age of such an exchange reveals a silent or very slow server within a few hundred milliseconds.
+    /// Such an exchange reveals a silent or very slow server within a few hundred milliseconds.
     #[must_use]
     pub fn is_stalled(&self, now: TimeMs) -> bool {
         self.stall_ratio(now).is_some()
     }
 
-    /// Returns the highest ratio of age to usual time among stalled exchanges, or `None` if none is stalled.
+    /// Returns the highest ratio of age to usual time among stalled exchanges, or `None` if no exchange is stalled.
     fn stall_ratio(&self, now: TimeMs) -> Option<f64> {
         let ratios = self.requests.values().filter_map(|request| {
             let bound_ms = (request.expected_ms * STALLED_FACTOR).max(MIN_STALLED_MS);
@@ -257,7 +257,7 @@
         Some(now.since(request.sent_at).get())
     }
 
-    /// Applies the parts of a peer's report that are newer than the known state.
+    /// Applies those parts of another instance's report that are newer than the known state.
     pub(super) fn apply_peer_report(&mut self, now: TimeMs, report: &PeerServerReport) {
         let observed_at = TimeMs::new(now.get().saturating_sub(report.age_ms));
         if let Some(load) = report.load
@@ -281,17 +281,17 @@
         (requests - 1.0).max(0.0) / f64::from(self.entry.slots.max(1))
     }
 
-    /// Takes the load per slot that was reported since the last call, and its time.
+    /// Removes and returns the last load per slot, and its time, if reported since the last call.
     pub(super) const fn take_load_sample(&mut self) -> Option<(TimeMs, f64)> {
         self.load_sample.take()
     }
 
-    /// Returns whether there is a load report or a change of health that the zone hasn't received.
+    /// Returns whether there is a load report or a change of health that was not sent to the zone.
     pub(super) const fn has_unreported_state(&self) -> bool {
         self.last_report.is_some() || self.has_unreported_health
     }
 
-    /// Takes the report for the zone, present if the server has a queue, is slow or failing, or has just recovered.
+    /// Removes and returns the report for the zone, if the server is queueing, slow or failing, or just recovered.
     pub(super) fn take_report(&mut self, now: TimeMs) -> Option<PeerServerReport> {
         let (load, age_ms) = self.take_load_report(now).unzip();
         let health = self.take_health_report(now);
@@ -377,12 +377,12 @@
         }
     }
 
-    /// Returns whether the end counts as a failure of the server, or `None` if the end doesn't depend on the server.
+    /// Returns whether an exchange's end counts as the server's failure, or `None` if it counts neither way.
     fn counts_as_failure(&self, end: ExchangeEnd, report: ServerReport) -> Option<bool> {
         match end {
             ExchangeEnd::Answered => Some(false),
             ExchangeEnd::Failed | ExchangeEnd::Broken | ExchangeEnd::Malformed => Some(true),
-            // Shedding is correct for a full server; a server that sheds with free slots is unhealthy.
+            // A full server rightly rejects requests; a server that rejects them with free slots is unhealthy.
             ExchangeEnd::Shed => report
                 .load
                 .is_none_or(|load| load.running < load.slots)
--- a/crates/damaskvane-routing/src/pool/server_pool.rs
+++ b/crates/damaskvane-routing/src/pool/server_pool.rs
@@ -1,4 +1,7 @@
-//! The pool of all backend servers in the store, with evacuated zones and pending probes.
+//! The pool of all backend servers with an entry in the platform's store, with evacuated zones and pending probes.
+//!
+//! An evacuated zone is a zone whose servers get no requests. A server is cold after its start, for the warm-up time of
+//! its service, and gets few requests. A suspect server may have restarted and counts as cold.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,18 +14,18 @@
     ServerHandle, ServerMut, ServerState, ServiceServers, Topology, ZoneIndex,
 };
 
-/// A change of a server in the pool, for the log.
+/// A change of a server in the pool, which the caller logs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// The server was added.
     Joined(ids::BackendServerId),
     /// The server has restarted under the same name.
     Restarted(ids::BackendServerId),
-    /// The server accepts no new requests.
+    /// The server has begun to reject new requests while it finishes those in progress.
     Draining(ids::BackendServerId),
     /// The server was removed.
     Gone(ids::BackendServerId),
-    /// The entry is missing after a store outage; the server is used until its grace time ends.
+    /// The server's entry is missing after a store outage; the server is used until the grace time ends.
     Expiring(ids::BackendServerId),
 }
 
@@ -52,13 +55,14 @@
     }
 }
 
-/// The backend servers, the evacuated zones, and the state of removals after a store outage.
+/// The backend servers, the evacuated zones, and the time until which removals are deferred after a store outage.
 #[derive(Debug)]
 pub struct ServerPool {
     settings: PoolSettings,
     servers: ServerTable,
     evacuated: BTreeSet<ids::AvailabilityZoneId>,
-    /// Time until which a missing entry may have expired only because the store was unavailable.
+    /// Time until which a server whose entry is missing is retained, because the entry may have expired only because
+    /// the server couldn't write it during a store outage.
     removals_deferred_until: TimeMs,
     warmup_ms: HashMap<ids::ServiceId, u64>,
 }
@@ -120,31 +124,32 @@
         self.servers.service(id)
     }
 
-    /// Returns a server by its name.
+    /// Returns the server with this name, or `None` if the pool has no such server.
     #[must_use]
     pub fn server(&self, id: &ids::BackendServerId) -> Option<&Server> {
         self.servers.get(self.servers.handle(id)?)
     }
 
-    /// Returns a server by its name, for changes to its state.
+    /// Returns mutable access to the server with this name, or `None` if the pool has no such server.
     pub fn server_mut(&mut self, id: &ids::BackendServerId) -> Option<ServerMut<'_>> {
         let handle = self.servers.handle(id)?;
         self.servers.get_mut(handle)
     }
 
-    /// Returns the handle of a server.
+    /// Returns the handle of the server with this name, or `None` if the pool has no such server.
     #[must_use]
     pub fn handle(&self, id: &ids::BackendServerId) -> Option<ServerHandle> {
         self.servers.handle(id)
     }
 
-    /// Returns a server by its handle.
+    /// Returns the server with this handle, or `None` if the server was removed.
     #[must_use]
     pub fn at(&self, handle: ServerHandle) -> Option<&Server> {
         self.servers.get(handle)
     }
 
-    /// Takes the reports of busy and unhealthy servers for the zone, at most `max_reports`.
+    /// Removes and returns at most `max_reports` reports of busy and unhealthy servers, to send to the zone's other
+    /// instances.
     ///
     /// Reports with a change of health come first, then those with the longest queues.
     pub fn take_server_reports(
@@ -153,7 +158,8 @@
         max_reports: usize,
     ) -> Vec<PeerServerReport> {
         let with_unreported_state = self.servers.with_unreported_state().iter();
-        // A stalled exchange yields no new state until it ends, so servers in use are checked too.
+        // A request that gets no response yields no new state until it ends, so servers with requests in flight are
+        // checked too.
         let in_use = self.servers.in_use().iter();
         let candidates: BTreeSet<ServerHandle> =
             with_unreported_state.chain(in_use).copied().collect();
@@ -179,13 +185,13 @@
         }
     }
 
-    /// Returns whether the zone is evacuated.
+    /// Returns whether the zone is evacuated, so that its servers get no requests.
     #[must_use]
     pub fn is_evacuated(&self, zone: ZoneIndex) -> bool {
         !self.evacuated.is_empty() && self.evacuated.contains(self.topology().zone_id(zone))
     }
 
-    /// Sets the warm-up time in milliseconds of each service's servers.
+    /// Sets the warm-up time, in milliseconds after a server's start, of each service's servers.
     pub fn set_warmups(&mut self, warmups: impl IntoIterator<Item = (ids::ServiceId, u64)>) {
         self.warmup_ms = warmups.into_iter().collect();
     }
@@ -198,7 +204,7 @@
         self.removals_deferred_until = now + SpanMs::new(self.settings.expiry_grace_ms);
     }
 
-    /// Applies the entry of a server, unless the entry is older than the known one.
+    /// Applies the entry of a server, unless the entry is older than the known one. Returns the change to log, if any.
     pub fn apply(&mut self, now: TimeMs, entry: ServerEntry) -> Option<Change> {
         let id = entry.id.clone();
         let is_draining = entry.state == ServerState::Draining;
@@ -227,7 +233,7 @@
         (is_draining && !was_draining).then_some(Change::Draining(id))
     }
 
-    /// Handles the removal of a server's entry.
+    /// Handles the removal of a server's entry from the store. Returns the change to log, if any.
     ///
     /// Entries expire while the store is unavailable. If such removals were applied at once, the pool would be
     /// empty and clients would receive no response although every server is alive.
@@ -278,7 +284,7 @@
         expired.into_iter().map(Change::Gone).collect()
     }
 
-    /// Sets the evacuated zones; returns the zones that are no longer evacuated.
+    /// Replaces the set of evacuated zones; returns the zones that were evacuated before and no longer are.
     ///
     /// Servers of a restored zone may have become cold during the evacuation, so they count as cold for a whole
     /// warm-up. Otherwise the zone's full load would crash them in the first second.
@@ -298,7 +304,8 @@
         restored
     }
 
-    /// Returns the probes to send now, and postpones the next probe of each server so that a probe is sent once.
+    /// Returns the probes to send now, and postpones the next probe of these servers, so that each probe is sent only
+    /// once.
     pub fn due_probes(
         &mut self,
         now: TimeMs,
@@ -330,7 +337,7 @@
         due
     }
 
-    /// Records the result of a probe.
+    /// Records the result of a server's health probe.
     pub fn record_probe(&mut self, now: TimeMs, id: &ids::BackendServerId, result: ProbeResult) {
         let Some(mut server) = self.server_mut(id) else {
             return;
@@ -356,5 +363,5 @@
     }
 }
 
-/// Delay until a suspect server is probed again.
+/// Delay in milliseconds until a suspect server is probed again.
 const REPROBE_DELAY_MS: u64 = 1_000;
--- a/crates/damaskvane-routing/src/pool/server_table.rs
+++ b/crates/damaskvane-routing/src/pool/server_table.rs
@@ -1,4 +1,4 @@
-//! A table of all servers, with indexes that find servers by name, service, zone and state.
+//! A table of all backend servers, with indexes that find servers by name, service, zone and state.
 
 use std::collections::{BTreeSet, HashMap};
 use std::ops::{Deref, DerefMut};
@@ -45,8 +45,8 @@
     keys: IndexKeys,
 }
 
-/// All servers, with indexes. The work for a request or a tick finds its servers here at a cost that doesn't grow
-/// with the number of servers.
+/// All servers, with indexes. A request or a periodic task finds its servers here at a cost that doesn't grow with the
+/// number of servers.
 #[derive(Debug)]
 pub(super) struct ServerTable {
     topology: Topology,
@@ -61,7 +61,7 @@
     in_use: BTreeSet<ServerHandle>,
 }
 
-/// Mutable access to a server; dropping the value updates the indexes.
+/// Mutable access to a server of the table; dropping this value updates the table's indexes.
 #[derive(Debug)]
 pub struct ServerMut<'a> {
     table: &'a mut ServerTable,
@@ -156,23 +156,24 @@
         rows.map(|row| &row.server)
     }
 
-    /// Returns all servers, for changes to state that no index depends on.
+    /// Returns all servers, for changes that affect no index. The indexes are not updated.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
         let rows = self.rows.iter_mut().flatten();
         rows.map(|row| &mut row.server)
     }
 
-    /// Returns the servers that need a probe, now or later.
+    /// Returns the servers for which a health probe is scheduled, due now or later.
     pub(super) const fn awaiting_probe(&self) -> &BTreeSet<ServerHandle> {
         &self.awaiting_probe
     }
 
-    /// Returns the servers whose entry is missing after a store outage.
+    /// Returns the servers whose entry is missing after an outage of the platform's store and that are removed soon.
     pub(super) const fn expiring(&self) -> &BTreeSet<ServerHandle> {
         &self.expiring
     }
 
-    /// Returns the servers with a load report or a change of health that the zone hasn't received.
+    /// Returns the servers with a load report or a change of health that was not sent to the zone's other instances
+    /// yet.
     pub(super) const fn with_unreported_state(&self) -> &BTreeSet<ServerHandle> {
         &self.with_unreported_state
     }
--- a/crates/damaskvane-routing/src/pool/service_servers.rs
+++ b/crates/damaskvane-routing/src/pool/service_servers.rs
@@ -1,4 +1,6 @@
 //! The servers of one service that accept new requests, by availability zone.
+//!
+//! A slot is a server's capacity to run one request at a time.
 
 use damaskvane_core::time::TimeMs;
 
@@ -8,11 +10,11 @@
 /// The servers of a service in one zone that accept new requests.
 #[derive(Debug, Default)]
 pub struct ZoneServers {
-    /// Consistent hash ring of the servers, for placement by object.
+    /// Consistent hash ring of these servers, by which requests for the same object go to the same server.
     pub ring: Ring,
-    /// Number of servers.
+    /// Number of these servers.
     pub servers: usize,
-    /// Total number of slots.
+    /// Total number of slots of these servers.
     pub slots: u64,
 }
 
@@ -24,7 +26,7 @@
 }
 
 impl ServiceServers {
-    /// Returns a value without servers for the zones and regions of a topology.
+    /// Returns tables for the zones and regions of a topology, without any server.
     pub(super) fn new(topology: &Topology) -> Self {
         Self {
             zones: topology.zones().map(|_| ZoneServers::default()).collect(),
@@ -32,7 +34,7 @@
         }
     }
 
-    /// Returns the servers in a zone.
+    /// Returns the service's servers in a zone that accept new requests.
     #[must_use]
     pub fn zone(&self, zone: ZoneIndex) -> &ZoneServers {
         &self.zones[zone.get()]
@@ -46,8 +48,8 @@
         &mut self.regions[region.get()]
     }
 
-    /// Returns the load per slot of the servers in a region, estimated from the servers' reports and from this
-    /// instance's requests.
+    /// Returns the load of the servers in a region, as requests per slot, estimated from the servers' reports and from
+    /// this instance's requests.
     #[must_use]
     pub fn load(&self, now: TimeMs, topology: &Topology, region: RegionIndex) -> f64 {
         let zones = topology.zones();
--- a/crates/damaskvane-routing/src/pool/settings.rs
+++ b/crates/damaskvane-routing/src/pool/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the pool: limits on cold servers, the grace time of entries, and regions.
+//! Settings of the pool: the rate limit of cold servers, the grace time for missing entries, and the regions.
 
 use damaskvane_core::ids;
 
@@ -7,9 +7,10 @@
 /// Settings of a [`ServerPool`](crate::pool::ServerPool).
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolSettings {
-    /// Limit on the rate of requests to a cold server.
+    /// Limit on the rate of requests to a cold server, which has started recently.
     pub cold_rate: ColdRateSettings,
-    /// Time for which a server is retained if its entry is missing when the store returns from an outage.
+    /// Time for which a server is retained if its entry in the platform's store is missing after an outage of the
+    /// store.
     pub expiry_grace_ms: u64,
     /// Region of each availability zone.
     pub regions: std::collections::HashMap<ids::AvailabilityZoneId, ids::RegionId>,
--- a/crates/damaskvane-routing/src/pool/speed.rs
+++ b/crates/damaskvane-routing/src/pool/speed.rs
@@ -1,4 +1,6 @@
 //! How long requests usually take on a route, and how much slower than usual a server is.
+//!
+//! An object is the item that a client's request names; a server is faster for an object that it has handled recently.
 
 use std::collections::HashMap;
 
@@ -8,11 +10,11 @@
 /// Average times of a route's requests in milliseconds, without the network round trip.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Baseline {
-    /// Time on a server that has handled the object recently.
+    /// Average time on a server that has handled the request's object recently.
     pub warm_ms: f64,
-    /// Time on a server that hasn't handled the object recently.
+    /// Average time on a server that hasn't handled the request's object recently.
     pub first_ms: f64,
-    /// Whether `warm_ms` comes from observed requests instead of an estimate.
+    /// Whether `warm_ms` was measured on requests; otherwise it is an estimate from the route's objective.
     pub is_measured: bool,
 }
 
@@ -53,7 +55,7 @@
             .unwrap_or_else(|| Baseline::guess(objective_ms))
     }
 
-    /// Records the time of a request; `is_warm` is whether the server had handled the object recently.
+    /// Records the time of a request. `is_warm` states whether the server had handled the object recently before.
     pub fn record(&mut self, route: &str, objective_ms: u64, is_warm: bool, took_ms: f64) {
         let mut baseline = self.of(route, objective_ms);
         baseline.is_measured |= is_warm;
@@ -71,7 +73,7 @@
     }
 }
 
-/// Ratio of the time that a server takes to the usual time of the requests.
+/// Ratio of the time that requests take on one server to the time that they usually take.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Slowness {
     ratio: f64,
@@ -83,13 +85,13 @@
     }
 }
 
-/// Highest ratio; higher values count as this one.
+/// Maximum ratio; higher ratios count as this one.
 const MAX_RATIO: f64 = 10.0;
 /// Weight of a new sample in a server's ratio; three slow responses are enough to detect a slow server.
 const RATIO_WEIGHT: f64 = 0.3;
 
 impl Slowness {
-    /// Records a request that took `took_ms`, where `expected_ms` is usual.
+    /// Records that a request took `took_ms`, where requests of its kind usually take `expected_ms`.
     pub(super) fn record(&mut self, took_ms: f64, expected_ms: f64) {
         let ratio = (took_ms / expected_ms.max(1.0)).clamp(0.3, MAX_RATIO);
         self.ratio += (ratio - self.ratio) * RATIO_WEIGHT;
@@ -109,7 +111,7 @@
         self.ratio = 1.0 + (self.ratio - 1.0) * weight;
     }
 
-    /// Returns the ratio; 1 is usual.
+    /// Returns the ratio of the server's time to the usual time; 1 means the usual time.
     #[must_use]
     pub(super) const fn ratio(self) -> f64 {
         self.ratio
--- a/crates/damaskvane-routing/src/pool/topology.rs
+++ b/crates/damaskvane-routing/src/pool/topology.rs
@@ -4,16 +4,16 @@
 
 use damaskvane_core::ids;
 
-/// An availability zone's number within a [`Topology`].
+/// Number of an availability zone within a [`Topology`], from 0 in the order of the zones' names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneIndex(usize);
 
-/// A region's number within a [`Topology`].
+/// Number of a region within a [`Topology`], from 0 in the order of the regions' names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RegionIndex(usize);
 
 impl ZoneIndex {
-    /// Returns the number, for use as an index into a table with one entry for each zone.
+    /// Returns the zone's number, for use as an index into a table with one entry for each zone.
     #[must_use]
     pub const fn get(self) -> usize {
         self.0
@@ -21,7 +21,7 @@
 }
 
 impl RegionIndex {
-    /// Returns the number, for use as an index into a table with one entry for each region.
+    /// Returns the region's number, for use as an index into a table with one entry for each region.
     #[must_use]
     pub const fn get(self) -> usize {
         self.0
