--- a/crates/damaskvane-routing/src/peers.rs
+++ b/crates/damaskvane-routing/src/peers.rs
@@ -1,5 +1,8 @@
 //! Tracks which entry instances are alive, which of them a lookup returns, and to which of them messages are sent.
 //!
+//! A lookup is a client's request for the addresses of entry instances. An aggregator is an instance that sends
+//! messages to other zones for its own availability zone.
+//!
 //! ```
 //! use damaskvane_routing::peers;
 //!
--- a/crates/damaskvane-routing/src/peers/caller.rs
+++ b/crates/damaskvane-routing/src/peers/caller.rs
@@ -1,4 +1,7 @@
 //! Selects the entry instances that are nearest to the caller of a lookup.
+//!
+//! A lookup is a request for the addresses of entry instances that accept requests for one service. An instance is
+//! ready if its last heartbeat, a periodic message to the other instances, reported that it accepts clients.
 
 use std::collections::HashMap;
 use std::net;
@@ -20,8 +23,8 @@
 }
 
 impl Caller<'_> {
-    /// Returns the client addresses of the nearest ready instances: those of the caller's zone, otherwise of the
-    /// caller's region, otherwise of the allowed regions, otherwise of all regions.
+    /// Returns the addresses at which the nearest ready instances accept clients: all instances of the first of these
+    /// areas that has any: the caller's zone, the caller's region, the allowed regions, all regions.
     pub(super) fn nearest(
         &self,
         members: &MemberTable,
--- a/crates/damaskvane-routing/src/peers/digest.rs
+++ b/crates/damaskvane-routing/src/peers/digest.rs
@@ -1,12 +1,15 @@
-//! The digest of a zone's live instances, which its aggregators send to other zones.
+//! The digest of a zone's live instances, which the zone's aggregators send to other zones.
+//!
+//! A heartbeat is the message by which an instance reports that it is alive. An aggregator is an instance that sends
+//! messages to other zones for its own zone. An incarnation is one start of an instance's process.
 
 use damaskvane_core::ids;
 use xxhash_rust::xxh3;
 
 use crate::peers::{Heartbeat, Phase};
 
-/// An 8-byte key of one incarnation of an instance. Receivers resolve the key only if they have received a heartbeat
-/// of this incarnation.
+/// An 8-byte hash that identifies one incarnation of an instance in messages. A receiver can match the key with the
+/// instance only if it has received a heartbeat of this incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IncarnationKey(u64);
 
@@ -18,13 +21,13 @@
         Self(hash)
     }
 
-    /// Returns the key as a number for messages.
+    /// Returns the key as a number, for use in a message.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// Returns the key for a number from a message.
+    /// Returns the key whose number was received in a message.
     #[must_use]
     pub const fn from_wire(key: u64) -> Self {
         Self(key)
@@ -35,16 +38,16 @@
     }
 }
 
-/// The state of one instance by its last heartbeat.
+/// The state of one instance according to its last heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DigestEntry {
     /// Key of the instance's incarnation.
     pub key: IncarnationKey,
-    /// Serial number of the last heartbeat.
+    /// Serial number of the last heartbeat, counted from the start of the incarnation.
     pub serial: u64,
-    /// Phase that the last heartbeat reported.
+    /// Phase that the last heartbeat reported: starting, ready or leaving.
     pub phase: Phase,
-    /// Time since the sender of the digest received the last heartbeat.
+    /// Time from the receipt of the last heartbeat by the sender of the digest to the creation of the digest.
     pub age_ms: u64,
 }
 
--- a/crates/damaskvane-routing/src/peers/heartbeat.rs
+++ b/crates/damaskvane-routing/src/peers/heartbeat.rs
@@ -1,4 +1,4 @@
-//! The heartbeat that an instance sends to other instances, and its phases.
+//! The heartbeat, which an instance sends periodically to other instances, and the phases of an instance.
 
 use std::net;
 
@@ -7,28 +7,28 @@
 /// The phase of an instance between start and stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// The instance is not ready for clients yet; it has no configuration, for instance.
+    /// The instance doesn't accept clients yet, for example because it has received no configuration.
     Starting,
     /// The instance accepts clients.
     Ready,
-    /// The instance is stopping and needs no new clients.
+    /// The instance is stopping, and lookups no longer return it to clients.
     Leaving,
 }
 
-/// A message that an instance sends periodically to report that it is alive, where, and in which phase.
+/// A message by which an instance reports periodically that it is alive, with its zone, addresses and phase.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
     /// The instance that sends the heartbeat.
     pub instance: ids::InstanceId,
-    /// Incarnation of the instance; a higher number is a later start.
+    /// Number of the incarnation, which is one start of the instance's process; a later start has a higher number.
     pub incarnation: ids::Incarnation,
     /// Number of the heartbeat, counted from the start of this incarnation.
     pub serial: u64,
     /// Availability zone of the instance.
     pub zone: ids::AvailabilityZoneId,
-    /// Address for clients.
+    /// Address at which the instance accepts clients.
     pub client_address: net::SocketAddr,
-    /// Address for other instances.
+    /// Address at which the instance receives messages of other instances.
     pub peer_address: net::SocketAddr,
     /// Phase of the instance when it sent the heartbeat.
     pub phase: Phase,
--- a/crates/damaskvane-routing/src/peers/heartbeat_targets.rs
+++ b/crates/damaskvane-routing/src/peers/heartbeat_targets.rs
@@ -1,4 +1,8 @@
 //! Selects the instances to which this instance sends its heartbeats.
+//!
+//! The platform's list names the instances that are registered in the store. Seeds are configured addresses of
+//! instances, used until the list was read. An aggregator is an instance that sends messages to other zones for its own
+//! zone.
 
 use std::collections::BTreeMap;
 use std::net;
@@ -14,11 +18,12 @@
 #[derive(Debug)]
 pub(super) struct HeartbeatTargets {
     settings: PeerSettings,
-    /// Addresses at which other instances may be reached before the platform's list has been read.
+    /// Addresses to which heartbeats are sent while the platform's list was not read and no ready instance is known.
     seeds: Vec<net::SocketAddr>,
-    /// Whether the next heartbeat is also sent to listed instances of other zones of which no heartbeat was received.
+    /// Whether the next heartbeat also goes to the first listed instances of other zones from which this instance has
+    /// received no heartbeat.
     announces_next: bool,
-    /// Time of this instance's last change of phase.
+    /// Time of this instance's last change of phase, or `None` if the phase has not changed.
     own_phase_changed_at: Option<TimeMs>,
 }
 
@@ -84,7 +89,7 @@
         recipients
     }
 
-    /// Returns the seed addresses until the platform's list was read or another ready instance is known.
+    /// Returns the seed addresses, or none once the platform's list was read or another ready instance is known.
     fn seeds_in_use(
         &self,
         members: &MemberTable,
@@ -102,19 +107,19 @@
     fn is_to_all(&self, members: &MemberTable, now: TimeMs, serial: u64) -> bool {
         let phase = members.own_member().map(|own| own.heartbeat.phase);
         // Without a ready instance the zone has no aggregator, so the last instance that leaves the zone sends its
-        // heartbeats to all instances itself.
+        // heartbeats to the instances of all zones itself.
         let is_last_leaving = phase == Some(Phase::Leaving)
             && self.own_phase_changed_at.is_some_and(|at| {
                 now.since(at).get() < self.settings.heartbeat_timeout_ms && !has_ready(members, now)
             });
-        // Limits these heartbeats to one datagram per heartbeat on average, for any number of instances.
+        // Sending to all instances adds one datagram per heartbeat on average at most, for any number of instances.
         let fleet = u64::try_from(members.len()).unwrap_or(u64::MAX);
         let broadcast_interval = self.settings.heartbeats_between_broadcasts.max(fleet);
         is_last_leaving || serial.is_multiple_of(broadcast_interval)
     }
 }
 
-/// Returns whether this instance's zone has a ready instance.
+/// Returns whether this instance's zone has a live instance in the phase ready.
 fn has_ready(members: &MemberTable, now: TimeMs) -> bool {
     let zone = members.own_zone();
     zone.is_some_and(|zone| members.alive_in(now, zone, Phase::Ready).next().is_some())
--- a/crates/damaskvane-routing/src/peers/instance_list.rs
+++ b/crates/damaskvane-routing/src/peers/instance_list.rs
@@ -1,4 +1,6 @@
 //! The platform's list of instances, compared with the instances whose heartbeats were received.
+//!
+//! The list holds the instances that are registered in the platform's store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,13 +8,13 @@
 
 use crate::peers::ListedInstance;
 
-/// The platform's list of instances, as far as it was read.
+/// The platform's list of instances, as far as this instance has read the list.
 #[derive(Debug, Default)]
 pub(super) struct InstanceList {
     listed: BTreeMap<ids::InstanceId, ListedInstance>,
-    /// Listed instances of which no heartbeat was received.
+    /// Listed instances from which this instance has received no heartbeat.
     without_heartbeat: BTreeSet<ids::InstanceId>,
-    /// Instances of which a heartbeat was received and that aren't listed.
+    /// Instances that aren't listed, but from which this instance has received a heartbeat.
     unlisted: BTreeSet<ids::InstanceId>,
     /// Whether the whole list was read at least once.
     is_complete: bool,
@@ -23,7 +25,7 @@
         self.is_complete
     }
 
-    /// Returns the number of instances that are listed or of which a heartbeat was received.
+    /// Returns the number of instances that are listed or have sent a heartbeat to this instance.
     pub(super) fn known(&self) -> usize {
         self.listed.len() + self.unlisted.len()
     }
@@ -37,14 +39,15 @@
         self.listed.values()
     }
 
-    /// Returns the listed instances of which no heartbeat was received, in the order of their names.
+    /// Returns the listed instances from which no heartbeat was received, in the order of their names.
     pub(super) fn without_heartbeat(&self) -> impl Iterator<Item = &ListedInstance> {
         self.without_heartbeat
             .iter()
             .filter_map(|id| self.listed.get(id))
     }
 
-    /// Empties the list before it is read again. `received` are the instances of which a heartbeat was received.
+    /// Empties the list, for a caller that then adds all listed instances. `received` are the instances from which a
+    /// heartbeat was received.
     pub(super) fn clear(&mut self, received: impl IntoIterator<Item = ids::InstanceId>) {
         *self = Self {
             unlisted: received.into_iter().collect(),
@@ -53,7 +56,7 @@
         };
     }
 
-    /// Adds a listed instance. `has_heartbeat` states whether a heartbeat of the instance was received.
+    /// Adds a listed instance. `has_heartbeat` states whether a heartbeat was received from the instance.
     pub(super) fn add(&mut self, one: ListedInstance, has_heartbeat: bool) {
         let instance = one.instance.clone();
         self.unlisted.remove(&instance);
@@ -63,7 +66,7 @@
         self.listed.insert(instance, one);
     }
 
-    /// Removes a listed instance. `has_heartbeat` states whether a heartbeat of the instance was received.
+    /// Removes a listed instance. `has_heartbeat` states whether a heartbeat was received from the instance.
     pub(super) fn remove(&mut self, instance: &ids::InstanceId, has_heartbeat: bool) {
         self.without_heartbeat.remove(instance);
         if self.listed.remove(instance).is_some() && has_heartbeat {
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Records that a heartbeat of an instance was received.
+    /// Records that a heartbeat was received from an instance.
     pub(super) fn record_heartbeat(&mut self, instance: &ids::InstanceId) {
         self.without_heartbeat.remove(instance);
         if !self.listed.contains_key(instance) {
--- a/crates/damaskvane-routing/src/peers/member_table.rs
+++ b/crates/damaskvane-routing/src/peers/member_table.rs
@@ -1,4 +1,7 @@
 //! A table of the instances whose heartbeats were received, indexed by name, zone and incarnation.
+//!
+//! An incarnation is one start of an instance's process. A digest lists the live instances of one zone for other zones.
+//! An aggregator is an instance that sends digests for its zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,14 +10,14 @@
 
 use crate::peers::{Digest, DigestEntry, Heartbeat, IncarnationKey, PeerSettings, Phase};
 
-/// An instance with its last heartbeat and the time of receipt.
+/// An instance, with its last heartbeat and the time at which this instance received the heartbeat.
 #[derive(Debug)]
 pub(super) struct Member {
     pub(super) heartbeat: Heartbeat,
     pub(super) received_at: TimeMs,
 }
 
-/// The instances whose heartbeats were received, including this instance.
+/// The members: this instance, and the instances whose heartbeats it has received.
 #[derive(Debug)]
 pub(super) struct MemberTable {
     settings: PeerSettings,
@@ -41,7 +44,7 @@
         &self.own
     }
 
-    /// Returns this instance, or `None` until it has sent its first heartbeat.
+    /// Returns this instance's own entry, or `None` until this instance has sent its first heartbeat.
     pub(super) fn own_member(&self) -> Option<&Member> {
         self.members.get(&self.own)
     }
@@ -62,7 +65,8 @@
 
     /// Returns the live instances of a zone in the given phase, in the order of their names.
     ///
-    /// An instance is alive until its last heartbeat is older than the timeout. This instance is always alive.
+    /// An instance is alive while its last heartbeat is newer than the heartbeat timeout of its zone. This instance is
+    /// always alive.
     pub(super) fn alive_in(
         &self,
         now: TimeMs,
@@ -85,8 +89,8 @@
         }
     }
 
-    /// Returns the aggregators of this instance's zone: the first ready instances by name whose last heartbeat is newer
-    /// than the aggregator timeout.
+    /// Returns the aggregators of this instance's zone: among the ready instances whose last heartbeat is newer than
+    /// the aggregator timeout, the first few by name.
     pub(super) fn aggregators(&self, now: TimeMs) -> impl Iterator<Item = &Member> {
         let limit = self.settings.aggregator_timeout_ms;
         let aggregators = self.in_own_zone().filter(move |member| {
@@ -118,7 +122,7 @@
         self.members.get_mut(instance)
     }
 
-    /// Returns the member whose incarnation has this key.
+    /// Returns the member whose incarnation has this key, or `None` if no heartbeat of the incarnation was received.
     fn by_key_mut(&mut self, key: IncarnationKey) -> Option<&mut Member> {
         let instance = self.by_key.get(&key)?;
         self.members.get_mut(instance)
@@ -143,7 +147,7 @@
         instances.filter_map(|id| self.members.get(id))
     }
 
-    /// Adds an incarnation of an instance and removes an earlier one.
+    /// Adds the incarnation that sent a heartbeat, and removes an earlier incarnation of the same instance.
     pub(super) fn add(&mut self, now: TimeMs, heartbeat: Heartbeat) {
         let instance = heartbeat.instance.clone();
         self.remove(&instance);
@@ -168,13 +172,13 @@
         }
     }
 
-    /// Applies the digest of another zone to the members whose incarnation is known; other entries are ignored.
+    /// Applies the digest of another zone. Entries for incarnations that aren't in the table are ignored.
     pub(super) fn apply_digest(&mut self, now: TimeMs, digest: &Digest) {
         for entry in &digest.entries {
             let Some(member) = self.by_key_mut(entry.key) else {
                 continue;
             };
-            // An entry with a lower serial may be older than the heartbeat that reported the phase Leaving.
+            // An entry with a lower serial number may be older than the heartbeat that reported the phase `Leaving`.
             if entry.serial < member.heartbeat.serial {
                 continue;
             }
--- a/crates/damaskvane-routing/src/peers/members.rs
+++ b/crates/damaskvane-routing/src/peers/members.rs
@@ -1,4 +1,5 @@
-//! The entry instances of all zones from this instance's view, and the recipients of messages to them.
+//! The entry instances of all zones that this instance knows, and which of them receive its messages.
+//! An incarnation is one start of an instance. An aggregator sends its zone's digest, the list of live instances.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net;
@@ -22,7 +23,7 @@
     members: MemberTable,
     list: InstanceList,
     zones_at: HashMap<net::IpAddr, ids::AvailabilityZoneId>,
-    /// Members of this instance's zone that changed and were not sent to other zones since.
+    /// Members of this zone that changed and whose heartbeat was not sent to other zones since the change.
     updates: BTreeSet<ids::InstanceId>,
     /// Whether the record of this instance is in the store.
     is_registered: bool,
@@ -121,7 +122,7 @@
         before.count() < self.settings.watchers_per_region
     }
 
-    /// Directs the next heartbeat to other zones too, so that instances that start at the same time find each other.
+    /// Sends the next heartbeat to other zones too, so that instances that start at the same time find each other.
     pub const fn announce_to_other_zones(&mut self) {
         self.targets.announce_to_other_zones();
     }
@@ -131,7 +132,7 @@
         self.is_registered = true;
     }
 
-    /// Returns whether this instance has joined the other instances, or the join timeout is over.
+    /// Returns whether this instance has joined the other instances, or the time limit for joining has passed.
     ///
     /// An instance that is unknown to all others receives no changes if the store rejects it, and would use outdated
     /// routes and servers. It is ready only after its record is written and the list is read, or after a heartbeat of
@@ -191,13 +192,13 @@
         }
     }
 
-    /// Removes and returns up to `max_updates` heartbeats of members of this zone that are new or changed their phase.
+    /// Removes and returns up to `max_updates` membership updates: heartbeats of this zone's new or changed members.
     ///
-    /// Only an aggregator returns any. If every instance sent its own updates to all instances of all zones, the start
-    /// of hundreds of instances at once would cause most of the traffic between zones.
+    /// Returns updates only on an aggregator. If every instance sent its own updates to all instances of all zones, the
+    /// start of hundreds of instances at once would cause most of the traffic between zones.
     pub fn take_membership_updates(&mut self, now: TimeMs, max_updates: usize) -> Vec<Heartbeat> {
         if !self.is_aggregator(now) {
-            // The aggregators send these updates. Sending them again as a later aggregator is harmless.
+            // The aggregators send these updates. If this instance becomes one later, sending them again is harmless.
             return Vec::new();
         }
         let instances: Vec<_> = self.updates.iter().take(max_updates).cloned().collect();
@@ -210,7 +211,7 @@
 
     /// Returns the heartbeats of all ready instances of other zones, for a new instance of this instance's zone.
     ///
-    /// Only an aggregator returns any. No other message informs a new instance of instances that don't change.
+    /// Returns heartbeats only on an aggregator. No other message informs a new instance of unchanged instances.
     #[must_use]
     pub fn heartbeats_for_new_instance(
         &self,
@@ -226,7 +227,7 @@
         ready.cloned().collect()
     }
 
-    /// Sets the phase of this instance, which lookups must take into account before its next heartbeat.
+    /// Sets the phase of this instance at once, because lookups must use the new phase before the next heartbeat.
     pub fn set_own_phase(&mut self, now: TimeMs, phase: Phase) {
         if let Some(own) = self.members.get_mut(&self.own)
             && own.heartbeat.phase != phase
@@ -239,18 +240,18 @@
 
     /// Applies the digest of another zone.
     ///
-    /// Entries of unknown incarnations are ignored until a heartbeat or a membership update introduces them.
+    /// An entry is ignored until a heartbeat or membership update of its incarnation was received.
     pub fn apply_digest(&mut self, now: TimeMs, digest: &Digest) {
         self.members.apply_digest(now, digest);
     }
 
-    /// Returns the digest of this instance's zone for other zones, or `None` if this instance is no aggregator.
+    /// Returns this zone's digest to send to other zones, or `None` if this instance isn't an aggregator.
     #[must_use]
     pub fn digest(&self, now: TimeMs) -> Option<Digest> {
         self.is_aggregator(now).then(|| self.members.digest(now))
     }
 
-    /// Returns the addresses to which an aggregator sends digests: the first ready instances of each other zone.
+    /// Returns the addresses to which this aggregator sends digests: the first ready instances of each other zone.
     ///
     /// The recipients forward the digests within their zone. Digests to all instances would be most of the traffic
     /// between regions of a large fleet, and the traffic of each aggregator would grow with the number of instances.
@@ -290,8 +291,8 @@
         others.map(|member| member.heartbeat.peer_address).collect()
     }
 
-    /// Returns the recipients of the heartbeat with this serial number: this instance's zone, and periodically the
-    /// first listed instances of other zones without a heartbeat, or all instances. Aggregators inform other zones.
+    /// Returns the recipients of the heartbeat with this serial number: this zone's instances, and periodically all
+    /// instances or those listed in other zones that sent none. Otherwise aggregators inform other zones.
     #[must_use]
     pub fn recipients(&mut self, now: TimeMs, serial: u64) -> Vec<net::SocketAddr> {
         self.targets
@@ -301,7 +302,7 @@
     /// Returns this instance's heartbeat as the reply to a starting instance, or `None` if no reply is needed.
     ///
     /// An instance that starts while the store doesn't answer has only the seed addresses. Without a reply it would
-    /// wait for the next heartbeat that is sent to all instances, and accept no clients until then.
+    /// accept no clients until the next heartbeat that is sent to all instances.
     #[must_use]
     pub fn reply_to_heartbeat(&self, heartbeat: &Heartbeat) -> Option<&Heartbeat> {
         let own = self.members.own_member().map(|own| &own.heartbeat)?;
@@ -320,7 +321,7 @@
         others.map(|one| one.peer_address).collect()
     }
 
-    /// Returns the peer addresses of all other instances that are listed or of which a heartbeat was ever received.
+    /// Returns the peer addresses of all other instances that are listed or have ever sent a heartbeat.
     #[must_use]
     pub fn others(&self) -> Vec<net::SocketAddr> {
         let heartbeats = self.members.members().map(|member| &member.heartbeat);
@@ -347,13 +348,13 @@
         }
     }
 
-    /// Returns the last heartbeats of the ready instances, which clients may use.
+    /// Returns the last heartbeats of the ready instances of all zones, to which clients may connect.
     pub fn usable(&self, now: TimeMs) -> impl Iterator<Item = &Heartbeat> {
         let zones = self.members.zones();
         zones.flat_map(move |zone| self.members.alive_in(now, zone, Phase::Ready))
     }
 
-    /// Returns the instances of a zone that forward changes of the store to the others.
+    /// Returns the instances of a zone that forward changes of the store to the zone's other instances.
     ///
     /// Every instance computes the relays from the heartbeats that it received. If two instances disagree, the cost is
     /// some calls of the store: an instance whose source is stale watches the store itself. While no instance of the
@@ -379,8 +380,8 @@
         )
     }
 
-    /// Returns the client addresses of the nearest ready instances: those of the caller's zone, otherwise of its
-    /// region, otherwise of the allowed regions, otherwise of all regions.
+    /// Returns the client addresses of the ready instances nearest to a caller: those of the caller's zone, otherwise
+    /// of its region, otherwise of the allowed regions, otherwise of all regions.
     #[must_use]
     pub fn look_up(
         &self,
--- a/crates/damaskvane-routing/src/peers/relay.rs
+++ b/crates/damaskvane-routing/src/peers/relay.rs
@@ -1,4 +1,6 @@
-//! Selects the instances that forward changes of the store to other instances.
+//! Selects the instances that watch the platform's store and forward its changes to other instances.
+//!
+//! An instance is ready if it accepts clients, and starting before that.
 
 use std::net;
 
@@ -8,14 +10,14 @@
 use crate::peers::member_table::MemberTable;
 use crate::peers::{Heartbeat, Phase};
 
-/// An instance that forwards changes of the store, or watches the store for its region.
+/// An instance that forwards changes of the store within its zone, or watches the store for its region.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Relay {
     /// Identifier of the instance.
     pub instance: ids::InstanceId,
     /// Availability zone of the instance.
     pub zone: ids::AvailabilityZoneId,
-    /// Address for other instances.
+    /// Address at which the instance receives messages of other instances.
     pub address: net::SocketAddr,
 }
 
@@ -42,7 +44,7 @@
     })
 }
 
-/// Returns the first ready instance of each zone, for the first `max_relays` zones that have one.
+/// Returns the first ready instance of each zone, for the first `max_relays` zones that have a ready instance.
 ///
 /// If no instance of these zones is ready, starting instances are returned instead.
 pub(super) fn of_first_zones<'a>(
