--- a/crates/damaskvane-routing/src/configuration/limits.rs
+++ b/crates/damaskvane-routing/src/configuration/limits.rs
@@ -3,13 +3,13 @@
 /// Limits on the size of a client's request, the time to send it, and the idle time of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request head, that is request line and headers.
+    /// Maximum size of the request head in bytes: request line and headers.
     pub header_bytes: usize,
-    /// Largest request body.
+    /// Maximum size of the request body in bytes.
     pub body_bytes: usize,
-    /// Longest time for a client to send the request head.
+    /// Maximum time that a client may take to send the request head.
     pub header_timeout_ms: u64,
-    /// Longest time that a persistent connection stays open without a request.
+    /// Maximum time that a client's connection stays open without a request.
     pub idle_timeout_ms: u64,
 }
 
--- a/crates/damaskvane-routing/src/configuration/route.rs
+++ b/crates/damaskvane-routing/src/configuration/route.rs
@@ -39,17 +39,18 @@
     pub path_prefix: String,
     /// Whether requests may be retried after they may have run.
     pub kind: RouteKind,
-    /// Longest time until a client receives a response.
+    /// Maximum time from the receipt of a client's request to the response.
     pub timeout_ms: u64,
     /// Target time for a response; a response within this time has the highest value.
     pub objective_ms: u64,
     /// Priority of the requests; 0 is the most urgent.
     pub priority: u32,
-    /// Most backend servers to which one request of a client is sent, the first attempt included.
+    /// Maximum number of backend servers to which one request of a client is sent, the first server included.
     pub attempts: u32,
-    /// Whether requests for an object run faster on a server that has handled the object recently.
+    /// Whether requests for an object, the item that a client's request names, run faster on a server that has handled
+    /// the object recently.
     pub has_affinity: bool,
-    /// Regions whose servers may run the requests; empty if all regions may.
+    /// Regions whose servers may run the requests; an empty list allows all regions.
     pub allowed_regions: Vec<ids::RegionId>,
     /// Services among which the requests are split by weight.
     pub destinations: Vec<Destination>,
--- a/crates/damaskvane-routing/src/configuration/service.rs
+++ b/crates/damaskvane-routing/src/configuration/service.rs
@@ -9,10 +9,10 @@
     pub id: ids::ServiceId,
     /// Path of the health check on each server.
     pub health_path: String,
-    /// Most connections that a server accepts, over all instances.
+    /// Maximum number of connections that a server accepts, over all entry instances.
     pub max_connections: u32,
-    /// Time after its start for which a server counts as cold.
+    /// Time after its start for which a server counts as cold and gets few requests.
     pub warmup_ms: u64,
-    /// Requests a second that a cold server can handle, over all instances.
+    /// Requests a second that a cold server can handle, over all entry instances.
     pub warmup_per_s: f64,
 }
--- a/crates/damaskvane-routing/src/lib.rs
+++ b/crates/damaskvane-routing/src/lib.rs
@@ -1,7 +1,8 @@
-//! Routing decisions of an entry instance: the servers that may run a request, the server selected, and rejections.
+//! Routing decisions of an entry instance: which backend servers may run a request, and which of them is selected.
 //!
-//! Callers pass in events and the current time, and receive decisions. The crate reads no clock, uses no global
-//! random source and does no I/O, so that the program and the tests run the same code.
+//! An entry instance is a process that takes clients' requests and sends each to a backend server. Callers of this
+//! crate pass in events and the current time, and receive decisions. The crate reads no clock, uses no global random
+//! source and does no I/O, so that the program and the tests run the same code.
 //!
 //! # Crate guide
 //!
@@ -10,9 +11,9 @@
 //! - [`pool`]: the known backend servers, with the state that this instance has observed.
 //! - [`placement`]: selects the backend server of a request, or the reason to reject the request.
 //! - [`limit`]: limits that hold over all instances without coordination between them.
-//! - [`retry`]: decides after an exchange with a backend server whether another server is tried.
-//! - [`relay`]: a log of store changes that instances of a zone relay to each other.
-//! - [`peers`]: the entry instances that are alive, and the instances that a lookup returns.
+//! - [`retry`]: decides whether a request is sent to another server after an exchange with a backend server.
+//! - [`relay`]: a log of changes in the platform's store that instances of a zone relay to each other.
+//! - [`peers`]: the entry instances that are alive, and those whose addresses a lookup returns to a client.
 //!
 //! ```
 //! use damaskvane_routing::configuration;
--- a/crates/damaskvane-routing/src/limit.rs
+++ b/crates/damaskvane-routing/src/limit.rs
@@ -1,7 +1,7 @@
-//! Limits that hold over all instances without coordination between them.
+//! Limits on requests and retries that hold over all entry instances without coordination between them.
 //!
-//! Each limit is divided by the maximum number of running instances. Every instance keeps to its own share,
-//! whatever it receives from other instances, so the sum of the shares never exceeds the limit.
+//! Each limit is divided by the maximum number of instances that may be running. Every instance keeps to its own share,
+//! whatever messages it receives from other instances, so the sum of the shares never exceeds the limit.
 //!
 //! ```
 //! use damaskvane_routing::limit;
--- a/crates/damaskvane-routing/src/limit/cold_rate.rs
+++ b/crates/damaskvane-routing/src/limit/cold_rate.rs
@@ -1,4 +1,4 @@
-//! The limit on the rate of requests that this instance sends to a cold backend server.
+//! The limit on the rate of requests that this instance sends to a cold backend server, which has started recently.
 
 use damaskvane_core::time::TimeMs;
 
@@ -9,9 +9,9 @@
 /// The limit is `factor` times the rate that the server's service declares, plus `slack`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdRateSettings {
-    /// Factor by which the declared rate is multiplied.
+    /// Factor by which the rate that the service declares is multiplied.
     pub factor: f64,
-    /// Requests a second that are allowed in addition to the declared rate.
+    /// Requests a second that are allowed in addition to the multiplied rate.
     pub slack: f64,
     /// Share of the limit that instances use; the rest is reserved for requests that bunch up in the network.
     pub used_share: f64,
@@ -28,7 +28,8 @@
 }
 
 impl ColdRateSettings {
-    /// Returns the requests a second that each instance may send, where `instances` instances share the limit.
+    /// Returns the requests a second that each of `instances` instances may send to a cold server whose service
+    /// declares the rate `warmup_per_s`.
     #[must_use]
     pub fn share(&self, warmup_per_s: f64, instances: usize) -> usize {
         let bound = warmup_per_s.mul_add(self.factor, self.slack) * self.used_share;
@@ -60,7 +61,8 @@
 }
 
 impl ColdRate {
-    /// Returns whether one more request stays within `share` requests in the time span.
+    /// Returns whether one more request stays within `share`, the requests that this instance may send in the time
+    /// span.
     #[must_use]
     pub fn has_capacity(&self, now: TimeMs, share: usize) -> bool {
         self.sent.count_recent(now) < share
--- a/crates/damaskvane-routing/src/limit/retry_budget.rs
+++ b/crates/damaskvane-routing/src/limit/retry_budget.rs
@@ -4,14 +4,14 @@
 
 use crate::limit::Window;
 
-/// The limit on retries to a service in any window, over all instances.
+/// The limit on retries to the servers of a service in any window of time, over all instances.
 ///
 /// The limit is `ratio` times the requests in the window, plus `slack`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Retries allowed for each request.
+    /// Number of retries allowed for each client's request in the window; may be a fraction.
     pub ratio: f64,
-    /// Retries allowed in addition, divided among all instances.
+    /// Retries in a window that are allowed regardless of the number of requests, divided among all instances.
     pub slack: f64,
     /// Length of the sliding window in which requests and retries are counted.
     pub window_ms: u64,
@@ -33,9 +33,9 @@
 
 /// The requests and retries of this instance in the last window, for one service.
 ///
-/// When servers fail, retries without a budget multiply the load on the remaining servers. Each instance derives
-/// its budget from its own requests and its share of the slack, so the sum over all instances stays within the
-/// limit, whichever instances each of them takes to be alive.
+/// When servers fail, retries without a budget multiply the load on the remaining servers. Each instance derives its
+/// budget from its own requests and its share of the slack, so the sum over all instances stays within the limit, even
+/// if instances disagree on which instances are alive.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
@@ -44,7 +44,7 @@
 }
 
 impl RetryBudget {
-    /// Returns a budget without recorded requests and retries.
+    /// Returns a budget in which no request and no retry is recorded.
     #[must_use]
     pub const fn new(settings: RetryBudgetSettings) -> Self {
         Self {
@@ -60,9 +60,9 @@
         self.requests.prune_and_count(now);
     }
 
-    /// Takes one retry from the budget; returns `false` if the budget is used up.
+    /// Records one retry and returns `true`, or returns `false` if the budget allows no further retry now.
     ///
-    /// The slack is divided by `instances`, the number of instances that share it.
+    /// The slack is divided by `instances`, the maximum number of running instances.
     pub fn take(&mut self, now: TimeMs, instances: usize) -> bool {
         let requests = self.requests.prune_and_count(now) as f64;
         let slack = self.settings.slack / instances.max(1) as f64;
--- a/crates/damaskvane-routing/src/limit/window.rs
+++ b/crates/damaskvane-routing/src/limit/window.rs
@@ -29,7 +29,7 @@
         self.events.push_back(now);
     }
 
-    /// Returns the number of events that are at most as old as the window is long.
+    /// Returns the number of events in the last `length_ms` milliseconds; keeps older events in memory.
     #[must_use]
     pub fn count_recent(&self, now: TimeMs) -> usize {
         let events = self.events.iter().rev();
@@ -37,7 +37,7 @@
         recent.count()
     }
 
-    /// Removes the events that are older than the window, and returns the number of the others.
+    /// Removes the events that are older than `length_ms`, and returns the number of the remaining events.
     pub fn prune_and_count(&mut self, now: TimeMs) -> usize {
         while let Some(first) = self.events.front()
             && now.since(*first).get() > self.length_ms
--- a/crates/damaskvane-routing/src/relay.rs
+++ b/crates/damaskvane-routing/src/relay.rs
@@ -1,8 +1,10 @@
-//! A log of store changes that instances of a zone relay to each other.
+//! A log of changes in the platform's store that instances of a zone relay to each other.
 //!
-//! Every instance needs every change of the store, but each response to a watch is a store call that is paid for.
-//! Two instances of a zone watch the store and relay the changes to the other instances. The log retains recent
-//! changes, so that an instance that connects late, or switches to another source, misses no change.
+//! A watch is a call that returns when the store has changes. Every instance needs every change, but each response to a
+//! watch is a call that is paid for. A collection is the set of the store's objects of one kind; a revision is the
+//! number of the store's last change. Two instances of a zone watch the store and relay the changes to the other
+//! instances. The log retains recent changes, so that an instance that connects late, or switches to another source,
+//! misses no change.
 //!
 //! ```
 //! use damaskvane_routing::relay;
@@ -15,17 +17,17 @@
 
 use std::collections::VecDeque;
 
-/// Most bytes of changes that a log retains; a large configuration has about a hundred kilobytes.
+/// Maximum size in bytes of the changes that a log retains; a large configuration has about a hundred kilobytes.
 const MAX_BYTES: usize = 4 << 20;
 
 /// The changes of a collection between two revisions of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch<B> {
-    /// Revision before the batch. A receiver at this revision or a later one has all changes before the batch.
+    /// Revision before the batch. A receiver that has this revision or a later one lacks no change before the batch.
     pub from: u64,
-    /// Revision after the batch.
+    /// Revision that a receiver has after it has applied the batch.
     pub to: u64,
-    /// Changes, in the form in which the caller appended them.
+    /// Changes, in the form in which they were passed to [`RelayLog::append`].
     pub body: B,
 }
 
@@ -36,8 +38,8 @@
     UpToDate,
     /// The batch that follows the revision.
     Next(&'a Batch<B>),
-    /// The changes after the revision are no longer available. The receiver has to read the collection from the
-    /// store again, and the log continues after `resume_at`.
+    /// The changes after the revision are no longer available. The receiver has to read the collection from the store
+    /// again; later changes of the log follow `resume_at`.
     Compacted {
         /// Revision after the last batch.
         resume_at: u64,
--- a/crates/damaskvane-routing/src/retry.rs
+++ b/crates/damaskvane-routing/src/retry.rs
@@ -1,4 +1,7 @@
-//! Decides after an exchange with a backend server whether another server is tried.
+//! Decides whether a request is sent to another server after an exchange with a backend server.
+//!
+//! An exchange is one request sent to a server, with the response. A first run is the first request for an object that
+//! a server handles in some time, which takes longer than the next ones.
 //!
 //! ```
 //! use damaskvane_routing::{configuration, pool, retry};
@@ -13,22 +16,24 @@
 use crate::placement::Pick;
 use crate::pool::ExchangeEnd;
 
-/// Most unreachable servers before a request is rejected; each of them costs a connection timeout.
+/// Maximum number of unreachable servers for one request before the request is rejected; each of them costs a
+/// connection timeout.
 const MAX_UNREACHABLE: u32 = 3;
 
-/// Number of response time objectives without a response after which a server counts as silent, not only slow.
+/// Multiple of the route's response time objective after which a server without a response counts as silent, not only
+/// slow.
 const TIMEOUT_OBJECTIVES: u64 = 2;
-/// Factor by which a healthy server may exceed the usual time for work that it does for the first time.
+/// Factor by which a healthy server may exceed the usual time of a first run.
 const FIRST_RUN_TIMEOUT_FACTOR: f64 = 1.4;
 
-/// Returns the time in milliseconds to wait for a server before another server is tried.
+/// Returns the time in milliseconds to wait for a server's response before another server is tried.
 ///
 /// Returns `None` if no other server may be tried, or if another server couldn't respond in the time that remains
 /// after the timeout.
 ///
-/// Some work takes longer than its objective on every server that hasn't handled its object recently. With a timeout
-/// that is only a multiple of the objective, healthy servers would run such work twice, at the time when they are
-/// busiest with first runs.
+/// Some requests take longer than the route's objective on every server that hasn't handled their object recently. With
+/// a timeout that is only a multiple of the objective, such requests would run on two healthy servers, at the time when
+/// servers are busiest with first runs.
 #[must_use]
 pub fn attempt_timeout_ms(
     route: &Route,
@@ -47,8 +52,8 @@
 
 /// The exchanges of one request so far.
 ///
-/// Tracks whether the request provably has not run on any server. The proof is lost with the first exchange in which
-/// the request was written to a server that didn't report that the request was not run.
+/// Tracks whether the request certainly has not run on any server. This is no longer certain after the first exchange
+/// in which the request was written to a server that didn't report that the request was not run.
 #[derive(Debug, Clone)]
 pub struct Progress {
     kind: RouteKind,
@@ -59,7 +64,8 @@
 }
 
 impl Progress {
-    /// Returns the state of a request that was not sent yet; `attempts` is the most servers it may be sent to.
+    /// Returns the state of a request that was not sent yet; `attempts` is the maximum number of servers that it may be
+    /// sent to.
     #[must_use]
     pub const fn new(kind: RouteKind, attempts: u32) -> Self {
         Self {
@@ -102,7 +108,7 @@
         !self.may_have_run
     }
 
-    /// Returns whether the request was sent to any server.
+    /// Returns whether the request was written to a server, with or without a response.
     #[must_use]
     pub const fn was_sent(&self) -> bool {
         self.sent > 0
--- a/crates/damaskvane-routing/src/split.rs
+++ b/crates/damaskvane-routing/src/split.rs
@@ -1,7 +1,8 @@
 //! Distributes the requests of a route among services by weight.
 //!
-//! Random selection would miss a declared share by several percentage points over a few hundred requests. Smooth
-//! weighted round robin misses a share by at most one request for each destination.
+//! A destination is a service that receives a share of a route's requests. With random selection, its actual share
+//! would differ from the declared share by several percentage points over a few hundred requests. With smooth weighted
+//! round robin, each destination's share differs by at most one request.
 //!
 //! ```
 //! use damaskvane_routing::{configuration, split};
@@ -19,7 +20,7 @@
 
 use crate::configuration::Destination;
 
-/// The state of the smooth weighted round robin of one route; a change of the weights resets the state.
+/// The state of the smooth weighted round robin of one route; a change of the destinations' weights resets the state.
 #[derive(Debug, Default)]
 struct RoundRobin {
     weights: Vec<u32>,
