--- a/crates/damaskvane-gateway/src/store.rs
+++ b/crates/damaskvane-gateway/src/store.rs
@@ -1,4 +1,6 @@
 //! Access to the platform's store: lists, watches, health checks, and the relay of changes between instances.
+//!
+//! A watch is a call that returns when the store has changes. A relay is an instance that sends the changes to others.
 
 mod applier;
 mod client;
@@ -20,7 +22,8 @@
 
 use crate::adapter::Collection;
 
-/// Collections of the store that every instance follows. The index of a collection is its number on the wire.
+/// Collections (kinds of objects in the store) whose changes every instance receives. The index of a collection in this
+/// array is its number in messages between instances.
 pub const FOLLOWED_COLLECTIONS: [Collection; 5] = [
     Collection::Instances,
     Collection::Configuration,
--- a/crates/damaskvane-gateway/src/store/applier.rs
+++ b/crates/damaskvane-gateway/src/store/applier.rs
@@ -1,4 +1,6 @@
 //! Applies the objects of one store collection, and their changes, to the state of this instance.
+//!
+//! A collection is the set of the store's objects of one kind.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -13,7 +15,8 @@
 use crate::crashes;
 use crate::node::Node;
 
-/// Largest number of servers joining in one change that get a log line each. A larger number shares one line.
+/// Maximum number of servers that join together and get a log line each. If more servers join together, they share one
+/// line.
 const MAX_JOINED_LINES: usize = 8;
 
 /// Applies the objects of one collection to the instance's state.
@@ -36,7 +39,7 @@
         }
     }
 
-    /// Replaces the whole collection by the given objects.
+    /// Replaces the known objects of the collection by `items`, which are the whole collection.
     pub(super) fn replace(&mut self, items: Vec<Event>) {
         let now = self.node.now();
         match self.collection {
@@ -126,8 +129,8 @@
         }
     }
 
-    /// Returns the instance record of an event, and remembers its name. Logs a record that is invalid and
-    /// returns `None`.
+    /// Returns the instance record of an event, and stores the instance's id by the name of the record. Logs an invalid
+    /// record and returns `None`.
     fn instance_record(&mut self, event: Event) -> Option<ListedInstance> {
         match event.record? {
             Record::Instance(record) => {
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Returns the server entry of an event. Logs an entry that is invalid and returns `None`.
+    /// Returns the server entry of an event. Logs an invalid entry and returns `None`.
     fn server_entry(&self, event: Event) -> Option<ServerEntry> {
         match event.record? {
             Record::Server(entry) => Some(entry),
@@ -160,8 +163,8 @@
     }
 
     fn handle_pool_changes(&self, changes: &[Change]) {
-        // The first list has hundreds of servers. A line for each would push other startup lines out of the
-        // log queue.
+        // The first list after the start has hundreds of servers. A line for each server would push other startup lines
+        // out of the log queue.
         let (joined, others): (Vec<_>, Vec<_>) = changes
             .iter()
             .partition(|change| matches!(change, Change::Joined(_)));
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Puts a configuration in force unless its version is older than, or the same as, the current one.
+    /// Makes a configuration the active one, unless its version is older than or equal to the active version.
     fn activate(&self, configuration: Configuration) {
         let mut state = self.node.state.borrow_mut();
         let in_force = state
--- a/crates/damaskvane-gateway/src/store/client.rs
+++ b/crates/damaskvane-gateway/src/store/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client for calls on the store, with one reused connection.
+//! HTTP client for calls to the platform's store, with one reused connection.
 
 use core::time::Duration;
 use std::io;
@@ -11,16 +11,16 @@
 use crate::http::{self, BodyReader, ReadError};
 use crate::node::Node;
 
-/// Timeout for opening a connection to the store. A packet that is lost in a partition is retransmitted after
-/// 1 s; a new attempt after this timeout finds a healed link sooner.
+/// Timeout for opening a connection to the store. A packet that is lost in a partition is retransmitted after 1 s; a
+/// new connection attempt after this timeout succeeds sooner once the partition has ended.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long the store's host may send no packet before the connection is closed. An open connection can go
-/// silent for good, and a change must still arrive within about 2 s more.
+/// Time without any packet from the store's host after which the connection is closed. A peer of an open connection can
+/// stop sending for good, and a change must still arrive within about 2 s after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Largest response body of the store that is read. A page holds at most 1 MB.
+/// Maximum size in bytes of a response body from the store. A page of a list has at most 1 MB.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Reasons why a call on the store failed.
+/// Reasons why a call to the store failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum CallError {
     /// the store did not respond in time; the call is retried
@@ -58,7 +58,7 @@
     }
 }
 
-/// Sends calls for one collection over one connection, one call at a time.
+/// Sends calls for one collection (the store's objects of one kind) over one connection, one call at a time.
 #[derive(Debug)]
 pub struct StoreClient {
     node: Rc<Node>,
@@ -79,8 +79,8 @@
 
     /// Sends a request and returns the body of the response.
     ///
-    /// The connection is reused only after a complete response. A connection on which a response is missing
-    /// carries no further call, because a late response would be taken for the response to the next call.
+    /// The connection is reused only after a complete response. No further call is sent on a connection on which a
+    /// response has not arrived, because a late response would be taken for the response to the next call.
     ///
     /// # Errors
     ///
--- a/crates/damaskvane-gateway/src/store/feed.rs
+++ b/crates/damaskvane-gateway/src/store/feed.rs
@@ -1,8 +1,11 @@
 //! Relays the store's changes between instances, over one TCP connection per subscriber.
 //!
-//! The stream consists of length-prefixed frames. The relay sends the changes that the subscriber lacks, and
-//! four times a second the age of the store's last response. A subscriber whose relay has stopped, is gone or
-//! is cut off from the store detects this within a second and watches the store itself.
+//! A relay is an instance that sends the store's changes to others; a subscriber is an instance that receives them. A
+//! collection is the set of the store's objects of one kind; a revision is the number of the store's last change.
+//!
+//! The stream consists of length-prefixed frames. The relay sends the changes that the subscriber lacks, and four times
+//! a second the time since the store's last response. A subscriber whose relay has stopped or can't reach the store
+//! detects this within a second and watches the store itself.
 
 mod frames;
 mod serve;
@@ -25,12 +28,12 @@
 pub use serve::serve;
 pub use subscribe::{subscribe, watch_freshness};
 
-/// Interval at which a relay sends the age of the store's last response.
+/// Interval at which a relay sends its subscribers the time since the store's last response.
 const AGE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a stream may be silent before the subscriber tries another relay. Also the timeout for connecting
-/// to a relay and for writing a frame.
+/// Time without a frame after which the subscriber connects to another relay. Also the timeout for connecting to a
+/// relay and for writing a frame.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Interval at which the source of changes is selected again, and between two attempts to connect.
+/// Interval at which a subscriber selects its source of changes again, and between two attempts to connect to a relay.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Data received from a relay for one collection.
@@ -40,18 +43,18 @@
     Batch(Batch<Bytes>),
     /// The whole collection.
     Listing(Listing),
-    /// The relay no longer has the changes that this instance lacks. The whole collection has to be read
+    /// The relay no longer has the changes that this instance lacks. This instance has to read the whole collection
     /// again.
     HistoryGone,
 }
 
-/// Subscriber's buffer: data received from a relay and not yet applied, and the freshness of that data.
+/// A subscriber's buffer of data that was received from a relay and not yet applied, with the freshness of that data.
 #[derive(Debug, Default)]
 pub struct Feed {
     items: RefCell<BTreeMap<Collection, VecDeque<FeedItem>>>,
     arrived: Notify,
-    /// Last applied revision of each collection, in the order of `FOLLOWED_COLLECTIONS`; 0 requests the whole
-    /// collection.
+    /// Last applied revision of each collection, in the order of `FOLLOWED_COLLECTIONS`; with revision 0 the relay
+    /// sends the whole collection.
     revisions: RefCell<[u64; FOLLOWED_COLLECTIONS.len()]>,
     freshness: Cell<FreshnessTracker>,
     listing_requests: Notify,
@@ -64,7 +67,7 @@
         self.listing_requests.notify_waiters();
     }
 
-    /// Waits for a whole collection. Changes that arrive before it are dropped.
+    /// Waits until a relay has sent a whole collection. Changes that arrive earlier are dropped.
     pub async fn listing(&self, collection: Collection) -> Listing {
         loop {
             if let FeedItem::Listing(listing) = self.next(collection).await {
@@ -98,15 +101,15 @@
         }
     }
 
-    /// Records the age of the store's last response that a relay reported.
+    /// Records that a relay reported at `now` that the store's last response was `store_age` ago.
     fn record_store_age(&self, now: TimeMs, store_age: SpanMs) {
         let mut freshness = self.freshness.get();
         freshness.record(now, store_age);
         self.freshness.set(freshness);
     }
 
-    /// Returns the time since when the received data has been stale, or `None` if it is fresh. Data is stale
-    /// if the store's last response is older than `stale_ms`, or if the relay is silent.
+    /// Returns the time since when the received data has been stale, or `None` if it is fresh. Data is stale if the
+    /// store's last response is older than `stale_ms`, or if the relay has sent nothing recently.
     pub(super) fn stale_since(&self, now: TimeMs, stale_ms: u64) -> Option<TimeMs> {
         let mut freshness = self.freshness.get();
         let since = freshness.stale_since(now, stale_ms);
--- a/crates/damaskvane-gateway/src/store/feed/frames.rs
+++ b/crates/damaskvane-gateway/src/store/feed/frames.rs
@@ -1,4 +1,7 @@
 //! Messages of the relay stream and their wire format.
+//!
+//! Over a relay stream one instance, the relay, sends the store's changes to another instance, the subscriber. A
+//! collection is the set of the store's objects of one kind.
 
 use std::io;
 
@@ -13,28 +16,29 @@
 
 /// Identifies the protocol and its version in the first message of a stream.
 pub(super) const MAGIC: u32 = 0x6476_6635;
-/// Largest frame, compressed or not, in bytes. A list of changes is at most 1 MB.
+/// Maximum size of a frame in bytes, before and after compression. A list of changes is at most 1 MB.
 const MAX_FRAME_BYTES: u32 = 32 << 20;
-/// Smallest frame that is compressed, in bytes. Server lists are most of the relay traffic between zones and
+/// Minimum size in bytes of a frame that is compressed. Server lists are most of the relay traffic between zones and
 /// shrink to a fraction.
 const MIN_COMPRESSED_BYTES: usize = 2_048;
 /// Bit of the length prefix that is set if the frame is compressed.
 const COMPRESSED_FLAG: u32 = 1 << 31;
 
-/// First message of a subscriber: the last revision that it has of each collection.
+/// First message of a subscriber: the last revision of each collection that the subscriber has applied.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Hello {
     pub(super) magic: u32,
     pub(super) revisions: [u64; FOLLOWED_COLLECTIONS.len()],
 }
 
-/// Message of a relay.
+/// A message from a relay to a subscriber.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum Frame {
     /// Reports the time since the store's last response, in milliseconds.
     Alive {
         store_age_ms: u64,
-        /// Key of the instance's incarnation that the store answered; `None` if the store never answered.
+        /// Key of the incarnation (one start of an instance's process) that received this response; `None` if no
+        /// response is known.
         answered: Option<u64>,
     },
     /// Changes of a collection.
@@ -92,7 +96,8 @@
     let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     let (length, body) = bytes.split_first_chunk().ok_or_else(invalid)?;
     let length = u32::from_le_bytes(*length);
-    // A frame that claims to be larger than any valid frame would use up the memory of a small machine.
+    // The declared length is the size of the buffer that is allocated. A wrong length would use up the memory of a
+    // small machine.
     if length > MAX_FRAME_BYTES {
         return Err(invalid());
     }
@@ -113,7 +118,7 @@
     let length = u32::try_from(body.len()).map_err(io::Error::other)?;
     let mut bytes = (length | flag).to_be_bytes().to_vec();
     bytes.extend_from_slice(&body);
-    // A subscriber that does not read for this long is stopped or gone.
+    // A subscriber that does not read for this time is taken to have stopped.
     tokio::time::timeout(IDLE_TIMEOUT, stream.write_all(&bytes)).await??;
     Ok(bytes.len())
 }
--- a/crates/damaskvane-gateway/src/store/feed/serve.rs
+++ b/crates/damaskvane-gateway/src/store/feed/serve.rs
@@ -1,4 +1,4 @@
-//! Relay's side of the stream: sends subscribers the changes that they lack.
+//! The relay's side of the stream: sends subscribers, which are other instances, the store's changes that they lack.
 
 use std::io;
 use std::rc::Rc;
@@ -14,8 +14,8 @@
 use crate::store::feed::{AGE_INTERVAL, IDLE_TIMEOUT, POLL_INTERVAL};
 use crate::store::journal::JournalRead;
 
-/// Age of the store's last response, in milliseconds, that an instance reports if it has missed changes. It
-/// makes subscribers treat the instance as stale.
+/// Age of the store's last response, in milliseconds, that an instance reports if it has missed changes. Because of
+/// this age, subscribers treat the instance's data as stale.
 const GAP_AGE_MS: u64 = 3_600_000;
 
 /// Serves subscribers until the process ends.
@@ -62,8 +62,8 @@
             answered: answered.map(IncarnationKey::get),
         };
         send(node, &mut stream, &alive).await?;
-        // Changes, and responses of the store that end a gap, are sent at once. Otherwise the age is sent at
-        // each interval.
+        // Changes are sent at once, and so is the age after a response of the store that ends a gap. Otherwise the age
+        // is sent at each interval.
         tokio::select! {
             _ = additions.changed() => {}
             () = node.store.until_answered() => {}
--- a/crates/damaskvane-gateway/src/store/feed/subscribe.rs
+++ b/crates/damaskvane-gateway/src/store/feed/subscribe.rs
@@ -1,4 +1,5 @@
-//! Subscriber's side of the stream: connects to a source and checks whether its data is fresh.
+//! The subscriber's side of the stream: connects to a source, an instance that sends the store's changes, and checks
+//! whether its data is fresh.
 
 use std::io;
 use std::net;
@@ -17,19 +18,20 @@
 use crate::store::journal::Listing;
 use crate::store::{Source, freshness, health_check};
 
-/// Added to the store age that a source reports, in milliseconds: longer than the transmission takes. Without
-/// it, instances that subscribe to each other in a ring would report fresh data to each other forever.
+/// Time in milliseconds that is added to the store age (the time since the store's last response) that a source
+/// reports; longer than the transmission takes. Without this addition, instances that subscribe to each other in a ring
+/// would report fresh data to each other forever.
 const HOP_AGE_MS: u64 = 25;
-/// Delay before the next source is tried if the current one has no fresh data.
+/// Delay before the next source is tried if the current source has no fresh data.
 const STALE_SOURCE_DELAY: Duration = Duration::from_millis(150);
-/// The same for an instance that the store does not answer, which depends on a source that the store answers.
-/// Also the delay between two attempts of such an instance to connect.
+/// The same delay for an instance that the store does not answer: the instance depends on a source that the store
+/// answers. Also the delay between two attempts of such an instance to connect.
 const STORE_LOST_DELAY: Duration = Duration::from_millis(30);
-/// How long an instance stays subscribed to a source other than the best one before it tries the best one
+/// Time for which an instance stays subscribed to a source other than the best source before it tries the best source
 /// again.
 const FALLBACK_SPAN: Duration = Duration::from_secs(10);
 
-/// Subscribes to one of the possible sources whenever there is one, until the process ends.
+/// Subscribes to one of the possible sources whenever a source exists, until the process ends.
 pub async fn subscribe(node: Rc<Node>) {
     let mut next_source = 0;
     loop {
@@ -55,7 +57,7 @@
     }
 }
 
-/// Returns the default delay, or a short one if the store does not answer this instance.
+/// Returns the default delay, or `STORE_LOST_DELAY` if the store does not answer this instance.
 fn retry_delay(node: &Rc<Node>, default: Duration) -> Duration {
     if node.store.is_direct_access_lost() {
         STORE_LOST_DELAY
@@ -86,7 +88,7 @@
                 answered,
             } => {
                 if !handle_store_age(node, store_age_ms, answered.map(IncarnationKey::from_wire)) {
-                    // Another source may have fresher data. If the store is down for all, a delay does no
+                    // Another source may have fresher data. If the store is down for all instances, the delay does no
                     // harm.
                     tokio::time::sleep(retry_delay(node, STALE_SOURCE_DELAY)).await;
                     return Ok(());
@@ -122,11 +124,12 @@
     }
 }
 
-/// Records when the store last answered which instance, as the source reported it. Returns `false` if the
-/// data is not fresh.
+/// Records the source's report that the store's last response, to the incarnation `answered`, was `store_age_ms` ago.
+/// Returns `false` if the source's data is not fresh.
 fn handle_store_age(node: &Rc<Node>, store_age_ms: u64, answered: Option<IncarnationKey>) -> bool {
     let now = node.now();
-    // The report originates from this instance: it carries no new information and would circulate in a ring.
+    // A report that originates from this instance carries no new information and would circulate in a ring of
+    // instances.
     let is_own_report = answered == Some(node.incarnation_key());
     let age = if is_own_report {
         SpanMs::new(u64::MAX)
--- a/crates/damaskvane-gateway/src/store/follow.rs
+++ b/crates/damaskvane-gateway/src/store/follow.rs
@@ -1,4 +1,8 @@
 //! Follows one collection of the store: reads the whole collection, then receives its changes.
+//!
+//! A collection is the set of the store's objects of one kind; a revision is the number of the store's last change. A
+//! watch is a call that returns when the store has changes. A relay is an instance that sends the store's changes to
+//! its subscribers, which are other instances.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -14,30 +18,31 @@
 use crate::store::journal::Listing;
 use crate::store::{CallError, Source, StoreClient, freshness};
 
-/// How much longer than its requested wait time a watch may take to return.
+/// Time that a watch may take to return in addition to the wait time that its call requests.
 const WATCH_SLACK: Duration = Duration::from_millis(1_200);
-/// Timeout for a call that does not wait for changes. A store that is 50 times slower than usual still
-/// returns a long list within this time.
+/// Timeout for a call that isn't a watch. A store that is 50 times slower than usual still returns a long list within
+/// this time.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Interval at which `until_first_in_zone` checks the instance's rank in its zone.
+/// Interval at which `until_first_in_zone` checks whether this instance is the first relay of its zone.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Base of the exponential backoff, in milliseconds. The delay after the first failure is between this value
-/// and twice this value.
+/// Base of the exponential backoff between failed calls, in milliseconds. The delay after the first failure is between
+/// this value and twice this value.
 const MIN_BACKOFF_MS: u64 = 50;
 /// Longest delay after repeated failures, in milliseconds. A store that has recovered is called again within
 /// this time.
 const MAX_BACKOFF_MS: u64 = 400;
-/// How long a relay may take to send a whole collection before the collection is requested from the store
+/// Time that a relay may take to send a whole collection. After this time the collection is requested from the store
 /// too.
 const RELAY_LISTING_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long changes are collected before the next watch fetches them together. Each return of a watch is a
-/// call that is paid for, and the replacement of a server makes several changes.
+/// Delay before the next watch, which then returns all changes of this time together. Each return of a watch is a call
+/// that is paid for, and the replacement of a server makes several changes.
 const BATCH_DELAY: Duration = Duration::from_millis(150);
-/// The same for servers, which change most while many of them join and warm up. The delay is harmless: a
-/// draining server may still receive requests for at least 2 s, and a server that just joined is cold.
+/// The delay before the next watch of backend servers, which change most while many of them join and warm up. The delay
+/// is harmless: a draining server may still receive requests for at least 2 s, and a server that just joined gets few
+/// requests anyway.
 const SERVER_BATCH_DELAY: Duration = Duration::from_millis(500);
 
-/// The same for instances, which announce their start to each other directly.
+/// The delay before the next watch of instances, which announce their start to each other directly.
 const INSTANCE_BATCH_DELAY: Duration = Duration::from_secs(2);
 
 const fn batch_delay(collection: Collection) -> Duration {
@@ -62,8 +67,8 @@
     .await;
 }
 
-/// Waits until this is the first running instance of its zone. The first instance reads the list of instances
-/// to find those running in other zones.
+/// Waits until this instance is the first relay of its zone. That instance reads the list of instances from the store
+/// to find the instances that are running in other zones.
 async fn until_first_in_zone(node: &Rc<Node>) {
     loop {
         if freshness::has_discovered_peers(node) && node.relay_rank() == Some(0) {
@@ -79,7 +84,7 @@
     client: StoreClient,
     applier: Applier,
     failures: u32,
-    /// Whether the whole collection was read before, in this process.
+    /// Whether the whole collection was read at least once since the start of the process.
     has_listing: bool,
 }
 
@@ -93,12 +98,12 @@
         }
     }
 
-    /// Reads the whole collection and returns its revision. A relay is tried first, if there is one; after a
-    /// timeout the collection is read from the relay or the store, whichever responds first.
+    /// Reads the whole collection and returns its revision. If a relay is the source, the collection is requested from
+    /// the relay; after a timeout the collection is requested from the store too, and the first response is used.
     ///
-    /// Nothing is read while the source of changes is undecided, except the list of instances by the first
-    /// instance of a zone. Otherwise each of hundreds of instances that start together would read everything
-    /// from the store before it has found its relay.
+    /// Nothing is read until the source of changes is selected, except the list of instances by the first instance of a
+    /// zone. Otherwise each of hundreds of instances that start together would read all collections from the store
+    /// before it has found its relay.
     async fn read_collection(&mut self) -> u64 {
         let node = Rc::clone(&self.node);
         let collection = self.collection;
@@ -142,7 +147,7 @@
         let mut first_revision = None;
         loop {
             let adapter = &self.node.adapter;
-            // A stale first list of instances is enough: newer records arrive with the changes that follow.
+            // The first list of instances may be stale: newer records arrive with the changes that follow.
             let may_be_stale = self.collection == Collection::Instances && !self.has_listing;
             let request = adapter.list(self.collection, after.as_deref(), may_be_stale);
             let started = self.node.now();
@@ -152,7 +157,8 @@
             let page = self.node.adapter.page(self.collection, &body);
             let page = page.map_err(|error| self.log_malformed(&error))?;
             pages.push(body);
-            // Changes between two pages are in the history after the first page's revision.
+            // The watch continues from the first page's revision, so it returns changes made between the reads of two
+            // pages.
             let revision = *first_revision.get_or_insert(page.revision);
             match page.continue_after {
                 Some(name) => after = Some(name),
@@ -169,9 +175,9 @@
 
     /// Replaces the collection by a listing and returns its revision.
     ///
-    /// The listing is passed on to subscribers first. On a small machine, applying a list of a thousand
-    /// servers takes a fraction of a second; after a power loss the instances of a zone would otherwise wait
-    /// for each other one after another.
+    /// The listing is sent to subscribers before it is applied. On a small machine, applying a list of a thousand
+    /// servers takes a fraction of a second; after a power loss the instances of a zone would otherwise wait for each
+    /// other one after another.
     async fn apply_listing(&mut self, listing: Listing) -> Result<u64, DecodeError> {
         let revision = listing.revision;
         self.node.journal.reset(self.collection, listing.clone());
@@ -184,8 +190,8 @@
     }
 
     fn apply_items(&mut self, listing: &Listing) -> Result<(), DecodeError> {
-        // The last change of each object counts. If the list were applied before the changes that follow,
-        // servers that joined after the list would be treated as gone for a moment, and as cold after that.
+        // Only the last change of each object is applied. If the list were applied before the changes that follow,
+        // servers that joined after the list would be removed for a moment, and count as recently started after that.
         let mut items: BTreeMap<String, Event> = BTreeMap::new();
         for body in &listing.pages {
             let page = self.node.adapter.page(self.collection, body)?;
@@ -205,7 +211,7 @@
         Ok(())
     }
 
-    /// Applies changes until the history after the current revision is no longer available.
+    /// Applies changes after `revision` until the source no longer has the changes that this instance lacks.
     async fn watch(&mut self, mut revision: u64) {
         loop {
             match self.next_changes(revision).await {
@@ -246,8 +252,8 @@
         }
     }
 
-    /// Returns the next changes from the current source, and the revision that they lead to. The body is
-    /// empty if a whole collection was applied or the source has changed.
+    /// Returns the next changes from the current source, and the revision after them. The body is empty if a whole
+    /// collection was applied or the source of changes has changed.
     async fn next_changes(&mut self, revision: u64) -> Result<(u64, Bytes), CallError> {
         let node = Rc::clone(&self.node);
         match node.store.source() {
@@ -297,7 +303,7 @@
         CallError::Malformed
     }
 
-    /// Waits before the next call. While the store is down only the health check calls it, so that an outage
+    /// Waits before the next call. While the store is down, only the health check calls the store, so that an outage
     /// causes few calls and a recovering store is not overloaded.
     async fn back_off(&mut self, error: &CallError) {
         self.failures += 1;
--- a/crates/damaskvane-gateway/src/store/freshness.rs
+++ b/crates/damaskvane-gateway/src/store/freshness.rs
@@ -1,12 +1,15 @@
 //! Selects the source of the store's changes, by the age of the data that was received last.
 //!
-//! In each region the first instance of the first zone watches the store. The first instance of the second
-//! zone is the standby and subscribes to the watcher. The first instance of every other zone subscribes to
-//! one of these two, and the other instances of a zone subscribe to its first two.
+//! A watcher is an instance that receives changes from the store itself. A relay is an instance that sends the changes
+//! to other instances of its zone. A subscriber is an instance that receives changes from another instance, its source.
 //!
-//! An instance whose data is stale checks whether the store answers it, and if so watches the store itself.
-//! The standby does so at once, instances that others subscribe to a moment later, and all others after that,
-//! since in most cases their source has found another path by then.
+//! In each region the first instance of the first zone watches the store. The first instance of the second zone is the
+//! standby and subscribes to the watcher. The first instance of every other zone subscribes to one of these two, and
+//! the other instances of a zone subscribe to the zone's first two instances.
+//!
+//! An instance whose data is stale checks whether the store answers its calls, and if so watches the store itself. The
+//! standby does so at once, relays a moment later, and all other instances after that, since in most cases their source
+//! has found another path by then.
 
 use std::net;
 use std::rc::Rc;
@@ -17,26 +20,26 @@
 use crate::node::Node;
 use crate::store::Source;
 
-/// A source that has sent nothing for this time, in milliseconds, is considered silent.
+/// Time in milliseconds without a message from a source after which the source's data counts as stale.
 const SILENT_MS: u64 = 900;
 /// Age of the store's last response, in milliseconds, above which a source's data is stale.
 const STORE_STALE_MS: u64 = 1_100;
-/// The same for a subscriber behind a relay that itself receives from another instance.
+/// The same age for a subscriber whose relay receives the changes from another instance.
 const STORE_STALE_BEHIND_RELAY_MS: u64 = 1_400;
-/// How long an instance with stale data waits for its source to recover before it watches the store itself,
-/// in milliseconds: the first value is for a relay, the second for an instance without subscribers.
+/// How long an instance with stale data waits for its source to recover before it watches the store itself, in
+/// milliseconds: the first constant is for a relay, the second for an instance without subscribers.
 const RELAY_SOURCE_TIMEOUT_MS: u64 = 200;
 const SOURCE_TIMEOUT_MS: u64 = 400;
 /// How long a new process collects heartbeats before it can act as a watcher, in milliseconds. Instances that
 /// start together have received each other's heartbeats by then, and only the first of them watch the store.
 const DISCOVERY_MS: u64 = 450;
-/// How long after its start an instance waits before it watches the store itself, in milliseconds. The first
-/// value is for a relay or standby, and lets a watcher read everything; the second is for an instance without
-/// subscribers, and lets its relay do so.
+/// How long after its start an instance waits before it watches the store itself, in milliseconds. The first constant
+/// is for a relay or standby, and leaves a watcher the time to read all collections; the second is for an instance
+/// without subscribers, and leaves its relay the time to do so.
 const RELAY_STARTUP_TIMEOUT_MS: u64 = 1_500;
 const STARTUP_TIMEOUT_MS: u64 = 2_200;
 
-/// Role of this instance in the relay of changes. The addresses are those of its possible sources, best one
+/// Role of this instance in the relay of changes. The addresses are those of this instance's possible sources, best one
 /// first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum RelayRole {
@@ -83,11 +86,10 @@
     }
 }
 
-/// Returns the current role of this instance.
+/// Returns the current role of this instance in the relay of changes.
 ///
-/// An instance that the store does not answer may subscribe to any other instance. The store may reject some
-/// machines while others still reach it, and an instance that misses an evacuation or a drain would keep
-/// sending requests there.
+/// An instance whose calls the store does not answer may subscribe to any other instance. The store may be unreachable
+/// for some machines only, and an instance that misses an evacuation or a drain would keep sending requests there.
 pub(super) fn relay_role(node: &Rc<Node>) -> RelayRole {
     let settings = node.settings();
     let state = node.state.borrow();
@@ -95,8 +97,8 @@
     let is_own = |relay: &Relay| relay.instance == settings.instance;
     let mut watchers = state.members.watchers(now, &settings.region);
     let is_access_lost = node.store.is_direct_access_lost();
-    // At startup the first instance of a later zone has received nothing from the earlier zones yet, and
-    // would rank as a watcher.
+    // At startup, the first instance of a zone that isn't among the region's first zones may have received no heartbeat
+    // from those zones yet, and would take itself for a watcher.
     let may_lack_earlier_zones =
         now.get() < RELAY_STARTUP_TIMEOUT_MS && !state.members.is_in_watcher_zone();
     let watcher_rank = watchers.iter().position(is_own);
@@ -130,7 +132,7 @@
         let usable = state.members.usable(now);
         let others = usable.filter(|one| one.instance != settings.instance);
         let mut others: Vec<_> = others.map(|one| one.peer_address).collect();
-        // Instances that lose the store together start with different sources.
+        // Makes instances that lose the store at the same time start with different sources.
         let first = name_sum % others.len().max(1);
         others.rotate_left(first);
         addresses.extend(others);
@@ -143,7 +145,7 @@
     }
 }
 
-/// Last report on the store that a source sent, and the time since when the data has been stale.
+/// Last store age that a source reported, and the time since when the data has been stale.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FreshnessTracker {
     received_at: Option<TimeMs>,
@@ -163,7 +165,7 @@
 }
 
 impl FreshnessTracker {
-    /// Records the age of the store's last response that a source reported.
+    /// Records that a source reported at `now` that the store's last response was `store_age` ago.
     pub(super) const fn record(&mut self, now: TimeMs, store_age: SpanMs) {
         self.received_at = Some(now);
         self.store_age = store_age;
@@ -209,14 +211,14 @@
     }
 }
 
-/// Returns whether the instance has discovered the running instances of its zone. This is so after
-/// `DISCOVERY_MS`, and at once for the first listed instance, which all others expect to watch the store.
+/// Returns whether this instance is assumed to know the running instances of its zone. This holds after `DISCOVERY_MS`,
+/// and at once for the zone's first listed instance, which all others expect to watch the store.
 pub(super) fn has_discovered_peers(node: &Rc<Node>) -> bool {
     node.now().get() >= DISCOVERY_MS || node.state.borrow().members.is_first_listed()
 }
 
-/// Returns whether an instance with stale data may watch the store itself. The store must have answered this
-/// instance since the data became stale, and its source must have had time to find another path.
+/// Returns whether an instance with stale data may watch the store itself. The store must have answered this instance
+/// since the data became stale, and this instance's source must have had time to find another path to the store.
 fn may_watch_store(node: &Rc<Node>, now: TimeMs, since: TimeMs, relay_role: &RelayRole) -> bool {
     let answered_at = node.store.directly_answered_at();
     let has_answered = answered_at.is_some_and(|at| at >= since);
--- a/crates/damaskvane-gateway/src/store/health.rs
+++ b/crates/damaskvane-gateway/src/store/health.rs
@@ -1,8 +1,8 @@
-//! State of the store as seen by this instance: whether it is up, and the age of its last response.
+//! State of the platform's store as this instance observes it: whether the store is up, and when it responded last.
 //!
-//! The health check detects within about a second that the store is down. Watches wait long, which saves
-//! calls, and are restarted after an outage, because a watch that was pending during an outage may never
-//! return.
+//! The health check detects within about a second that the store is down. A watch is a call that returns when the store
+//! has changes. Watches wait long, which saves calls, and are restarted after an outage, because a watch that was
+//! pending during an outage may never return. A relay is an instance that sends the store's changes to other instances.
 
 use std::cell::Cell;
 
@@ -17,7 +17,7 @@
     Store,
     /// Another instance, which relays changes of the store.
     Relay,
-    /// No source yet: no relay sends fresh data, and it is being checked whether the store answers.
+    /// No source is selected: no relay sends fresh data, and this instance checks whether the store answers.
     Undecided,
 }
 
@@ -27,8 +27,8 @@
     Down,
 }
 
-/// Time since the previous response of the store, in milliseconds, from which a response is reported to
-/// subscribers at once.
+/// Minimum time since the store's previous response, in milliseconds, after which a response is reported to subscribers
+/// at once. Subscribers are the instances that receive changes from this instance.
 const NOTIFY_GAP_MS: u64 = 100;
 
 /// Reachability of the store and the source of its changes.
@@ -36,18 +36,19 @@
 pub struct StoreHealth {
     reachability: watch::Sender<Reachability>,
     source: watch::Sender<Source>,
-    /// Incarnation of the instance, this one or another one, that the store answered last.
+    /// Incarnation (one start of an instance's process) that received the store's last response, of this or another
+    /// instance.
     answered_instance: Cell<Option<IncarnationKey>>,
-    /// Time of the store's last response to any instance; `None` if there was none. A process that started
-    /// while the store is down must not pass for one that got a response a moment ago.
+    /// Time of the store's last response to any instance; `None` if no response is known. A process that started while
+    /// the store is down must not be taken for a process that received a response a moment ago.
     answered_at: Cell<Option<TimeMs>>,
     /// Notifies waiting tasks of a response of the store that came after a gap of `NOTIFY_GAP_MS` or more.
     answers: Notify,
-    /// Time of the store's last response to this instance itself.
+    /// Time of the store's last response to a health check of this instance.
     directly_answered_at: Cell<Option<TimeMs>>,
     /// Number of calls of this instance that the store did not answer.
     failed_calls: watch::Sender<u64>,
-    /// Whether the store does not answer this instance itself, whatever a relay reports.
+    /// Whether the store did not answer the last health check of this instance, even if a relay reports its responses.
     is_direct_access_lost: Cell<bool>,
 }
 
@@ -67,8 +68,8 @@
 }
 
 impl StoreHealth {
-    /// Records that the store answered an instance at a time. Returns the duration of the outage if the store
-    /// was down.
+    /// Records that the store answered `instance` at the time `at`. Returns the duration of the outage if the store was
+    /// marked as down.
     pub fn record_answer(&self, at: TimeMs, instance: IncarnationKey) -> Option<SpanMs> {
         let before = self.answered_at.get();
         let gap = at.since(before.unwrap_or(TimeMs::ZERO));
@@ -87,21 +88,21 @@
         was_down.then_some(gap)
     }
 
-    /// Records that the store did not answer a call of this instance. Pending watches restart, because a
-    /// hanging watch may never return, whatever a relay reports on the store meanwhile.
+    /// Records that the store did not answer a call of this instance. Pending watches restart, because a hanging watch
+    /// may never return, even if a relay reports responses of the store meanwhile.
     pub fn record_failed_call(&self) {
         self.failed_calls
             .send_modify(|failed_calls| *failed_calls += 1);
     }
 
-    /// Waits until the store does not answer a call of this instance.
+    /// Waits until the next call of this instance that the store does not answer.
     pub async fn until_failed_call(&self) {
         let mut failed_calls = self.failed_calls.subscribe();
         // The sender lives as long as the node, so waiting doesn't fail.
         let _ = failed_calls.changed().await;
     }
 
-    /// Marks the store as down. Returns whether it was up before.
+    /// Marks the store as down. Returns whether the store was marked as up before.
     pub fn mark_down(&self) -> bool {
         self.reachability.send_if_modified(|reachability| {
             let was_up = *reachability == Reachability::Up;
@@ -110,51 +111,51 @@
         })
     }
 
-    /// Records that the store answered this instance itself at a time.
+    /// Records that the store answered a health check of this instance at the time `at`.
     pub fn record_direct_answer(&self, at: TimeMs) {
         self.directly_answered_at.set(Some(at));
         self.is_direct_access_lost.set(false);
     }
 
-    /// Records that the store did not answer this instance itself.
+    /// Records that the store did not answer a health check of this instance.
     pub fn record_direct_failure(&self) {
         self.is_direct_access_lost.set(true);
     }
 
-    /// Returns the time of the store's last response to this instance itself, or `None` if there was none.
+    /// Returns the time of the store's last response to a health check of this instance, or `None` if there was no
+    /// response.
     #[must_use]
     pub const fn directly_answered_at(&self) -> Option<TimeMs> {
         self.directly_answered_at.get()
     }
 
-    /// Returns whether the store does not answer this instance itself.
+    /// Returns whether the store did not answer the last health check of this instance.
     #[must_use]
     pub const fn is_direct_access_lost(&self) -> bool {
         self.is_direct_access_lost.get()
     }
 
-    /// Returns the incarnation of the instance that the store answered last, or `None` if it has answered
-    /// none.
+    /// Returns the incarnation that received the store's last response, or `None` if no response is known.
     #[must_use]
     pub const fn answered_instance(&self) -> Option<IncarnationKey> {
         self.answered_instance.get()
     }
 
-    /// Returns the time since the store's last response to this instance or to its relay, or the longest span
-    /// if there was none.
+    /// Returns the time since the store's last response to this instance or to its relay, or the longest span if no
+    /// response is known.
     #[must_use]
     pub fn age(&self, now: TimeMs) -> SpanMs {
         let answered_at = self.answered_at.get();
         answered_at.map_or(SpanMs::new(u64::MAX), |at| now.since(at))
     }
 
-    /// Returns the current source of changes.
+    /// Returns the current source of the store's changes.
     #[must_use]
     pub fn source(&self) -> Source {
         *self.source.borrow()
     }
 
-    /// Sets the source of changes. Returns whether it differs from the previous one.
+    /// Sets the source of changes. Returns whether the source differs from the previous source.
     pub fn set_source(&self, source: Source) -> bool {
         self.source.send_if_modified(|current| {
             let is_other = *current != source;
@@ -176,12 +177,12 @@
         let _ = changes.wait_for(|current| *current != source).await;
     }
 
-    /// Waits for a response of the store, to this instance or to its relay, that comes after a gap.
+    /// Waits for a response of the store, to this instance or to its relay, after a gap of at least `NOTIFY_GAP_MS`.
     pub async fn until_answered(&self) {
         self.answers.notified().await;
     }
 
-    /// Waits until the store is up.
+    /// Waits until the store is marked as up.
     pub async fn until_up(&self) {
         self.until_reachability(Reachability::Up).await;
     }
--- a/crates/damaskvane-gateway/src/store/health_check.rs
+++ b/crates/damaskvane-gateway/src/store/health_check.rs
@@ -1,7 +1,8 @@
-//! Checks periodically whether the store answers this instance.
+//! Checks periodically whether the platform's store answers calls of this instance.
 //!
-//! Only an instance that watches the store, or may have to, runs the check. It reads its own record, stale
-//! data allowed, which is the cheapest call there is. The watches can then wait as long as they need.
+//! A watch is a call that returns when the store has changes. An instance runs the check only if it watches the store
+//! or may have to. The check reads the instance's own record and accepts stale data, which is the cheapest call. Thanks
+//! to the check, watches may wait as long as they need.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -14,22 +15,23 @@
 use crate::node::Node;
 use crate::store::{CallError, Source, StoreClient};
 
-/// Interval between two checks. The subscribers of this instance must learn within about a second that it is
-/// cut off from the store, so that they receive a drain in time from another source.
+/// Interval between two checks. The subscribers, which receive the store's changes from this instance, must detect
+/// within about a second that this instance can't reach the store. They then learn in time from another source that a
+/// server drains.
 const CHECK_INTERVAL_MS: u64 = 300;
-/// Interval while a relay sends changes because the store does not answer this instance.
+/// Interval while a relay, another instance, sends changes because the store does not answer this instance.
 const RELAYED_CHECK_INTERVAL_MS: u64 = 800;
-/// Average interval during an outage for an instance that has no subscribers and no source of changes,
-/// because all instances check then.
+/// Average interval during an outage for an instance that has no subscribers and no source of changes, because all
+/// instances check the store then.
 const IDLE_CHECK_INTERVAL_MS: u64 = 1_500;
-/// Timeout of a check. It is longer than a lost packet needs to be retransmitted, and than a store that is 60
-/// times slower than usual needs to respond.
+/// Timeout of a check. A lost packet is retransmitted within this time, and a store that is 60 times slower than usual
+/// responds within this time.
 const TIMEOUT: Duration = Duration::from_millis(900);
-/// Shortest outage after which expired server entries get a grace period. No entry expires in a shorter
-/// outage: a server misses three of its own writes before its entry expires.
+/// Minimum duration of an outage of the store after which servers with expired entries are retained for a grace period.
+/// No entry expires in a shorter outage: a server misses three writes of its entry before the entry expires.
 const EXPIRING_OUTAGE_MS: u64 = 2_000;
 
-/// Checks the store until the process ends.
+/// Runs the periodic checks until the process ends.
 pub async fn run(node: Rc<Node>) {
     let mut client = StoreClient::new(Rc::clone(&node), Collection::Instances);
     let request = node.adapter.ping(&node.own_record());
@@ -39,7 +41,7 @@
             node.store.until_source_is_not(Source::Relay).await;
         }
         match client.call(&request, TIMEOUT).await {
-            // A record that is not written yet is a response too.
+            // The response that the instance's record does not exist yet also shows that the store is up.
             Ok(_) | Err(CallError::Status(StatusCode::NOT_FOUND)) => handle_answer(&node),
             Err(error) => handle_failure(&node, &error),
         }
@@ -47,8 +49,8 @@
     }
 }
 
-/// Returns the time until the next check. It is random for instances that have lost their relay, so that they
-/// do not call the store together.
+/// Returns the time until the next check. The time is random for instances that have lost their relay, so that they do
+/// not call the store at the same time.
 fn check_interval(node: &Rc<Node>) -> Duration {
     let is_access_lost = node.store.is_direct_access_lost();
     let interval_ms = match node.store.source() {
@@ -79,7 +81,7 @@
     handle_recovery(node, node.store.record_answer(now, node.incarnation_key()));
 }
 
-/// Handles the recovery of the store, which answered this instance or its relay after an outage.
+/// Handles a response of the store to this instance or its relay, which ends an outage if `outage` has its duration.
 pub(super) fn handle_recovery(node: &Rc<Node>, outage: Option<SpanMs>) {
     let Some(outage) = outage else {
         return;
--- a/crates/damaskvane-gateway/src/store/journal.rs
+++ b/crates/damaskvane-gateway/src/store/journal.rs
@@ -1,4 +1,7 @@
-//! Retains the store's data that this instance received, for the instances that subscribe to it.
+//! Retains the store's data that this instance received, for its subscribers, which are other instances that receive
+//! the store's changes from it.
+//!
+//! A collection is the set of the store's objects of one kind; a revision is the number of the store's last change.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,21 +13,21 @@
 use crate::adapter::Collection;
 use crate::store::FOLLOWED_COLLECTIONS;
 
-/// A whole collection at a revision, as the store sent it: a list and the changes since.
+/// A whole collection at a revision, in the store's own encoding: a list and the changes since the list was read.
 #[derive(Debug, Clone)]
 pub struct Listing {
     /// Revision after the last change.
     pub revision: u64,
-    /// Pages of the list.
+    /// Pages of the list, as the store sent them.
     pub pages: Vec<Bytes>,
-    /// Changes since the list, in order.
+    /// Responses with the changes since the list was read, in order.
     pub changes: Vec<Bytes>,
 }
 
 /// What a subscriber at a revision has to receive next.
 #[derive(Debug)]
 pub enum JournalRead {
-    /// Nothing: the subscriber has all changes, or this instance does not have the collection itself.
+    /// Nothing: the subscriber has all changes, or this instance has not read the collection yet.
     UpToDate,
     /// The changes that follow the subscriber's revision.
     Batch(Batch<Bytes>),
@@ -33,7 +36,7 @@
     /// The changes that the subscriber lacks are no longer retained, and neither is the list before them. The
     /// subscriber has to read the whole collection again.
     HistoryGone {
-        /// Revision from which later changes are sent.
+        /// Revision after which changes are sent again.
         resume_at: u64,
     },
 }
@@ -42,7 +45,7 @@
 struct CollectionLog {
     listing: Listing,
     log: RelayLog<Bytes>,
-    /// Whether no change is known to be missing.
+    /// Whether this instance has received all changes of the collection up to the log's end, as far as it knows.
     is_complete: bool,
 }
 
@@ -63,7 +66,7 @@
 }
 
 impl Journal {
-    /// Replaces the log of a collection by a new listing.
+    /// Replaces the retained data of a collection by a new listing.
     pub fn reset(&self, collection: Collection, listing: Listing) {
         let entry = CollectionLog {
             log: RelayLog::new(listing.revision),
@@ -76,8 +79,8 @@
 
     /// Records that changes of a collection were missed.
     ///
-    /// Otherwise an instance that must read a collection again and can't would pass for a fresh source, as
-    /// long as its relay reports a recent response of the store.
+    /// Otherwise an instance that must read a collection again and can't would be taken for a source with fresh data,
+    /// as long as its relay reports a recent response of the store.
     pub fn mark_gap(&self, collection: Collection) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(&collection) {
             entry.is_complete = false;
@@ -95,7 +98,8 @@
         })
     }
 
-    /// Appends the changes of a collection up to the revision `to`, and notifies the readers.
+    /// Appends the changes of a collection up to the revision `to`, and notifies the receivers that
+    /// [`Journal::subscribe`] returned.
     pub fn append(&self, collection: Collection, to: u64, body: Bytes) {
         let length = body.len();
         if let Some(entry) = self.entries.borrow_mut().get_mut(&collection) {
@@ -104,7 +108,7 @@
         self.additions.send_modify(|count| *count += 1);
     }
 
-    /// Returns the next data for a subscriber that has a collection up to `revision`.
+    /// Returns the next data for a subscriber that has received a collection up to `revision`.
     pub fn since(&self, collection: Collection, revision: u64) -> JournalRead {
         let entries = self.entries.borrow();
         let Some(entry) = entries.get(&collection) else {
@@ -113,7 +117,7 @@
         match entry.log.since(revision) {
             Since::UpToDate => JournalRead::UpToDate,
             Since::Next(batch) => JournalRead::Batch(batch.clone()),
-            // The retained changes still begin at the revision of the list.
+            // All changes since the list are retained, so the list and these changes are the whole collection.
             Since::Compacted { .. } if entry.log.start() == entry.listing.revision => {
                 let mut listing = entry.listing.clone();
                 listing.revision = entry.log.end();
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Returns a receiver that is notified of new data.
+    /// Returns a receiver that is notified when data is added.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.additions.subscribe()
     }
--- a/crates/damaskvane-gateway/src/store/register.rs
+++ b/crates/damaskvane-gateway/src/store/register.rs
@@ -11,11 +11,11 @@
 use crate::node::Node;
 use crate::store::{CallError, Source, StoreClient};
 
-/// Timeout of a call on the store.
+/// Timeout of a call to the store.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Delay after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Delays between reads of the zone's records while the instance has no source of changes. Instances that
+/// Delays between reads of the zone's records while this instance has no source of the store's changes. Instances that
 /// start together write their records within a few hundred milliseconds.
 const ZONE_READ_DELAYS: [Duration; 3] = [
     Duration::from_millis(150),
@@ -23,10 +23,10 @@
     Duration::from_millis(800),
 ];
 
-/// Writes this instance's record, unless the store has it from an earlier incarnation, and reads the records
-/// of the other instances of its zone.
+/// Writes this instance's record, unless the store has the same record from an earlier start of the process, and reads
+/// the records of the other instances of its zone.
 ///
-/// All later records arrive with the changes of the collection of instances, as for the other collections.
+/// All records that are written later arrive as changes of the store.
 pub async fn register(node: Rc<Node>) {
     let mut client = StoreClient::new(Rc::clone(&node), Collection::Instances);
     let record = node.own_record();
@@ -57,7 +57,7 @@
     }
     let [create, replace] = node.adapter.register(record);
     match client.call(&create, CALL_TIMEOUT).await {
-        // The store has a record of an earlier incarnation.
+        // The store has a record from an earlier start of this instance's process.
         Err(CallError::Status(StatusCode::CONFLICT)) => {
             client.call(&replace, CALL_TIMEOUT).await.map(drop)
         }
@@ -65,8 +65,8 @@
     }
 }
 
-/// Reads the records of this instance's zone. A failure is ignored: the changes of the store bring what was
-/// missed.
+/// Reads the records of this instance's zone. A failure is ignored: the missed records arrive later as changes of the
+/// store.
 async fn read_zone_records(
     node: &Rc<Node>,
     client: &mut StoreClient,
