--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -1,4 +1,5 @@
-//! Exchange of heartbeats, digests, reports and crash notices between entry instances by UDP.
+//! Exchange of heartbeats, digests, reports and crash notices between entry instances by UDP. A heartbeat reports that
+//! its sender is alive. An aggregator sends a digest, the list of its zone's live instances, to other zones.
 //!
 //! Each heartbeat replaces the one before, so that a lost heartbeat need not be sent again. With datagrams, a peer
 //! that reads slowly can't block the sender.
@@ -33,22 +34,24 @@
 /// Interval between two popularity reports, multiplied by the number of other instances in the zone: the aggregators
 /// receive reports at the same rate in a zone of any size.
 const POPULARITY_INTERVAL_PER_RECIPIENT: Duration = Duration::from_millis(30);
-/// How many times an incident is sent: a datagram may be lost, and a recipient may be paused for a moment.
+/// How many times an incident (the crash of a server with requests) is sent: a datagram may be lost, and a recipient
+/// may be paused for a moment.
 const INCIDENT_SEND_COUNT: u32 = 3;
-/// Interval between two sendings of an incident.
+/// Interval between two transmissions of the same incident.
 const INCIDENT_RESEND_INTERVAL: Duration = Duration::from_millis(400);
 /// Largest number of digest entries in one datagram, so that the datagram is not fragmented: 13 bytes each.
 const MAX_DIGEST_ENTRIES: usize = 64;
-/// Number of heartbeats for each digest; the other aggregator of the zone sends a digest in between.
+/// An aggregator sends a digest with one in this number of heartbeats; the zone's other aggregator sends one in
+/// between.
 const HEARTBEATS_PER_DIGEST: u64 = 2;
 /// Interval between two checks for membership updates of this instance's zone.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
-/// Largest number of heartbeats in one membership update, so that the datagram is not fragmented: about 100 bytes
-/// each.
+/// Largest number of heartbeats in one membership update (new and changed instances), so that the datagram is not
+/// fragmented: about 100 bytes each.
 const MAX_HEARTBEATS_PER_UPDATE: usize = 12;
 /// Interval between two heartbeats of a starting instance.
 ///
-/// The short interval makes this instance and its peers known to each other before clients are accepted.
+/// With the short interval, this instance and its peers discover each other before this instance accepts clients.
 const STARTUP_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 /// Largest datagram in bytes.
 const MAX_DATAGRAM_BYTES: usize = 1_400;
@@ -92,7 +95,8 @@
         }
         tokio::select! {
             () = tokio::time::sleep(if phase == Phase::Starting { STARTUP_HEARTBEAT_INTERVAL } else { period }) => {}
-            // Peers must learn of a stop at once: until then their lookup responses send clients here.
+            // Peers must be notified of a stop at once: until then their lookup responses send clients to this
+            // instance.
             _ = phases.wait_for(|stop| *stop != StopPhase::Serving && phase != Phase::Leaving) => {}
         }
     }
@@ -129,7 +133,7 @@
     }
 }
 
-/// Sends other zones the instances of this zone that have started or changed their phase, until the process ends.
+/// Sends other zones the heartbeats of this zone's new instances and changes of phase, until the process ends.
 async fn send_membership_updates(node: Rc<Node>, socket: Rc<UdpSocket>) {
     loop {
         tokio::time::sleep(UPDATE_INTERVAL).await;
@@ -154,7 +158,7 @@
     }
 }
 
-/// Reports busy and unhealthy servers to the zone's other instances, until the process ends.
+/// Sends reports of busy and unhealthy servers to the zone's other instances, until the process ends.
 async fn send_server_reports(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut interval = MIN_REPORT_INTERVAL;
     loop {
@@ -180,7 +184,7 @@
     }
 }
 
-/// Reports the requested objects to the zone's aggregators, until the process ends.
+/// Sends the counts of requested objects to the zone's aggregators, until the process ends.
 ///
 /// An aggregator applies its own report, decides which objects are popular, and sends the decisions to its zone.
 async fn exchange_popularity(node: Rc<Node>, socket: Rc<UdpSocket>) {
@@ -220,7 +224,7 @@
     }
 }
 
-/// Sends each incident to the other instances, until the process ends.
+/// Sends each incident that this instance detects to all other instances, until the process ends.
 async fn send_incidents(node: Rc<Node>, socket: Rc<UdpSocket>) {
     while let Ok(incident) = node.crashes.notices().recv_async().await {
         let sending = send_incident(Rc::clone(&node), Rc::clone(&socket), incident);
@@ -255,7 +259,7 @@
         let distance = Distance::to_instance(node, recipient.ip());
         let costs = &node.metrics.costs;
         costs.record_bytes(message.flow(), distance, bytes.len());
-        // A recipient that can't be reached now receives a later message.
+        // Failures are ignored: a recipient that can't be reached now receives a later message.
         let _ = socket.send_to(&bytes, recipient).await;
     }
 }
@@ -264,7 +268,7 @@
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            // The error reports that an earlier datagram had no receiver; the socket remains usable.
+            // The error means that an earlier datagram had no receiver; the socket remains usable.
             continue;
         };
         match Message::decode(&buffer[..length]) {
@@ -331,7 +335,7 @@
     }
 }
 
-/// Replies with this instance's heartbeat to an instance that searches for peers.
+/// Replies with this instance's heartbeat to a starting instance, which may know no other instance.
 async fn reply_to_heartbeat(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
     let own = node
         .state
@@ -345,7 +349,7 @@
     }
 }
 
-/// Sends the instances of other zones to an instance of this zone that has just started.
+/// Sends the heartbeats of other zones' instances to an instance of this zone that has just started.
 async fn send_introduction(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
     let now = node.now();
     let introduction = node
@@ -362,7 +366,7 @@
     }
 }
 
-/// Applies a heartbeat; returns whether the instance is new or has a new incarnation.
+/// Applies a heartbeat; returns whether the instance is new or was started again.
 fn apply_heartbeat(node: &Node, heartbeat: Heartbeat) -> bool {
     let instance = heartbeat.instance.clone();
     let phase = heartbeat.phase;
@@ -379,7 +383,7 @@
     is_new
 }
 
-/// Forwards a message of another zone to this instance's zone, if this instance is an aggregator.
+/// Forwards a message from another zone to the instances of this zone, if this instance is an aggregator.
 async fn forward_in_zone(node: &Node, socket: &UdpSocket, message: &Message) {
     let now = node.now();
     let recipients = node.state.borrow().members.digest_forward_recipients(now);
--- a/crates/damaskvane-gateway/src/peers/message.rs
+++ b/crates/damaskvane-gateway/src/peers/message.rs
@@ -1,6 +1,10 @@
 //! Messages between entry instances, and their encoding as datagrams.
 //!
-//! The `Wire` types are the encoded form. Postcard encodes fields and variants by position.
+//! A heartbeat reports that its sender is alive. An aggregator is an instance that sends messages to other zones for
+//! its own zone. The phase of an instance is starting, ready or leaving.
+//!
+//! The types with `Wire` in their names are the encoded form of messages. Postcard encodes fields and variants by
+//! position.
 
 use std::net;
 
@@ -19,28 +23,28 @@
 /// A message from one entry instance to another.
 #[derive(Debug, Clone)]
 pub enum Message {
-    /// Addresses and phase of the sender.
+    /// Reports that the sender is alive, with its addresses and phase.
     Heartbeat(Heartbeat),
-    /// State of the instances of a zone, sent by an aggregator of the zone.
+    /// State of the live instances of a zone, sent by an aggregator of the zone.
     Digest {
         /// Whether the sender is in the recipient's zone, so that the recipient does not forward the message.
         is_forwarded: bool,
         /// Entries of the zone's instances.
         digest: Digest,
     },
-    /// Instances that have started or changed their phase; also sent to a new instance, with all ready instances of other
-    /// zones.
+    /// Heartbeats of instances that have started or changed their phase. A new instance also receives this message with
+    /// all ready instances of other zones.
     MembershipUpdate {
         /// Whether the sender is in the recipient's zone, so that the recipient does not forward the message.
         is_forwarded: bool,
-        /// Latest heartbeats of these instances.
+        /// Last heartbeat of each of these instances.
         heartbeats: Vec<Heartbeat>,
     },
-    /// The death of a backend server that was running requests.
+    /// The crash of a backend server that was running requests.
     Incident(Incident),
-    /// Backend servers that are queueing, slow or failing, or have recovered.
+    /// Reports of backend servers that have a queue, are slow or failing, or have recovered.
     ServerReports(Vec<PeerServerReport>),
-    /// Samples of the objects that the sender's clients request, by route.
+    /// Samples of the objects (the items that requests name) that the sender's clients request, by route.
     PopularityReport(PopularityReport),
     /// Decisions on which objects are popular enough to have a server in each zone.
     PopularityDecisions {
@@ -52,7 +56,7 @@
 }
 
 impl Message {
-    /// Returns the flow under which the message's bytes are counted.
+    /// Returns the flow (the label of counters) under which the message's bytes are counted.
     #[must_use]
     pub const fn flow(&self) -> Flow {
         match self {
