--- a/crates/damaskvane-gateway/src/crashes.rs
+++ b/crates/damaskvane-gateway/src/crashes.rs
@@ -1,8 +1,10 @@
-//! Quarantine of requests that crash backend servers.
+//! Quarantine of requests that crash backend servers: instances refuse such requests for a limited time.
 //!
-//! A request whose connection broke becomes a suspect when its server is found dead. After two such deaths all
-//! instances refuse the request for a limited time. Instances notify each other of each death by datagram. The
-//! store keeps a record of each refused request, so that instances that were partitioned or restarted refuse it too.
+//! A request whose connection broke becomes a suspect when its server is found to have crashed. After two such crashes
+//! all instances refuse the request. An incident is one crash with its suspects; instances notify each other of
+//! incidents by datagram. An exchange is one request to a server with its response; a fingerprint is a hash of a
+//! request's client address, host, method, path and body. The store keeps a record of each refused request, so that
+//! instances that were partitioned or restarted refuse it too.
 
 mod record;
 
@@ -23,23 +25,24 @@
 
 pub use record::maintain as maintain_records;
 
-/// Longest wait of a request that broke twice for the result of a probe.
+/// Maximum time for which a request whose connection broke twice waits for the results of the servers' health probes.
 ///
-/// A connection within a region is refused in 30 ms. The timeout of a probe, 0.8 s, would be too long: most clients
-/// have disconnected by then.
+/// A connection within a region is refused in 30 ms. The timeout of a probe, 0.8 s, would be too long for this wait:
+/// most clients have disconnected by then.
 const PROBE_RESULT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Largest number of suspects in one incident, so that the message fits a datagram: 66 bytes each.
 pub const MAX_SUSPECTS_PER_INCIDENT: usize = 16;
 
-/// A refused request whose quarantine record is not yet in the store.
+/// A refused request whose quarantine record is to be written to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PendingRecord {
     fingerprint: Fingerprint,
-    /// Whether this instance detected the last incident; otherwise the instance that did writes the record first.
+    /// Whether this instance detected the last incident of the request. If not, the instance that detected the incident
+    /// is given time to write the record first.
     is_own: bool,
 }
 
-/// Refused requests, broken exchanges and pending notices of this instance.
+/// Refused requests, exchanges whose connection broke, and incidents that this instance has not sent to others yet.
 #[derive(Debug)]
 pub struct CrashTracker {
     list: RefCell<Quarantine>,
@@ -47,7 +50,7 @@
     /// Requests that have a quarantine record in the store.
     stored: RefCell<BTreeSet<Fingerprint>>,
     last_serial: Cell<u64>,
-    /// Wakes waiting requests when a server was found dead or alive.
+    /// Notifies waiting requests that a server was found to have crashed or to be alive.
     server_state_known: Notify,
     notices: (flume::Sender<Incident>, flume::Receiver<Incident>),
     pending_records: (flume::Sender<PendingRecord>, flume::Receiver<PendingRecord>),
@@ -74,24 +77,25 @@
         self.list.borrow().is_empty() && self.broken.borrow().is_empty()
     }
 
-    /// Returns the queue of incidents that are to be sent to the other instances.
+    /// Returns the queue of incidents that this instance has to send to the other instances.
     #[must_use]
     pub const fn notices(&self) -> &flume::Receiver<Incident> {
         &self.notices.1
     }
 }
 
-/// Waits for the probes of the servers where a request broke; returns how much longer the request is refused.
+/// Waits for the probes of the servers to which a request's connection broke; returns the time for which the request is
+/// refused from now.
 ///
-/// Returns `None` if the request may run. A request that broke twice waits for the round trip of a probe. Otherwise
-/// a client that retries at once would crash one server after the other before the first death is confirmed.
+/// Returns `None` if the request may run. A request whose connection broke twice waits for the result of a probe.
+/// Otherwise a client that retries at once would crash one server after the other before the first crash is confirmed.
 pub async fn resolve_refusal(node: &Node, fingerprint: Fingerprint) -> Option<SpanMs> {
     let probed = async {
         while awaits_probe(node, fingerprint) {
             node.crashes.server_state_known.notified().await;
         }
     };
-    // Without a probe result in time the request runs: most broken connections are harmless.
+    // If no probe result arrives in time, the request runs: most broken connections have harmless causes.
     let _ = tokio::time::timeout(PROBE_RESULT_TIMEOUT, probed).await;
     refusal(node, fingerprint)
 }
@@ -103,7 +107,7 @@
     list.may_be_refused(fingerprint, unprobed)
 }
 
-/// Returns how much longer a request is refused; `None` if the request may run.
+/// Returns the time for which a request is refused from now; `None` if the request may run.
 #[must_use]
 pub fn refusal(node: &Node, fingerprint: Fingerprint) -> Option<SpanMs> {
     let list = node.crashes.list.borrow();
@@ -121,21 +125,21 @@
     node.probe_requested.notify_one();
 }
 
-/// Records that a server with broken exchanges is alive.
+/// Records that a server is alive, so that earlier broken exchanges with the server were no crash.
 pub fn record_server_alive(node: &Node, server: &ids::BackendServerId) {
     node.crashes.broken.borrow_mut().record_alive(server);
     node.crashes.server_state_known.notify_waiters();
 }
 
-/// Records that a request was completed, which removes its suspicion.
+/// Records that a server completed a request, so that the request is no longer suspect.
 pub fn record_completed(node: &Node, fingerprint: Fingerprint) {
     let mut list = node.crashes.list.borrow_mut();
     list.record_completed(node.now(), fingerprint);
 }
 
-/// Records that a server was found dead; each request that broke there a moment ago becomes a suspect.
+/// Records that a server has crashed; each request whose connection to the server broke a moment ago becomes a suspect.
 ///
-/// `proof` says in the log how the death was detected.
+/// `proof` is the value in the log that names how the crash was detected.
 pub fn record_server_death(node: &Node, server: &ids::BackendServerId, proof: &str) {
     let now = node.now();
     let suspects = node.crashes.broken.borrow_mut().take_suspects(now, server);
@@ -159,14 +163,15 @@
     node.crashes.server_state_known.notify_waiters();
 }
 
-/// Removes expired refusals and broken exchanges; as long as one is kept, each request has to be checked.
+/// Removes expired refusals and broken exchanges. While any of them is stored, each request has to be checked against
+/// them.
 fn expire(node: &Node) {
     let now = node.now();
     node.crashes.list.borrow_mut().expire(now);
     node.crashes.broken.borrow_mut().expire(now);
 }
 
-/// Applies an incident that another instance reported.
+/// Applies an incident that another instance has detected and sent.
 pub fn apply_peer_incident(node: &Node, incident: &Incident) {
     apply_incident(node, incident, false);
 }
@@ -187,7 +192,7 @@
     }
 }
 
-/// Applies a quarantine record of the store.
+/// Applies a quarantine record that was read from the store.
 pub fn apply_stored_quarantine(node: &Node, fingerprint: Fingerprint) {
     node.crashes.stored.borrow_mut().insert(fingerprint);
     let mut list = node.crashes.list.borrow_mut();
@@ -197,7 +202,7 @@
     }
 }
 
-/// Applies the removal of a quarantine record: the record expired or an operator removed it.
+/// Applies the removal of a quarantine record from the store, because the record expired or an operator removed it.
 pub fn release_quarantine(node: &Node, fingerprint: Fingerprint) {
     if node.crashes.stored.borrow_mut().remove(&fingerprint) {
         let mut list = node.crashes.list.borrow_mut();
--- a/crates/damaskvane-gateway/src/crashes/record.rs
+++ b/crates/damaskvane-gateway/src/crashes/record.rs
@@ -1,7 +1,7 @@
-//! Writes and removes quarantine records in the store.
+//! Writes and removes quarantine records in the platform's store.
 //!
-//! Without a record, a quarantine is lost when all instances are killed, and the request would crash two more
-//! servers before it is refused again.
+//! A quarantine is the refusal of a request that crashes backend servers. Without a record, a quarantine is lost when
+//! all instances are killed, and the request would crash two more servers before it is refused again.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -18,11 +18,12 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Delay before an instance writes a record that the instance which detected the last incident should write.
+/// Delay before an instance writes a record if another instance detected the last incident (a crash caused by the
+/// request). That instance should write the record.
 ///
-/// The record normally arrives within 0.1 s: one call to the store and the forwarded change.
+/// The record of that instance normally arrives within 0.1 s: one call to the store and the forwarded change.
 const PEER_WRITE_DELAY: Duration = Duration::from_millis(1_000);
-/// Interval between two checks for expired records.
+/// Interval between two checks for expired quarantine records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Writes records of refused requests and removes expired records, until the process ends.
@@ -72,7 +73,7 @@
 
 /// Removes expired records, if this instance watches the store itself.
 ///
-/// This limits the removal to two calls in each zone for a record.
+/// Few instances watch the store, so the removal of a record costs at most two calls in each zone.
 async fn remove_expired(node: &Rc<Node>, client: &mut StoreClient) {
     if node.store.source() != Source::Store {
         return;
@@ -87,7 +88,7 @@
             Ok(_) | Err(CallError::Status(StatusCode::NOT_FOUND)) => {
                 crashes::release_quarantine(node, fingerprint);
             }
-            // The removal is retried after the next interval.
+            // The removal is tried again after `EXPIRY_INTERVAL`.
             Err(error) => slog::warn!(node.log.log, "quarantine record can't be removed";
                 "fingerprint" => %fingerprint, "error" => %error),
         }
