--- a/crates/damaskvane-gateway/src/adapter.rs
+++ b/crates/damaskvane-gateway/src/adapter.rs
@@ -1,6 +1,8 @@
 //! The [`Adapter`] trait that a platform implements, and the types of its methods.
 //!
-//! An adapter translates between the platform's protocols and the types of this crate.
+//! An adapter translates between the platform's protocols and the types of this crate. The platform's store holds
+//! configuration and state as objects; a collection is the set of objects of one kind, and a revision is the number of
+//! the store's last change.
 
 use std::net;
 
@@ -13,34 +15,37 @@
 /// Names of the platform's own HTTP headers and of its object cookie.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Identifies one attempt of a client; backend servers return the value in the response.
+    /// Header whose value identifies one attempt of a client to send a request; backend servers return the value in the
+    /// response.
     pub request_id: HeaderName,
-    /// Milliseconds for which the sender of a request (client or entry instance) waits for the response.
+    /// Header with the milliseconds for which the sender of a request (client or entry instance) waits for the
+    /// response.
     pub deadline_ms: HeaderName,
-    /// Id of the backend server that a request is addressed to; any other server rejects the request.
+    /// Header with the id of the backend server that a request is addressed to; any other server rejects the request.
     pub expected_server: HeaderName,
-    /// Set by a backend server on the response to a request that it did not execute.
+    /// Header that a backend server sets on the response to a request that it did not run.
     pub not_run: HeaderName,
-    /// Marks a response as created by a backend server.
+    /// Header that marks a response as created by a backend server.
     pub signature: HeaderName,
-    /// Current load of the backend server that responds.
+    /// Header with the current load of the backend server that responds.
     pub load: HeaderName,
-    /// Id of the backend server that responds.
+    /// Header with the id of the backend server that responds.
     pub server_id: HeaderName,
-    /// Milliseconds until the backend server is warmed up.
+    /// Header with the milliseconds until the warm-up of the backend server that responds ends; until then it gets few
+    /// requests.
     pub warmup_remaining_ms: HeaderName,
-    /// Name of the cookie that holds the object of a request.
+    /// Name of the cookie that holds the object of a request, the item that the request concerns.
     pub object_cookie: String,
 }
 
 /// A client's request for the addresses of entry instances.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lookup {
-    /// Host that the client wants to reach.
+    /// Host name of the requests that the client will send to an instance.
     pub host: String,
-    /// Region of the client; `None` if the request has none.
+    /// Region of the client; `None` if the lookup doesn't name a region.
     pub region: Option<ids::RegionId>,
-    /// Availability zone of the client; `None` if the request has none.
+    /// Availability zone of the client; `None` if the lookup doesn't name a zone.
     pub zone: Option<ids::AvailabilityZoneId>,
 }
 
@@ -51,11 +56,11 @@
     Configuration,
     /// One entry for each backend server.
     Servers,
-    /// Availability zones that must not receive requests.
+    /// Availability zones whose backend servers must not receive requests.
     Evacuations,
     /// One record for each entry instance, written by that instance.
     Instances,
-    /// Fingerprints of requests that are refused because they crash backend servers.
+    /// Fingerprints (hashes) of requests that all instances refuse because the requests crash backend servers.
     Quarantine,
 }
 
@@ -80,11 +85,11 @@
     Configuration(Box<configuration::Configuration>),
     /// The entry of a backend server.
     Server(pool::ServerEntry),
-    /// An availability zone that must not receive requests.
+    /// An availability zone whose backend servers must not receive requests.
     Evacuation(ids::AvailabilityZoneId),
     /// The record of an entry instance.
     Instance(peers::ListedInstance),
-    /// The fingerprint of a refused request.
+    /// The fingerprint of a request that all instances refuse.
     Quarantined(Fingerprint),
     /// An object that can't be decoded, with the reason.
     Unusable(String),
@@ -95,7 +100,7 @@
 pub struct Event {
     /// Name of the object within its collection.
     pub name: String,
-    /// Current content of the object; `None` if it was removed.
+    /// Content of the object after the change; `None` if the object was removed.
     pub record: Option<Record>,
 }
 
@@ -104,13 +109,13 @@
 pub struct Page {
     /// Objects of this page.
     pub items: Vec<Event>,
-    /// Name after which the next page begins; `None` on the last page.
+    /// Name of the object after which the next page begins; `None` on the last page.
     pub continue_after: Option<String>,
     /// Revision of the store at which the page was read.
     pub revision: u64,
 }
 
-/// The changes that a watch call returned.
+/// The changes that a watch, a call that waits for changes of the store, returned.
 #[derive(Debug)]
 pub struct Changes {
     /// Changes in the order in which they were made.
@@ -132,7 +137,7 @@
     ListZone,
     /// Waits for changes of a collection.
     Watch,
-    /// Checks whether the store responds, at the lowest cost.
+    /// Checks with the cheapest call whether the store responds.
     Ping,
     /// Creates, replaces or removes an object.
     Write,
@@ -179,16 +184,16 @@
     /// Encodes the response body of a lookup; `ttl_ms` is how long the client may use the addresses.
     fn lookup_body(&self, addresses: &[net::SocketAddr], ttl_ms: u64) -> Bytes;
 
-    /// Builds the call that lists a collection after the name `after`.
+    /// Builds the call that reads a page of a collection, from the first object after the name `after`.
     ///
     /// With `may_be_stale` the call costs the store less, and the result may be seconds old.
     fn list(&self, collection: Collection, after: Option<&str>, may_be_stale: bool)
     -> StoreRequest;
 
-    /// Builds the call that waits at most `wait_ms` for changes after a revision.
+    /// Builds the call that waits at most `wait_ms` for changes of a collection after a revision.
     fn watch(&self, collection: Collection, revision: u64, wait_ms: u64) -> StoreRequest;
 
-    /// Builds the cheap call that lists instances, starting at the first one of a zone.
+    /// Builds the cheap call that lists instances, starting at the first instance of a zone or after the name `after`.
     ///
     /// The result may be seconds old.
     fn list_zone(&self, zone: &ids::AvailabilityZoneId, after: Option<&str>) -> StoreRequest;
@@ -196,10 +201,11 @@
     /// Builds the cheapest call that checks whether the store responds.
     fn ping(&self, record: &peers::ListedInstance) -> StoreRequest;
 
-    /// Builds the calls that write an instance's record: the first creates the record, the second replaces it.
+    /// Builds the calls that write an instance's record: the first call creates the record, the second replaces an
+    /// existing record.
     fn register(&self, record: &peers::ListedInstance) -> [StoreRequest; 2];
 
-    /// Builds the call that stores a quarantine record.
+    /// Builds the call that stores a quarantine record, because of which all instances refuse a request.
     ///
     /// The store responds with a conflict if the record exists already.
     fn record_quarantine(&self, fingerprint: &Fingerprint) -> StoreRequest;
--- a/crates/damaskvane-gateway/src/costs.rs
+++ b/crates/damaskvane-gateway/src/costs.rs
@@ -1,6 +1,8 @@
 //! Counters of what operators pay for: transferred bytes by flow and distance, and opened connections by reason.
 //!
-//! Each counter is found by its index, not by its labels, so that counting adds no noticeable cost to a request.
+//! A flow is the purpose for which bytes are transferred.
+//!
+//! Counters are found by index, not by labels, so that counting adds no noticeable cost to a request.
 
 use std::net;
 
@@ -10,31 +12,31 @@
 
 use crate::node::Node;
 
-/// Network distance between this instance and the other end of a connection.
+/// Network distance between this instance and the peer with which it exchanges data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Distance {
-    /// Both ends are in one availability zone.
+    /// This instance and the peer are in the same availability zone.
     SameZone,
-    /// The ends are in two availability zones of one region.
+    /// This instance and the peer are in different availability zones of the same region.
     SameRegion,
-    /// The ends are in two regions, or the zone of the other end is not known.
+    /// This instance and the peer are in different regions, or the peer's zone is not known.
     OtherRegion,
 }
 
 /// Purpose for which bytes are transferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Flow {
-    /// A request to the first-ranked server of its object, and the response.
+    /// A request to the first server of its object (the item that the request names), and the response.
     Placed,
-    /// A request to another server, and the response.
+    /// A request to another server than the first server of its object, and the response.
     Overflow,
     /// A retried request, and the response.
     Retry,
-    /// Heartbeats between instances.
+    /// Heartbeats, by which instances report to each other that they are alive.
     Heartbeat,
-    /// Membership updates: instances that started or changed their phase.
+    /// Membership updates: heartbeats of instances that started or changed their phase (starting, ready, leaving).
     MembershipUpdate,
-    /// Digests of a zone's instances.
+    /// Digests, which list a zone's live instances for other zones.
     Digest,
     /// Reports on the load and health of backend servers.
     ServerReports,
@@ -42,18 +44,18 @@
     PopularityReport,
     /// Decisions on which objects are popular.
     PopularityDecisions,
-    /// Notices of crash incidents.
+    /// Notices of incidents, which are crashes of backend servers that were running requests.
     Incident,
-    /// Store changes that are forwarded to other instances of the zone.
+    /// Changes of the store that are sent to other instances.
     Feed,
 }
 
 /// Reason for which a connection to a backend server was opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenReason {
-    /// There was no idle connection to the server.
+    /// This instance had no idle connection to the server that it could reuse.
     NoIdleConnection,
-    /// All idle connections to the server had been closed.
+    /// This instance had idle connections to the server, but all of them had been closed.
     IdleConnectionsClosed,
     /// A health probe needs a new connection.
     Probe,
@@ -129,7 +131,7 @@
         Ok(costs)
     }
 
-    /// Counts transferred bytes: HTTP heads are included, the transport's overhead is not.
+    /// Counts transferred bytes: HTTP heads are included, the overhead of TCP and UDP is not.
     pub fn record_bytes(&self, flow: Flow, distance: Distance, bytes: usize) {
         let index = flow as usize * DISTANCES.len() + distance as usize;
         self.bytes[index].inc_by(bytes as u64);
@@ -172,7 +174,7 @@
 }
 
 impl Flow {
-    /// Returns the flow of a request to the picked server.
+    /// Returns the flow under which a request to the selected server is counted.
     #[must_use]
     pub const fn for_pick(pick: &Pick, is_retry: bool) -> Self {
         if is_retry {
--- a/crates/damaskvane-gateway/src/decision_log.rs
+++ b/crates/damaskvane-gateway/src/decision_log.rs
@@ -1,21 +1,22 @@
-//! Rate-limited log lines on requests.
+//! Rate-limited log lines about requests.
 //!
 //! A separate thread writes the lines from a bounded queue, so that a slow reader of the log loses lines but never
-//! delays a request. Lines on requests have a budget for each second. Failures have a larger budget than successes,
-//! so that failures are still logged under load. The next line reports how many lines were omitted.
+//! delays a request. The number of lines about requests in each second is limited by a budget. Failures have a larger
+//! budget than successes, so that failures are still logged under load. The next line reports how many lines were
+//! omitted.
 
 use std::cell::{Cell, RefCell};
 
 use damaskvane_core::time::TimeMs;
 use serde::Deserialize;
 
-/// Limits on the number of log lines on requests.
+/// Limits on the number of log lines about requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct DecisionLogSettings {
-    /// Lines for each second on requests that were late, failed or were refused.
+    /// Maximum number of lines in each second about requests that were late, failed or were refused.
     pub failures_per_s: u32,
-    /// Lines for each second on requests that were served in time.
+    /// Maximum number of lines in each second about requests that were served in time.
     pub successes_per_s: u32,
 }
 
@@ -36,7 +37,8 @@
 }
 
 impl LineBudget {
-    /// Takes one line of the budget; returns the number of lines omitted before it, or `None` if the budget is used up.
+    /// Counts one line against the budget; returns the number of lines omitted since the last written line, or `None`
+    /// if the budget is used up.
     fn take(&mut self, now: TimeMs, per_s: u32) -> Option<u64> {
         let second = now.get() / 1_000;
         if second != self.second {
@@ -61,10 +63,10 @@
     Success,
 }
 
-/// The log of a process, with the budgets of lines on requests.
+/// The log of a process, with the budgets for lines about requests.
 #[derive(Debug)]
 pub struct DecisionLog {
-    /// Logger for lines without a budget: changes of the process's state.
+    /// Logger for lines that no budget limits, such as changes of the process's state.
     pub log: slog::Logger,
     settings: Cell<DecisionLogSettings>,
     failures: RefCell<LineBudget>,
--- a/crates/damaskvane-gateway/src/lib.rs
+++ b/crates/damaskvane-gateway/src/lib.rs
@@ -1,8 +1,9 @@
 //! The event loop of an entry instance that runs on a third-party platform.
 //!
-//! One thread serves lookups, forwards requests and follows the platform's store. `damaskvane-routing` makes all
-//! decisions. An [`adapter::Adapter`] translates the protocols of clients, backend servers and the store, so that no
-//! other module depends on the platform's names.
+//! An entry instance is a process that takes clients' requests and sends each to a backend server. One thread serves
+//! lookups (clients' requests for the addresses of instances), forwards requests and receives the changes of the
+//! platform's store. The crate `damaskvane-routing` makes all routing decisions. An [`adapter::Adapter`] translates the
+//! protocols of clients, backend servers and the store, so that no other module depends on the platform's names.
 //!
 //! # Crate guide
 //!
--- a/crates/damaskvane-gateway/src/lookups.rs
+++ b/crates/damaskvane-gateway/src/lookups.rs
@@ -1,4 +1,6 @@
 //! Responses to clients' lookups and to the platform's readiness checks.
+//!
+//! A lookup is a client's request for the addresses of entry instances.
 
 use std::rc::Rc;
 
@@ -13,14 +15,14 @@
 use crate::node::Node;
 use crate::upstream::ResponseBody;
 
-/// Time for which clients may use the addresses of a response.
+/// Time in milliseconds for which clients may use the addresses of a lookup's response.
 ///
-/// Some clients use them three times as long. After that no new client connects to a stopping instance.
+/// Some clients use the addresses three times as long. After that time no new client connects to a stopping instance.
 const TTL_MS: u64 = 1_000;
 /// Largest number of addresses in one response that the clients' protocol allows.
 const MAX_ADDRESSES: usize = 64;
 
-/// Returns the response to a readiness check.
+/// Returns the response to the platform's readiness check: success only while this instance accepts clients.
 #[must_use]
 pub fn readiness_response(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
     let path = request.uri().path();
@@ -33,7 +35,7 @@
     }
 }
 
-/// Returns the response to a lookup.
+/// Returns the response to a lookup: the addresses of the ready instances nearest to the client.
 #[must_use]
 pub fn lookup_response(node: &Rc<Node>, request: &Request<Incoming>) -> Response<ResponseBody> {
     let Some(lookup) = node.adapter.look_up(request.method(), request.uri()) else {
@@ -66,7 +68,8 @@
     response
 }
 
-/// Returns the regions that may serve all routes of a host; empty if every region may, or if none may serve them all.
+/// Returns the regions that may serve all routes of a host; empty if every region may serve them, or if no region may
+/// serve all of them.
 fn allowed_regions(node: &Rc<Node>, host: &str) -> Vec<ids::RegionId> {
     let Some(configuration) = node.configuration() else {
         return Vec::new();
--- a/crates/damaskvane-gateway/src/metrics.rs
+++ b/crates/damaskvane-gateway/src/metrics.rs
@@ -26,17 +26,17 @@
     registry: Registry,
     /// Responses to clients by HTTP status.
     pub responses: IntCounterVec,
-    /// Refused requests by reason.
+    /// Requests that this instance refused, by reason.
     pub refusals: IntCounterVec,
-    /// Retries by the end of the attempt before.
+    /// Retries, by how the previous attempt of the request ended.
     pub retries: IntCounterVec,
-    /// Retries that the retry budget did not allow.
+    /// Retries that were not sent because the retry budget was used up.
     pub retries_denied: IntCounter,
-    /// Exchanges with backend servers by their end.
+    /// Exchanges with backend servers (a request and its response), by how they ended.
     pub exchanges: IntCounterVec,
-    /// Responses that belonged to another request.
+    /// Responses of backend servers that belonged to another request.
     pub mismatched_responses: IntCounter,
-    /// Clients that disconnected before their response.
+    /// Clients that disconnected before they received their response.
     pub client_disconnects: IntCounter,
     /// Transferred bytes and opened connections.
     pub costs: Costs,
@@ -44,19 +44,19 @@
     pub store_calls: IntCounterVec,
     /// Health probes sent.
     pub probes: IntCounter,
-    /// Deaths of backend servers that were running requests of this instance.
+    /// Crashes of backend servers that were running requests of this instance.
     pub crash_incidents: IntCounter,
     /// Datagrams that could not be decoded.
     pub invalid_datagrams: IntCounter,
     /// Clients' lookups that were received.
     pub lookups: IntCounter,
-    /// Seconds from a request's head to its response, by outcome.
+    /// Seconds from the receipt of a request's head to its response, by outcome.
     pub request_s: HistogramVec,
     /// Seconds to process a lookup.
     pub lookup_s: Histogram,
     /// Seconds of calls to the store, without calls that wait for changes.
     pub store_s: Histogram,
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub configuration_version: IntGauge,
     /// Number of known backend servers.
     pub servers: IntGauge,
@@ -117,9 +117,10 @@
         })
     }
 
-    /// Returns what operators pay for, as names and totals since the start for the log.
+    /// Returns, for the log, the names and totals since the start of everything that operators pay for.
     ///
-    /// Holds transferred bytes, opened connections, and calls to the store by collection, purpose and outcome.
+    /// The totals cover transferred bytes, opened connections, and calls to the store by collection, purpose and
+    /// outcome.
     #[must_use]
     pub fn cost_summary(&self) -> String {
         let mut totals: Vec<String> = self
--- a/crates/damaskvane-gateway/src/node.rs
+++ b/crates/damaskvane-gateway/src/node.rs
@@ -1,4 +1,7 @@
-//! State that all tasks of an instance share.
+//! State that all tasks of an entry instance share.
+//!
+//! A relay is an instance that sends the store's changes to the other instances of its zone. An incarnation is one
+//! start of an instance's process.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,20 +27,20 @@
 use crate::store::{Feed, Journal, StoreHealth};
 use crate::upstream::IdleConnections;
 
-/// Current view of the configuration, servers and instances, and the state of routing decisions.
+/// The configuration, servers and instances that this instance knows, and the state of its routing decisions.
 #[derive(Debug)]
 pub struct State {
-    /// Configuration in force; `None` until the first one is received.
+    /// Active configuration; `None` until this process has received a configuration.
     pub configuration: Option<Rc<Configuration>>,
     /// Known backend servers.
     pub pool: ServerPool,
-    /// Whether the backend servers were listed completely since the start.
+    /// Whether a complete list of the backend servers was read since the start of the process.
     pub are_servers_listed: bool,
     /// Selects the backend server of a request.
     pub placer: Placer,
-    /// Positions in the sequences of weighted routes.
+    /// State by which the requests of each route are split among services by weight.
     pub splits: Splits,
-    /// Retry budget of each service.
+    /// Retry budget of each service, which limits the number of retries to the service's servers.
     pub budgets: HashMap<ids::ServiceId, RetryBudget>,
     /// Table of all entry instances.
     pub members: Members,
@@ -47,25 +50,25 @@
 pub struct Node {
     /// Adapter to the platform's protocols.
     pub adapter: Box<dyn Adapter>,
-    /// Settings in force.
+    /// Active settings.
     pub settings: RefCell<Rc<GatewaySettings>>,
-    /// View of servers and instances, and the state of routing.
+    /// Configuration, servers and instances, and the state of routing decisions.
     pub state: RefCell<State>,
-    /// Idle connections to backend servers.
+    /// Connections to backend servers that carry no request now and can be reused.
     pub idle: RefCell<IdleConnections>,
-    /// State of the planned stop.
+    /// State of the planned stop of the process.
     pub stop: Stop,
-    /// Availability of the store, and the source of changes.
+    /// Availability of the platform's store, and the source of its changes: the store itself or a relay.
     pub store: StoreHealth,
-    /// Recent store changes, for other instances of the zone.
+    /// Recent changes of the store, to be sent to other instances of the zone.
     pub journal: Journal,
-    /// Store changes received from a relay.
+    /// Changes of the store that were received from a relay and not yet applied.
     pub feed: Feed,
-    /// Requests that crash backend servers.
+    /// Requests that have crashed backend servers or may have, and which are refused.
     pub crashes: CrashTracker,
-    /// Wakes the probe task before its next periodic check.
+    /// Notifies the task that sends health probes, so that it checks for due probes at once.
     pub probe_requested: Notify,
-    /// Identifies this run of the instance's process.
+    /// Incarnation of this instance, which identifies the start of this process.
     pub incarnation: ids::Incarnation,
     /// Metrics of the process.
     pub metrics: Metrics,
@@ -143,25 +146,25 @@
         TimeMs::new(u64::try_from(elapsed_ms).unwrap_or(u64::MAX))
     }
 
-    /// Returns the settings in force.
+    /// Returns the active settings.
     #[must_use]
     pub fn settings(&self) -> Rc<GatewaySettings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Returns the configuration in force; `None` until the first one is received.
+    /// Returns the active configuration; `None` until this process has received a configuration.
     #[must_use]
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.state.borrow().configuration.clone()
     }
 
-    /// Returns the key of this instance's incarnation.
+    /// Returns the key that identifies this instance's incarnation in messages.
     #[must_use]
     pub fn incarnation_key(&self) -> IncarnationKey {
         IncarnationKey::new(&self.settings().instance, self.incarnation)
     }
 
-    /// Returns this instance's rank among the relays of its zone; `None` if this instance is not a relay.
+    /// Returns this instance's rank among the relays of its zone, from 0; `None` if this instance is not a relay.
     #[must_use]
     pub fn relay_rank(&self) -> Option<usize> {
         let settings = self.settings();
@@ -171,7 +174,7 @@
         relays.iter().position(is_this_instance)
     }
 
-    /// Returns this instance's record for the store.
+    /// Returns the record that this instance writes to the store.
     #[must_use]
     pub fn own_record(&self) -> ListedInstance {
         let settings = self.settings();
@@ -182,14 +185,14 @@
         }
     }
 
-    /// Returns an id for the next exchange with a backend server.
+    /// Returns an unused id for an exchange, which is one request to a backend server with its response.
     pub fn next_exchange_id(&self) -> ExchangeId {
         let id = self.last_exchange.get() + 1;
         self.last_exchange.set(id);
         ExchangeId(id)
     }
 
-    /// Returns the phase of this instance.
+    /// Returns the phase of this instance: starting, ready or leaving.
     #[must_use]
     pub fn phase(&self) -> Phase {
         if self.stop.is_leaving() {
--- a/crates/damaskvane-gateway/src/probes.rs
+++ b/crates/damaskvane-gateway/src/probes.rs
@@ -1,4 +1,4 @@
-//! Health probes of backend servers whose state is uncertain.
+//! Health probes of backend servers that are unreachable or may have restarted.
 
 use core::time::Duration;
 use std::io;
@@ -13,12 +13,13 @@
 
 /// Interval between two checks for due probes.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Timeout of a probe: a server that needs longer is too busy to receive requests again.
+/// Timeout of a probe: a server that takes longer to respond is too busy to receive requests again.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Largest body of a probe's response, in bytes.
 const MAX_BODY_BYTES: usize = 16_384;
 
-/// Sends due probes and removes expired servers and idle connections, until the process ends.
+/// Sends due probes, and removes servers whose entry is missing after a store outage and idle connections that have
+/// expired, until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
         let _ = tokio::time::timeout(POLL_INTERVAL, node.probe_requested.notified()).await;
--- a/crates/damaskvane-gateway/src/process.rs
+++ b/crates/damaskvane-gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts, reconfigures and stops an instance.
+//! Starts an entry instance's process, reloads its settings and stops it.
 
 use core::time::Duration;
 use std::io;
@@ -17,13 +17,13 @@
 use crate::settings::GatewaySettings;
 use crate::{crashes, peers, probes, stop, store};
 
-/// Interval at which the settings file is read, since it may change without a signal.
+/// Interval at which the settings file is read again, since the file may change without a signal.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Interval between two log lines on costs.
+/// Interval between two log lines on costs: transferred bytes, opened connections and calls to the store.
 const COSTS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Errors that end an instance.
+/// Errors that end an instance's process.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum ProcessError {
     /// {0}
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-/// Starts all tasks; returns the channel that receives the error of a listener that ends.
+/// Starts all tasks; returns the channel that receives an error when a listener has failed.
 fn start(node: &Rc<Node>) -> flume::Receiver<ProcessError> {
     let (sender, failures) = flume::unbounded();
     let settings = node.settings();
@@ -160,7 +160,7 @@
     failures
 }
 
-/// Periodically logs the costs since the start, until the process ends.
+/// Periodically logs the total costs since the start of the process, until the process ends.
 async fn log_costs(node: Rc<Node>) {
     loop {
         tokio::time::sleep(COSTS_INTERVAL).await;
@@ -168,7 +168,7 @@
     }
 }
 
-/// Serves the metrics if their port is free.
+/// Serves the metrics if the metrics port is free; otherwise the process continues without metrics.
 ///
 /// The metrics port is fixed, and the platform chooses all other ports. This listener starts last: if the ports
 /// collide, the process serves clients without metrics. A process that ended on the collision would end at every
@@ -180,14 +180,14 @@
     }
 }
 
-/// Returns the incarnation of this process: the Unix time in milliseconds, which differs between two starts.
+/// Returns the incarnation of this process, which identifies this start: the Unix time in milliseconds.
 fn incarnation() -> ids::Incarnation {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since_epoch.map_or(0, |elapsed| elapsed.as_millis());
     ids::Incarnation::new(u64::try_from(millis).unwrap_or(u64::MAX))
 }
 
-/// Reloads the settings on SIGHUP, and periodically, since the file may change without a signal.
+/// Reloads the settings on SIGHUP, and periodically, since the settings file may change without a signal.
 async fn watch_settings(node: Rc<Node>, file: PathBuf) {
     let mut hangup = signal(SignalKind::hangup());
     if let Err(error) = &hangup {
@@ -209,7 +209,8 @@
             Ok(settings) if settings != *node.settings() => apply_settings(&node, settings),
             Ok(_) if is_signalled => slog::info!(node.log.log, "reload"; "changed" => false),
             Ok(_) => {}
-            // Keeps the settings in force: a file that is being written is complete at the next read.
+            // Keeps the active settings: a file that is incomplete because it is being written is read again after the
+            // interval.
             Err(error) => slog::warn!(node.log.log, "reload failed"; "error" => %error),
         }
     }
--- a/crates/damaskvane-gateway/src/settings.rs
+++ b/crates/damaskvane-gateway/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of an entry instance, from a TOML file that is read at the start and reloaded when it changes.
 //!
-//! Unknown keys are ignored, so that an older program accepts a newer template.
+//! Unknown keys are ignored, so that an older program accepts a settings file made for a newer program.
 
 use std::collections::HashMap;
 use std::net;
@@ -28,13 +28,13 @@
     pub client_address: net::SocketAddr,
     /// Address on which the platform's readiness checks are served.
     pub ready_address: net::SocketAddr,
-    /// Address on which clients' lookups are served; not served if absent.
+    /// Address on which clients' lookups (requests for the addresses of instances) are served; not served if absent.
     pub lookup_address: Option<net::SocketAddr>,
-    /// Address on which messages of other instances are received, and store changes are served to them.
+    /// Address on which this instance receives messages of other instances and sends them the store's changes.
     pub peer_address: net::SocketAddr,
-    /// Instances from which the others can be learnt while the store is unavailable.
+    /// Addresses of instances through which this instance discovers the other instances while the store is unavailable.
     ///
-    /// Each is contacted at the port of `peer_address`, on which all instances listen.
+    /// Only the IP addresses are used; messages are sent to the port of `peer_address`, on which all instances listen.
     #[serde(default)]
     pub seeds: Vec<net::SocketAddr>,
     /// Address on which metrics are served; not served if absent.
@@ -48,15 +48,16 @@
     pub contact_ms: f64,
     /// Seconds that a planned stop may take before the platform kills the process.
     pub grace_s: f64,
-    /// Limit on retries: retries allowed for each request.
+    /// Limit on retries: number of retries allowed for each request; may be a fraction.
     pub retry_ratio: f64,
-    /// Limit on retries: additional retries allowed for all instances together.
+    /// Limit on retries: number of retries in a window that all instances together may send in addition.
     pub retry_slack: f64,
-    /// Limit on retries: window in seconds.
+    /// Limit on retries: length in seconds of the window in which requests and retries are counted.
     pub retry_window_s: f64,
-    /// Limit on cold servers: factor on the rate that a server declares.
+    /// Limit on cold servers, which have started recently: factor by which the request rate that their service declares
+    /// is multiplied.
     pub cold_factor: f64,
-    /// Limit on cold servers: additional requests allowed.
+    /// Limit on cold servers: requests a second that are allowed in addition to the multiplied rate.
     pub cold_slack: f64,
     /// Longest time to live of a lookup's response, in seconds.
     pub lookup_ttl_max_s: f64,
@@ -67,15 +68,16 @@
     /// Lowest level of log lines that are written.
     #[serde(default)]
     pub log_level: damaskvane_telemetry::logging::Level,
-    /// Limits on the number of log lines on requests.
+    /// Limits on the number of log lines about requests.
     #[serde(default)]
     pub decision_log: DecisionLogSettings,
-    /// Settings of placement and admission.
+    /// Settings of placement: to which server a request is sent, and when it is refused.
     #[serde(default)]
     pub placement: placement::PlacementSettings,
 }
 
-/// Returns the assumed history of a store, in seconds, if the settings have no `store_history_s`.
+/// Returns the time in seconds for which the store is assumed to retain its changes if the settings have no
+/// `store_history_s`.
 const fn default_store_history_s() -> f64 {
     20.0
 }
@@ -88,7 +90,7 @@
     /// # Errors
     ///
     /// Fails if the file can't be read, is not valid TOML or has a value out of range; the error names the file, and
-    /// for a value its key and the remedy.
+    /// for a value out of range its key and the remedy.
     pub fn load(path: impl AsRef<path::Path>) -> Result<Self, SettingsError> {
         let file = path.as_ref().display().to_string();
         let text =
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Returns the settings of the server pool.
+    /// Returns the settings of the pool of backend servers.
     #[must_use]
     pub fn pool(&self) -> pool::PoolSettings {
         pool::PoolSettings {
@@ -162,10 +164,11 @@
         }
     }
 
-    /// Returns the longest wait of a watch call on the store, in milliseconds.
+    /// Returns the maximum time in milliseconds that a watch, a call that waits for changes of the store, may wait.
     ///
-    /// A watch that waits longer than the store retains its history may miss changes. This instance would then have
-    /// to list everything again, and the instances that receive its changes would meanwhile switch to another source.
+    /// A watch that waits longer than the store retains its history may miss changes. This instance would then have to
+    /// read whole collections again, and the instances that receive its changes would meanwhile switch to another
+    /// source.
     #[must_use]
     pub fn watch_wait_ms(&self) -> u64 {
         const MAX_WAIT_MS: f64 = 25_000.0;
@@ -173,7 +176,7 @@
         (self.store_history_s * 1_000.0 * HISTORY_SHARE).min(MAX_WAIT_MS) as u64
     }
 
-    /// Returns the peer addresses of the seed instances, for use before the instances are listed from the store.
+    /// Returns the peer addresses of the seed instances, for use until the store's list of instances was read.
     pub fn seed_addresses(&self) -> impl Iterator<Item = net::SocketAddr> {
         let port = self.peer_address.port();
         let seeds = self.seeds.iter();
@@ -187,11 +190,12 @@
     }
 }
 
-/// Returns how long server entries that expired during a store outage may stay missing after the return is detected,
-/// in milliseconds.
+/// Returns the time in milliseconds, after the end of a store outage was detected, for which servers are retained whose
+/// entries have expired during the outage.
 ///
-/// The entries are back within about two seconds of the return. The return may be detected a second late, and removed
-/// servers must get no more requests when the platform's limits apply again, after `contact_ms`.
+/// Live servers have written their entries again within about two seconds after the outage. The end of the outage may
+/// be detected a second late, and servers without an entry must get no more requests when the platform's limits apply
+/// again, after `contact_ms`.
 fn expiry_grace_ms(contact_ms: f64) -> u64 {
     const MAX_RETURN_MS: f64 = 2_000.0;
     const DETECTION_DELAY_MS: f64 = 1_100.0;
--- a/crates/damaskvane-gateway/src/stop.rs
+++ b/crates/damaskvane-gateway/src/stop.rs
@@ -1,8 +1,9 @@
-//! The planned stop of an instance.
+//! The planned stop of an entry instance's process.
 //!
-//! Lookups no longer return the instance. Clients that still have its address are served for a while; each response
-//! announces that the connection closes. Then the listener and all idle connections close, running requests finish,
-//! and the process ends before the platform would kill it.
+//! Lookups, by which clients request the addresses of instances, no longer return the stopping instance. Clients that
+//! have its address from an earlier lookup are served for a while; each response announces that the connection closes.
+//! Then the listener and all idle connections close, running requests finish, and the process ends before the platform
+//! would kill it.
 
 use core::time::Duration;
 use std::cell::Cell;
@@ -12,13 +13,14 @@
 
 use crate::node::Node;
 
-/// Seconds for which clients are still served after the stop began.
+/// Seconds after the start of the stop for which clients are still served.
 ///
-/// Most clients use the addresses of a lookup for at most this time. Later requests may not end within the grace time.
+/// Most clients use the addresses of a lookup for at most this time. Later requests might not end before the platform
+/// kills the process.
 const SERVING_S: f64 = 2.6;
-/// Seconds of the grace time that are reserved for the end of the process.
+/// Seconds before the platform would kill the process that are reserved for the end of the process.
 const RESERVE_S: f64 = 0.5;
-/// Interval between two checks whether all requests have ended.
+/// Interval between two checks of whether all requests have ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Phase of the planned stop.
@@ -75,7 +77,7 @@
     }
 }
 
-/// Counts one running request; its drop ends the count.
+/// Counts one request as running until this guard is dropped.
 #[derive(Debug)]
 pub struct RequestGuard(Rc<Node>);
 
