--- a/crates/damaskvane-routing/src/peers/settings.rs
+++ b/crates/damaskvane-routing/src/peers/settings.rs
@@ -25,10 +25,10 @@
     /// heartbeats. Two extra aggregators for a short time cost a few bytes, but a zone without an aggregator looks dead
     /// to all other zones.
     pub aggregator_timeout_ms: u64,
-    /// One heartbeat in this number is also sent to listed instances of other zones from which no heartbeat was
+    /// Of this many heartbeats, one is also sent to listed instances of other zones from which no heartbeat was
     /// received.
     pub heartbeats_between_announcements: u64,
-    /// One heartbeat in this number is sent to all instances. If there are more instances than this number, the number
+    /// Of this many heartbeats, one is sent to all instances. If there are more instances than this number, the number
     /// of instances is used instead. After a network partition, an instance thus learns of instances that joined
     /// another zone meanwhile: within 25.6 s, or within 5.6 minutes in a fleet of 420 instances.
     pub heartbeats_between_broadcasts: u64,
--- a/crates/damaskvane-routing/src/placement/candidates.rs
+++ b/crates/damaskvane-routing/src/placement/candidates.rs
@@ -21,7 +21,7 @@
 /// several points on the ring: a search on a ring of two servers takes two steps on average, and a search of 64 steps
 /// has seen every server.
 const MAX_RING_STEPS: usize = 64;
-/// One in this number of an object's servers is outside the object's home region.
+/// Of this many servers of an object, one is outside the object's home region.
 const SERVERS_PER_REMOTE_SERVER: usize = 2;
 /// Minimum number of servers outside the home region; they directly follow the first server in the object's order.
 const MIN_REMOTE_SERVERS: usize = 2;
--- a/crates/damaskvane-routing/src/placement/choice.rs
+++ b/crates/damaskvane-routing/src/placement/choice.rs
@@ -55,7 +55,7 @@
     pub expected_ms: f64,
     /// Expected time if the server has not handled the request's object recently.
     pub first_ms: f64,
-    /// Lower bound of the request's time at this server, also with the round trip and the wait.
+    /// Lower bound of the request's time at this server, including the network round trip and the wait for a slot.
     pub min_ms: f64,
     /// Whether the server is assumed to have handled the object recently.
     pub is_warm: bool,
