--- a/crates/damaskvane-gateway/src/node.rs
+++ b/crates/damaskvane-gateway/src/node.rs
@@ -64,7 +64,7 @@
     pub journal: Journal,
     /// Changes of the store that were received from a relay and not yet applied.
     pub feed: Feed,
-    /// Requests that have crashed backend servers or may have, and which are refused.
+    /// Requests that have crashed backend servers, or are suspected to have done so.
     pub crashes: CrashTracker,
     /// Notifies the task that sends health probes, so that it checks for due probes at once.
     pub probe_requested: Notify,
--- a/crates/damaskvane-gateway/src/peers.rs
+++ b/crates/damaskvane-gateway/src/peers.rs
@@ -41,8 +41,7 @@
 const INCIDENT_RESEND_INTERVAL: Duration = Duration::from_millis(400);
 /// Largest number of digest entries in one datagram, so that the datagram is not fragmented: 13 bytes each.
 const MAX_DIGEST_ENTRIES: usize = 64;
-/// An aggregator sends a digest with one in this number of heartbeats; the zone's other aggregator sends one in
-/// between.
+/// Number of heartbeats between two digests of an aggregator; the zone's other aggregator sends a digest in between.
 const HEARTBEATS_PER_DIGEST: u64 = 2;
 /// Interval between two checks for membership updates of this instance's zone.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/damaskvane-gateway/src/store/freshness.rs
+++ b/crates/damaskvane-gateway/src/store/freshness.rs
@@ -88,8 +88,9 @@
 
 /// Returns the current role of this instance in the relay of changes.
 ///
-/// An instance whose calls the store does not answer may subscribe to any other instance. The store may be unreachable
-/// for some machines only, and an instance that misses an evacuation or a drain would keep sending requests there.
+/// An instance whose calls the store does not answer may subscribe to any other instance. The store may reject the
+/// calls of some machines only, and an instance that misses an evacuation of a zone or a drain of a server would
+/// continue to send requests there.
 pub(super) fn relay_role(node: &Rc<Node>) -> RelayRole {
     let settings = node.settings();
     let state = node.state.borrow();
--- a/crates/damaskvane-gateway/src/store/health_check.rs
+++ b/crates/damaskvane-gateway/src/store/health_check.rs
@@ -81,7 +81,7 @@
     handle_recovery(node, node.store.record_answer(now, node.incarnation_key()));
 }
 
-/// Handles a response of the store to this instance or its relay, which ends an outage if `outage` has its duration.
+/// Handles the recovery of the store. `outage` is the duration of the outage, or `None` if the store was not down.
 pub(super) fn handle_recovery(node: &Rc<Node>, outage: Option<SpanMs>) {
     let Some(outage) = outage else {
         return;
