--- a/crates/damaskvane-bench/src/client/answer.rs
+++ b/crates/damaskvane-bench/src/client/answer.rs
@@ -95,7 +95,7 @@
 /// Checks a whole answer of the stand-in against the request that it is for.
 #[must_use]
 pub(crate) fn check(body: &[u8], tries: &[Try], key: &str) -> (String, Option<AnswerFault>) {
-    let Ok(answer) = serde_json::from_slice::<backend::Answer>(body) else {
+    let Ok(answer) = serde_json::from_slice::<backend::ResponseBody>(body) else {
         return (String::new(), Some(AnswerFault::NotWhole));
     };
     let own = tries.iter().any(|own| own.request_id == answer.request_id);
--- a/crates/damaskvane-standins/src/backend.rs
+++ b/crates/damaskvane-standins/src/backend.rs
@@ -14,21 +14,21 @@
 //! ```
 
 mod admin;
-mod answer;
 mod connection;
 mod execution;
 mod faults;
 mod http;
 mod options;
+mod response_body;
 mod server;
 mod spec;
 mod stats;
 
 pub use admin::Admin;
-pub use answer::Answer;
 pub use execution::{Execution, ExecutionLog, ExecutionPage};
 pub use faults::{ByteStage, Faults, HealthLie, LoadLie};
 pub use options::{Options, OptionsError, USAGE};
+pub use response_body::ResponseBody;
 pub use server::Server;
 pub use spec::{ParseServerSpecError, ServerSpec};
 pub use stats::ServerStats;
--- a/crates/damaskvane-standins/src/backend/connection.rs
+++ b/crates/damaskvane-standins/src/backend/connection.rs
@@ -8,7 +8,7 @@
 use crate::backend;
 use crate::backend::http::{self, Request, Response};
 use crate::backend::server::Abort;
-use crate::backend::{Answer, ByteStage, Execution, Faults, HealthLie, LoadLie, Server};
+use crate::backend::{ByteStage, Execution, Faults, HealthLie, LoadLie, ResponseBody, Server};
 
 /// How often a connection that gives no answer looks whether its caller has gone.
 const SILENT_POLL: Duration = Duration::from_millis(200);
@@ -207,7 +207,7 @@
         .query_number("bytes")
         .unwrap_or(0)
         .min(PADDING_LIMIT_BYTES);
-    let answer = Answer::new(
+    let answer = ResponseBody::new(
         server.name(),
         request_id,
         request.header("damaskvane-idempotency-key"),
--- a/crates/damaskvane-standins/src/backend/answer.rs
+++ b/crates/damaskvane-standins/src/backend/response_body.rs
@@ -3,9 +3,9 @@
 //! ```
 //! use damaskvane_standins::backend;
 //!
-//! let answer = backend::Answer::new("rider-desk-sask-a-1", "r-1", "", "/work", 100);
+//! let answer = backend::ResponseBody::new("rider-desk-sask-a-1", "r-1", "", "/work", 100);
 //! assert!(answer.is_whole());
-//! let crossed = backend::Answer { request_id: "r-2".into(), ..answer };
+//! let crossed = backend::ResponseBody { request_id: "r-2".into(), ..answer };
 //! assert!(!crossed.is_whole());
 //! ```
 
@@ -13,7 +13,7 @@
 
 /// The body of a backend server's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct ResponseBody {
     /// The backend server that ran the request.
     pub server: String,
     /// The request that this answers.
@@ -28,7 +28,7 @@
     pub checksum: String,
 }
 
-impl Answer {
+impl ResponseBody {
     /// The answer of `server`, with `padding_bytes` of padding.
     #[must_use]
     pub fn new(
--- a/crates/damaskvane-standins/src/lib.rs
+++ b/crates/damaskvane-standins/src/lib.rs
@@ -9,7 +9,7 @@
 //! ```
 //! use damaskvane_standins::{backend, platform};
 //!
-//! let answer = backend::Answer::new("rider-desk-sask-a-1", "r-1", "k-1", "/work", 16);
+//! let answer = backend::ResponseBody::new("rider-desk-sask-a-1", "r-1", "k-1", "/work", 16);
 //! assert!(answer.is_whole());
 //! assert!(!platform::Faults::default().down);
 //! ```
--- a/crates/damaskvane-standins/tests/backend.rs
+++ b/crates/damaskvane-standins/tests/backend.rs
@@ -41,7 +41,7 @@
     let server = start("s-1:2");
     let headers = "damaskvane-request-id: r-1\r\ndamaskvane-idempotency-key: k-1\r\n";
     let text = ask(&server, "POST /work?ms=1&bytes=100", headers);
-    let answer: backend::Answer = serde_json::from_str(body(&text)).expect("an answer");
+    let answer: backend::ResponseBody = serde_json::from_str(body(&text)).expect("an answer");
     assert!(answer.is_whole());
     assert_eq!(
         (answer.request_id.as_str(), answer.padding.len()),
@@ -134,7 +134,7 @@
         });
         let text = ask(&server, "GET /work?ms=1&bytes=50", "");
         assert!(
-            serde_json::from_str::<backend::Answer>(body(&text)).is_err(),
+            serde_json::from_str::<backend::ResponseBody>(body(&text)).is_err(),
             "{stage:?} {text}"
         );
         assert_eq!(server.log().page(0).executions.len(), ran, "{stage:?}");
