--- a/crates/damaskvane-bench/src/client/answer.rs
+++ b/crates/damaskvane-bench/src/client/answer.rs
@@ -99,7 +99,7 @@
         return (String::new(), Some(AnswerFault::NotWhole));
     };
     let own = tries.iter().any(|own| own.request_id == answer.request_id);
-    let fault = if !answer.is_whole() {
+    let fault = if !answer.is_intact() {
         Some(AnswerFault::NotWhole)
     } else if !own || answer.idempotency_key != key {
         Some(AnswerFault::CrossedBody)
--- a/crates/damaskvane-standins/src/backend/response_body.rs
+++ b/crates/damaskvane-standins/src/backend/response_body.rs
@@ -4,9 +4,9 @@
 //! use damaskvane_standins::backend;
 //!
 //! let answer = backend::ResponseBody::new("rider-desk-sask-a-1", "r-1", "", "/work", 100);
-//! assert!(answer.is_whole());
+//! assert!(answer.is_intact());
 //! let crossed = backend::ResponseBody { request_id: "r-2".into(), ..answer };
-//! assert!(!crossed.is_whole());
+//! assert!(!crossed.is_intact());
 //! ```
 
 use serde::{Deserialize, Serialize};
@@ -52,7 +52,7 @@
 
     /// Whether no field was cut, crossed or changed since the answer was made.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_intact(&self) -> bool {
         self.checksum == self.hash()
     }
 
--- a/crates/damaskvane-standins/src/lib.rs
+++ b/crates/damaskvane-standins/src/lib.rs
@@ -10,7 +10,7 @@
 //! use damaskvane_standins::{backend, platform};
 //!
 //! let answer = backend::ResponseBody::new("rider-desk-sask-a-1", "r-1", "k-1", "/work", 16);
-//! assert!(answer.is_whole());
+//! assert!(answer.is_intact());
 //! assert!(!platform::Faults::default().down);
 //! ```
 
--- a/crates/damaskvane-standins/tests/backend.rs
+++ b/crates/damaskvane-standins/tests/backend.rs
@@ -42,7 +42,7 @@
     let headers = "damaskvane-request-id: r-1\r\ndamaskvane-idempotency-key: k-1\r\n";
     let text = ask(&server, "POST /work?ms=1&bytes=100", headers);
     let answer: backend::ResponseBody = serde_json::from_str(body(&text)).expect("an answer");
-    assert!(answer.is_whole());
+    assert!(answer.is_intact());
     assert_eq!(
         (answer.request_id.as_str(), answer.padding.len()),
         ("r-1", 100)
