--- a/crates/damaskvane-ctl/tests/tickets.rs
+++ b/crates/damaskvane-ctl/tests/tickets.rs
@@ -10,7 +10,7 @@
 use damaskvane_ctl::store;
 use damaskvane_objects::backoff::{Backoff, BackoffSettings};
 use damaskvane_objects::http::{HttpObjectApi, PlatformSettings};
-use damaskvane_standins::platform::{Faults, Running};
+use damaskvane_standins::platform::{Faults, LocalServer};
 
 const ZONES: &str = "[region.sask]\n[availability_zone.sask-a]\nregion = \"sask\"\n\
     [service.rider-desk]\n";
@@ -24,14 +24,14 @@
 }
 
 struct Fixture {
-    running: Running,
+    running: LocalServer,
     nonce: std::cell::Cell<u128>,
 }
 
 impl Fixture {
     fn new() -> Self {
         Self {
-            running: Running::start("secret-anna anna\nsecret-ben ben\n").expect("a free port"),
+            running: LocalServer::start("secret-anna anna\nsecret-ben ben\n").expect("a free port"),
             nonce: std::cell::Cell::new(0),
         }
     }
--- a/crates/damaskvane-entry/tests/store.rs
+++ b/crates/damaskvane-entry/tests/store.rs
@@ -10,14 +10,14 @@
 
 /// A stand-in platform and a store whose calls are made one at a time.
 struct Platform {
-    running: platform::Running,
+    running: platform::LocalServer,
     store: store::Store,
     reports: flume::Receiver<store::StoreReport>,
 }
 
 impl Platform {
     fn start() -> Self {
-        let running = platform::Running::start("secret-e e").expect("a free port");
+        let running = platform::LocalServer::start("secret-e e").expect("a free port");
         let serving = serving::Serving::new(counters::Counters::local(), "e-1");
         let (sender, reports) = flume::unbounded();
         let report = move |report| sender.send(report).expect("the test receives reports");
@@ -58,7 +58,7 @@
     }
 }
 
-fn client(running: &platform::Running) -> http::HttpObjectApi {
+fn client(running: &platform::LocalServer) -> http::HttpObjectApi {
     let token = "secret-e".parse().expect("a token");
     http::HttpObjectApi::new(http::PlatformSettings {
         timeout_ms: time::SpanMs::new(5_000),
--- a/crates/damaskvane-objects/tests/faults.rs
+++ b/crates/damaskvane-objects/tests/faults.rs
@@ -8,15 +8,15 @@
 use damaskvane_objects::backoff::{Backoff, BackoffSettings};
 use damaskvane_objects::http::{HttpObjectApi, PlatformSettings};
 use damaskvane_objects::write::{self, Outcome};
-use damaskvane_standins::platform::{Faults, Running};
+use damaskvane_standins::platform::{Faults, LocalServer};
 
 const TOKENS: &str = "secret-anna anna\nsecret-ben ben\n";
 const FIRST: WriteResult = WriteResult::Applied {
     version: ObjectVersion::new(1),
 };
 
-fn platform() -> Running {
-    Running::start(TOKENS).expect("a free port")
+fn platform() -> LocalServer {
+    LocalServer::start(TOKENS).expect("a free port")
 }
 
 fn client(address: &str, token: &str, timeout_ms: u64) -> HttpObjectApi {
@@ -27,7 +27,7 @@
     })
 }
 
-fn anna(running: &Running) -> HttpObjectApi {
+fn anna(running: &LocalServer) -> HttpObjectApi {
     client(running.address(), "secret-anna", 5_000)
 }
 
--- a/crates/damaskvane-standins/src/platform/running.rs
+++ b/crates/damaskvane-standins/src/platform/local_server.rs
@@ -3,7 +3,7 @@
 //! ```
 //! use damaskvane_standins::platform;
 //!
-//! let running = platform::Running::start("secret anna").expect("a free port");
+//! let running = platform::LocalServer::start("secret anna").expect("a free port");
 //! assert!(running.address().starts_with("127.0.0.1:"));
 //! ```
 
@@ -17,14 +17,14 @@
 
 /// A running object API; it ends when this value goes.
 #[derive(Debug)]
-pub struct Running {
+pub struct LocalServer {
     api: Arc<Api>,
     address: String,
     stop: Sender<()>,
     server: Option<JoinHandle<()>>,
 }
 
-impl Running {
+impl LocalServer {
     /// Serves an empty store on a free port to the holders of these tokens.
     ///
     /// # Errors
@@ -57,7 +57,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for LocalServer {
     fn drop(&mut self) {
         // A server that has ended already takes no message; there is nothing left to stop then.
         let stopped = self.stop.send(()).is_ok();
