--- a/crates/damaskvane-bench/src/config_run.rs
+++ b/crates/damaskvane-bench/src/config_run.rs
@@ -65,7 +65,7 @@
     if let Some(code) = shared.answer(USAGE) {
         return Ok(code);
     }
-    settings.shortest_delay_ms = settings.shortest_delay_ms.min(settings.longest_delay_ms);
+    settings.min_delay_ms = settings.min_delay_ms.min(settings.longest_delay_ms);
     settings.seed = shared.seed;
     let until = Duration::from_secs(60 * minutes);
     let started = Instant::now();
--- a/crates/damaskvane-standins/src/config_run/settings.rs
+++ b/crates/damaskvane-standins/src/config_run/settings.rs
@@ -20,7 +20,7 @@
     /// How many operators race.
     pub operators: usize,
     /// The shortest delay of a message between zones, and of a call on the store, in milliseconds.
-    pub shortest_delay_ms: u64,
+    pub min_delay_ms: u64,
     /// The longest such delay.
     pub longest_delay_ms: u64,
     /// When the store goes down for the rest of the faulty part, in seconds; never if not given.
@@ -52,7 +52,7 @@
             zones: 6,
             instances_per_zone: 2,
             operators: 3,
-            shortest_delay_ms: 1,
+            min_delay_ms: 1,
             longest_delay_ms: 60,
             store_down_from_s: None,
             lost_after_permille: 60,
