--- a/crates/damaskvane-bench/src/config_run.rs
+++ b/crates/damaskvane-bench/src/config_run.rs
@@ -55,7 +55,7 @@
             "zones" => settings.zones = arguments::value(parser)?,
             "instances" => settings.instances_per_zone = arguments::value(parser)?,
             "operators" => settings.operators = arguments::value(parser)?,
-            "delay-ms" => settings.longest_delay_ms = arguments::value(parser)?,
+            "delay-ms" => settings.max_delay_ms = arguments::value(parser)?,
             "store-down-from" => settings.store_down_from_s = Some(arguments::value(parser)?),
             "loss-only" => settings = settings.with_lost_messages_only(),
             _ => return Ok(false),
@@ -65,7 +65,7 @@
     if let Some(code) = shared.answer(USAGE) {
         return Ok(code);
     }
-    settings.min_delay_ms = settings.min_delay_ms.min(settings.longest_delay_ms);
+    settings.min_delay_ms = settings.min_delay_ms.min(settings.max_delay_ms);
     settings.seed = shared.seed;
     let until = Duration::from_secs(60 * minutes);
     let started = Instant::now();
--- a/crates/damaskvane-standins/src/config_run/settings.rs
+++ b/crates/damaskvane-standins/src/config_run/settings.rs
@@ -22,7 +22,7 @@
     /// The shortest delay of a message between zones, and of a call on the store, in milliseconds.
     pub min_delay_ms: u64,
     /// The longest such delay.
-    pub longest_delay_ms: u64,
+    pub max_delay_ms: u64,
     /// When the store goes down for the rest of the faulty part, in seconds; never if not given.
     pub store_down_from_s: Option<u64>,
     /// Store calls whose answer is lost after they took effect.
@@ -53,7 +53,7 @@
             instances_per_zone: 2,
             operators: 3,
             min_delay_ms: 1,
-            longest_delay_ms: 60,
+            max_delay_ms: 60,
             store_down_from_s: None,
             lost_after_permille: 60,
             lost_before_permille: 60,
--- a/crates/damaskvane-standins/src/config_run/world.rs
+++ b/crates/damaskvane-standins/src/config_run/world.rs
@@ -314,7 +314,7 @@
     pub(super) fn far_ms(&mut self) -> u64 {
         let settings = self.settings;
         self.rng
-            .random_range(settings.min_delay_ms..=settings.longest_delay_ms)
+            .random_range(settings.min_delay_ms..=settings.max_delay_ms)
     }
 
     pub(super) fn later(&mut self, delay_ms: u64, delivery: Delivery) {
