--- a/crates/damaskvane-bench/src/config_run.rs
+++ b/crates/damaskvane-bench/src/config_run.rs
@@ -100,7 +100,7 @@
         report.seed,
         report.instances,
         report.accepted,
-        report.in_force_p50_ms,
+        report.activation_p50_ms,
         report.in_force_p99_ms,
         report.healed_ms,
         report.instance_store_calls,
--- a/crates/damaskvane-standins/src/config_run/report.rs
+++ b/crates/damaskvane-standins/src/config_run/report.rs
@@ -38,7 +38,8 @@
     /// Messages between instances.
     pub messages: u64,
     /// The median, over tickets and instances, from acceptance to in force.
-    pub in_force_p50_ms: u64,
+    #[serde(rename = "in_force_p50_ms")]
+    pub activation_p50_ms: u64,
     /// The 99th percentile of the same.
     pub in_force_p99_ms: u64,
     /// The longest of the same.
