--- a/crates/damaskvane-ctl/tests/tickets.rs
+++ b/crates/damaskvane-ctl/tests/tickets.rs
@@ -169,7 +169,7 @@
         (
             2,
             Faults {
-                drop_answer_after_write: 1,
+                drop_response_after_write: 1,
                 ..Default::default()
             },
         ),
--- a/crates/damaskvane-objects/tests/faults.rs
+++ b/crates/damaskvane-objects/tests/faults.rs
@@ -94,7 +94,7 @@
         ),
         (
             Faults {
-                drop_answer_after_write: 1,
+                drop_response_after_write: 1,
                 ..Default::default()
             },
             |result| *result == WriteResult::Unknown(UnknownReason::Status(504)),
@@ -153,7 +153,7 @@
 fn a_timeout_is_unknown_and_a_refused_connection_is_not_applied() {
     let running = platform();
     running.api().switches().set(Faults {
-        drop_answer_after_write: 1,
+        drop_response_after_write: 1,
         drop_hang_ms: 1_500,
         ..Default::default()
     });
@@ -182,7 +182,7 @@
     let applied = Outcome::Applied(ObjectVersion::new(1));
     for faults in [
         Faults {
-            drop_answer_after_write: 1,
+            drop_response_after_write: 1,
             ..Default::default()
         },
         Faults {
--- a/crates/damaskvane-standins/src/platform/api.rs
+++ b/crates/damaskvane-standins/src/platform/api.rs
@@ -244,7 +244,7 @@
         if hit
             && self
                 .switches
-                .take(|faults| &mut faults.drop_answer_after_write)
+                .take(|faults| &mut faults.drop_response_after_write)
         {
             return self.lose_answer(faults.drop_hang_ms);
         }
--- a/crates/damaskvane-standins/src/platform/faults.rs
+++ b/crates/damaskvane-standins/src/platform/faults.rs
@@ -22,7 +22,8 @@
     /// Every call takes this much longer.
     pub slow_ms: u64,
     /// So many writes take effect and their answer is lost.
-    pub drop_answer_after_write: u32,
+    #[serde(rename = "drop_answer_after_write")]
+    pub drop_response_after_write: u32,
     /// So many writes are lost before they take effect.
     pub drop_before_write: u32,
     /// A lost answer is a 504; before it, the caller waits this long.
