--- a/crates/damaskvane-objects/tests/faults.rs
+++ b/crates/damaskvane-objects/tests/faults.rs
@@ -377,7 +377,7 @@
             .as_str(),
         "z-1"
     );
-    running.api().forget_instance("z-1");
+    running.api().remove_instance("z-1");
     let is_removed = (0..200).any(|_| {
         std::thread::sleep(std::time::Duration::from_millis(10));
         api.instances().expect("a response").is_empty()
--- a/crates/damaskvane-standins/src/platform/admin.rs
+++ b/crates/damaskvane-standins/src/platform/admin.rs
@@ -49,7 +49,7 @@
             }
             ("POST", "/instances/forget") => {
                 let name = body(request);
-                self.api.forget_instance(name.trim());
+                self.api.remove_instance(name.trim());
                 Response::json(&json!({ "forgotten": name.trim() }))
             }
             _ => refuse(
--- a/crates/damaskvane-standins/src/platform/api.rs
+++ b/crates/damaskvane-standins/src/platform/api.rs
@@ -79,7 +79,7 @@
     }
 
     /// Takes an instance off the list, as the platform does when its machine is gone.
-    pub fn forget_instance(&self, instance: &str) {
+    pub fn remove_instance(&self, instance: &str) {
         self.lock_instances().note(instance, None, Instant::now());
     }
 
