--- a/crates/damaskvane-standins/src/lib.rs
+++ b/crates/damaskvane-standins/src/lib.rs
@@ -1,16 +1,16 @@
-//! Small stand-ins for the platform and the backend servers, with fault switches.
+//! Stand-ins for the platform and the backend servers, with faults that tests switch on and off.
 //!
 //! # Crate guide
 //!
-//! - [`backend`]: one process that plays many backend servers, logs what it ran and fails on demand.
-//! - [`platform`]: the platform's object API, in memory.
-//! - [`config_run`]: randomised runs of the configuration through mixed faults.
+//! - [`backend`]: many backend servers in one process, with a log of the requests that they ran.
+//! - [`platform`]: the platform's object API on an in-memory store.
+//! - [`config_run`]: randomised runs of the configuration's decision code under faults.
 //!
 //! ```
 //! use damaskvane_standins::{backend, platform};
 //!
-//! let answer = backend::ResponseBody::new("rider-desk-sask-a-1", "r-1", "k-1", "/work", 16);
-//! assert!(answer.is_intact());
+//! let body = backend::ResponseBody::new("rider-desk-sask-a-1", "r-1", "k-1", "/work", 16);
+//! assert!(body.is_intact());
 //! assert!(!platform::Faults::default().down);
 //! ```
 
--- a/crates/damaskvane-standins/src/platform.rs
+++ b/crates/damaskvane-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API, in memory, with switches for its faults.
+//! The platform's object API on an in-memory store, with faults that tests switch on and off.
 //!
 //! ```
 //! use damaskvane_standins::platform;
@@ -28,5 +28,5 @@
 pub use store::Store;
 pub use tokens::{ParseTokensError, Tokens};
 
-/// The largest value, in bytes.
+/// The maximum size of an object's value, in bytes; a larger value is rejected with 413.
 pub const MAX_VALUE_BYTES: u64 = 1_000_000;
--- a/crates/damaskvane-standins/src/platform/admin.rs
+++ b/crates/damaskvane-standins/src/platform/admin.rs
@@ -1,4 +1,4 @@
-//! The fault switches and counts over HTTP, on an address of their own.
+//! HTTP API for the fault switches and the call counters, on a separate address.
 //!
 //! ```
 //! use std::sync::Arc;
@@ -22,20 +22,20 @@
 
 const MAX_BODY_BYTES: u64 = 64 * 1024;
 
-/// Answers calls on the admin address.
+/// Handles the calls on the admin address.
 #[derive(Debug)]
 pub struct Admin {
     api: Arc<Api>,
 }
 
 impl Admin {
-    /// The admin side of an object API.
+    /// Creates the admin API for an object API.
     #[must_use]
     pub const fn new(api: Arc<Api>) -> Self {
         Self { api }
     }
 
-    /// Answers one call: `GET` or `POST /faults`, `GET /stats`, `POST /stats/reset` or
+    /// Handles one call: `GET` or `POST /faults`, `GET /stats`, `POST /stats/reset` or
     /// `POST /instances/forget` with the instance's name as body.
     #[must_use]
     pub fn handle(&self, request: &Request) -> Response {
@@ -76,7 +76,7 @@
 fn body(request: &Request) -> String {
     let mut text = String::new();
     if let Some(body) = request.data() {
-        // A body that breaks off or is no text reads as empty and is refused as such.
+        // A truncated body or one that is not UTF-8 counts as empty, which is no valid request.
         let read = body.take(MAX_BODY_BYTES).read_to_string(&mut text);
         if read.is_err() {
             text.clear();
--- a/crates/damaskvane-standins/src/platform/api.rs
+++ b/crates/damaskvane-standins/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP.
+//! The platform's object API over HTTP: authentication, faults, rate limit and routes.
 //!
 //! ```
 //! use std::time::Duration;
@@ -27,16 +27,16 @@
 use crate::platform::store::Store;
 use crate::platform::tokens::Tokens;
 
-/// Kinds whose values name an author, which must be the holder of the credential.
+/// Kinds of objects whose values name an author, which must be the holder of the token.
 const ATTRIBUTED_KINDS: [&str; 2] = ["head", "chunk"];
 
-/// The kind under which instances announce themselves.
+/// The kind of the objects that instances write to announce themselves.
 const INSTANCE_KIND: &str = "instance";
 
-/// The longest a watch may wait.
+/// The maximum time that a watch waits for a change.
 const MAX_WATCH: Duration = Duration::from_secs(120);
 
-/// The object API with its store, credentials, faults and counts.
+/// The object API with its store, tokens, fault switches and counters.
 #[derive(Debug)]
 pub struct Api {
     store: Store,
@@ -48,7 +48,9 @@
 }
 
 impl Api {
-    /// An empty store that takes these credentials and whose list of instances lags by so much.
+    /// Creates an API with an empty store, which accepts `tokens`.
+    ///
+    /// An announcement appears in the list of instances after `instances_lag`.
     #[must_use]
     pub fn new(tokens: Tokens, instances_lag: Duration) -> Self {
         Self {
@@ -61,29 +63,29 @@
         }
     }
 
-    /// The fault switches.
+    /// Returns the switches that set the faults of this API.
     #[must_use]
     pub const fn switches(&self) -> &Switches {
         &self.switches
     }
 
-    /// The counts so far.
+    /// Returns the counters of calls and bytes since the start or the last reset.
     #[must_use]
     pub fn stats(&self) -> Stats {
         self.lock_stats().clone()
     }
 
-    /// Starts counting from zero.
+    /// Sets all counters to zero.
     pub fn reset_stats(&self) {
         *self.lock_stats() = Stats::default();
     }
 
-    /// Takes an instance off the list, as the platform does when its machine is gone.
+    /// Removes an instance from the list, as the platform does after the loss of its machine.
     pub fn remove_instance(&self, instance: &str) {
-        self.lock_instances().note(instance, None, Instant::now());
+        self.lock_instances().record(instance, None, Instant::now());
     }
 
-    /// Answers one call.
+    /// Handles one call; the response names the holder of the token.
     pub fn handle(&self, request: &Request) -> Response {
         let token = request
             .header("authorization")
@@ -92,22 +94,23 @@
         let Some(holder) = self.tokens.holder_of(token) else {
             return self.refuse(
                 401,
-                "missing or wrong token; give the one from the token file",
+                "the token is missing or unknown; send one from the token file",
             );
         };
-        let answer = self.admit(request, holder);
-        answer.with_additional_header("token-holder", holder.to_owned())
+        let response = self.admit(request, holder);
+        response.with_additional_header("token-holder", holder.to_owned())
     }
 
     fn admit(&self, request: &Request, holder: &str) -> Response {
         let faults = self.switches.get();
         thread::sleep(Duration::from_millis(faults.slow_ms));
         if faults.down {
-            return self.refuse(503, "outage; call again later");
+            return self.refuse(503, "the object API is down; retry later");
         }
-        if let Err(left) = self.rate.take(faults.calls_per_second, Instant::now()) {
-            let refusal = self.refuse(429, "too many calls; call again later");
-            return refusal.with_additional_header("retry-after-ms", left.as_millis().to_string());
+        if let Err(retry_after) = self.rate.take(faults.calls_per_second, Instant::now()) {
+            let refusal = self.refuse(429, "the rate limit is exceeded; retry later");
+            return refusal
+                .with_additional_header("retry-after-ms", retry_after.as_millis().to_string());
         }
         self.route(request, holder)
     }
@@ -127,7 +130,7 @@
 
     fn list_instances(&self, holder: &str) -> Response {
         self.count("instances", holder);
-        let instances = self.lock_instances().at(Instant::now());
+        let instances = self.lock_instances().visible_at(Instant::now());
         self.json(&json!({ "instances": instances }))
     }
 
@@ -188,23 +191,23 @@
         self.count("put", holder);
         let mut value = Vec::new();
         let Some(body) = request.data() else {
-            return self.refuse(400, "no body; send the value");
+            return self.refuse(400, "the request body is missing; send the value");
         };
         if body
             .take(MAX_VALUE_BYTES + 1)
             .read_to_end(&mut value)
             .is_err()
         {
-            return self.refuse(400, "the body broke off; send it whole");
+            return self.refuse(400, "the request body is truncated; send all of it");
         }
         if value.len() as u64 > MAX_VALUE_BYTES {
-            return self.refuse(413, "the value is over one megabyte; split it");
+            return self.refuse(413, "the value is larger than one megabyte; split it");
         }
         self.lock_stats().bytes_in += value.len() as u64;
         if ATTRIBUTED_KINDS.contains(&kind) && !author_matches(&value, holder) {
             return self.refuse(
                 403,
-                "the author is not the holder of the token; give its holder",
+                "the author is not the holder of the token; name the holder as author",
             );
         }
         self.write(request, holder, kind, name, Some(&value))
@@ -227,26 +230,27 @@
             .header("if-version")
             .and_then(|text| text.parse().ok());
         let (Some(if_version), Some(write_id)) = (if_version, request.header("write-id")) else {
-            return self.refuse(400, "no if-version or write-id; give both headers");
+            return self.refuse(400, "if-version or write-id is missing; send both headers");
         };
         let faults = self.switches.get();
-        let hit = faults.drop_kind.is_empty() || faults.drop_kind == kind;
-        if hit && self.switches.take(|faults| &mut faults.drop_before_write) {
-            return self.lose_answer(faults.drop_hang_ms);
+        let is_affected = faults.drop_kind.is_empty() || faults.drop_kind == kind;
+        if is_affected && self.switches.take(|faults| &mut faults.drop_before_write) {
+            return self.drop_response(faults.drop_hang_ms);
         }
         let outcome = self
             .store
             .write(kind, name, if_version, value, write_id, holder);
         if kind == INSTANCE_KIND && matches!(outcome, WriteOutcome::Applied(_)) {
             let announced = value.and_then(|value| serde_json::from_slice(value).ok());
-            self.lock_instances().note(name, announced, Instant::now());
+            self.lock_instances()
+                .record(name, announced, Instant::now());
         }
-        if hit
+        if is_affected
             && self
                 .switches
                 .take(|faults| &mut faults.drop_response_after_write)
         {
-            return self.lose_answer(faults.drop_hang_ms);
+            return self.drop_response(faults.drop_hang_ms);
         }
         match outcome {
             WriteOutcome::Applied(version) => Response::json(&json!({ "version": version }))
@@ -258,11 +262,11 @@
         }
     }
 
-    fn lose_answer(&self, hang_ms: u64) -> Response {
+    fn drop_response(&self, hang_ms: u64) -> Response {
         thread::sleep(Duration::from_millis(hang_ms));
         self.refuse(
             504,
-            "the answer was lost; read the object to learn what became of it",
+            "the response was dropped; read the object to see whether the write took effect",
         )
     }
 
@@ -292,7 +296,7 @@
     }
 }
 
-/// Whether a value names no author or names the holder.
+/// Returns whether a value names the holder as its author, or no author at all.
 fn author_matches(value: &[u8], holder: &str) -> bool {
     let Ok(Value::Object(fields)) = serde_json::from_slice(value) else {
         return true;
--- a/crates/damaskvane-standins/src/platform/faults.rs
+++ b/crates/damaskvane-standins/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Switches for the faults of the platform.
+//! Faults of the platform's object API, and switches that set them while it runs.
 //!
 //! ```
 //! use damaskvane_standins::platform;
@@ -13,63 +13,65 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong. Counts go down by one with each call they hit.
+/// The faults of the object API; the default is none.
+///
+/// A fault given as a number of calls decreases by one with each call that it affects.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call is refused with 503.
+    /// Whether every call is rejected with 503.
     pub down: bool,
-    /// Every call takes this much longer.
+    /// The additional delay of every call, in milliseconds.
     pub slow_ms: u64,
-    /// So many writes take effect and their answer is lost.
+    /// The number of writes that take effect but whose response is dropped.
     #[serde(rename = "drop_answer_after_write")]
     pub drop_response_after_write: u32,
-    /// So many writes are lost before they take effect.
+    /// The number of writes that are dropped before they take effect.
     pub drop_before_write: u32,
-    /// A lost answer is a 504; before it, the caller waits this long.
+    /// The delay before the 504 that the caller gets for a dropped write or response, in milliseconds.
     pub drop_hang_ms: u64,
-    /// Only writes of this kind are lost; all kinds where it is empty.
+    /// The kind of objects whose writes or responses are dropped; empty for all kinds.
     pub drop_kind: String,
-    /// Watches answer this much later.
+    /// The additional delay of a watch's response, in milliseconds.
     pub watch_late_ms: u64,
-    /// So many watches that fired answer as if nothing had happened.
+    /// The number of fired watches that respond, after another full wait, as if nothing had changed.
     pub watch_skip: u32,
-    /// So many watches answer at once though nothing happened.
+    /// The number of watches that respond at once although nothing has changed.
     pub watch_repeat: u32,
-    /// Watches never answer within their wait; they hang this much beyond it.
+    /// The time that a watch hangs after it has fired or its wait has ended, in milliseconds.
     pub watch_silent_ms: u64,
-    /// So many reads answer the version before the present one.
+    /// The number of reads that return the version before the current one.
     pub stale_read: u32,
-    /// The most calls in a second; 0 is no limit.
+    /// The maximum number of calls in a second; 0 for no limit.
     pub calls_per_second: u32,
 }
 
-/// The faults in force, shared between calls.
+/// The active faults, shared between calls.
 #[derive(Debug, Default)]
 pub struct Switches {
     faults: Mutex<Faults>,
 }
 
 impl Switches {
-    /// Puts other faults in force.
+    /// Replaces all active faults.
     pub fn set(&self, faults: Faults) {
         *self.lock() = faults;
     }
 
-    /// The faults in force.
+    /// Returns a copy of the active faults.
     #[must_use]
     pub fn get(&self) -> Faults {
         self.lock().clone()
     }
 
-    /// Takes one from a count; whether there was one to take.
-    pub fn take(&self, count: impl FnOnce(&mut Faults) -> &mut u32) -> bool {
+    /// Decreases the selected counter by one; returns `false` if it was zero already.
+    pub fn take(&self, counter: impl FnOnce(&mut Faults) -> &mut u32) -> bool {
         let mut faults = self.lock();
-        let left = count(&mut faults);
-        if *left == 0 {
+        let remaining = counter(&mut faults);
+        if *remaining == 0 {
             return false;
         }
-        *left -= 1;
+        *remaining -= 1;
         true
     }
 
--- a/crates/damaskvane-standins/src/platform/instances.rs
+++ b/crates/damaskvane-standins/src/platform/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of instances.
+//! The platform's list of instances, which shows announcements after a lag.
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -6,9 +6,9 @@
 //!
 //! let mut list = platform::InstanceList::new(Duration::from_secs(2));
 //! let start = Instant::now();
-//! list.note("sask-a-1", Some(serde_json::json!({"leaving": false})), start);
-//! assert!(list.at(start).is_empty());
-//! assert_eq!(list.at(start + Duration::from_secs(2)).len(), 1);
+//! list.record("sask-a-1", Some(serde_json::json!({"leaving": false})), start);
+//! assert!(list.visible_at(start).is_empty());
+//! assert_eq!(list.visible_at(start + Duration::from_secs(2)).len(), 1);
 //! ```
 
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 
 use serde_json::Value;
 
-/// What instances announced, shown with a delay.
+/// The announcements of instances, each visible after the configured lag.
 #[derive(Debug)]
 pub struct InstanceList {
     lag: Duration,
@@ -24,7 +24,7 @@
 }
 
 impl InstanceList {
-    /// A list that lags by so much.
+    /// Creates an empty list; announcements and removals become visible after `lag`.
     #[must_use]
     pub const fn new(lag: Duration) -> Self {
         Self {
@@ -33,29 +33,29 @@
         }
     }
 
-    /// Notes what an instance announced, or that it is gone.
-    pub fn note(&mut self, instance: &str, value: Option<Value>, now: Instant) {
+    /// Records the announcement of an instance, or its removal if `value` is `None`.
+    pub fn record(&mut self, instance: &str, value: Option<Value>, now: Instant) {
         let lag = self.lag;
         let history = self.announced.entry(instance.to_owned()).or_default();
-        let shown = history.partition_point(|(at, _)| *at + lag <= now);
-        history.drain(..shown.saturating_sub(1));
+        let visible_count = history.partition_point(|(recorded_at, _)| *recorded_at + lag <= now);
+        history.drain(..visible_count.saturating_sub(1));
         history.push((now, value));
     }
 
-    /// The list as it is shown at a time.
+    /// Returns the announcements that are visible at `now`, ordered by the instance's name.
     #[must_use]
-    pub fn at(&self, now: Instant) -> Vec<Value> {
+    pub fn visible_at(&self, now: Instant) -> Vec<Value> {
         self.announced
             .values()
-            .filter_map(|history| self.shown(history, now))
+            .filter_map(|history| self.visible_value(history, now))
             .collect()
     }
 
-    fn shown(&self, history: &[(Instant, Option<Value>)], now: Instant) -> Option<Value> {
+    fn visible_value(&self, history: &[(Instant, Option<Value>)], now: Instant) -> Option<Value> {
         history
             .iter()
             .rev()
-            .find(|(at, _)| *at + self.lag <= now)
+            .find(|(recorded_at, _)| *recorded_at + self.lag <= now)
             .and_then(|(_, value)| value.clone())
     }
 }
--- a/crates/damaskvane-standins/src/platform/local_server.rs
+++ b/crates/damaskvane-standins/src/platform/local_server.rs
@@ -1,4 +1,4 @@
-//! The object API served within the process, for tests.
+//! An HTTP server for the object API within the test's process.
 //!
 //! ```
 //! use damaskvane_standins::platform;
@@ -15,7 +15,7 @@
 
 use crate::platform::api::Api;
 
-/// A running object API; it ends when this value goes.
+/// A running server for the object API; it stops when the value is dropped.
 #[derive(Debug)]
 pub struct LocalServer {
     api: Arc<Api>,
@@ -25,11 +25,13 @@
 }
 
 impl LocalServer {
-    /// Serves an empty store on a free port to the holders of these tokens.
+    /// Starts a server with an empty store on a free loopback port.
+    ///
+    /// `tokens` is the text of a token file. The list of instances lags by 50 ms.
     ///
     /// # Errors
     ///
-    /// When the tokens can't be read or no port is free.
+    /// Returns an error if `tokens` can't be parsed or no port is free.
     pub fn start(tokens: &str) -> Result<Self, Box<dyn Error + Send + Sync>> {
         let api = Arc::new(Api::new(tokens.parse()?, Duration::from_millis(50)));
         let served = Arc::clone(&api);
@@ -44,13 +46,13 @@
         })
     }
 
-    /// The store, its switches and counts.
+    /// Returns the object API, with its fault switches and counters.
     #[must_use]
     pub fn api(&self) -> &Api {
         &self.api
     }
 
-    /// Where it listens.
+    /// Returns the address and port that the server listens on.
     #[must_use]
     pub fn address(&self) -> &str {
         &self.address
@@ -59,7 +61,7 @@
 
 impl Drop for LocalServer {
     fn drop(&mut self) {
-        // A server that has ended already takes no message; there is nothing left to stop then.
+        // The send fails if the server has already stopped; its thread is not joined then.
         let stopped = self.stop.send(()).is_ok();
         if let Some(server) = self.server.take().filter(|_| stopped) {
             drop(server.join());
--- a/crates/damaskvane-standins/src/platform/outcome.rs
+++ b/crates/damaskvane-standins/src/platform/outcome.rs
@@ -1,4 +1,4 @@
-//! What the store holds and answers.
+//! Versions of stored objects, and the outcome of writes.
 //!
 //! ```
 //! use damaskvane_standins::platform;
@@ -12,21 +12,21 @@
 /// One version of an object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
-    /// The version, from 1; it goes on rising over a deletion.
+    /// The version, from 1; a deletion and a later write increase it further.
     pub version: u64,
-    /// The value; `None` once deleted.
+    /// The value; `None` if this version is a deletion.
     pub value: Option<Arc<[u8]>>,
-    /// The identity of the write that made this version.
+    /// The identifier that the writer chose for the write of this version.
     pub write_id: String,
-    /// Who wrote it.
+    /// The holder of the token that this version was written with.
     pub author: String,
 }
 
-/// What became of a conditional write.
+/// The outcome of a conditional write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The write took effect and made this version.
+    /// The write took effect and created this version.
     Applied(u64),
-    /// The object has another version than the write asked for; 0 where it is absent.
+    /// The object has this version instead of the expected one; 0 if it doesn't exist.
     Conflict(u64),
 }
--- a/crates/damaskvane-standins/src/platform/rate.rs
+++ b/crates/damaskvane-standins/src/platform/rate.rs
@@ -1,4 +1,4 @@
-//! The platform's limit on calls in a second.
+//! Rate limit of the object API.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -11,14 +11,16 @@
     calls: u32,
 }
 
-/// Counts calls in windows of a second.
+/// Limits the calls in each fixed window of one second.
 #[derive(Debug, Default)]
 pub(super) struct RateLimit {
     window: Mutex<Option<Window>>,
 }
 
 impl RateLimit {
-    /// Counts a call; past the limit, how long until the next window.
+    /// Counts a call; if `limit` is exceeded, fails with the time until the next window.
+    ///
+    /// A `limit` of 0 allows all calls.
     pub(super) fn take(&self, limit: u32, now: Instant) -> Result<(), Duration> {
         if limit == 0 {
             return Ok(());
--- a/crates/damaskvane-standins/src/platform/store.rs
+++ b/crates/damaskvane-standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Objects with versions, conditional writes and watches.
+//! In-memory store of versioned objects, with conditional writes and watches.
 //!
 //! ```
 //! use damaskvane_standins::platform;
@@ -23,11 +23,11 @@
 
 #[derive(Debug)]
 struct Entry {
-    present: Object,
-    before: Option<Object>,
+    current: Object,
+    previous: Option<Object>,
 }
 
-/// The store; shared between calls.
+/// The objects by kind and name, shared between calls.
 #[derive(Debug, Default)]
 pub struct Store {
     kinds: Mutex<HashMap<String, Kind>>,
@@ -35,7 +35,9 @@
 }
 
 impl Store {
-    /// Writes or, without a value, deletes an object, if it has the expected version (0: absent).
+    /// Writes an object, or deletes it without a `value`, if its version is `if_version`.
+    ///
+    /// An object that doesn't exist has version 0.
     pub fn write(
         &self,
         kind: &str,
@@ -47,12 +49,12 @@
     ) -> WriteOutcome {
         let mut kinds = self.lock();
         let kind = kinds.entry(kind.to_owned()).or_default();
-        let before = kind.objects.get(name).map(|entry| entry.present.clone());
-        let present = version_of(before.as_ref());
-        if present != if_version || (value.is_none() && present == 0) {
-            return WriteOutcome::Conflict(present);
+        let previous = kind.objects.get(name).map(|entry| entry.current.clone());
+        let current_version = live_version(previous.as_ref());
+        if current_version != if_version || (value.is_none() && current_version == 0) {
+            return WriteOutcome::Conflict(current_version);
         }
-        let version = before.as_ref().map_or(0, |object| object.version) + 1;
+        let version = previous.as_ref().map_or(0, |object| object.version) + 1;
         let object = Object {
             version,
             value: value.map(Into::into),
@@ -60,8 +62,8 @@
             author: author.to_owned(),
         };
         let entry = Entry {
-            present: object,
-            before,
+            current: object,
+            previous,
         };
         kind.objects.insert(name.to_owned(), entry);
         kind.revision += 1;
@@ -69,28 +71,28 @@
         WriteOutcome::Applied(version)
     }
 
-    /// Reads an object; with `stale`, the version before the present one.
+    /// Returns an object, or `None` if it doesn't exist; with `stale`, its previous version.
     #[must_use]
     pub fn read(&self, kind: &str, name: &str, stale: bool) -> Option<Object> {
         let kinds = self.lock();
         let entry = kinds.get(kind)?.objects.get(name)?;
         let object = if stale {
-            entry.before.as_ref().unwrap_or(&entry.present)
+            entry.previous.as_ref().unwrap_or(&entry.current)
         } else {
-            &entry.present
+            &entry.current
         };
         object.value.is_some().then(|| object.clone())
     }
 
-    /// The revision of a kind and its objects by name.
+    /// Returns the revision of a kind, which each write increases, and its objects by name.
     #[must_use]
     pub fn list(&self, kind: &str) -> (u64, Vec<(String, Object)>) {
         let kinds = self.lock();
         let Some(kind) = kinds.get(kind) else {
             return (0, Vec::new());
         };
-        let present = |(name, entry): (&String, &Entry)| {
-            let object = &entry.present;
+        let live_object = |(name, entry): (&String, &Entry)| {
+            let object = &entry.current;
             object
                 .value
                 .is_some()
@@ -98,25 +100,25 @@
         };
         (
             kind.revision,
-            kind.objects.iter().filter_map(present).collect(),
+            kind.objects.iter().filter_map(live_object).collect(),
         )
     }
 
-    /// Waits until the revision of a kind passes `after`, at most so long; whether it did.
-    pub fn wait(&self, kind: &str, after: u64, most: Duration) -> bool {
-        let until = Instant::now() + most;
+    /// Waits until the revision of a kind exceeds `after`; returns `false` on a timeout.
+    pub fn wait(&self, kind: &str, after: u64, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         let mut kinds = self.lock();
         loop {
             if kinds.get(kind).is_some_and(|kind| kind.revision > after) {
                 return true;
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
             kinds = self
                 .changed
-                .wait_timeout(kinds, left)
+                .wait_timeout(kinds, remaining)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
@@ -127,7 +129,7 @@
     }
 }
 
-fn version_of(object: Option<&Object>) -> u64 {
+fn live_version(object: Option<&Object>) -> u64 {
     object
         .filter(|object| object.value.is_some())
         .map_or(0, |object| object.version)
--- a/crates/damaskvane-standins/src/platform/tokens.rs
+++ b/crates/damaskvane-standins/src/platform/tokens.rs
@@ -1,4 +1,4 @@
-//! Credentials: which token names whom.
+//! Tokens that authenticate callers of the object API.
 //!
 //! ```
 //! use damaskvane_standins::platform;
@@ -10,28 +10,28 @@
 use core::str;
 use std::collections::HashMap;
 
-/// Tokens with their holders.
+/// The accepted tokens, each with the name of its holder.
 #[derive(Clone, Default)]
 pub struct Tokens {
     holders: HashMap<String, String>,
 }
 
-/// line {line} of the token file is not "token holder"; write one token and one holder a line
+/// line {line} of the token file is invalid; write each token once, as "token holder"
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct ParseTokensError {
-    /// The line, from 1.
+    /// The number of the invalid line, from 1.
     pub line: usize,
 }
 
 impl Tokens {
-    /// Whom a token names.
+    /// Returns the holder of a token, or `None` if the token is unknown.
     #[must_use]
     pub fn holder_of(&self, token: &str) -> Option<&str> {
         self.holders.get(token).map(String::as_str)
     }
 }
 
-/// Shows the holders only: a token in a log is a token lost.
+/// Shows only the holders, so that no token leaks into a log.
 impl fmt::Debug for Tokens {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_list().entries(self.holders.values()).finish()
@@ -44,10 +44,10 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut tokens = Self::default();
         for (index, line) in text.lines().enumerate() {
-            let words: Vec<&str> = line.split_whitespace().collect();
-            match words.as_slice() {
+            let fields: Vec<&str> = line.split_whitespace().collect();
+            match fields.as_slice() {
                 [] => {}
-                [word, ..] if word.starts_with('#') => {}
+                [first, ..] if first.starts_with('#') => {}
                 [token, holder] => {
                     let previous = tokens
                         .holders
