--- a/crates/damaskvane-standins/src/backend/admin.rs
+++ b/crates/damaskvane-standins/src/backend/admin.rs
@@ -1,13 +1,14 @@
-//! The switches and logs of the stand-in, on an address of their own.
+//! HTTP API for the faults, counters and executions of the servers, on a separate address.
 //!
-//! - `GET /executions?since=N`: what ran, from execution N on.
+//! - `GET /executions?since=N`: the executions, from number N on.
 //! - `GET /stats`: the counters of each server.
-//! - `GET /faults`, `POST /faults` with `{"server":"NAME","faults":{…}}`; `*` means all servers.
+//! - `GET /faults`: the active faults of each server.
+//! - `POST /faults` with `{"server":"NAME","faults":{…}}`: sets the faults; `*` selects all servers.
 //!
 //! ```
 //! use damaskvane_standins::backend;
 //!
-//! let server = backend::Server::start("s-1:6".parse()?, backend::START_SEED)?;
+//! let server = backend::Server::start("s-1:6".parse()?, backend::DEFAULT_SEED)?;
 //! let admin = backend::Admin::start("127.0.0.1:0", vec![server])?;
 //! assert_ne!(admin.address().port(), 0);
 //! # Ok::<(), Box<dyn std::error::Error + Send + Sync>>(())
@@ -22,10 +23,10 @@
 
 use crate::backend::{Faults, Server};
 
-/// The server that means every server.
-const ALL: &str = "*";
+/// The server name that selects every server.
+const ALL_SERVERS: &str = "*";
 
-/// The administration address of the stand-in.
+/// The running admin API.
 #[derive(Debug, Clone, Copy)]
 pub struct Admin {
     address: net::SocketAddr,
@@ -33,13 +34,15 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct FaultOrder {
+struct SetFaults {
     server: String,
     faults: Faults,
 }
 
 impl Admin {
-    /// Listens and answers until the process ends.
+    /// Starts the admin API on `address`; a thread serves it until the process ends.
+    ///
+    /// Returns an error if `address` is invalid or in use.
     pub fn start(
         address: &str,
         servers: Vec<Server>,
@@ -51,7 +54,7 @@
         Ok(Self { address })
     }
 
-    /// Where it listens.
+    /// Returns the address and port that the admin API listens on.
     #[must_use]
     pub const fn address(self) -> net::SocketAddr {
         self.address
@@ -64,7 +67,8 @@
         ("GET", "/stats") => by_name(servers, Server::stats),
         ("GET", "/faults") => by_name(servers, Server::faults),
         ("POST", "/faults") => set_faults(request, servers),
-        _ => rouille::Response::text("try /executions, /stats or /faults").with_status_code(404),
+        _ => rouille::Response::text("no such path; use /executions, /stats or /faults")
+            .with_status_code(404),
     }
 }
 
@@ -82,28 +86,31 @@
 
 fn by_name<T: serde::Serialize>(
     servers: &[Server],
-    of: impl Fn(&Server) -> T,
+    value_of: impl Fn(&Server) -> T,
 ) -> rouille::Response {
     let map: BTreeMap<&str, T> = servers
         .iter()
-        .map(|server| (server.name(), of(server)))
+        .map(|server| (server.name(), value_of(server)))
         .collect();
     rouille::Response::json(&map)
 }
 
 fn set_faults(request: &rouille::Request, servers: &[Server]) -> rouille::Response {
-    let order: FaultOrder = match rouille::input::json_input(request) {
-        Ok(order) => order,
+    let command: SetFaults = match rouille::input::json_input(request) {
+        Ok(command) => command,
         Err(error) => return rouille::Response::text(error.to_string()).with_status_code(400),
     };
-    let named = servers
+    let selected = servers
         .iter()
-        .filter(|server| order.server == ALL || server.name() == order.server);
-    let count = named
-        .map(|server| server.set_faults(order.faults.clone()))
+        .filter(|server| command.server == ALL_SERVERS || server.name() == command.server);
+    let count = selected
+        .map(|server| server.set_faults(command.faults.clone()))
         .count();
     if count == 0 {
-        let text = format!("no server {:?}; GET /faults names them", order.server);
+        let text = format!(
+            "no server {:?}; GET /faults lists the names",
+            command.server
+        );
         return rouille::Response::text(text).with_status_code(404);
     }
     rouille::Response::json(&BTreeMap::from([("servers", count)]))
--- a/crates/damaskvane-standins/src/backend/connection.rs
+++ b/crates/damaskvane-standins/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of one backend server, exchange after exchange.
+//! Serves the requests of one connection to a backend server, one after the other.
 
 use std::io;
 use std::net;
@@ -8,54 +8,60 @@
 use crate::backend;
 use crate::backend::http::{self, Request, Response};
 use crate::backend::server::Abort;
-use crate::backend::{ByteStage, Execution, Faults, HealthLie, LoadLie, ResponseBody, Server};
+use crate::backend::{
+    DisconnectStage, Execution, Faults, HealthOverride, LoadOverride, ResponseBody, Server,
+};
 
-/// How often a connection that gives no answer looks whether its caller has gone.
-const SILENT_POLL: Duration = Duration::from_millis(200);
-/// The longest that a silent connection is kept, so that its thread ends.
-const SILENT_LIMIT: Duration = Duration::from_secs(120);
-/// The largest padding of an answer.
-const PADDING_LIMIT_BYTES: u64 = 16 * 1024 * 1024;
+/// The interval at which a hanging connection checks whether its caller has closed it.
+const HANG_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// The maximum time that a connection hangs, so that its thread ends.
+const MAX_HANG: Duration = Duration::from_secs(120);
+/// The maximum padding of a response body.
+const MAX_PADDING_BYTES: u64 = 16 * 1024 * 1024;
 
-/// What becomes of the connection after an exchange.
+/// Whether the server keeps the connection open after an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Next {
-    Keep,
+enum ConnectionState {
+    KeepOpen,
     Close,
 }
 
-/// Serves the connection until it ends.
+/// Serves the requests of connection `number` until either side closes it or a fault ends it.
 pub(crate) fn serve(server: &Server, number: u64, mut stream: net::TcpStream) {
     let mut buffer = Vec::new();
     loop {
-        if server.faults().die == Some(ByteStage::BeforeRead) {
+        if server.faults().disconnect_at == Some(DisconnectStage::BeforeRead) {
             break;
         }
         let Ok(Some(request)) = http::read_request(&mut stream, &mut buffer) else {
             break;
         };
-        if server.is_silent(number) {
-            stay_silent(&stream);
+        if server.is_frozen(number) {
+            hang(&stream);
             break;
         }
         match exchange(server, &mut stream, &request) {
-            Ok(Next::Keep) if request.keep_alive => {}
+            Ok(ConnectionState::KeepOpen) if request.keep_alive => {}
             _ => break,
         }
     }
     let _ = stream.shutdown(net::Shutdown::Both);
 }
 
-fn exchange(server: &Server, stream: &mut net::TcpStream, request: &Request) -> io::Result<Next> {
+fn exchange(
+    server: &Server,
+    stream: &mut net::TcpStream,
+    request: &Request,
+) -> io::Result<ConnectionState> {
     match (request.method.as_str(), request.path()) {
         ("GET", "/health") => report_health(server, stream, request),
         ("GET", "/load") => report_load(server, stream, request),
         ("POST", path) if path.starts_with("/cancel/") => {
             let found = server.cancel(&path["/cancel/".len()..]);
             let body = format!("{{\"cancelled\":{found}}}");
-            answer(stream, request, if found { 200 } else { 404 }, body)
+            respond(stream, request, if found { 200 } else { 404 }, body)
         }
-        _ => run(server, stream, request),
+        _ => execute(server, stream, request),
     }
 }
 
@@ -63,42 +69,42 @@
     server: &Server,
     stream: &mut net::TcpStream,
     request: &Request,
-) -> io::Result<Next> {
+) -> io::Result<ConnectionState> {
     server.count_report();
     let healthy = match server.faults().health {
-        Some(HealthLie::Silent) => {
-            stay_silent(stream);
-            return Ok(Next::Close);
+        Some(HealthOverride::Unresponsive) => {
+            hang(stream);
+            return Ok(ConnectionState::Close);
         }
-        Some(HealthLie::Unhealthy) => false,
-        Some(HealthLie::Healthy) => true,
+        Some(HealthOverride::Unhealthy) => false,
+        Some(HealthOverride::Healthy) => true,
         None => !server.faults().error,
     };
-    answer(stream, request, 200, format!("{{\"healthy\":{healthy}}}"))
+    respond(stream, request, 200, format!("{{\"healthy\":{healthy}}}"))
 }
 
 fn report_load(
     server: &Server,
     stream: &mut net::TcpStream,
     request: &Request,
-) -> io::Result<Next> {
+) -> io::Result<ConnectionState> {
     server.count_report();
     let stats = server.stats();
     let running = match server.faults().load {
-        Some(LoadLie::Idle) => 0,
-        Some(LoadLie::Full) => stats.slots,
+        Some(LoadOverride::Idle) => 0,
+        Some(LoadOverride::Full) => stats.slots,
         None => stats.running,
     };
     let body = format!("{{\"running\":{running},\"slots\":{}}}", stats.slots);
-    answer(stream, request, 200, body)
+    respond(stream, request, 200, body)
 }
 
-fn answer(
+fn respond(
     stream: &mut net::TcpStream,
     request: &Request,
     status: u16,
     body: String,
-) -> io::Result<Next> {
+) -> io::Result<ConnectionState> {
     let response = Response {
         status,
         request_id: request.header("damaskvane-request-id").to_owned(),
@@ -106,10 +112,14 @@
         ..Response::default()
     };
     response.write(stream, request.keep_alive)?;
-    Ok(Next::Keep)
+    Ok(ConnectionState::KeepOpen)
 }
 
-fn refuse(server: &Server, stream: &mut net::TcpStream, request: &Request) -> io::Result<Next> {
+fn shed(
+    server: &Server,
+    stream: &mut net::TcpStream,
+    request: &Request,
+) -> io::Result<ConnectionState> {
     server.count_shed();
     let response = Response {
         status: 503,
@@ -118,31 +128,35 @@
         body: b"{\"error\":\"shed\"}".to_vec(),
     };
     response.write(stream, request.keep_alive)?;
-    Ok(Next::Keep)
+    Ok(ConnectionState::KeepOpen)
 }
 
-fn run(server: &Server, stream: &mut net::TcpStream, request: &Request) -> io::Result<Next> {
+fn execute(
+    server: &Server,
+    stream: &mut net::TcpStream,
+    request: &Request,
+) -> io::Result<ConnectionState> {
     let faults = server.faults();
-    if faults.die == Some(ByteStage::AfterRead) {
-        return Ok(Next::Close);
+    if faults.disconnect_at == Some(DisconnectStage::AfterRead) {
+        return Ok(ConnectionState::Close);
     }
     let deadline_ms = request.header("damaskvane-deadline-ms").parse::<u64>().ok();
     if faults.shed || deadline_ms == Some(0) {
-        return refuse(server, stream, request);
+        return shed(server, stream, request);
     }
     let (number, aborted) = server.begin(execution(server, request));
     if request.path().contains("crash") {
         server.crash();
         server.end(number, true);
-        return Ok(Next::Close);
+        return Ok(ConnectionState::Close);
     }
     if faults.error {
         server.end(number, true);
-        return answer(stream, request, 500, "{\"error\":\"failed\"}".to_owned());
+        return respond(stream, request, 500, "{\"error\":\"failed\"}".to_owned());
     }
-    let outcome = work(server, request, deadline_ms, &aborted);
+    let outcome = simulate_work(server, request, deadline_ms, &aborted);
     server.end(number, outcome.is_err());
-    conclude(server, stream, request, &faults, outcome)
+    finish(server, stream, request, &faults, outcome)
 }
 
 fn execution(server: &Server, request: &Request) -> Execution {
@@ -157,15 +171,18 @@
     }
 }
 
-/// Waits out the service time; fails with what ended it early.
-fn work(
+/// Waits for the service time of a request.
+///
+/// Fails with [`Abort::Cancelled`] if the request is cancelled or its deadline passes, and with
+/// [`Abort::Crashed`] if the server crashes.
+fn simulate_work(
     server: &Server,
     request: &Request,
     deadline_ms: Option<u64>,
     aborted: &flume::Receiver<Abort>,
 ) -> Result<(), Abort> {
-    let asked_ms = request.query_number("ms");
-    let service = server.service_time(request.header("damaskvane-request-id"), asked_ms);
+    let requested_ms = request.query_number("ms");
+    let service = server.service_time(request.header("damaskvane-request-id"), requested_ms);
     let deadline = deadline_ms.map_or(Duration::MAX, Duration::from_millis);
     match aborted.recv_timeout(service.min(deadline)) {
         Ok(abort) => Err(abort),
@@ -174,40 +191,40 @@
     }
 }
 
-fn conclude(
+fn finish(
     server: &Server,
     stream: &mut net::TcpStream,
     request: &Request,
     faults: &Faults,
     outcome: Result<(), Abort>,
-) -> io::Result<Next> {
+) -> io::Result<ConnectionState> {
     match outcome {
-        Err(Abort::Crashed) => return Ok(Next::Close),
+        Err(Abort::Crashed) => return Ok(ConnectionState::Close),
         Err(Abort::Cancelled) => {
-            return answer(stream, request, 504, "{\"error\":\"cancelled\"}".to_owned());
+            return respond(stream, request, 504, "{\"error\":\"cancelled\"}".to_owned());
         }
         Ok(()) => {}
     }
-    if faults.swallow {
-        stay_silent(stream);
-        return Ok(Next::Close);
+    if faults.omit_response {
+        hang(stream);
+        return Ok(ConnectionState::Close);
     }
-    let response = whole_answer(server, request);
-    if faults.die == Some(ByteStage::MidAnswer) {
-        response.write_cut(stream)?;
-        return Ok(Next::Close);
+    let response = complete_response(server, request);
+    if faults.disconnect_at == Some(DisconnectStage::MidResponse) {
+        response.write_truncated(stream)?;
+        return Ok(ConnectionState::Close);
     }
     response.write(stream, request.keep_alive)?;
-    Ok(Next::Keep)
+    Ok(ConnectionState::KeepOpen)
 }
 
-fn whole_answer(server: &Server, request: &Request) -> Response {
+fn complete_response(server: &Server, request: &Request) -> Response {
     let request_id = request.header("damaskvane-request-id");
     let padding_bytes = request
         .query_number("bytes")
         .unwrap_or(0)
-        .min(PADDING_LIMIT_BYTES);
-    let answer = ResponseBody::new(
+        .min(MAX_PADDING_BYTES);
+    let body = ResponseBody::new(
         server.name(),
         request_id,
         request.header("damaskvane-idempotency-key"),
@@ -218,19 +235,19 @@
         status: 200,
         request_id: request_id.to_owned(),
         not_run: false,
-        body: serde_json::to_vec(&answer).unwrap_or_default(),
+        body: serde_json::to_vec(&body).unwrap_or_default(),
     }
 }
 
-/// Keeps the connection open without a word until its caller closes it or the limit passes.
-fn stay_silent(stream: &net::TcpStream) {
+/// Keeps the connection open without a response until its caller closes it, or for [`MAX_HANG`].
+fn hang(stream: &net::TcpStream) {
     let start = Instant::now();
     let mut byte = [0; 1];
-    while start.elapsed() < SILENT_LIMIT {
-        let _ = stream.set_read_timeout(Some(SILENT_POLL));
+    while start.elapsed() < MAX_HANG {
+        let _ = stream.set_read_timeout(Some(HANG_POLL_INTERVAL));
         match stream.peek(&mut byte) {
             Ok(0) => return,
-            Ok(_) => thread::sleep(SILENT_POLL),
+            Ok(_) => thread::sleep(HANG_POLL_INTERVAL),
             Err(error) if is_timeout(&error) => {}
             Err(_) => return,
         }
--- a/crates/damaskvane-standins/src/backend/execution.rs
+++ b/crates/damaskvane-standins/src/backend/execution.rs
@@ -1,4 +1,4 @@
-//! The log of what backend servers ran, for checkers.
+//! Log of the requests that backend servers ran, for a checker of a test or demo.
 //!
 //! ```
 //! use damaskvane_standins::backend;
@@ -11,40 +11,40 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The most executions kept; later ones are counted as dropped, so that memory stays bounded.
-const LOG_LIMIT: usize = 2_000_000;
+/// The maximum length of the log, which bounds memory; later executions only count as dropped.
+const MAX_EXECUTIONS: usize = 2_000_000;
 
-/// One run of one request on one backend server.
+/// The execution of one request on one backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execution {
-    /// The backend server that ran it.
+    /// The name of the backend server.
     pub server: String,
-    /// The request's id as received.
+    /// The request id as received, from the `damaskvane-request-id` header.
     pub request_id: String,
-    /// The idempotency key, or empty.
+    /// The idempotency key; empty if the request has none.
     pub idempotency_key: String,
-    /// The method as received.
+    /// The HTTP method as received.
     pub method: String,
-    /// When it started, in milliseconds since the Unix epoch.
+    /// The start time, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
-    /// When it ended; none while it runs.
+    /// The end time, in milliseconds since the Unix epoch; `None` while the request runs.
     pub finished_unix_ms: Option<u64>,
-    /// Whether it ended before its work was done: cancelled, past its deadline or crashed.
+    /// Whether the request ended early: cancelled, past its deadline, failed or crashed.
     pub aborted: bool,
 }
 
-/// A stretch of the log.
+/// The executions of a log from one number on.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutionPage {
-    /// Where the next page starts.
+    /// The number of the first execution that is not in this page, for the next call.
     pub next: usize,
-    /// Executions that were not kept because the log was full.
+    /// The number of executions missing from the log because the log was full.
     pub dropped: usize,
-    /// The executions of this page, in order of start.
+    /// The executions of this page, ordered by start.
     pub executions: Vec<Execution>,
 }
 
-/// All executions of one process in order of start.
+/// All executions of one process, ordered by start.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
     inner: Mutex<Inner>,
@@ -57,10 +57,12 @@
 }
 
 impl ExecutionLog {
-    /// Notes a start; the number names the execution for [`ExecutionLog::finish`].
+    /// Records the start of an execution and returns its number for [`ExecutionLog::finish`].
+    ///
+    /// Returns `usize::MAX` if the log is full.
     pub fn start(&self, execution: Execution) -> usize {
         let mut inner = self.lock();
-        if inner.executions.len() >= LOG_LIMIT {
+        if inner.executions.len() >= MAX_EXECUTIONS {
             inner.dropped += 1;
             return usize::MAX;
         }
@@ -68,7 +70,7 @@
         inner.executions.len() - 1
     }
 
-    /// Notes the end of an execution.
+    /// Records the end of an execution; does nothing if the log doesn't contain `number`.
     pub fn finish(&self, number: usize, finished_unix_ms: u64, aborted: bool) {
         if let Some(execution) = self.lock().executions.get_mut(number) {
             execution.finished_unix_ms = Some(finished_unix_ms);
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Everything from execution number `since` on.
+    /// Returns all executions from number `since` on.
     #[must_use]
     pub fn page(&self, since: usize) -> ExecutionPage {
         let inner = self.lock();
--- a/crates/damaskvane-standins/src/backend/faults.rs
+++ b/crates/damaskvane-standins/src/backend/faults.rs
@@ -1,71 +1,78 @@
-//! The faults that can be switched on for one backend server.
+//! Faults that tests switch on and off for a backend server.
 //!
 //! ```
 //! use damaskvane_standins::backend;
 //!
 //! let faults: backend::Faults = serde_json::from_str(r#"{"shed":true}"#)?;
-//! assert!(faults.shed && !faults.swallow);
+//! assert!(faults.shed && !faults.omit_response);
 //! # Ok::<(), serde_json::Error>(())
 //! ```
 
 use serde::{Deserialize, Serialize};
 
-/// Where in an exchange the connection dies.
+/// The stage of an exchange at which the server closes the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ByteStage {
-    /// The connection closes before a byte of the request is read; nothing ran.
+pub enum DisconnectStage {
+    /// Before a byte of the request is read; the request doesn't run.
     BeforeRead,
-    /// The connection closes once the request is read; nothing ran.
+    /// After the request is read; the request doesn't run.
     AfterRead,
-    /// The request ran, and the answer is cut in its middle.
-    MidAnswer,
+    /// In the middle of the response body; the request has run.
+    #[serde(rename = "mid_answer")]
+    MidResponse,
 }
 
-/// What the health endpoint claims instead of the truth.
+/// A wrong response of the `/health` endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HealthLie {
-    /// Unhealthy, though it serves.
+pub enum HealthOverride {
+    /// Reports the server as unhealthy although it serves requests.
     Unhealthy,
-    /// Healthy, though it is told to fail: the endpoint's answer while every request errs.
+    /// Reports the server as healthy although [`Faults::error`] makes every request fail.
     Healthy,
-    /// No answer at all.
-    Silent,
+    /// Sends no response and keeps the connection open.
+    #[serde(rename = "silent")]
+    Unresponsive,
 }
 
-/// What the load endpoint claims instead of the truth.
+/// A wrong response of the `/load` endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LoadLie {
-    /// Nothing running.
+pub enum LoadOverride {
+    /// Reports no running request.
     Idle,
-    /// All slots running.
+    /// Reports a running request in every slot.
     Full,
 }
 
-/// The faults of one server. The default is none.
+/// The faults of one server; the default is none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Refuse every request with 503 and `damaskvane-not-run`, running none.
+    /// Whether the server rejects every request with 503 and `damaskvane-not-run`, without running it.
     pub shed: bool,
-    /// Answer 500 at once to every request, as something that broke early does.
+    /// Whether the server responds to every request with 500 at once, like a server broken at start.
     pub error: bool,
-    /// Close connections at this stage of each exchange.
-    pub die: Option<ByteStage>,
-    /// Run each request and never answer it.
-    pub swallow: bool,
-    /// Leave the connections that were open when this was switched on without answers; new ones work.
-    pub silent_connections: bool,
-    /// What `/health` claims.
-    pub health: Option<HealthLie>,
-    /// What `/load` claims.
-    pub load: Option<LoadLie>,
-    /// For so long after this was switched on, requests run `cold_factor` times longer, in milliseconds.
+    /// The stage of each exchange at which the server closes the connection.
+    #[serde(rename = "die")]
+    pub disconnect_at: Option<DisconnectStage>,
+    /// Whether the server runs each request but sends no response.
+    #[serde(rename = "swallow")]
+    pub omit_response: bool,
+    /// Whether the connections that are open when the faults are set get no more responses.
+    ///
+    /// New connections work.
+    #[serde(rename = "silent_connections")]
+    pub freeze_connections: bool,
+    /// The wrong response of `/health`, if any.
+    pub health: Option<HealthOverride>,
+    /// The wrong response of `/load`, if any.
+    pub load: Option<LoadOverride>,
+    /// The duration of the cold start that begins when the faults are set, in milliseconds.
     pub cold_start_ms: u64,
-    /// How many times longer a request runs during a cold start.
+    /// The factor by which the service time is multiplied during a cold start.
     pub cold_factor: u64,
-    /// Refuse connections, as a process that is gone does.
+    /// Whether the server closes its listener and all connections, like a process that has ended.
     pub down: bool,
 }
--- a/crates/damaskvane-standins/src/backend/http.rs
+++ b/crates/damaskvane-standins/src/backend/http.rs
@@ -1,19 +1,19 @@
-//! Requests off a connection and answers onto it, byte by byte, so that faults can cut either.
+//! Reads HTTP requests from a connection and writes responses to it.
 //!
-//! The stand-in needs faults at exact bytes, which an HTTP server library hides; the header parser is
-//! a library's all the same.
+//! A fault closes the connection at an exact byte, which an HTTP server library doesn't allow. Only
+//! the parser of the request head comes from a library.
 
 use std::io::{self, Read, Write};
 use std::net;
 
-/// The largest head of a request, in bytes.
-const HEAD_LIMIT: usize = 64 * 1024;
-/// The largest body of a request, in bytes.
-const BODY_LIMIT: usize = 16 * 1024 * 1024;
-/// The most headers of a request.
-const HEADER_LIMIT: usize = 64;
+/// The maximum size of a request's head.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// The maximum size of a request's body.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
+/// The maximum number of headers of a request.
+const MAX_HEADERS: usize = 64;
 
-/// A request as read.
+/// The head of a received request; the body is read and discarded.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Request {
     pub(crate) method: String,
@@ -23,7 +23,7 @@
 }
 
 impl Request {
-    /// The value of a header, or empty.
+    /// Returns the value of a header, or an empty string if the header is missing.
     pub(crate) fn header(&self, name: &str) -> &str {
         let found = self
             .headers
@@ -32,12 +32,12 @@
         found.map_or("", |(_, value)| value)
     }
 
-    /// The path without its query.
+    /// Returns the path without the query.
     pub(crate) fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// A number out of the query.
+    /// Returns a numeric query parameter, or `None` if it is missing or no number.
     pub(crate) fn query_number(&self, name: &str) -> Option<u64> {
         let (_, query) = self.target.split_once('?')?;
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -46,24 +46,26 @@
     }
 }
 
-/// Reads one request; none when the caller closed the connection between two.
+/// Reads one request; returns `None` if the caller closes the connection before its head is complete.
+///
+/// `buffer` holds bytes that were received beyond the request, for the next call.
 pub(crate) fn read_request(
     stream: &mut net::TcpStream,
     buffer: &mut Vec<u8>,
 ) -> io::Result<Option<Request>> {
     loop {
         if let Some((request, head_bytes, body_bytes)) = parse_head(buffer)? {
-            let whole = head_bytes + body_bytes;
-            while buffer.len() < whole {
+            let request_bytes = head_bytes + body_bytes;
+            while buffer.len() < request_bytes {
                 if !fill(stream, buffer)? {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
             }
-            buffer.drain(..whole);
+            buffer.drain(..request_bytes);
             return Ok(Some(request));
         }
-        if buffer.len() > HEAD_LIMIT {
-            return Err(io::Error::other("head too long"));
+        if buffer.len() > MAX_HEAD_BYTES {
+            return Err(io::Error::other("the request head is too long"));
         }
         if !fill(stream, buffer)? {
             return Ok(None);
@@ -78,9 +80,9 @@
     Ok(count > 0)
 }
 
-/// The request, the bytes of its head and of its body; none while the head is incomplete.
+/// Returns the request and the sizes of its head and body; `None` while the head is incomplete.
 fn parse_head(buffer: &[u8]) -> io::Result<Option<(Request, usize, usize)>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADER_LIMIT];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let status = parsed.parse(buffer).map_err(io::Error::other)?;
     let httparse::Status::Complete(head_bytes) = status else {
@@ -98,7 +100,9 @@
     request.keep_alive =
         parsed.version == Some(1) && !request.header("connection").eq_ignore_ascii_case("close");
     if !request.header("transfer-encoding").is_empty() {
-        return Err(io::Error::other("send a content-length, not chunks"));
+        return Err(io::Error::other(
+            "transfer-encoding is not supported; send a content-length",
+        ));
     }
     let length = request.header("content-length");
     let body_bytes = if length.is_empty() {
@@ -106,13 +110,13 @@
     } else {
         length.parse().map_err(io::Error::other)?
     };
-    if body_bytes > BODY_LIMIT {
-        return Err(io::Error::other("body too long"));
+    if body_bytes > MAX_BODY_BYTES {
+        return Err(io::Error::other("the request body is too long"));
     }
     Ok(Some((request, head_bytes, body_bytes)))
 }
 
-/// An answer to be written.
+/// A response to send.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Response {
     pub(crate) status: u16,
@@ -122,7 +126,7 @@
 }
 
 impl Response {
-    /// The bytes on the wire.
+    /// Encodes the head and body as sent on the connection.
     fn encode(&self, keep_alive: bool) -> Vec<u8> {
         let reason = match self.status {
             200 => "OK",
@@ -149,15 +153,15 @@
         bytes
     }
 
-    /// Writes the whole answer.
+    /// Writes the complete response.
     pub(crate) fn write(&self, stream: &mut net::TcpStream, keep_alive: bool) -> io::Result<()> {
         stream.write_all(&self.encode(keep_alive))
     }
 
-    /// Writes the answer up to the middle of its body.
-    pub(crate) fn write_cut(&self, stream: &mut net::TcpStream) -> io::Result<()> {
+    /// Writes the response up to the middle of its body.
+    pub(crate) fn write_truncated(&self, stream: &mut net::TcpStream) -> io::Result<()> {
         let bytes = self.encode(true);
-        let cut = bytes.len() - self.body.len() / 2 - 1;
-        stream.write_all(&bytes[..cut])
+        let sent_bytes = bytes.len() - self.body.len() / 2 - 1;
+        stream.write_all(&bytes[..sent_bytes])
     }
 }
--- a/crates/damaskvane-standins/src/backend/options.rs
+++ b/crates/damaskvane-standins/src/backend/options.rs
@@ -1,4 +1,4 @@
-//! The command line of the backend server stand-in.
+//! Command line of the program `damaskvane-standin-backend`.
 //!
 //! ```
 //! use damaskvane_standins::backend;
@@ -17,18 +17,18 @@
 
 use crate::backend::{self, ParseServerSpecError, ServerSpec};
 
-/// What `--help` prints.
+/// The text that `--help` prints.
 pub const USAGE: &str = "\
-damaskvane-standin-backend: plays many backend servers, logs what ran and fails on demand
+damaskvane-standin-backend: runs stand-ins for backend servers, with an execution log and faults
 
-  --server NAME:SLOTS[:SERVICE_MS]  a server on a free loopback port; may be given many times
-  --servers FILE.toml               servers from a file: [[server]] with name, slots, service_ms
-  --admin ADDRESS                   where executions, counters and faults are served [127.0.0.1:0]
-  --seed N                          the seed of the service times [1]
-  --help, --version
+  --server NAME:SLOTS[:SERVICE_MS]  start a server on a free loopback port; may be repeated
+  --servers FILE.toml               start the servers of a file: [[server]] with name, slots, service_ms
+  --admin ADDRESS                   serve executions, counters and faults here [127.0.0.1:0]
+  --seed N                          seed the random service times [1]
+  --help, --version                 print this text or the version
 
-Prints one JSON line with the addresses when it serves. SIGTERM ends it with exit code 0; 2 is a wrong
-command line, 1 an address that can't be had.";
+Prints one JSON line with all addresses once the servers listen. Exits with 0 on SIGTERM or SIGINT,
+2 on a wrong command line and 1 if an address can't be used.";
 
 const FLAGS: [&str; 6] = [
     "--server",
@@ -39,18 +39,18 @@
     "--version",
 ];
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// The servers to play.
+    /// The servers to start.
     pub servers: Vec<ServerSpec>,
-    /// Where the administration address listens.
+    /// The address of the admin API, as `HOST:PORT`; port 0 selects a free port.
     pub admin: String,
-    /// The seed of the service times.
+    /// The seed of the random service times.
     pub seed: u64,
-    /// Whether to print the usage and end.
+    /// Whether to print the usage and exit.
     pub help: bool,
-    /// Whether to print the version and end.
+    /// Whether to print the version and exit.
     pub version: bool,
 }
 
@@ -59,14 +59,14 @@
         Self {
             servers: Vec::new(),
             admin: "127.0.0.1:0".to_owned(),
-            seed: backend::START_SEED,
+            seed: backend::DEFAULT_SEED,
             help: false,
             version: false,
         }
     }
 }
 
-/// Why a command line is refused.
+/// An error in the command line or in a file of servers.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum OptionsError {
     /// {0}
@@ -75,9 +75,9 @@
     Server(#[from] ParseServerSpecError),
     /// can't read {file}: {cause}; give a TOML file of `server` tables
     File {
-        /// The file as given.
+        /// The path as given on the command line.
         file: String,
-        /// What went wrong.
+        /// The message of the read or parse error.
         cause: String,
     },
     /// no servers; give at least one --server NAME:SLOTS
@@ -91,7 +91,7 @@
 }
 
 impl Options {
-    /// Reads a command line without the program's name.
+    /// Parses the arguments after the program's name, and reads the files that `--servers` names.
     pub fn parse(
         arguments: impl IntoIterator<Item: Into<ffi::OsString>>,
     ) -> Result<Self, OptionsError> {
--- a/crates/damaskvane-standins/src/backend/response_body.rs
+++ b/crates/damaskvane-standins/src/backend/response_body.rs
@@ -1,35 +1,35 @@
-//! An answer's body, whose content proves which request it answers and that it is whole.
+//! The body of a backend server's response, which names its request and carries a checksum.
 //!
 //! ```
 //! use damaskvane_standins::backend;
 //!
-//! let answer = backend::ResponseBody::new("rider-desk-sask-a-1", "r-1", "", "/work", 100);
-//! assert!(answer.is_intact());
-//! let crossed = backend::ResponseBody { request_id: "r-2".into(), ..answer };
-//! assert!(!crossed.is_intact());
+//! let body = backend::ResponseBody::new("rider-desk-sask-a-1", "r-1", "", "/work", 100);
+//! assert!(body.is_intact());
+//! let mismatched = backend::ResponseBody { request_id: "r-2".into(), ..body };
+//! assert!(!mismatched.is_intact());
 //! ```
 
 use serde::{Deserialize, Serialize};
 
-/// The body of a backend server's answer.
+/// The body of a response to a request that ran to its end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseBody {
     /// The backend server that ran the request.
     pub server: String,
-    /// The request that this answers.
+    /// The id of the request, from its `damaskvane-request-id` header.
     pub request_id: String,
-    /// The idempotency key of the request, or empty.
+    /// The idempotency key of the request; empty if the request has none.
     pub idempotency_key: String,
-    /// The path and query that ran.
+    /// The path and query of the request.
     pub path: String,
-    /// As many bytes as the request asked for, derived from the request id.
+    /// Letters derived from the request id, as many as the request's `bytes` parameter.
     pub padding: String,
-    /// The hash of all other fields.
+    /// The BLAKE3 hash of all other fields, in hexadecimal.
     pub checksum: String,
 }
 
 impl ResponseBody {
-    /// The answer of `server`, with `padding_bytes` of padding.
+    /// Creates the body of `server`'s response, with `padding_bytes` of padding and the checksum.
     #[must_use]
     pub fn new(
         server: &str,
@@ -38,7 +38,7 @@
         path: &str,
         padding_bytes: usize,
     ) -> Self {
-        let mut answer = Self {
+        let mut body = Self {
             server: server.to_owned(),
             request_id: request_id.to_owned(),
             idempotency_key: idempotency_key.to_owned(),
@@ -46,11 +46,11 @@
             padding: padding(request_id, padding_bytes),
             checksum: String::new(),
         };
-        answer.checksum = answer.hash();
-        answer
+        body.checksum = body.hash();
+        body
     }
 
-    /// Whether no field was cut, crossed or changed since the answer was made.
+    /// Returns whether the checksum matches all other fields.
     #[must_use]
     pub fn is_intact(&self) -> bool {
         self.checksum == self.hash()
@@ -73,7 +73,7 @@
     }
 }
 
-/// Letters derived from the request id, so that two requests never share their padding.
+/// Derives the padding from the request id, so that the padding of two requests differs.
 fn padding(request_id: &str, bytes: usize) -> String {
     let mut raw = vec![0; bytes];
     blake3::Hasher::new()
--- a/crates/damaskvane-standins/src/backend/server.rs
+++ b/crates/damaskvane-standins/src/backend/server.rs
@@ -1,9 +1,9 @@
-//! One backend server: its listener, what it runs and its faults.
+//! One backend server: its listener, running requests, counters and faults.
 //!
 //! ```
 //! use damaskvane_standins::backend;
 //!
-//! let server = backend::Server::start("s-1:6".parse()?, backend::START_SEED)?;
+//! let server = backend::Server::start("s-1:6".parse()?, backend::DEFAULT_SEED)?;
 //! server.set_faults(backend::Faults { shed: true, ..backend::Faults::default() });
 //! assert!(server.faults().shed);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
@@ -19,23 +19,23 @@
 use crate::backend;
 use crate::backend::{ExecutionLog, Faults, ServerSpec, ServerStats, connection};
 
-/// How long a crashed server refuses connections.
-const CRASH_DOWN: Duration = Duration::from_secs(2);
-/// How long a thread without a connection waits for another.
-const IDLE_LIMIT: Duration = Duration::from_secs(5);
-/// How often a server that is down looks whether it may come back.
-const DOWN_POLL: Duration = Duration::from_millis(50);
+/// The time that a crashed server refuses connections.
+const CRASH_DOWNTIME: Duration = Duration::from_secs(2);
+/// The time that an idle thread waits for another connection before it ends.
+const THREAD_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// The interval at which a server that is down checks whether it can listen again.
+const DOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a running request ends early.
+/// The reason why a running request ends early.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Abort {
-    /// The caller cancelled it.
+    /// The caller cancelled the request, or the deadline passed.
     Cancelled,
-    /// The server died under it.
+    /// The server crashed or was switched off.
     Crashed,
 }
 
-/// One backend server of the stand-in; clones share it.
+/// A handle to one running backend server; clones refer to the same server.
 #[derive(Debug, Clone)]
 pub struct Server {
     shared: Arc<Shared>,
@@ -48,19 +48,19 @@
     seed: u64,
     log: Arc<ExecutionLog>,
     state: Mutex<State>,
-    /// Takes a connection only while a thread waits for one.
-    idle: flume::Sender<(u64, net::TcpStream)>,
-    waiting: flume::Receiver<(u64, net::TcpStream)>,
+    /// Hands a connection to an idle thread; unbuffered, so that sending fails if none is waiting.
+    hand_over_to: flume::Sender<(u64, net::TcpStream)>,
+    handed_over: flume::Receiver<(u64, net::TcpStream)>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     stats: ServerStats,
     faults: Faults,
-    /// When the faults were last set; a cold start counts from here.
+    /// The time at which the faults were last set; a cold start begins there.
     faults_since: Option<Instant>,
-    /// Connections numbered below this are silent while the fault stands.
-    silent_below: u64,
+    /// Connections with a lower number get no responses while `freeze_connections` is on.
+    frozen_below: u64,
     next_connection: u64,
     connections: HashMap<u64, net::TcpStream>,
     running: HashMap<usize, Running>,
@@ -74,19 +74,19 @@
 }
 
 impl Server {
-    /// Starts a server with a log of its own on a free loopback port.
+    /// Starts a server with its own execution log on a free loopback port.
     pub fn start(spec: ServerSpec, seed: u64) -> io::Result<Self> {
         Self::start_with_log(spec, seed, Arc::default())
     }
 
-    /// Starts a server that shares a log with others.
+    /// Starts a server on a free loopback port that shares an execution log with other servers.
     pub fn start_with_log(spec: ServerSpec, seed: u64, log: Arc<ExecutionLog>) -> io::Result<Self> {
         let listener = net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0))?;
         let stats = ServerStats {
             slots: spec.slots,
             ..ServerStats::default()
         };
-        let (idle, waiting) = flume::bounded(0);
+        let (hand_over_to, handed_over) = flume::bounded(0);
         let server = Self {
             shared: Arc::new(Shared {
                 spec,
@@ -97,8 +97,8 @@
                     stats,
                     ..State::default()
                 }),
-                idle,
-                waiting,
+                hand_over_to,
+                handed_over,
             }),
         };
         let acceptor = server.clone();
@@ -106,41 +106,41 @@
         Ok(server)
     }
 
-    /// The name of the server.
+    /// Returns the name of the server.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.shared.spec.name
     }
 
-    /// Where it listens.
+    /// Returns the address and port that the server listens on.
     #[must_use]
     pub fn address(&self) -> net::SocketAddr {
         self.shared.address
     }
 
-    /// What it saw so far.
+    /// Returns a copy of the counters.
     #[must_use]
     pub fn stats(&self) -> ServerStats {
         self.lock().stats
     }
 
-    /// The log of executions.
+    /// Returns the execution log, which several servers may share.
     #[must_use]
     pub fn log(&self) -> &ExecutionLog {
         &self.shared.log
     }
 
-    /// The faults that are switched on.
+    /// Returns a copy of the active faults.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.lock().faults.clone()
     }
 
-    /// Replaces the faults.
+    /// Replaces all active faults.
     pub fn set_faults(&self, faults: Faults) {
         let down = faults.down;
         let mut state = self.lock();
-        state.silent_below = state.next_connection;
+        state.frozen_below = state.next_connection;
         state.faults_since = Some(Instant::now());
         state.faults = faults;
         drop(state);
@@ -149,11 +149,12 @@
         }
     }
 
-    /// Dies as a process does: closes everything, aborts what runs, refuses for a while.
+    /// Simulates a crash: closes all connections, aborts running requests and refuses connections
+    /// for [`CRASH_DOWNTIME`].
     pub(crate) fn crash(&self) {
         let mut state = self.lock();
         state.stats.crashes += 1;
-        state.down_until = Some(Instant::now() + CRASH_DOWN);
+        state.down_until = Some(Instant::now() + CRASH_DOWNTIME);
         drop(state);
         self.close_all();
     }
@@ -167,7 +168,7 @@
             let _ = stream.shutdown(net::Shutdown::Both);
         }
         drop(state);
-        // Wakes the acceptor, which then sees that it is down and closes the listener.
+        // Wakes the accepting thread, which then closes the listener because the server is down.
         let _ = net::TcpStream::connect(self.shared.address);
     }
 
@@ -182,7 +183,7 @@
                 continue;
             }
             let Ok((stream, _)) = accepted else {
-                thread::sleep(DOWN_POLL);
+                thread::sleep(DOWN_POLL_INTERVAL);
                 continue;
             };
             let _ = stream.set_nodelay(true);
@@ -193,10 +194,12 @@
         }
     }
 
-    /// Gives a connection to an idle thread, or to a new one. Starting a thread for each connection would
-    /// cost a caller that opens one for each request more than the connection itself.
+    /// Passes a connection to an idle thread, or to a new one.
+    ///
+    /// For callers that open a connection for each request, starting a thread for each connection
+    /// would cost more than the connection itself.
     fn hand_over(&self, number: u64, stream: net::TcpStream) {
-        let Err(refused) = self.shared.idle.try_send((number, stream)) else {
+        let Err(refused) = self.shared.hand_over_to.try_send((number, stream)) else {
             return;
         };
         let server = self.clone();
@@ -205,14 +208,18 @@
             while let Some((number, stream)) = connection.take() {
                 connection::serve(&server, number, stream);
                 server.close(number);
-                connection = server.shared.waiting.recv_timeout(IDLE_LIMIT).ok();
+                connection = server
+                    .shared
+                    .handed_over
+                    .recv_timeout(THREAD_IDLE_TIMEOUT)
+                    .ok();
             }
         });
     }
 
     fn listen_again(&self) -> net::TcpListener {
         loop {
-            thread::sleep(DOWN_POLL);
+            thread::sleep(DOWN_POLL_INTERVAL);
             if self.is_down() {
                 continue;
             }
@@ -245,23 +252,25 @@
         state.stats.connections -= 1;
     }
 
-    /// Whether connection `number` has lost its other end.
-    pub(crate) fn is_silent(&self, number: u64) -> bool {
+    /// Returns whether connection `number` gets no responses because of `freeze_connections`.
+    pub(crate) fn is_frozen(&self, number: u64) -> bool {
         let state = self.lock();
-        state.faults.silent_connections && number < state.silent_below
+        state.faults.freeze_connections && number < state.frozen_below
     }
 
-    /// Notes a refusal.
+    /// Counts a request that was rejected without running.
     pub(crate) fn count_shed(&self) {
         self.lock().stats.shed += 1;
     }
 
-    /// Notes a call of `/health` or `/load`.
+    /// Counts a call of `/health` or `/load`.
     pub(crate) fn count_report(&self) {
         self.lock().stats.reports += 1;
     }
 
-    /// Takes a slot, free or not, and logs the start.
+    /// Records the start of an execution, also beyond the slots.
+    ///
+    /// Returns the number of the execution and the channel that aborts it.
     pub(crate) fn begin(&self, execution: backend::Execution) -> (usize, flume::Receiver<Abort>) {
         let (abort, aborted) = flume::bounded(1);
         let request_id = execution.request_id.clone();
@@ -277,7 +286,7 @@
         (number, aborted)
     }
 
-    /// Gives the slot back and logs the end.
+    /// Frees the slot of an execution and records its end.
     pub(crate) fn end(&self, number: usize, aborted: bool) {
         let mut state = self.lock();
         state.running.remove(&number);
@@ -289,7 +298,7 @@
             .finish(number, backend::now_unix_ms(), aborted);
     }
 
-    /// Asks the runs of a request to stop; whether there was one.
+    /// Aborts all executions of a request; returns whether one was running.
     pub(crate) fn cancel(&self, request_id: &str) -> bool {
         let mut state = self.lock();
         let mut found = false;
@@ -304,9 +313,12 @@
         found
     }
 
-    /// How long a request runs: the middle time give or take half, settled by seed and request id.
-    pub(crate) fn service_time(&self, request_id: &str, asked_ms: Option<u64>) -> Duration {
-        let middle_ms = asked_ms.unwrap_or_else(|| self.jittered_ms(request_id));
+    /// Returns the service time of a request, with the factor of a cold start.
+    ///
+    /// Without `requested_ms`, the time varies by up to half around the server's mean and is
+    /// determined by the seed and the request id.
+    pub(crate) fn service_time(&self, request_id: &str, requested_ms: Option<u64>) -> Duration {
+        let base_ms = requested_ms.unwrap_or_else(|| self.jittered_ms(request_id));
         let state = self.lock();
         let cold = state.faults_since.is_some_and(|since| {
             since.elapsed() < Duration::from_millis(state.faults.cold_start_ms)
@@ -316,7 +328,7 @@
         } else {
             1
         };
-        Duration::from_millis(middle_ms * factor)
+        Duration::from_millis(base_ms * factor)
     }
 
     fn jittered_ms(&self, request_id: &str) -> u64 {
@@ -324,8 +336,8 @@
         hasher.update(&self.shared.seed.to_le_bytes());
         hasher.update(request_id.as_bytes());
         let byte = u64::from(hasher.finalize().as_bytes()[0]);
-        let middle_ms = self.shared.spec.service_ms;
-        middle_ms / 2 + middle_ms * byte / 255
+        let mean_ms = self.shared.spec.service_ms;
+        mean_ms / 2 + mean_ms * byte / 255
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/damaskvane-standins/src/backend/spec.rs
+++ b/crates/damaskvane-standins/src/backend/spec.rs
@@ -1,4 +1,4 @@
-//! What one backend server of the stand-in is.
+//! Name, slots and service time of a backend server, as given on the command line or in a file.
 //!
 //! ```
 //! use damaskvane_standins::backend;
@@ -12,32 +12,32 @@
 
 use serde::Deserialize;
 
-/// How long a request runs where nothing else is said, in milliseconds.
-const SERVICE_MS: u64 = 20;
+/// The mean service time if the specification gives none, in milliseconds.
+const DEFAULT_SERVICE_MS: u64 = 20;
 
-/// The name, slots and service time of one backend server.
+/// The specification of one backend server, in text `NAME:SLOTS` or `NAME:SLOTS:SERVICE_MS`.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerSpec {
     /// The name, unique within the process.
     pub name: String,
-    /// How many requests it can run at once.
+    /// The number of requests that the server can run at once.
     pub slots: u32,
-    /// How long a request runs in the middle, in milliseconds; each varies by half around it.
+    /// The mean service time of a request, in milliseconds; each request varies by up to half.
     #[serde(default = "default_service_ms")]
     pub service_ms: u64,
 }
 
 const fn default_service_ms() -> u64 {
-    SERVICE_MS
+    DEFAULT_SERVICE_MS
 }
 
-/// Why a text is no server.
+/// An error in the specification of a server.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ParseServerSpecError {
-    /// {0:?} is no server; write NAME:SLOTS or NAME:SLOTS:SERVICE_MS
+    /// {0:?} is not a server specification; write NAME:SLOTS or NAME:SLOTS:SERVICE_MS
     Form(String),
-    /// {0:?} is no number; write slots and service time as whole numbers
+    /// {0:?} is not a number in range; write slots and service time as whole numbers
     Number(String),
 }
 
@@ -54,7 +54,7 @@
         Ok(Self {
             name: name.to_owned(),
             slots: number(slots)?,
-            service_ms: service_ms.map_or(Ok(SERVICE_MS), number)?,
+            service_ms: service_ms.map_or(Ok(DEFAULT_SERVICE_MS), number)?,
         })
     }
 }
--- a/crates/damaskvane-standins/src/backend/stats.rs
+++ b/crates/damaskvane-standins/src/backend/stats.rs
@@ -1,4 +1,4 @@
-//! What one backend server saw.
+//! Counters of one backend server.
 //!
 //! ```
 //! use damaskvane_standins::backend;
@@ -9,32 +9,32 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Counters of one backend server since its start.
+/// The counters of one backend server since its start; a crash doesn't reset them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerStats {
-    /// Requests it can run at once.
+    /// Requests that the server can run at once.
     pub slots: u32,
     /// Requests running now.
     pub running: u32,
-    /// The most that ever ran at once.
+    /// The maximum number of requests that ran at once.
     pub max_running: u32,
-    /// Starts that found every slot taken: each is a broken capacity promise.
+    /// Requests started while every slot was in use; each violates the promised capacity limit.
     pub over_slots: u64,
     /// Requests started.
     pub executed: u64,
-    /// Requests that ended before their work was done.
+    /// Requests that ended early: cancelled, past their deadline, failed or crashed.
     pub aborted: u64,
-    /// Requests refused before running.
+    /// Requests rejected without running.
     pub shed: u64,
-    /// Calls of `/cancel` that found their request running.
+    /// Calls of `/cancel` whose request was running.
     pub cancelled: u64,
     /// Connections open now.
     pub connections: u32,
-    /// The most connections ever open at once.
+    /// The maximum number of connections open at once.
     pub max_connections: u32,
     /// Connections accepted.
     pub accepted: u64,
-    /// How often a request brought the server down.
+    /// Crashes that a request caused.
     pub crashes: u64,
     /// Calls of `/health` and `/load`.
     pub reports: u64,
--- a/crates/damaskvane-standins/tests/backend.rs
+++ b/crates/damaskvane-standins/tests/backend.rs
@@ -8,7 +8,7 @@
 
 fn start(spec: &str) -> backend::Server {
     let spec = spec.parse().expect("a server");
-    backend::Server::start(spec, backend::START_SEED).expect("a free port")
+    backend::Server::start(spec, backend::DEFAULT_SEED).expect("a free port")
 }
 
 fn connect(server: &backend::Server) -> net::TcpStream {
@@ -122,14 +122,14 @@
 #[test]
 fn a_connection_dies_at_the_stage_it_is_told() {
     let cases = [
-        (backend::ByteStage::BeforeRead, 0),
-        (backend::ByteStage::AfterRead, 0),
-        (backend::ByteStage::MidAnswer, 1),
+        (backend::DisconnectStage::BeforeRead, 0),
+        (backend::DisconnectStage::AfterRead, 0),
+        (backend::DisconnectStage::MidResponse, 1),
     ];
     for (stage, ran) in cases {
         let server = start("s-1:1");
         server.set_faults(backend::Faults {
-            die: Some(stage),
+            disconnect_at: Some(stage),
             ..backend::Faults::default()
         });
         let text = ask(&server, "GET /work?ms=1&bytes=50", "");
@@ -150,7 +150,7 @@
         std::thread::yield_now();
     }
     server.set_faults(backend::Faults {
-        silent_connections: true,
+        freeze_connections: true,
         ..backend::Faults::default()
     });
     old.set_read_timeout(Some(Duration::from_millis(300)))
