--- a/crates/damaskvane-standins/src/bin/damaskvane-standin-backend.rs
+++ b/crates/damaskvane-standins/src/bin/damaskvane-standin-backend.rs
@@ -1,4 +1,4 @@
-//! Plays many backend servers in one process; see `--help`.
+//! Program that runs stand-ins for backend servers; `--help` describes the options.
 
 use std::collections::BTreeMap;
 use std::env;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Serves until SIGTERM or SIGINT.
+/// Starts the servers and the admin API, prints their addresses and waits for SIGTERM or SIGINT.
 fn serve(options: backend::Options) -> Result<(), Box<dyn error::Error + Send + Sync>> {
     let mut signals = signal_hook::iterator::Signals::new([
         signal_hook::consts::SIGTERM,
--- a/crates/damaskvane-standins/src/bin/damaskvane-standin-platform.rs
+++ b/crates/damaskvane-standins/src/bin/damaskvane-standin-platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in as a program.
+//! Program that serves the stand-in for the platform's object API; `--help` describes the options.
 
 use core::fmt::Display;
 use std::error::Error;
@@ -18,18 +18,19 @@
 use signal_hook::iterator::Signals;
 
 const HELP: &str = "\
-Stands in for the platform's object API in tests.
+Serves an in-memory stand-in for the platform's object API.
 
 Usage: damaskvane-standin-platform --tokens FILE [options]
 
-  --tokens FILE            lines of \"token holder\"
-  --listen ADDRESS         where the object API listens (127.0.0.1:0)
-  --admin ADDRESS          where faults are switched and counts read (127.0.0.1:0)
-  --instances-lag-ms MS    how far the list of instances lags (2000)
-  --help                   this text
-  --version                the version
+  --tokens FILE            read the accepted tokens, one \"token holder\" per line
+  --listen ADDRESS         serve the object API here (127.0.0.1:0)
+  --admin ADDRESS          serve fault switches and counters here (127.0.0.1:0)
+  --instances-lag-ms MS    delay updates of the list of instances by this time (2000)
+  --help                   print this text
+  --version                print the version
 
-Prints one line of JSON with both addresses. Ends on SIGTERM and SIGINT with 0, on wrong usage with 2.
+Prints one line of JSON with both addresses. Exits with 0 on SIGTERM or SIGINT, 2 on wrong usage and 1 on
+other errors.
 ";
 
 const PROGRAM: &str = "damaskvane-standin-platform";
