--- a/crates/damaskvane-standins/src/config_run/calls.rs
+++ b/crates/damaskvane-standins/src/config_run/calls.rs
@@ -1,4 +1,4 @@
-//! Operators' turns and their calls on the store.
+//! Turns of the operators, and their calls of the store with its faults.
 
 use damaskvane_config::manifest::Head;
 use damaskvane_config::relay::Event;
@@ -6,40 +6,40 @@
 use damaskvane_config::ticket::Ticket;
 use rand::RngExt;
 
-use crate::config_run::operators::Move;
+use crate::config_run::operators::OperatorAction;
 use crate::config_run::world::{Delivery, World};
 use crate::platform::WriteOutcome;
 
 impl World {
     pub(super) fn operator_turn(&mut self, operator: usize) -> Result<(), String> {
-        let head = self.truth.newest();
+        let head = self.oracle.newest();
         if self.healed && self.operators[operator].is_idle() {
             return Ok(());
         }
-        match self.operators[operator].next(&mut self.rng, &head) {
-            Move::Call(call) => {
+        match self.operators[operator].next_action(&mut self.rng, &head) {
+            OperatorAction::Call(call) => {
                 let delay_ms = self.rng.random_range(2..40);
-                self.later(delay_ms, Delivery::OperatorCall(operator, call));
+                self.schedule(delay_ms, Delivery::OperatorCall(operator, call));
             }
-            Move::Wait(ms) => self.later(ms, Delivery::OperatorTurn(operator)),
-            Move::Ended(write_id, outcome) => {
-                self.count(&outcome);
-                self.truth.note_told(&write_id, outcome)?;
-                self.later(0, Delivery::OperatorTurn(operator));
+            OperatorAction::Wait(ms) => self.schedule(ms, Delivery::OperatorTurn(operator)),
+            OperatorAction::Ended(write_id, outcome) => {
+                self.count_outcome(&outcome);
+                self.oracle.record_outcome(&write_id, outcome)?;
+                self.schedule(0, Delivery::OperatorTurn(operator));
             }
         }
         Ok(())
     }
 
-    pub(super) fn count(&mut self, outcome: &Outcome) {
-        let count = match outcome {
-            Outcome::Accepted { .. } => &mut self.report.told_accepted,
+    pub(super) fn count_outcome(&mut self, outcome: &Outcome) {
+        let counter = match outcome {
+            Outcome::Accepted { .. } => &mut self.report.reported_accepted,
             Outcome::Overlapping(_) => &mut self.report.refused_overlapping,
             Outcome::Invalid(_) => &mut self.report.refused_invalid,
             Outcome::NotAccepted(_) => &mut self.report.not_accepted,
             Outcome::Unknown(_) => &mut self.report.unknown,
         };
-        *count += 1;
+        *counter += 1;
     }
 
     pub(super) fn store_call(&mut self, call: &Call) -> Result<StoreResponse, String> {
@@ -49,24 +49,24 @@
         if matches!(call, Call::ReadHead | Call::ReadChunk(_)) {
             return Ok(self.store_read(call));
         }
-        if self.chance(self.settings.lost_before_permille) {
-            return Ok(StoreResponse::Unknown("lost before".to_owned()));
+        if self.chance(self.settings.lost_request_permille) {
+            return Ok(StoreResponse::Unknown("request lost".to_owned()));
         }
         if self.chance(self.settings.late_write_permille) {
             let delay_ms = self.rng.random_range(100..5_000);
-            self.later(delay_ms, Delivery::LateWrite(call.clone()));
-            return Ok(StoreResponse::Unknown("late".to_owned()));
+            self.schedule(delay_ms, Delivery::LateWrite(call.clone()));
+            return Ok(StoreResponse::Unknown("write delayed".to_owned()));
         }
-        let answer = self.apply(call)?;
-        if self.chance(self.settings.lost_after_permille) {
-            self.report.lost_after += 1;
-            return Ok(StoreResponse::Unknown("lost after".to_owned()));
+        let response = self.apply(call)?;
+        if self.chance(self.settings.lost_response_permille) {
+            self.report.lost_responses += 1;
+            return Ok(StoreResponse::Unknown("response lost".to_owned()));
         }
-        Ok(answer)
+        Ok(response)
     }
 
     pub(super) fn store_read(&mut self, call: &Call) -> StoreResponse {
-        let stale = self.chance(self.settings.stale_permille);
+        let stale = self.chance(self.settings.stale_read_permille);
         let (kind, name) = call.key();
         match self.store.read(kind, &name, stale) {
             Some(object) => StoreResponse::Found {
@@ -97,8 +97,8 @@
             (WriteOutcome::Conflict(_), _) => Ok(StoreResponse::Conflict),
             (WriteOutcome::Applied(_), Call::WriteHead { bytes, .. }) => {
                 let ticket = self.ticket_of(bytes)?;
-                self.truth.note_head(bytes, &ticket)?;
-                self.spans.accept(self.now);
+                self.oracle.record_head(bytes, &ticket)?;
+                self.activation_times.record_acceptance(self.now);
                 self.fire_watches();
                 Ok(StoreResponse::Applied)
             }
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The ticket that a head accepts; it must be in the store before the head.
+    /// Returns the ticket that a head accepts; fails if the ticket is not in the store already.
     pub(super) fn ticket_of(&self, head: &[u8]) -> Result<Ticket, String> {
         let head = Head::decode(head).map_err(|error| error.to_string())?;
         let name = head.ticket_hash.map(|hash| hash.to_string());
@@ -114,7 +114,7 @@
             .store
             .read("chunk", &name.unwrap_or_default(), false)
             .and_then(|object| object.value)
-            .ok_or("a head names a ticket that is not stored")?;
+            .ok_or("the head names a ticket that is not in the store")?;
         Ticket::decode(&stored).map_err(|error| error.to_string())
     }
 
@@ -127,16 +127,16 @@
             .filter(|instance| {
                 !self
                     .fleet
-                    .is_cut(&instance.member.availability_zone, self.now)
+                    .is_partitioned(&instance.member.availability_zone, self.now)
             })
             .map(|instance| instance.member.instance.clone())
             .collect();
         for id in watching {
             if !self.chance(self.settings.watch_skip_permille) {
-                self.deliver_soon(&id, Event::WatchFired);
+                self.deliver_event(&id, Event::WatchFired);
             }
             if self.chance(self.settings.watch_skip_permille) {
-                self.deliver_soon(&id, Event::WatchFired);
+                self.deliver_event(&id, Event::WatchFired);
             }
         }
     }
--- a/crates/damaskvane-standins/src/config_run/draft.rs
+++ b/crates/damaskvane-standins/src/config_run/draft.rs
@@ -1,4 +1,4 @@
-//! Drafts that overlap, that don't, and that are valid only without each other.
+//! Random drafts: some change the same objects, and some are valid only without each other.
 
 use damaskvane_config::document::Document;
 use damaskvane_config::manifest::Head;
@@ -6,10 +6,10 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// How many objects of each kind the drafts choose from.
-const NAMES: u32 = 4;
+/// The number of objects of each kind that drafts choose from; few, so that drafts overlap.
+const NAME_COUNT: u32 = 4;
 
-/// A random draft against a head.
+/// Creates a random draft against a head.
 pub(super) fn draft(rng: &mut Pcg64Mcg, head: &Head, operator: usize, serial: u64) -> Draft {
     let text = text(rng);
     let document = Document::parse("draft", &text).unwrap_or_default();
@@ -31,8 +31,8 @@
 }
 
 fn text(rng: &mut Pcg64Mcg) -> String {
-    let name = rng.random_range(0..NAMES);
-    let other = rng.random_range(0..NAMES);
+    let name = rng.random_range(0..NAME_COUNT);
+    let other = rng.random_range(0..NAME_COUNT);
     let timeout_ms = rng.random_range(100..2_000);
     match rng.random_range(0..10) {
         0..4 => service(name, timeout_ms),
--- a/crates/damaskvane-standins/src/config_run/exchange.rs
+++ b/crates/damaskvane-standins/src/config_run/exchange.rs
@@ -1,4 +1,4 @@
-//! Messages between instances, and instances' reads of the store.
+//! Messages between instances, and the instances' reads of the store.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::config_run::world::{Delivery, World};
 
 impl World {
-    pub(super) fn act(&mut self, id: &ids::InstanceId, action: Action) {
+    pub(super) fn perform(&mut self, id: &ids::InstanceId, action: Action) {
         match action {
             Action::Announce {
                 to,
@@ -19,17 +19,17 @@
             } => self.send_version(id, &to, version, state_hash),
             Action::FetchHead {
                 from: Source::Peer(peer),
-            } => self.send(id, &peer.clone(), Delivery::AskHead(peer, id.clone())),
+            } => self.send(id, &peer.clone(), Delivery::RequestHead(peer, id.clone())),
             Action::FetchChunks {
                 from: Source::Peer(peer),
                 hashes,
             } => self.send(
                 id,
                 &peer.clone(),
-                Delivery::AskChunks(peer, id.clone(), hashes),
+                Delivery::RequestChunks(peer, id.clone(), hashes),
             ),
-            Action::FetchHead { .. } => self.ask_store(id, None),
-            Action::FetchChunks { hashes, .. } => self.ask_store(id, Some(hashes)),
+            Action::FetchHead { .. } => self.request_from_store(id, None),
+            Action::FetchChunks { hashes, .. } => self.request_from_store(id, Some(hashes)),
             Action::WatchStore | Action::StopWatching | Action::Activated { .. } => {}
         }
     }
@@ -71,13 +71,13 @@
         if lost || !self.fleet.is_connected(from, to, self.now) {
             return;
         }
-        let near = self.fleet.zone_of(from) == self.fleet.zone_of(to);
-        let delay_ms = if near {
+        let same_zone = self.fleet.zone_of(from) == self.fleet.zone_of(to);
+        let delay_ms = if same_zone {
             self.rng.random_range(1..=3)
         } else {
-            self.far_ms()
+            self.remote_delay_ms()
         };
-        self.later(delay_ms, delivery);
+        self.schedule(delay_ms, delivery);
     }
 
     pub(super) fn send_heartbeats(&mut self, id: &ids::InstanceId) {
@@ -91,17 +91,17 @@
             return;
         };
         let all: Vec<_> = self.fleet.instances.keys().cloned().collect();
-        let stranger = self.rng.random_range(0..all.len());
+        let random_peer = self.rng.random_range(0..all.len());
         let zone = self.fleet.zone_of(id).cloned();
         for (index, to) in all.iter().enumerate() {
-            let near = self.fleet.zone_of(to) == zone.as_ref();
-            if to != id && (near || index == stranger) {
+            let same_zone = self.fleet.zone_of(to) == zone.as_ref();
+            if to != id && (same_zone || index == random_peer) {
                 self.send_version(id, to, active_config.version(), active_config.state_hash());
             }
         }
     }
 
-    pub(super) fn answer_head(&mut self, from: &ids::InstanceId, to: &ids::InstanceId) {
+    pub(super) fn respond_head(&mut self, from: &ids::InstanceId, to: &ids::InstanceId) {
         let Some(instance) = self.fleet.instances.get(from) else {
             return;
         };
@@ -117,7 +117,7 @@
         self.send_event(from, to, event);
     }
 
-    pub(super) fn answer_chunks(
+    pub(super) fn respond_chunks(
         &mut self,
         from: &ids::InstanceId,
         to: &ids::InstanceId,
@@ -140,7 +140,7 @@
     }
 
     pub(super) fn corrupted(&mut self, chunk: Arc<[u8]>) -> Arc<[u8]> {
-        if !self.chance(self.settings.corrupt_permille) || chunk.is_empty() {
+        if !self.chance(self.settings.corrupt_chunk_permille) || chunk.is_empty() {
             return chunk;
         }
         let mut bytes = chunk.to_vec();
@@ -149,20 +149,24 @@
         bytes.into()
     }
 
-    pub(super) fn ask_store(&mut self, id: &ids::InstanceId, hashes: Option<Vec<ContentHash>>) {
+    pub(super) fn request_from_store(
+        &mut self,
+        id: &ids::InstanceId,
+        hashes: Option<Vec<ContentHash>>,
+    ) {
         self.report.instance_store_calls += hashes.as_ref().map_or(1, Vec::len) as u64;
-        let cut = self
+        let is_partitioned = self
             .fleet
             .zone_of(id)
-            .is_none_or(|zone| self.fleet.is_cut(zone, self.now));
-        if cut || self.chance(self.settings.lost_before_permille) {
+            .is_none_or(|zone| self.fleet.is_partitioned(zone, self.now));
+        if is_partitioned || self.chance(self.settings.lost_request_permille) {
             return;
         }
-        let delay_ms = self.far_ms();
-        self.later(delay_ms, Delivery::AskStore(id.clone(), hashes));
+        let delay_ms = self.remote_delay_ms();
+        self.schedule(delay_ms, Delivery::ReadStore(id.clone(), hashes));
     }
 
-    pub(super) fn answer_from_store(
+    pub(super) fn respond_from_store(
         &mut self,
         id: &ids::InstanceId,
         hashes: Option<Vec<ContentHash>>,
@@ -179,7 +183,7 @@
                 chunks: chunks.collect(),
             }
         } else {
-            let stale = self.chance(self.settings.stale_permille);
+            let stale = self.chance(self.settings.stale_read_permille);
             match self.store.read("head", "config", stale) {
                 Some(object) => Event::Head {
                     from,
@@ -188,13 +192,13 @@
                 None => Event::FetchFailed { from },
             }
         };
-        self.deliver_soon(id, event);
+        self.deliver_event(id, event);
     }
 
-    pub(super) fn deliver_soon(&mut self, id: &ids::InstanceId, event: Event) {
+    pub(super) fn deliver_event(&mut self, id: &ids::InstanceId, event: Event) {
         if let Some(incarnation) = self.incarnation(id) {
-            let delay_ms = self.far_ms();
-            self.later(delay_ms, Delivery::Instance(id.clone(), incarnation, event));
+            let delay_ms = self.remote_delay_ms();
+            self.schedule(delay_ms, Delivery::Instance(id.clone(), incarnation, event));
         }
     }
 }
--- a/crates/damaskvane-standins/src/config_run/fleet.rs
+++ b/crates/damaskvane-standins/src/config_run/fleet.rs
@@ -1,25 +1,25 @@
-//! The instances, their incarnations, pauses and cut zones.
+//! The simulated instances, with their incarnations and pauses, and the partitioned zones.
 
 use std::collections::BTreeMap;
 
 use damaskvane_config::relay::{Member, Relay, RelaySettings, View};
 use damaskvane_core::{ids, time};
 
-/// One instance.
+/// One simulated instance.
 #[derive(Debug)]
 pub(super) struct Instance {
     pub(super) member: Member,
     pub(super) relay: Relay,
     pub(super) incarnation: u64,
     pub(super) paused_until: time::TimeMs,
-    pub(super) highest: ids::ConfigVersion,
+    pub(super) max_version: ids::ConfigVersion,
 }
 
-/// All instances.
+/// All simulated instances, and the zones cut off from the others.
 #[derive(Debug)]
 pub(super) struct Fleet {
     pub(super) instances: BTreeMap<ids::InstanceId, Instance>,
-    cut_until: BTreeMap<ids::AvailabilityZoneId, time::TimeMs>,
+    partitioned_until: BTreeMap<ids::AvailabilityZoneId, time::TimeMs>,
     next_seed: u64,
 }
 
@@ -27,7 +27,7 @@
     pub(super) fn new(zones: usize, instances_per_zone: usize, seed: u64) -> Self {
         let mut fleet = Self {
             instances: BTreeMap::new(),
-            cut_until: BTreeMap::new(),
+            partitioned_until: BTreeMap::new(),
             next_seed: seed,
         };
         for zone in 0..zones {
@@ -45,7 +45,7 @@
         fleet
     }
 
-    /// Starts an instance with nothing in force; replaces one of the same name.
+    /// Starts an instance without an active configuration; replaces an instance of the same name.
     pub(super) fn boot(&mut self, member: Member) {
         self.next_seed += 1;
         let incarnation = self.next_seed;
@@ -56,12 +56,12 @@
             relay,
             incarnation,
             paused_until: time::TimeMs::ZERO,
-            highest: ids::ConfigVersion::new(0),
+            max_version: ids::ConfigVersion::new(0),
         };
         self.instances.insert(member.instance, instance);
     }
 
-    /// The live instances as one of them sees them.
+    /// Returns the membership view of one instance: all other instances.
     pub(super) fn view_of(&self, me: &ids::InstanceId) -> View {
         let others = self.instances.values().map(|instance| &instance.member);
         View {
@@ -77,15 +77,19 @@
         Some(&instance.member.availability_zone)
     }
 
-    pub(super) fn cut(&mut self, zone: &ids::AvailabilityZoneId, until: time::TimeMs) {
-        self.cut_until.insert(zone.clone(), until);
+    pub(super) fn partition(&mut self, zone: &ids::AvailabilityZoneId, until: time::TimeMs) {
+        self.partitioned_until.insert(zone.clone(), until);
     }
 
-    pub(super) fn is_cut(&self, zone: &ids::AvailabilityZoneId, now: time::TimeMs) -> bool {
-        self.cut_until.get(zone).is_some_and(|until| now < *until)
+    pub(super) fn is_partitioned(&self, zone: &ids::AvailabilityZoneId, now: time::TimeMs) -> bool {
+        self.partitioned_until
+            .get(zone)
+            .is_some_and(|until| now < *until)
     }
 
-    /// Whether messages pass between two instances.
+    /// Returns whether messages can be delivered between two instances.
+    ///
+    /// Instances of one zone stay connected while the zone is partitioned from the others.
     pub(super) fn is_connected(
         &self,
         from: &ids::InstanceId,
@@ -94,13 +98,13 @@
     ) -> bool {
         match (self.zone_of(from), self.zone_of(to)) {
             (Some(from), Some(to)) => {
-                from == to || !(self.is_cut(from, now) || self.is_cut(to, now))
+                from == to || !(self.is_partitioned(from, now) || self.is_partitioned(to, now))
             }
             _ => false,
         }
     }
 
-    /// The versions in force, lowest first.
+    /// Returns the active version of each instance, lowest first.
     pub(super) fn versions(&self) -> Vec<ids::ConfigVersion> {
         let instances = self.instances.values();
         let mut versions: Vec<_> = instances
@@ -110,9 +114,9 @@
         versions
     }
 
-    /// Ends all cuts and pauses.
+    /// Ends all partitions and pauses.
     pub(super) fn heal(&mut self) {
-        self.cut_until.clear();
+        self.partitioned_until.clear();
         for instance in self.instances.values_mut() {
             instance.paused_until = time::TimeMs::ZERO;
         }
--- a/crates/damaskvane-standins/src/config_run/operators.rs
+++ b/crates/damaskvane-standins/src/config_run/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who submit drafts one after the other.
+//! Operators that submit drafts, each one after the other.
 
 use damaskvane_config::manifest::Head;
 use damaskvane_config::submit::{Call, Outcome, Step, StoreResponse, Submission};
@@ -7,18 +7,18 @@
 
 use crate::config_run::draft;
 
-/// What an operator does next.
+/// The next action of an operator.
 #[derive(Debug)]
-pub(super) enum Move {
-    /// Make a call on the store.
+pub(super) enum OperatorAction {
+    /// Call the store.
     Call(Call),
-    /// Wait so many milliseconds.
+    /// Wait for a number of milliseconds.
     Wait(u64),
-    /// The submission with this write identity has ended.
+    /// Report the outcome of the submission with this write id.
     Ended(String, Outcome),
 }
 
-/// One operator.
+/// An operator with at most one submission in progress.
 #[derive(Debug)]
 pub(super) struct Operator {
     index: usize,
@@ -39,28 +39,28 @@
         self.submission.is_none()
     }
 
-    pub(super) fn answer(&mut self, call: &Call, answer: StoreResponse) {
+    pub(super) fn handle_response(&mut self, call: &Call, response: StoreResponse) {
         if let Some((_, submission)) = &mut self.submission {
-            submission.handle_response(call, answer);
+            submission.handle_response(call, response);
         }
     }
 
-    /// The next move; starts a new draft against `head` where none is under way.
-    pub(super) fn next(&mut self, rng: &mut Pcg64Mcg, head: &Head) -> Move {
+    /// Returns the next action; starts a new draft against `head` if no submission is in progress.
+    pub(super) fn next_action(&mut self, rng: &mut Pcg64Mcg, head: &Head) -> OperatorAction {
         let Some((write_id, submission)) = &mut self.submission else {
             self.serial += 1;
             let draft = draft::draft(rng, head, self.index, self.serial);
             self.submission = Some((draft.write_id.clone(), Submission::new(draft)));
-            // The draft waits while others submit theirs.
-            return Move::Wait(rng.random_range(0..400));
+            // The wait lets other operators submit first, so that drafts conflict.
+            return OperatorAction::Wait(rng.random_range(0..400));
         };
         match submission.next_step() {
-            Step::Call(call) => Move::Call(call),
-            Step::Pause => Move::Wait(rng.random_range(50..500)),
+            Step::Call(call) => OperatorAction::Call(call),
+            Step::Pause => OperatorAction::Wait(rng.random_range(50..500)),
             Step::Done(outcome) => {
                 let write_id = write_id.clone();
                 self.submission = None;
-                Move::Ended(write_id, outcome)
+                OperatorAction::Ended(write_id, outcome)
             }
         }
     }
--- a/crates/damaskvane-standins/src/config_run/report.rs
+++ b/crates/damaskvane-standins/src/config_run/report.rs
@@ -1,4 +1,4 @@
-//! What a run saw, or what it found broken.
+//! Results of a run: counters, or the violated invariant.
 //!
 //! ```
 //! use damaskvane_standins::config_run;
@@ -8,54 +8,58 @@
 
 use serde::Serialize;
 
-/// Counts of a run in which everything held.
+/// The counters and times of a run without a violated invariant.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct RunReport {
-    /// The seed.
+    /// The seed that the run was started with.
     pub seed: u64,
-    /// Instances at the end.
+    /// Instances at the end of the run.
     pub instances: usize,
-    /// Accepted tickets.
+    /// Tickets that the store accepted.
     pub accepted: u64,
-    /// Submissions that were told they are accepted.
-    pub told_accepted: u64,
-    /// Submissions refused since an object had changed.
+    /// Submissions that were reported as accepted to their operator.
+    #[serde(rename = "told_accepted")]
+    pub reported_accepted: u64,
+    /// Submissions rejected because an object had changed since the draft.
     pub refused_overlapping: u64,
-    /// Submissions refused since they weren't valid with what had landed.
+    /// Submissions rejected because they are invalid together with tickets accepted since the draft.
     pub refused_invalid: u64,
-    /// Submissions that ended for want of the store, proven not accepted.
+    /// Submissions that failed because of the store and are known not to be accepted.
     pub not_accepted: u64,
-    /// Submissions whose fate was not learnt.
+    /// Submissions whose outcome the operator could not determine.
     pub unknown: u64,
-    /// Answers of the store that were lost after the write.
-    pub lost_after: u64,
-    /// Writes that took effect late.
+    /// Store responses that were lost after the write took effect.
+    #[serde(rename = "lost_after")]
+    pub lost_responses: u64,
+    /// Store writes that arrived after their caller had stopped waiting.
     pub late_writes: u64,
-    /// Instances replaced by empty ones.
+    /// Instances that were replaced by an empty one.
     pub replaced: u64,
-    /// Store calls by instances.
+    /// Store reads by instances.
     pub instance_store_calls: u64,
-    /// Messages between instances.
+    /// Messages sent between instances, with those that were lost.
     pub messages: u64,
-    /// The median, over tickets and instances, from acceptance to in force.
+    /// The median time from the acceptance of a ticket until it is active on an instance, over all
+    /// tickets and instances.
     #[serde(rename = "in_force_p50_ms")]
     pub activation_p50_ms: u64,
-    /// The 99th percentile of the same.
+    /// The 99th percentile of the time from acceptance until active.
     #[serde(rename = "in_force_p99_ms")]
     pub activation_p99_ms: u64,
-    /// The longest of the same.
-    pub in_force_max_ms: u64,
-    /// Virtual time from the end of all faults until the newest ticket was in force everywhere.
+    /// The maximum time from acceptance until active.
+    #[serde(rename = "in_force_max_ms")]
+    pub activation_max_ms: u64,
+    /// The virtual time from the end of all faults until the newest ticket was active on every instance.
     pub healed_ms: u64,
 }
 
-/// seed {seed}, {at_ms} ms: {what}; run it again with this seed to find the cause
+/// seed {seed}, {at_ms} ms: {violation}; run again with this seed to reproduce the violation
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-pub struct Broken {
-    /// The seed.
+pub struct InvariantViolation {
+    /// The seed that the run was started with.
     pub seed: u64,
-    /// The virtual time.
+    /// The virtual time of the violation, in milliseconds since the start of the run.
     pub at_ms: u64,
-    /// What didn't hold.
-    pub what: String,
+    /// A description of the violated invariant.
+    pub violation: String,
 }
--- a/crates/damaskvane-standins/src/config_run/settings.rs
+++ b/crates/damaskvane-standins/src/config_run/settings.rs
@@ -1,4 +1,4 @@
-//! Size, length and faults of a run.
+//! Settings of a run: its size, its duration and its faults.
 //!
 //! ```
 //! use damaskvane_standins::config_run;
@@ -6,41 +6,44 @@
 //! assert_eq!(config_run::RunSettings::default().zones, 6);
 //! ```
 
-/// Settings of a run. Shares are in thousandths of the calls or messages they hit.
+/// The settings of a run.
+///
+/// A `permille` field is the probability, in thousandths, that the fault affects one call or message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunSettings {
-    /// What every random choice follows from.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// The length of the faulty part, in seconds of virtual time.
+    /// The duration of the part with faults, in seconds of virtual time.
     pub seconds: u64,
-    /// How many availability zones.
+    /// The number of availability zones.
     pub zones: usize,
-    /// How many instances in each.
+    /// The number of instances in each availability zone.
     pub instances_per_zone: usize,
-    /// How many operators race.
+    /// The number of operators that submit tickets concurrently.
     pub operators: usize,
-    /// The shortest delay of a message between zones, and of a call on the store, in milliseconds.
+    /// The minimum delay of a message between zones and of an instance's store call, in milliseconds.
     pub min_delay_ms: u64,
-    /// The longest such delay.
+    /// The maximum delay of a message between zones and of an instance's store call, in milliseconds.
     pub max_delay_ms: u64,
-    /// When the store goes down for the rest of the faulty part, in seconds; never if not given.
+    /// The start of a store outage that lasts for the rest of the part with faults, in seconds; `None`
+    /// for no such outage.
     pub store_down_from_s: Option<u64>,
-    /// Store calls whose answer is lost after they took effect.
-    pub lost_after_permille: u32,
-    /// Store calls that are lost before they take effect.
-    pub lost_before_permille: u32,
-    /// Store writes that take effect long after their caller gave up on the answer.
+    /// Store writes whose response is lost after the write took effect.
+    pub lost_response_permille: u32,
+    /// Store requests of instances and store writes of operators that are lost before they take effect.
+    pub lost_request_permille: u32,
+    /// Store writes that take effect only after their caller has stopped waiting for the response.
     pub late_write_permille: u32,
-    /// Store reads that answer the version before.
-    pub stale_permille: u32,
+    /// Store reads that return the version before the current one.
+    pub stale_read_permille: u32,
     /// Messages between instances that are lost.
     pub message_loss_permille: u32,
-    /// Chunks that are corrupted on their way.
-    pub corrupt_permille: u32,
-    /// Watch events that are never delivered.
+    /// Chunks that an instance receives with a flipped bit.
+    pub corrupt_chunk_permille: u32,
+    /// Watch events that are not delivered, and, with the same probability, delivered once more.
     pub watch_skip_permille: u32,
-    /// The chance in each second of a fault of its own kind: store down, zone cut, instance paused,
-    /// instance replaced.
+    /// The probability, in each second, of each of these faults: store outage, zone partitioned,
+    /// instance paused, instance replaced by an empty one.
     pub incident_permille: u32,
 }
 
@@ -55,12 +58,12 @@
             min_delay_ms: 1,
             max_delay_ms: 60,
             store_down_from_s: None,
-            lost_after_permille: 60,
-            lost_before_permille: 60,
+            lost_response_permille: 60,
+            lost_request_permille: 60,
             late_write_permille: 40,
-            stale_permille: 60,
+            stale_read_permille: 60,
             message_loss_permille: 50,
-            corrupt_permille: 30,
+            corrupt_chunk_permille: 30,
             watch_skip_permille: 200,
             incident_permille: 60,
         }
@@ -68,22 +71,22 @@
 }
 
 impl RunSettings {
-    /// The same run without any fault but lost messages.
+    /// Returns the same settings with lost messages as the only random fault.
     #[must_use]
     pub const fn with_lost_messages_only(self) -> Self {
         Self {
-            lost_after_permille: 0,
-            lost_before_permille: 0,
+            lost_response_permille: 0,
+            lost_request_permille: 0,
             late_write_permille: 0,
-            stale_permille: 0,
-            corrupt_permille: 0,
+            stale_read_permille: 0,
+            corrupt_chunk_permille: 0,
             watch_skip_permille: 0,
             incident_permille: 0,
             ..self
         }
     }
 
-    /// The same run without any fault at all.
+    /// Returns the same settings without random faults.
     #[must_use]
     pub const fn without_faults(self) -> Self {
         Self {
--- a/crates/damaskvane-standins/src/config_run/world.rs
+++ b/crates/damaskvane-standins/src/config_run/world.rs
@@ -1,4 +1,4 @@
-//! The loop of a run: a queue of deliveries in virtual time.
+//! The event loop of a run: a queue of events in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,34 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use crate::config_run::activation_times::ActivationTimes;
 use crate::config_run::fleet::Fleet;
 use crate::config_run::operators::Operator;
-use crate::config_run::report::{Broken, RunReport};
+use crate::config_run::oracle::Oracle;
+use crate::config_run::report::{InvariantViolation, RunReport};
 use crate::config_run::settings::RunSettings;
-use crate::config_run::spans::Spans;
-use crate::config_run::truth::Truth;
 use crate::platform::Store;
 
 const TICK_MS: u64 = 50;
 const HEARTBEAT_MS: u64 = 500;
 const SECOND_MS: u64 = 1_000;
 
-/// How long the fleet has to agree among itself while the store is still down.
-const PEERS_MS: u64 = 30_000;
+/// The time in which instances must converge from each other while the store is still down.
+const PEER_RECOVERY_MS: u64 = 30_000;
 
-/// How long the fleet has to agree once all faults are healed: two polls of the store.
-const HEAL_MS: u64 = 60_000;
+/// The time in which instances must converge after all faults have ended: two polls of the store.
+const RECOVERY_MS: u64 = 60_000;
 
-/// What happens at one point in time.
+/// An event at one point in virtual time.
 #[derive(Debug)]
 pub(super) enum Delivery {
     Instance(ids::InstanceId, u64, Event),
-    AskHead(ids::InstanceId, ids::InstanceId),
-    AskChunks(ids::InstanceId, ids::InstanceId, Vec<ContentHash>),
-    AskStore(ids::InstanceId, Option<Vec<ContentHash>>),
+    RequestHead(ids::InstanceId, ids::InstanceId),
+    RequestChunks(ids::InstanceId, ids::InstanceId, Vec<ContentHash>),
+    ReadStore(ids::InstanceId, Option<Vec<ContentHash>>),
     OperatorTurn(usize),
     OperatorCall(usize, Call),
-    OperatorAnswer(usize, Call, StoreResponse),
+    OperatorResponse(usize, Call, StoreResponse),
     LateWrite(Call),
 }
 
@@ -51,26 +51,26 @@
     pub(super) healed: bool,
     pub(super) fleet: Fleet,
     pub(super) operators: Vec<Operator>,
-    pub(super) truth: Truth,
-    /// The highest version that was in force everywhere at some time.
-    settled: ids::ConfigVersion,
-    pub(super) spans: Spans,
+    pub(super) oracle: Oracle,
+    /// The highest version that all instances have reached at the same time.
+    max_common_version: ids::ConfigVersion,
+    pub(super) activation_times: ActivationTimes,
     pub(super) report: RunReport,
 }
 
-/// Runs operators and instances through faults, then heals and waits for agreement.
+/// Runs operators and instances with faults, ends all faults and checks that the instances converge.
 ///
 /// # Errors
 ///
-/// What didn't hold, with the seed that shows it again.
-pub fn run(settings: RunSettings) -> Result<RunReport, Broken> {
+/// Returns the first violated invariant, with the seed that reproduces the violation.
+pub fn run(settings: RunSettings) -> Result<RunReport, InvariantViolation> {
     let mut world = World::new(settings);
     match world.run() {
         Ok(()) => Ok(world.report),
-        Err(what) => Err(Broken {
+        Err(violation) => Err(InvariantViolation {
             seed: settings.seed,
             at_ms: world.now.get(),
-            what,
+            violation,
         }),
     }
 }
@@ -89,9 +89,9 @@
             healed: false,
             fleet,
             operators: (0..settings.operators).map(Operator::new).collect(),
-            truth: Truth::default(),
-            settled: ids::ConfigVersion::new(0),
-            spans: Spans::default(),
+            oracle: Oracle::default(),
+            max_common_version: ids::ConfigVersion::new(0),
+            activation_times: ActivationTimes::default(),
             report: RunReport {
                 seed: settings.seed,
                 ..RunReport::default()
@@ -100,9 +100,9 @@
     }
 
     fn run(&mut self) -> Result<(), String> {
-        self.change_views();
+        self.send_membership();
         for operator in 0..self.operators.len() {
-            self.later(0, Delivery::OperatorTurn(operator));
+            self.schedule(0, Delivery::OperatorTurn(operator));
         }
         let faulty_ms = self.settings.seconds * SECOND_MS;
         if let Some(from_s) = self.settings.store_down_from_s {
@@ -111,10 +111,10 @@
         }
         self.run_until(faulty_ms)?;
         self.heal_all_but_store();
-        self.run_until(faulty_ms + PEERS_MS)?;
-        self.check_peers()?;
+        self.run_until(faulty_ms + PEER_RECOVERY_MS)?;
+        self.check_peer_recovery()?;
         self.store_down_until = time::TimeMs::ZERO;
-        self.run_until(faulty_ms + PEERS_MS + HEAL_MS)?;
+        self.run_until(faulty_ms + PEER_RECOVERY_MS + RECOVERY_MS)?;
         self.check_end()
     }
 
@@ -145,12 +145,12 @@
             }
         }
         let lowest = self.fleet.versions().first().copied();
-        self.settled = self.settled.max(lowest.unwrap_or_default());
+        self.max_common_version = self.max_common_version.max(lowest.unwrap_or_default());
         if self.now.get().is_multiple_of(SECOND_MS) && !self.healed {
-            self.incidents();
+            self.inject_incidents();
         }
-        let healed_at_ms = self.settings.seconds * SECOND_MS + PEERS_MS;
-        if self.report.healed_ms == 0 && self.now.get() >= healed_at_ms && self.agrees() {
+        let healed_at_ms = self.settings.seconds * SECOND_MS + PEER_RECOVERY_MS;
+        if self.report.healed_ms == 0 && self.now.get() >= healed_at_ms && self.all_up_to_date() {
             self.report.healed_ms = self.now.get() - healed_at_ms;
         }
         Ok(())
@@ -164,17 +164,20 @@
                     self.handle(&id, event)?;
                 }
             }
-            Delivery::AskHead(from, to) => self.answer_head(&from, &to),
-            Delivery::AskChunks(from, to, hashes) => self.answer_chunks(&from, &to, &hashes),
-            Delivery::AskStore(id, hashes) => self.answer_from_store(&id, hashes),
+            Delivery::RequestHead(from, to) => self.respond_head(&from, &to),
+            Delivery::RequestChunks(from, to, hashes) => self.respond_chunks(&from, &to, &hashes),
+            Delivery::ReadStore(id, hashes) => self.respond_from_store(&id, hashes),
             Delivery::OperatorTurn(operator) => self.operator_turn(operator)?,
             Delivery::OperatorCall(operator, call) => {
-                let answer = self.store_call(&call)?;
+                let response = self.store_call(&call)?;
                 let delay_ms = self.rng.random_range(2..40);
-                self.later(delay_ms, Delivery::OperatorAnswer(operator, call, answer));
+                self.schedule(
+                    delay_ms,
+                    Delivery::OperatorResponse(operator, call, response),
+                );
             }
-            Delivery::OperatorAnswer(operator, call, answer) => {
-                self.operators[operator].answer(&call, answer);
+            Delivery::OperatorResponse(operator, call, response) => {
+                self.operators[operator].handle_response(&call, response);
                 self.operator_turn(operator)?;
             }
             Delivery::LateWrite(call) => {
@@ -191,38 +194,44 @@
             return Ok(());
         };
         if now < instance.paused_until {
-            // What arrives during a pause is read when the process runs again.
+            // An event that arrives during a pause is handled when the process resumes.
             let wait_ms = instance.paused_until.since(now).get();
             let incarnation = instance.incarnation;
             if event != Event::Tick {
-                self.later(wait_ms, Delivery::Instance(id.clone(), incarnation, event));
+                self.schedule(wait_ms, Delivery::Instance(id.clone(), incarnation, event));
             }
             return Ok(());
         }
         let actions = instance.relay.handle(now, event);
         let version = instance.relay.applier().version();
-        if version < instance.highest {
-            return Err(format!("{id} fell from {} to {version}", instance.highest));
+        if version < instance.max_version {
+            return Err(format!(
+                "{id} went back from version {} to {version}",
+                instance.max_version
+            ));
         }
-        // A new instance takes the newest head; that is a boot, not a change that is late.
-        if version > instance.highest && instance.highest.get() > 0 {
-            self.spans.adopt(instance.highest, version, now);
+        // A new instance activates the newest head at once, which is no delayed activation.
+        if version > instance.max_version && instance.max_version.get() > 0 {
+            self.activation_times
+                .record_activation(instance.max_version, version, now);
         }
-        instance.highest = version;
+        instance.max_version = version;
         let counts = instance.relay.applier().counts();
         if counts.unsafe_switches + counts.state_mismatches > 0 {
-            return Err(format!("{id} counts {counts:?}"));
+            return Err(format!(
+                "{id} counted an unsafe switch or a state mismatch: {counts:?}"
+            ));
         }
         if let Some(active_config) = instance.relay.applier().active_config() {
-            self.truth.check_in_force(active_config)?;
+            self.oracle.check_active_config(active_config)?;
         }
         for action in actions {
-            self.act(id, action);
+            self.perform(id, action);
         }
         Ok(())
     }
 
-    fn incidents(&mut self) {
+    fn inject_incidents(&mut self) {
         let ids: Vec<_> = self.fleet.instances.keys().cloned().collect();
         let id = ids[self.rng.random_range(0..ids.len())].clone();
         let until = self.now + time::SpanMs::new(self.rng.random_range(500..20_000));
@@ -232,7 +241,7 @@
         if self.chance(self.settings.incident_permille)
             && let Some(zone) = self.fleet.zone_of(&id).cloned()
         {
-            self.fleet.cut(&zone, until);
+            self.fleet.partition(&zone, until);
         }
         if self.chance(self.settings.incident_permille)
             && let Some(instance) = self.fleet.instances.get_mut(&id)
@@ -245,56 +254,58 @@
             let member = instance.member.clone();
             self.fleet.boot(member);
             self.report.replaced += 1;
-            self.change_views();
+            self.send_membership();
         }
     }
 
-    /// Ends every fault but an outage of the store, so that instances have only each other.
+    /// Ends every fault and starts a store outage, so that instances can only fetch from each other.
     fn heal_all_but_store(&mut self) {
         self.healed = true;
-        self.store_down_until = self.now + time::SpanMs::new(PEERS_MS);
+        self.store_down_until = self.now + time::SpanMs::new(PEER_RECOVERY_MS);
         self.fleet.heal();
         self.settings = self.settings.without_faults();
     }
 
-    /// Whoever was cut off, paused or replaced must have caught up from whoever is ahead.
-    fn check_peers(&self) -> Result<(), String> {
+    /// Checks that instances that were partitioned, paused or replaced have caught up from the others.
+    fn check_peer_recovery(&self) -> Result<(), String> {
         let versions = self.fleet.versions();
-        // During a long outage every instance may be replaced; what was in force everywhere must
-        // outlive them all.
-        let is_kept = versions.first() >= Some(&self.settled);
-        if versions.first() == versions.last() && is_kept {
+        // During a long outage every instance may be replaced. A version that was active on all
+        // instances must survive these replacements.
+        let is_retained = versions.first() >= Some(&self.max_common_version);
+        if versions.first() == versions.last() && is_retained {
             return Ok(());
         }
-        Err(format!("without the store, instances stay at {versions:?}"))
+        Err(format!(
+            "without the store, instances remain at versions {versions:?}"
+        ))
     }
 
     fn check_end(&mut self) -> Result<(), String> {
         self.report.instances = self.fleet.instances.len();
-        self.report.accepted = self.truth.accepted();
-        self.spans.report(&mut self.report);
-        if !self.agrees() {
-            return Err("the newest ticket is not in force everywhere".to_owned());
+        self.report.accepted = self.oracle.accepted();
+        self.activation_times.summarize(&mut self.report);
+        if !self.all_up_to_date() {
+            return Err("the newest ticket is not active on every instance".to_owned());
         }
-        self.truth.check_told()?;
-        let filed = |number: ids::TicketNumber| {
+        self.oracle.check_outcomes()?;
+        let stored_hash = |number: ids::TicketNumber| {
             let object = self.store.read("ticket", &number.to_string(), false)?;
             Some(ContentHash::of(&object.value?))
         };
-        self.truth.check_filed(filed)
+        self.oracle.check_history(stored_hash)
     }
 
-    fn agrees(&self) -> bool {
-        let newest = self.truth.newest().version;
+    fn all_up_to_date(&self) -> bool {
+        let newest_version = self.oracle.newest().version;
         let mut instances = self.fleet.instances.values();
-        instances.all(|instance| instance.relay.applier().version() == newest)
+        instances.all(|instance| instance.relay.applier().version() == newest_version)
     }
 
-    fn change_views(&mut self) {
+    fn send_membership(&mut self) {
         let ids: Vec<_> = self.fleet.instances.keys().cloned().collect();
         for id in ids {
             let event = Event::Membership(self.fleet.view_of(&id));
-            self.deliver_soon(&id, event);
+            self.deliver_event(&id, event);
         }
     }
 
@@ -310,14 +321,14 @@
         self.rng.random_range(0..1_000) < permille
     }
 
-    /// A delay on the way between zones or to the store.
-    pub(super) fn far_ms(&mut self) -> u64 {
+    /// Returns a random delay of a message between zones or of a store call, in milliseconds.
+    pub(super) fn remote_delay_ms(&mut self) -> u64 {
         let settings = self.settings;
         self.rng
             .random_range(settings.min_delay_ms..=settings.max_delay_ms)
     }
 
-    pub(super) fn later(&mut self, delay_ms: u64, delivery: Delivery) {
+    pub(super) fn schedule(&mut self, delay_ms: u64, delivery: Delivery) {
         self.serial += 1;
         let at = self.now + time::SpanMs::new(delay_ms);
         self.queue.insert((at, self.serial), delivery);
