--- a/crates/damaskvane-standins/tests/backend.rs
+++ b/crates/damaskvane-standins/tests/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server stand-in: what it answers, logs and does under its faults.
+//! Tests of the stand-in for backend servers: responses, execution log, counters and faults.
 
 use std::io::{self, Read, Write};
 use std::net;
@@ -12,14 +12,14 @@
 }
 
 fn connect(server: &backend::Server) -> net::TcpStream {
-    let stream = net::TcpStream::connect(server.address()).expect("it listens");
+    let stream = net::TcpStream::connect(server.address()).expect("the server listens");
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
         .expect("a timeout");
     stream
 }
 
-/// Sends one request and reads until the connection closes.
+/// Sends one request and returns the response, read until the server closes the connection.
 fn send(stream: &mut net::TcpStream, line: &str, headers: &str) -> io::Result<String> {
     let request = format!("{line} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{headers}\r\n");
     stream.write_all(request.as_bytes())?;
@@ -28,7 +28,7 @@
     Ok(text)
 }
 
-fn ask(server: &backend::Server, line: &str, headers: &str) -> String {
+fn send_request(server: &backend::Server, line: &str, headers: &str) -> String {
     send(&mut connect(server), line, headers).unwrap_or_default()
 }
 
@@ -37,14 +37,15 @@
 }
 
 #[test]
-fn an_answer_proves_its_request_and_the_log_holds_the_run() {
+fn a_response_names_its_request_and_the_log_holds_the_execution() {
     let server = start("s-1:2");
     let headers = "damaskvane-request-id: r-1\r\ndamaskvane-idempotency-key: k-1\r\n";
-    let text = ask(&server, "POST /work?ms=1&bytes=100", headers);
-    let answer: backend::ResponseBody = serde_json::from_str(body(&text)).expect("an answer");
-    assert!(answer.is_intact());
+    let text = send_request(&server, "POST /work?ms=1&bytes=100", headers);
+    let body_fields: backend::ResponseBody =
+        serde_json::from_str(body(&text)).expect("a response body");
+    assert!(body_fields.is_intact());
     assert_eq!(
-        (answer.request_id.as_str(), answer.padding.len()),
+        (body_fields.request_id.as_str(), body_fields.padding.len()),
         ("r-1", 100)
     );
     let executions = server.log().page(0).executions;
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn load_and_health_tell_the_truth_or_the_lie() {
+fn health_and_load_report_the_real_or_the_configured_state() {
     let cases = [
         ("{}", "GET /health", r#"{"healthy":true}"#),
         (r#"{"error":true}"#, "GET /health", r#"{"healthy":false}"#),
@@ -78,14 +79,18 @@
     let server = start("s-1:2");
     for (faults, line, expected) in cases {
         server.set_faults(serde_json::from_str(faults).expect("faults"));
-        assert_eq!(body(&ask(&server, line, "")), expected, "{faults} {line}");
+        assert_eq!(
+            body(&send_request(&server, line, "")),
+            expected,
+            "{faults} {line}"
+        );
     }
 }
 
-/// A caller that ignores the slots sends more than they hold. Users of the promise would notice only
-/// slow answers; the stand-in runs all of them and counts each one too many.
+/// A caller sends more requests than the server has slots. Without the counter, such a violation would
+/// show only as slow responses, because the stand-in runs all requests.
 #[test]
-fn a_start_beyond_the_slots_is_counted() {
+fn a_request_beyond_the_slots_is_counted() {
     let server = start("s-1:1");
     let mut first = connect(&server);
     first
@@ -94,22 +99,22 @@
     while server.stats().running == 0 {
         std::thread::yield_now();
     }
-    ask(&server, "GET /work?ms=1", "");
+    send_request(&server, "GET /work?ms=1", "");
     assert_eq!(
         (server.stats().over_slots, server.stats().max_running),
         (1, 2)
     );
 }
 
-/// A backend server sheds load before running anything. A client reads that nothing ran.
+/// A server that sheds load must not run the request, and its response must say so.
 #[test]
-fn a_shedding_server_runs_nothing_and_says_so() {
+fn a_shedding_server_runs_nothing_and_responds_with_not_run() {
     let server = start("s-1:1");
     server.set_faults(backend::Faults {
         shed: true,
         ..backend::Faults::default()
     });
-    let text = ask(&server, "POST /work", "damaskvane-request-id: r-1\r\n");
+    let text = send_request(&server, "POST /work", "damaskvane-request-id: r-1\r\n");
     assert!(
         text.starts_with("HTTP/1.1 503") && text.contains("damaskvane-not-run: true"),
         "{text}"
@@ -117,10 +122,10 @@
     assert!(server.log().page(0).executions.is_empty());
 }
 
-/// A backend server dies at some byte of an exchange. Its caller sees a connection that closes early;
-/// only the log knows whether the request ran.
+/// A server closes the connection within an exchange. The caller can't detect whether the request ran;
+/// only the execution log shows it.
 #[test]
-fn a_connection_dies_at_the_stage_it_is_told() {
+fn a_connection_closes_at_the_configured_stage() {
     let cases = [
         (backend::DisconnectStage::BeforeRead, 0),
         (backend::DisconnectStage::AfterRead, 0),
@@ -132,7 +137,7 @@
             disconnect_at: Some(stage),
             ..backend::Faults::default()
         });
-        let text = ask(&server, "GET /work?ms=1&bytes=50", "");
+        let text = send_request(&server, "GET /work?ms=1&bytes=50", "");
         assert!(
             serde_json::from_str::<backend::ResponseBody>(body(&text)).is_err(),
             "{stage:?} {text}"
@@ -141,9 +146,10 @@
     }
 }
 
-/// Something between two ends forgets a connection. The old one never answers again, a new one does.
+/// A device on the network path drops the state of a connection: open connections get no more
+/// responses, while new connections work.
 #[test]
-fn open_connections_go_silent_and_new_ones_work() {
+fn frozen_connections_get_no_response_and_new_ones_work() {
     let server = start("s-1:1");
     let mut old = connect(&server);
     while server.stats().connections == 0 {
@@ -156,29 +162,29 @@
     old.set_read_timeout(Some(Duration::from_millis(300)))
         .expect("a timeout");
     assert!(send(&mut old, "GET /work?ms=1", "").is_err());
-    assert!(ask(&server, "GET /work?ms=1", "").starts_with("HTTP/1.1 200"));
+    assert!(send_request(&server, "GET /work?ms=1", "").starts_with("HTTP/1.1 200"));
 }
 
-/// One request crashes what runs it. Its neighbours on the same server lose their connections.
+/// One request crashes the server; the other requests on it lose their connections.
 #[test]
-fn a_crashing_request_takes_its_neighbours_with_it() {
+fn a_crash_closes_the_connections_of_other_requests() {
     let server = start("s-1:2");
-    let mut neighbour = connect(&server);
-    neighbour
+    let mut other = connect(&server);
+    other
         .write_all(b"GET /work?ms=60000 HTTP/1.1\r\nhost: x\r\n\r\n")
         .expect("sent");
     while server.stats().running == 0 {
         std::thread::yield_now();
     }
-    assert_eq!(ask(&server, "GET /crash", ""), "");
-    let mut rest = Vec::new();
-    let _ = neighbour.read_to_end(&mut rest);
-    assert!(rest.is_empty());
+    assert_eq!(send_request(&server, "GET /crash", ""), "");
+    let mut received = Vec::new();
+    let _ = other.read_to_end(&mut received);
+    assert!(received.is_empty());
     assert_eq!(server.stats().crashes, 1);
 }
 
 #[test]
-fn a_cancelled_run_ends_early_and_is_logged_as_aborted() {
+fn a_cancelled_request_ends_early_and_is_logged_as_aborted() {
     let server = start("s-1:1");
     let mut stream = connect(&server);
     let request = "GET /work?ms=60000 HTTP/1.1\r\nhost: x\r\ndamaskvane-request-id: r-9\r\n\r\n";
@@ -186,7 +192,7 @@
     while server.stats().running == 0 {
         std::thread::yield_now();
     }
-    assert!(ask(&server, "POST /cancel/r-9", "").contains(r#"{"cancelled":true}"#));
+    assert!(send_request(&server, "POST /cancel/r-9", "").contains(r#"{"cancelled":true}"#));
     while server.stats().running > 0 {
         std::thread::yield_now();
     }
@@ -194,9 +200,9 @@
 }
 
 #[test]
-fn a_run_past_its_deadline_is_aborted() {
+fn a_request_past_its_deadline_is_aborted() {
     let server = start("s-1:1");
-    let text = ask(
+    let text = send_request(
         &server,
         "GET /work?ms=60000",
         "damaskvane-deadline-ms: 20\r\n",
@@ -205,7 +211,7 @@
 }
 
 #[test]
-fn command_lines_are_read_or_refused_with_a_remedy() {
+fn command_lines_are_parsed_or_rejected_with_a_remedy() {
     let cases: [(&[&str], &str); 5] = [
         (&["--servr", "a:1"], "--server"),
         (&["--server", "a"], "NAME:SLOTS"),
--- a/crates/damaskvane-standins/tests/config_run.rs
+++ b/crates/damaskvane-standins/tests/config_run.rs
@@ -1,28 +1,28 @@
-//! Randomised runs of the configuration with fixed seeds.
+//! Randomised runs of the configuration's decision code with fixed seeds.
 
 use damaskvane_standins::config_run;
 
-/// Answers of the store are lost, late and stale, messages are lost, zones are cut, instances are
-/// paused and replaced, all at once. An operator would see a change twice, gone or undone, and
-/// instances that disagree.
+/// Store responses are lost, delayed and stale, messages are lost, zones are partitioned, and instances
+/// are paused and replaced, all at once. A fault in the code would apply a change twice, lose it, undo
+/// it, or leave instances with different configurations.
 #[test]
-fn every_promise_of_the_configuration_holds_under_mixed_faults() {
+fn configuration_invariants_hold_under_mixed_faults() {
     for seed in 1..=5 {
         let settings = config_run::RunSettings {
             seed,
             seconds: 30,
             ..Default::default()
         };
-        let report = config_run::run(settings).unwrap_or_else(|broken| panic!("{broken}"));
+        let report = config_run::run(settings).unwrap_or_else(|violation| panic!("{violation}"));
         assert!(report.accepted > 0, "seed {seed} accepted nothing");
     }
 }
 
-/// The store is down for long and instances are replaced meanwhile, zones are cut and healed. A new
-/// instance that waited for the store would serve nobody; one that took an old head from a peer that
-/// was cut off would undo what holds elsewhere.
+/// During a long store outage, instances are replaced and zones are partitioned and reconnected. A new
+/// instance that waits for the store would serve no client. A new instance that takes an old head from
+/// a partitioned peer would go back to an earlier configuration than the other instances.
 #[test]
-fn replaced_instances_come_into_service_during_a_long_outage_of_the_store() {
+fn replaced_instances_become_active_during_a_long_store_outage() {
     let settings = config_run::RunSettings {
         seed: 7,
         seconds: 400,
@@ -30,14 +30,14 @@
         store_down_from_s: Some(20),
         ..Default::default()
     };
-    let report = config_run::run(settings).unwrap_or_else(|broken| panic!("{broken}"));
+    let report = config_run::run(settings).unwrap_or_else(|violation| panic!("{violation}"));
     assert!(report.replaced >= 10, "{report:?}");
     assert!(report.accepted > 0, "{report:?}");
 }
 
-/// A run that can't be repeated can't be looked into.
+/// A violation can only be investigated if its seed reproduces the run.
 #[test]
-fn a_seed_gives_the_same_run_again() {
+fn a_seed_reproduces_the_same_run() {
     let settings = config_run::RunSettings {
         seconds: 20,
         ..Default::default()
--- a/crates/damaskvane-standins/tests/platform_program.rs
+++ b/crates/damaskvane-standins/tests/platform_program.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in as a program.
+//! Tests of the program `damaskvane-standin-platform`.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn it_prints_its_addresses_switches_faults_and_ends_with_0_on_sigterm() {
+fn the_program_prints_addresses_switches_faults_and_exits_with_0_on_sigterm() {
     let (mut child, addresses) = start("secret anna\n");
     let at = |which: &str, path: &str| {
         format!(
--- a/crates/damaskvane-standins/tests/programs.rs
+++ b/crates/damaskvane-standins/tests/programs.rs
@@ -1,4 +1,4 @@
-//! The command lines of the stand-ins: help, version, mistakes, taken addresses, and their end.
+//! Tests of both programs' command lines: help, version, wrong usage, addresses in use and SIGTERM.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -76,9 +76,9 @@
     }
 }
 
-/// Another process holds the address: the program ends at once and says which one.
+/// Another process listens on the address: the program exits at once and names the address.
 #[test]
-fn a_taken_address_exits_with_1_and_is_named() {
+fn an_address_in_use_exits_with_1_and_is_named() {
     let holder = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let taken = holder.local_addr().expect("bound").to_string();
     let tokens = file("tokens-for-taken", "secret anna\n");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_backend_server_stand_in_ends_with_0_on_sigterm() {
+fn the_backend_program_exits_with_0_on_sigterm() {
     let mut child = Command::new(BACKEND)
         .args(["--server", "a:1"])
         .stdout(Stdio::piped())
