--- a/crates/damaskvane-standins/src/backend/faults.rs
+++ b/crates/damaskvane-standins/src/backend/faults.rs
@@ -52,7 +52,8 @@
 pub struct Faults {
     /// Whether the server rejects every request with 503 and `damaskvane-not-run`, without running it.
     pub shed: bool,
-    /// Whether the server responds to every request with 500 at once, like a server broken at start.
+    /// Whether the server responds to every request with 500 at once, as a handler does that fails before
+    /// its work.
     pub error: bool,
     /// The stage of each exchange at which the server closes the connection.
     #[serde(rename = "die")]
--- a/crates/damaskvane-standins/src/backend/http.rs
+++ b/crates/damaskvane-standins/src/backend/http.rs
@@ -6,9 +6,9 @@
 use std::io::{self, Read, Write};
 use std::net;
 
-/// The maximum size of a request's head.
+/// The maximum size of a request's head; a larger head ends the connection.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// The maximum size of a request's body.
+/// The maximum size of a request's body; a larger body ends the connection.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 /// The maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
--- a/crates/damaskvane-standins/src/config_run/oracle.rs
+++ b/crates/damaskvane-standins/src/config_run/oracle.rs
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Checks all reported outcomes against the accepted heads, with those from delayed writes.
+    /// Checks all reported outcomes against the accepted heads, including heads from delayed writes.
     pub(super) fn check_outcomes(&self) -> Result<(), String> {
         for (write_id, outcome) in &self.reported_outcomes {
             let accepted_head = self.heads.iter().find(|head| head.write_id == *write_id);
--- a/crates/damaskvane-standins/src/config_run/report.rs
+++ b/crates/damaskvane-standins/src/config_run/report.rs
@@ -37,7 +37,7 @@
     pub replaced: u64,
     /// Store reads by instances.
     pub instance_store_calls: u64,
-    /// Messages sent between instances, with those that were lost.
+    /// Messages sent between instances, including lost ones.
     pub messages: u64,
     /// The median time from the acceptance of a ticket until it is active on an instance, over all
     /// tickets and instances.
