--- a/crates/damaskvane-dispatch/src/admission.rs
+++ b/crates/damaskvane-dispatch/src/admission.rs
@@ -1,7 +1,8 @@
 //! Admission of requests by priority and age under overload, fair between services.
 //!
-//! A request that can't be served in time is rejected at once, rather than held until near its deadline.
-//! The retry-after of the response is computed from the rate at which the queue drains.
+//! A request that can't be served in time is rejected at once, rather than held until near its deadline. The
+//! response carries a retry-after, the delay before the client should retry. It is computed from the rate at
+//! which requests leave the queue.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-dispatch/src/admission/drain_rate.rs
+++ b/crates/damaskvane-dispatch/src/admission/drain_rate.rs
@@ -1,15 +1,15 @@
-//! Estimates the time in which the queue of one service drains.
+//! Estimates the time until all requests queued for one service have left the queue.
 
 use damaskvane_core::time;
 
-/// Minimum time that the queue must have been non-empty before its rate is used: a queue that is
-/// mostly empty drains only as fast as requests arrive.
+/// Minimum time in milliseconds that the queue must have been non-empty before its drain rate is used: a queue
+/// that is mostly empty drains only as fast as requests arrive.
 const MIN_SAMPLE_MS: u64 = 500;
-/// Longest sample in milliseconds; a longer one is scaled down to half this length, so that recent
-/// departures weigh more.
+/// Longest time in milliseconds over which departures (requests taken from the queue to be sent) are counted; a
+/// longer sample is scaled down to half this length, so that recent departures weigh more.
 const WINDOW_MS: u64 = 1_000;
 
-/// Counts departures since the queue was last empty.
+/// Counts the requests taken from the queue to be sent, since the queue was last empty.
 #[derive(Debug, Default)]
 pub(super) struct DrainRate {
     waiting_since: Option<time::TimeMs>,
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Returns the time in which `requests` requests drain, or `None` while the sample is too short.
+    /// Returns the estimated time until `requests` requests have left the queue, or `None` while the sample is
+    /// shorter than the minimum.
     ///
     /// A sample without departures counts as one departure.
     pub(super) fn time_to_drain(&self, now: time::TimeMs, requests: usize) -> Option<time::SpanMs> {
--- a/crates/damaskvane-dispatch/src/admission/queue.rs
+++ b/crates/damaskvane-dispatch/src/admission/queue.rs
@@ -1,5 +1,7 @@
 //! The admission queue of an entry instance, with one queue per service.
 //!
+//! A slot is the right to run one request on a backend server.
+//!
 //! ```
 //! use damaskvane_dispatch::admission;
 //!
@@ -61,7 +63,7 @@
         rejected
     }
 
-    /// Removes and returns the next request of a service that has a free slot.
+    /// Removes and returns the next request of a service for which `has_slot` returns `true`.
     pub fn pop(
         &mut self,
         now: time::TimeMs,
@@ -78,7 +80,7 @@
         Some(entry.queued.request)
     }
 
-    /// Rejects the requests that have waited too long or have too little time left to run.
+    /// Rejects the requests that have waited too long, or whose deadline leaves too little time to run.
     pub fn expire(&mut self, now: time::TimeMs) -> Vec<rejected::Rejected<R>> {
         let max_wait = time::SpanMs::new(self.settings.max_wait_ms);
         let min_run = time::SpanMs::new(self.settings.min_run_ms);
@@ -132,7 +134,7 @@
         self.len() == 0
     }
 
-    /// Rejects one request if the queue is full or can't drain within the longest wait.
+    /// Rejects one request if the service's queue is full, or takes longer to drain than `max_wait_ms`.
     ///
     /// The request would time out in the queue otherwise, and its client would wait in vain.
     fn shed(
@@ -161,7 +163,9 @@
         })
     }
 
-    /// Returns the next ready service in turn, so that a flood for one service can't starve the others.
+    /// Returns the next service in turn that has a queued request and a free slot.
+    ///
+    /// The turns prevent a flood of requests for one service from starving the other services.
     fn next_service(&self, has_slot: impl Fn(&ids::ServiceId) -> bool) -> Option<ids::ServiceId> {
         let is_ready = |service: &&ids::ServiceId| {
             self.service_queues
--- a/crates/damaskvane-dispatch/src/admission/queued_request.rs
+++ b/crates/damaskvane-dispatch/src/admission/queued_request.rs
@@ -22,6 +22,6 @@
     pub service: ids::ServiceId,
     /// The priority among the requests of the same service.
     pub priority: priority::Priority,
-    /// The client's deadline; close to it the request is rejected.
+    /// The client's deadline; the request is rejected once too little time is left to run it.
     pub deadline: deadline::Deadline,
 }
--- a/crates/damaskvane-dispatch/src/admission/rejected.rs
+++ b/crates/damaskvane-dispatch/src/admission/rejected.rs
@@ -25,6 +25,7 @@
     pub request: R,
     /// The reason for the rejection.
     pub reason: refusal::RefusalReason,
-    /// Estimated time until the requests that wait now have been served, within the settings' bounds.
+    /// The delay before the client should retry: the estimated time until the requests queued now have left the
+    /// queue, within the bounds of the settings.
     pub retry_after: time::SpanMs,
 }
--- a/crates/damaskvane-dispatch/src/admission/service_queue.rs
+++ b/crates/damaskvane-dispatch/src/admission/service_queue.rs
@@ -39,7 +39,7 @@
         self.entries.pop_first().map(|(_, entry)| entry)
     }
 
-    /// Removes the latest of the least urgent requests.
+    /// Removes and returns the request that was added last among those of the least urgent priority.
     pub(super) fn pop_last(&mut self) -> Option<Entry<R>> {
         self.entries.pop_last().map(|(_, entry)| entry)
     }
--- a/crates/damaskvane-dispatch/src/admission/settings.rs
+++ b/crates/damaskvane-dispatch/src/admission/settings.rs
@@ -8,7 +8,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Bounds on queued requests, their wait, and the retry-after of rejected ones.
+/// Bounds on the number of queued requests, their wait, and the retry-after of rejected requests.
+///
+/// The retry-after is the delay before the client should retry.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct QueueSettings {
@@ -16,14 +18,14 @@
     pub max_waiting: usize,
     /// Longest wait in the queue, in milliseconds.
     ///
-    /// With a long wait, requests are served whose clients have already timed out.
+    /// If this limit is long, requests are served whose clients have already timed out.
     pub max_wait_ms: u64,
-    /// Time in milliseconds that a request needs after admission; with less time left, the request is
-    /// rejected.
+    /// Time in milliseconds that a request needs after admission; the request is rejected if less time remains
+    /// until its deadline.
     pub min_run_ms: u64,
     /// Shortest retry-after, in milliseconds.
     pub min_retry_after_ms: u64,
-    /// Longest retry-after, in milliseconds; also the limit while the queue does not drain.
+    /// Longest retry-after, in milliseconds; also applies while no request leaves the queue.
     pub max_retry_after_ms: u64,
 }
 
--- a/crates/damaskvane-dispatch/src/connection/failure.rs
+++ b/crates/damaskvane-dispatch/src/connection/failure.rs
@@ -22,11 +22,11 @@
         /// Whether the connection was opened for this exchange.
         on_new_connection: bool,
     },
-    /// The response named another request.
+    /// The response carries the id of another request.
     MismatchedResponse,
-    /// This instance abandoned the exchange: the client disconnected or its deadline passed first.
+    /// This instance abandoned the exchange: the client disconnected or the request's deadline passed first.
     Abandoned,
-    /// The backend server rejected the request before running it; it sheds load and is healthy.
+    /// The backend server rejected the request before running it, to shed load; the server is healthy.
     Shed,
 }
 
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 pub enum Action {
-    /// The failure may be the connection's alone; retry on a new connection before counting it.
+    /// Only the connection may be at fault; retry on a new connection before counting a failure of the server.
     RetryOnNewConnection,
     /// The failure counts against the server.
     CountAsServerFailure,
--- a/crates/damaskvane-dispatch/src/connection/health.rs
+++ b/crates/damaskvane-dispatch/src/connection/health.rs
@@ -1,4 +1,6 @@
-//! Health of a backend server, from the connections of one entry instance.
+//! Health of a backend server, derived from the connection failures that one entry instance sees.
+//!
+//! A suspect server has failed on several new connections in a row; other servers are preferred to it.
 //!
 //! ```
 //! use damaskvane_dispatch::connection;
@@ -34,9 +36,10 @@
         self.failures = 0;
     }
 
-    /// Returns whether other servers are to be preferred.
+    /// Returns whether the server is suspect, so that requests should go to other servers.
     ///
-    /// How many servers may be left out at once is decided by the slots.
+    /// This type does not limit how many servers are left out at once; the code that assigns slots (rights to
+    /// run one request on a server) does.
     #[must_use]
     pub const fn is_suspect(&self) -> bool {
         self.failures >= FAILURES_TO_SUSPECT
--- a/crates/damaskvane-dispatch/src/deadline.rs
+++ b/crates/damaskvane-dispatch/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadlines of requests, sent between processes as the remaining time.
+//! Deadlines of requests, which messages between processes carry as the remaining time.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -13,8 +13,8 @@
 
 /// The time on this process's clock after which the client no longer uses a response.
 ///
-/// Clocks of two processes are not compared: a step of one clock would make requests live for ever or
-/// expire on arrival. Messages carry the remaining time instead; the only error is the network delay.
+/// Clocks of two processes are not compared: a step of one clock would make requests live for ever or expire on
+/// arrival. Messages carry the remaining time instead; the only error is the delay of the message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Deadline(time::TimeMs);
 
--- a/crates/damaskvane-dispatch/src/drain.rs
+++ b/crates/damaskvane-dispatch/src/drain.rs
@@ -1,7 +1,7 @@
 //! The life cycle of a backend server, as tracked by an entry instance.
 //!
-//! A cold backend server receives a small share of requests, which grows during its warm-up. A draining
-//! server receives no new requests from the moment the drain takes effect, and is drained once no
+//! A cold backend server (one that has recently started) receives a small share of requests, which grows during
+//! its warm-up. A draining server receives no new requests from the start of the drain, and is drained once no
 //! request runs on it.
 //!
 //! ```
--- a/crates/damaskvane-dispatch/src/drain/lifecycle.rs
+++ b/crates/damaskvane-dispatch/src/drain/lifecycle.rs
@@ -1,4 +1,6 @@
-//! A backend server in any state of its life cycle, as a value for collections of servers.
+//! A backend server in any state of its life cycle, so that one collection can hold servers in all states.
+//!
+//! A drain stops new requests to a server and lets the running requests finish.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -41,7 +43,8 @@
         Self::Active(server::Server::already_warm(now))
     }
 
-    /// Returns the server's share of requests, or `None` if the server receives no new ones.
+    /// Returns the server's share of requests in thousandths of the full share, or `None` if the server
+    /// receives no new requests.
     #[must_use]
     pub fn share(
         &self,
@@ -71,7 +74,8 @@
         }
     }
 
-    /// Moves to the next state once the warm-up is over or, in a drain, `running` is zero.
+    /// Moves to the next state once the warm-up is over or, in a drain, once `running` is zero; `running` is
+    /// the number of requests that run on the server.
     pub fn advance(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-dispatch/src/drain/server.rs
+++ b/crates/damaskvane-dispatch/src/drain/server.rs
@@ -1,5 +1,7 @@
 //! A backend server whose life cycle state is part of its type.
 //!
+//! A cold server has recently started and gets few requests; a draining server gets no new requests.
+//!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_dispatch::drain;
@@ -46,7 +48,8 @@
         Self::in_state(now)
     }
 
-    /// Returns the server's share of requests, which grows linearly over the warm-up.
+    /// Returns the server's share of requests in thousandths of the full share; it grows linearly over the
+    /// warm-up.
     #[must_use]
     pub fn share(&self, now: time::TimeMs, settings: &settings::WarmUpSettings) -> units::Permille {
         let first = settings.first_share_permille.min(FULL_SHARE_PERMILLE);
@@ -99,7 +102,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the unchanged server while `running` is not zero.
+    /// Returns the unchanged server while `running`, the number of requests on the server, is not zero.
     pub fn finished(
         self,
         now: time::TimeMs,
--- a/crates/damaskvane-dispatch/src/drain/settings.rs
+++ b/crates/damaskvane-dispatch/src/drain/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a backend server's warm-up.
+//! Settings of the warm-up, the time after its start in which a backend server's share of requests grows.
 //!
 //! ```
 //! use damaskvane_dispatch::drain;
--- a/crates/damaskvane-dispatch/src/exchange.rs
+++ b/crates/damaskvane-dispatch/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The life cycle of one request: received, admitted, sent, answered.
+//! The life cycle of one request at an entry instance: received, admitted, sent, answered.
 //!
 //! Each state is a type, which has only the transitions that are safe in this state. A request that was
 //! never sent, or that the backend server refused before running it, may be answered with *not run*. Once
--- a/crates/damaskvane-dispatch/src/exchange/admitted.rs
+++ b/crates/damaskvane-dispatch/src/exchange/admitted.rs
@@ -1,5 +1,7 @@
 //! A request that may be sent to a backend server.
 //!
+//! A slot is the right to run one request on a backend server.
+//!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_dispatch::{deadline, exchange};
@@ -65,7 +67,7 @@
         &self.context.request
     }
 
-    /// Returns the backend servers that were tried, in the order of the tries.
+    /// Returns the backend servers that were tried, in the order of the attempts.
     #[must_use]
     pub fn tried(&self) -> &[ids::BackendServerId] {
         &self.context.tried
--- a/crates/damaskvane-dispatch/src/exchange/answered.rs
+++ b/crates/damaskvane-dispatch/src/exchange/answered.rs
@@ -1,5 +1,8 @@
 //! A request with its final answer.
 //!
+//! A repeatable request may run any number of times. Any other request carries an idempotency key, by which its
+//! client names it across attempts, and runs only with the one permit issued for the key.
+//!
 //! ```
 //! use damaskvane_dispatch::exchange;
 //!
@@ -58,7 +61,7 @@
         &self.outcome
     }
 
-    /// Returns the permit to pass to [`home::HomeTable::finish`] and the answer.
+    /// Returns the permit, which the caller passes to [`home::HomeTable::finish`], and the answer.
     ///
     /// The permit is absent for a repeatable request, and for one that this instance did not dispatch.
     #[must_use]
--- a/crates/damaskvane-dispatch/src/exchange/context.rs
+++ b/crates/damaskvane-dispatch/src/exchange/context.rs
@@ -1,4 +1,4 @@
-//! Data that every state of a request carries.
+//! Data that a request at an entry instance carries through the states received, admitted and sent.
 
 use damaskvane_core::{ids, time};
 
@@ -13,7 +13,7 @@
 pub(super) struct RequestContext {
     pub(super) request: ids::RequestId,
     pub(super) deadline: deadline::Deadline,
-    /// The permit to run a non-repeatable request; absent for a repeatable request, which needs none.
+    /// The permit to run a non-repeatable request once; absent for a repeatable request, which needs none.
     pub(super) permit: Option<home::DispatchPermit>,
     pub(super) may_have_run: bool,
     pub(super) tried: Vec<ids::BackendServerId>,
--- a/crates/damaskvane-dispatch/src/exchange/forwarded.rs
+++ b/crates/damaskvane-dispatch/src/exchange/forwarded.rs
@@ -1,5 +1,8 @@
 //! A request that is forwarded because its home is another instance.
 //!
+//! The home of a request is the instance, and one incarnation (start or renewal) of it, that alone may run the
+//! request's idempotency key.
+//!
 //! ```
 //! use damaskvane_dispatch::exchange;
 //!
@@ -17,7 +20,7 @@
 /// A request that was forwarded to its home, the only instance that knows whether the request ran.
 ///
 /// This instance neither sends the request to a backend server nor retries the request. This instance also
-/// never answers *not run* on its own, because an earlier try may have run through another instance.
+/// never answers *not run* on its own, because an earlier attempt may have run through another instance.
 #[derive(Debug)]
 pub struct Forwarded {
     request: ids::RequestId,
@@ -30,7 +33,8 @@
         Self { request }
     }
 
-    /// Returns the home's answer, or *outcome unknown* if the answer carries the id of another request.
+    /// Returns the home's answer, or *outcome unknown* if `request`, the id in the answer, names another
+    /// request.
     pub fn answered<A>(
         self,
         request: &ids::RequestId,
@@ -49,7 +53,7 @@
         self.unknown(refusal::RefusalReason::HomeUnreachable)
     }
 
-    /// Answers with *outcome unknown*, because the home has ended without a successor for its keys.
+    /// Answers with *outcome unknown*, because the home has ended without handing its keys over to a successor.
     pub fn restarted<A>(self) -> answered::Answered<A> {
         self.unknown(refusal::RefusalReason::HomeRestarted)
     }
--- a/crates/damaskvane-dispatch/src/exchange/progress.rs
+++ b/crates/damaskvane-dispatch/src/exchange/progress.rs
@@ -1,4 +1,4 @@
-//! The result of a try on a backend server.
+//! The result of an attempt on a backend server.
 //!
 //! ```
 //! use damaskvane_dispatch::exchange;
@@ -11,15 +11,15 @@
 use crate::exchange::{admitted, answered};
 use crate::retry;
 
-/// The result of a try on a backend server.
+/// The result of an attempt on a backend server.
 #[derive(Debug)]
 #[must_use]
 pub enum Progress<A> {
     /// The final answer.
     Answered(answered::Answered<A>),
-    /// The try failed and a retry is safe; [`crate::retry::RetryPolicy`] decides whether to make one.
+    /// The attempt failed and a retry is safe; [`crate::retry::RetryPolicy`] decides whether to make one.
     Retry {
-        /// Why the try failed.
+        /// Why the attempt failed.
         reason: retry::RetryReason,
         /// The request, ready to be sent again or refused.
         admitted: admitted::Admitted,
--- a/crates/damaskvane-dispatch/src/exchange/received.rs
+++ b/crates/damaskvane-dispatch/src/exchange/received.rs
@@ -20,9 +20,9 @@
 
 /// A request that waits for admission.
 ///
-/// A non-repeatable request reaches this state only with the permit of its home. If a queue refused a
-/// request before its key was looked up, the retry of a request that already ran would be answered with
-/// *not run*.
+/// A non-repeatable request reaches this state only with the permit to run it, issued by its home (the instance
+/// that alone may run its idempotency key). If a queue refused a request before its key was looked up, the
+/// retry of a request that already ran would be answered with *not run*.
 #[derive(Debug)]
 pub struct Received {
     context: context::RequestContext,
@@ -61,13 +61,13 @@
         }
     }
 
-    /// Admits the request, when its turn in the queue has come.
+    /// Admits the request; call this method when the request leaves the admission queue to be sent.
     #[must_use]
     pub fn admit(self) -> admitted::Admitted {
         admitted::Admitted::new(self.context)
     }
 
-    /// Refuses the request with the reason's default retry-after.
+    /// Refuses the request with the reason's default retry-after, the delay before the client should retry.
     pub fn refuse<A>(self, reason: refusal::RefusalReason) -> answered::Answered<A> {
         self.context.refuse(reason, reason.default_retry_after())
     }
--- a/crates/damaskvane-dispatch/src/exchange/rejection.rs
+++ b/crates/damaskvane-dispatch/src/exchange/rejection.rs
@@ -1,4 +1,4 @@
-//! Requests that no instance would ever run.
+//! Requests that every instance rejects without running them.
 //!
 //! ```
 //! use damaskvane_dispatch::exchange;
@@ -8,14 +8,14 @@
 
 use crate::refusal;
 
-/// Why no instance would ever run the request, whatever happened to earlier tries.
+/// Why no instance would ever run the request, whatever happened to earlier attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
     /// The request can't be read.
     MalformedRequest,
     /// The body is longer than any instance accepts.
     BodyTooLarge,
-    /// A non-repeatable request lacks its idempotency key or its home.
+    /// A non-repeatable request lacks its idempotency key, or its home (the instance that alone may run it).
     KeyMissing,
 }
 
--- a/crates/damaskvane-dispatch/src/exchange/sent.rs
+++ b/crates/damaskvane-dispatch/src/exchange/sent.rs
@@ -53,8 +53,8 @@
     /// Accepts the backend server's response if it is complete and carries this request's id.
     ///
     /// On a connection that was reused after an abandoned exchange, the first response belongs to another
-    /// client's request, whose data must not be disclosed. A truncated response could pass for a complete
-    /// one with less data, such as a shorter list of allergies. Both count as failed tries.
+    /// client's request, whose data must not be disclosed. A truncated response could pass for a complete one
+    /// with less data, such as a shorter list of allergies. Both count as failed attempts.
     pub fn answered<A>(
         self,
         response: backend_response::BackendResponse<A>,
@@ -69,9 +69,9 @@
         }
     }
 
-    /// Ends the try as failed.
+    /// Ends the attempt as failed.
     ///
-    /// A non-repeatable request that may have run is answered with *unknown* and can't be retried.
+    /// A non-repeatable request that may have run is answered with *unknown* and is not retried.
     pub fn failed<A>(mut self, reason: retry::RetryReason) -> progress::Progress<A> {
         self.context.may_have_run |= !reason.proves_not_run();
         if self.context.may_have_run && !self.context.is_repeatable() {
@@ -87,8 +87,8 @@
     /// Answers with *unknown*, because the deadline passed or the client disconnected while the backend
     /// server had the request.
     ///
-    /// For a keyed request, prefer to answer the client with *unknown* and to keep waiting for the
-    /// response, so that the next try of the key receives the outcome.
+    /// For a request with an idempotency key, prefer to answer the client with *unknown* and to keep waiting
+    /// for the response, so that the client's next attempt with the key receives the outcome.
     pub fn abandon<A>(self) -> answered::Answered<A> {
         let unknown = outcome::Outcome::unknown(refusal::RefusalReason::DeadlinePassed);
         self.context.answer(unknown)
--- a/crates/damaskvane-dispatch/src/fingerprint.rs
+++ b/crates/damaskvane-dispatch/src/fingerprint.rs
@@ -18,8 +18,9 @@
 
 /// The hash of a request's service, method, path and body.
 ///
-/// An idempotency key is bound to the fingerprint of its first try. A request that crashes backend servers
-/// is recognized by its fingerprint on every instance.
+/// An idempotency key, by which a client names one request across its attempts, is bound to the fingerprint of
+/// the first attempt. A request that crashes backend servers is recognized by its fingerprint on every
+/// instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(hash::ContentHash);
--- a/crates/damaskvane-dispatch/src/home.rs
+++ b/crates/damaskvane-dispatch/src/home.rs
@@ -1,20 +1,21 @@
 //! At-most-once dispatch without a store on the request path: the table of idempotency keys.
 //!
-//! A client names one *home*, an instance and its incarnation, on every attempt with a key. Only the
-//! home dispatches the key, and only once; other instances forward to the home. A restart loses the
-//! table and changes the incarnation: the restarted instance answers *outcome unknown* for the keys of
-//! earlier incarnations and never runs them again. A planned stop first hands the table over to one
+//! By an idempotency key, a client names one request across its attempts. The client names one *home*, an
+//! instance and its incarnation (one start or renewal), on every attempt with a key. Only the home dispatches
+//! the key, that is, sends its request to a backend server, and only once; other instances forward to the home.
+//! A restart loses the table and changes the incarnation: the restarted instance answers *outcome unknown* for
+//! the keys of earlier incarnations and never runs them again. A planned stop first hands the table over to one
 //! successor.
 //!
 //! After *not run*, a later attempt may run the key. If attempts are numbered, *not run* also covers
 //! the earlier attempts: one that was delayed in the network is not run when it arrives.
 //!
-//! A finished outcome is retained for a window. Afterwards the table stores an eight-byte tombstone for
-//! the key and answers *outcome unknown*; without the tombstone, a late attempt would look like a new
-//! key and run a second time. Tombstones are retained until the incarnation ends. An instance whose
-//! tombstones fill up takes a new incarnation ([`HomeTable::renew`]). The previous incarnation accepts
-//! new keys for a short time and retains its tombstones until then; older incarnations need no
-//! tombstones, since they accept no new keys.
+//! A finished outcome is retained for a window. Afterwards the table stores an eight-byte tombstone for the key
+//! and answers *outcome unknown*; without the tombstone, a late attempt would look like a new key and run a
+//! second time. Tombstones are retained until the incarnation ends. An instance whose tombstones fill up takes
+//! a new incarnation ([`HomeTable::renew`]). The previous incarnation accepts new keys for a short time and
+//! retains its tombstones until the end of that time; older incarnations need no tombstones, since they accept
+//! no new keys.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-dispatch/src/home/attempt.rs
+++ b/crates/damaskvane-dispatch/src/home/attempt.rs
@@ -14,16 +14,16 @@
 /// One attempt of a client to run a non-repeatable request, as received by an entry instance.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// The client's idempotency key, the same on every attempt.
+    /// The idempotency key, by which the client names the request; the same on every attempt.
     pub key: ids::IdempotencyKey,
-    /// The home that the client names on every attempt.
+    /// The instance and incarnation that alone may run the key; the client names them on every attempt.
     pub home: name::Home,
     /// The fingerprint of the request to run.
     pub fingerprint: fingerprint::Fingerprint,
     /// The client's number of the attempt, from 1, or [`Attempt::UNNUMBERED`].
     ///
-    /// With numbers, *not run* also covers earlier attempts: an attempt that was delayed in the network
-    /// and arrives after a later one was answered with *not run* is not dispatched.
+    /// If the client numbers its attempts, the answer *not run* also covers earlier attempts: an attempt that
+    /// was delayed in the network and arrives after a later one was answered with *not run* is not dispatched.
     pub try_number: u32,
     /// The remaining time until the client's deadline.
     pub time_left: time::SpanMs,
--- a/crates/damaskvane-dispatch/src/home/closed_table.rs
+++ b/crates/damaskvane-dispatch/src/home/closed_table.rs
@@ -1,8 +1,9 @@
-//! The state of a key table that dispatches no more keys.
+//! The state of a key table whose instance is leaving and dispatches no more keys.
 
 use crate::home::{handover, name};
 
-/// The successor that holds the table, the parts handed over, and the outcomes that arrived since.
+/// The successor that holds the table, the parts handed over, and the amendments: the outcomes that arrived
+/// after the handover and were not yet taken for sending.
 #[derive(Debug)]
 pub(super) struct ClosedTable<A> {
     successor: Option<name::Home>,
@@ -11,8 +12,8 @@
 }
 
 impl<A> ClosedTable<A> {
-    /// Returns the state without a successor: new keys are *not run*, the table's keys are lost with
-    /// the process.
+    /// Returns the state without a successor: new keys are answered with *not run*, and the table's keys are
+    /// lost when the process ends.
     pub(super) const fn without_successor() -> Self {
         Self {
             successor: None,
@@ -36,7 +37,7 @@
         self.successor.as_ref()
     }
 
-    /// Returns the parts as first built.
+    /// Returns the parts of the handover, which are built only once.
     ///
     /// Parts of two builds must not be mixed, since the successor treats the table as complete once
     /// every part number has arrived.
--- a/crates/damaskvane-dispatch/src/home/expiry.rs
+++ b/crates/damaskvane-dispatch/src/home/expiry.rs
@@ -1,4 +1,6 @@
-//! Expiry of keys that are overdue, older than the window, or answered with *not run*.
+//! Expiry of keys: running ones that are overdue, and ones whose outcome or *not run* is past its window.
+//!
+//! A tombstone is the digest of a key whose outcome is no longer retained; the key never runs again.
 
 use damaskvane_core::ids;
 
@@ -55,7 +57,8 @@
 
     /// Adds tombstones for expired keys that were answered with *not run* and not attempted since.
     ///
-    /// An attempt that arrives later may be an old one, and running it could make the answer false.
+    /// An attempt that arrives later may have been sent before the answer *not run*; running the attempt could
+    /// make that answer false.
     pub(super) fn expire_superseded(&mut self) {
         let max_superseded = self.settings.max_superseded;
         while let Some((scope, attempts)) = self.superseded.pop_due(self.now, max_superseded) {
--- a/crates/damaskvane-dispatch/src/home/handover.rs
+++ b/crates/damaskvane-dispatch/src/home/handover.rs
@@ -1,5 +1,8 @@
 //! Messages with which a leaving instance hands its key table to its successor.
 //!
+//! A home is an instance and its incarnation (one start or renewal). A tombstone is the digest of a key whose
+//! outcome is no longer retained.
+//!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_dispatch::home;
@@ -21,7 +24,7 @@
 pub struct HandoverPart<A> {
     /// The home of the leaving instance.
     pub from: name::Home,
-    /// The only home that may dispatch the departed homes' keys from now on.
+    /// The only home that may dispatch the keys of `homes` from now on.
     pub successor: name::Home,
     /// The number of this part, from 0.
     pub part: u32,
@@ -31,7 +34,8 @@
     pub homes: Vec<(name::Home, Vec<u64>)>,
     /// Keys that have an outcome or are running.
     pub records: Vec<HandoverRecord<A>>,
-    /// Keys whose attempts up to a number must not run.
+    /// Keys of which the attempts up to a given number must not run, since a later one was answered with *not
+    /// run*.
     pub superseded: Vec<(scope::Scope, superseded::SupersededAttempts)>,
 }
 
@@ -53,14 +57,15 @@
 /// The state of a key in a handover.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum HandoverState<A> {
-    /// The key runs at the predecessor, which sends the outcome once the run ends.
+    /// A backend server runs the key's request for the leaving instance, which sends the outcome to the
+    /// successor once the run ends.
     Running {
-        /// The remaining time until the outcome is abandoned as *unknown*.
+        /// The remaining time after which the key is abandoned and its outcome is *unknown*.
         time_left: time::SpanMs,
     },
     /// The key has an outcome. After *not run*, the successor may dispatch the key.
     Done {
-        /// The outcome to replay.
+        /// The outcome that the key's later attempts receive.
         outcome: outcome::Outcome<A>,
         /// The remaining time for which the outcome is retained.
         time_left: time::SpanMs,
--- a/crates/damaskvane-dispatch/src/home/key_owner.rs
+++ b/crates/damaskvane-dispatch/src/home/key_owner.rs
@@ -1,4 +1,7 @@
-//! Determines the owner of a key without a record in the table.
+//! Determines the owner of a key without a record in the table: the home that may dispatch the key.
+//!
+//! A home is an instance and its incarnation (one start or renewal); a departed home has a successor that takes
+//! over its keys.
 
 use damaskvane_core::ids;
 
@@ -6,7 +9,7 @@
 use crate::home::{name, scope, table, taken_over};
 use crate::refusal;
 
-/// The instance that decides on a key without a record in the table.
+/// The instance that decides whether a key without a record in the table is dispatched.
 #[derive(Debug)]
 pub(super) enum KeyOwner {
     /// This instance, for the given incarnation of the key's home.
--- a/crates/damaskvane-dispatch/src/home/name.rs
+++ b/crates/damaskvane-dispatch/src/home/name.rs
@@ -1,4 +1,4 @@
-//! The name of a home: an entry instance and its incarnation.
+//! The name of a home: an entry instance and its incarnation, that is, one start or renewal of the instance.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -14,7 +14,7 @@
 use damaskvane_core::ids;
 use serde::{Deserialize, Serialize};
 
-/// The instance and incarnation that alone may dispatch a key.
+/// The instance and incarnation that alone may dispatch an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Home {
     /// The entry instance.
--- a/crates/damaskvane-dispatch/src/home/permit.rs
+++ b/crates/damaskvane-dispatch/src/home/permit.rs
@@ -1,4 +1,5 @@
-//! The permit to dispatch a key, and the id of a waiting attempt.
+//! The permit to dispatch an idempotency key (to send its request to a backend server), and the id of an
+//! attempt that waits for the outcome.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -19,7 +20,7 @@
     serial: u64,
 }
 
-/// The id of an attempt that waits for the outcome of another, unique within a table.
+/// The id of an attempt that waits for the outcome of an earlier attempt of its key; unique within a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(u64);
 
--- a/crates/damaskvane-dispatch/src/home/record.rs
+++ b/crates/damaskvane-dispatch/src/home/record.rs
@@ -1,4 +1,6 @@
-//! The record of one dispatched key.
+//! The record of one dispatched idempotency key.
+//!
+//! The predecessor is a departed instance that handed its keys over to this one.
 
 use damaskvane_core::{ids, time};
 
@@ -34,7 +36,7 @@
 }
 
 impl<A> State<A> {
-    /// Returns when the state ends: the outcome is abandoned, or its window is over.
+    /// Returns when the state ends: a running key is abandoned as *unknown*, or an outcome is removed.
     pub(super) const fn due(&self) -> time::TimeMs {
         match self {
             Self::Running { abandon_at, .. } => *abandon_at,
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Returns whether an outcome may still arrive: the key is running or was abandoned.
+    /// Returns whether a later outcome replaces this state: the key is running, or its outcome is unknown.
     pub(super) const fn accepts_outcome(&self) -> bool {
         match self {
             Self::Running { .. } => true,
--- a/crates/damaskvane-dispatch/src/home/records.rs
+++ b/crates/damaskvane-dispatch/src/home/records.rs
@@ -1,4 +1,4 @@
-//! The records of a key table, with their memory and due times.
+//! The records of a key table, with their memory and the times at which their states end.
 
 use std::collections;
 
@@ -8,10 +8,10 @@
 use crate::home::{permit, record, scope};
 use crate::outcome;
 
-/// Memory of a key without its response: two ids of at most 64 bytes, hash, map and queue entries.
+/// Memory in bytes of a key without its response: two ids of at most 64 bytes, a hash, map and queue entries.
 const ENTRY_BYTES: u64 = 400;
 
-/// Records by scope, and scopes by the time at which the record's state ends.
+/// Records by scope (a key and its home instance), and scopes by the time at which the record's state ends.
 #[derive(Debug)]
 pub(super) struct Records<A> {
     entries: collections::BTreeMap<scope::Scope, record::Record<A>>,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Removes and returns the next key that is due.
+    /// Removes and returns the next key whose state has ended by `now`.
     pub(super) fn pop_due(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-dispatch/src/home/renewal.rs
+++ b/crates/damaskvane-dispatch/src/home/renewal.rs
@@ -1,4 +1,7 @@
-//! A new incarnation of a home without a restart.
+//! The renewal of a home: a new incarnation without a restart.
+//!
+//! An incarnation is one start or renewal of an instance. A tombstone is the digest of a key whose outcome is
+//! no longer retained; an incarnation that has ended needs no tombstones.
 //!
 //! ```text
 //! tombstones three quarters full -> next incarnation; the previous one accepts new keys for 30 s
@@ -9,10 +12,11 @@
 use crate::home::response_size::ResponseSize;
 use crate::home::{scope, table, tombstones};
 
-/// Number of accepted keys, in thousandths of `max_tombstones`, at which a new incarnation is due.
+/// Number of accepted keys, in thousandths of `max_tombstones`, at which the home needs a new incarnation.
 const RENEWAL_THRESHOLD_PERMILLE: usize = 750;
 
-/// Time for which lookup responses may still name the previous incarnation.
+/// Time for which lookup responses, which tell a client its instance and home, may still name the previous
+/// incarnation.
 const PREVIOUS_GRACE: time::SpanMs = time::SpanMs::new(30_000);
 
 /// The previous incarnation of this home, with its tombstones.
@@ -55,7 +59,7 @@
         }
     }
 
-    /// Returns whether a new incarnation is due.
+    /// Returns whether the home needs a new incarnation, at three quarters of `max_tombstones` accepted keys.
     ///
     /// New keys are rejected once `max_tombstones` keys have been accepted.
     #[must_use]
@@ -71,7 +75,7 @@
         self.previous = self.previous.take().filter(|previous| now < previous.until);
     }
 
-    /// Returns whether the previous incarnation still accepts the key.
+    /// Returns whether `incarnation` is the previous one and still accepts the key.
     pub(super) fn previous_accepts(
         &self,
         incarnation: ids::Incarnation,
--- a/crates/damaskvane-dispatch/src/home/response_size.rs
+++ b/crates/damaskvane-dispatch/src/home/response_size.rs
@@ -8,7 +8,7 @@
 
 use std::sync::Arc;
 
-/// The size of a response that is stored for replay to repeated attempts.
+/// The size of a response that is stored, to be sent again to repeated attempts of the request.
 pub trait ResponseSize {
     /// Returns the memory of the response in bytes.
     fn size_bytes(&self) -> u64;
--- a/crates/damaskvane-dispatch/src/home/routes.rs
+++ b/crates/damaskvane-dispatch/src/home/routes.rs
@@ -1,4 +1,7 @@
-//! The instances that answer for departed homes.
+//! The instances that took over the keys of departed homes.
+//!
+//! A home is an instance and its incarnation (one start or renewal). A departed home has left and handed its
+//! key table over to its successor.
 
 use std::collections;
 
@@ -6,7 +9,8 @@
 
 use crate::home::{name, taken_over};
 
-/// Maximum number of successors followed in a row; a longer chain is older than the window.
+/// Maximum number of successors followed in a row; the first home of a longer chain departed before the window
+/// in which outcomes are retained.
 const MAX_HOPS: usize = 8;
 /// Maximum number of recorded departed homes: more than a day's planned restarts of all instances.
 const MAX_SUCCESSORS: usize = 1_024;
@@ -20,7 +24,7 @@
 }
 
 impl Routes {
-    /// Returns the home taken over for `home`: the same one, or a later incarnation of its table.
+    /// Returns the takeover that covers `home`: of the same home, or of a later incarnation of its instance.
     pub(super) fn taken_over_for(&self, home: &name::Home) -> Option<&taken_over::TakenOverHome> {
         let later = home.clone()..;
         self.taken_over
@@ -62,7 +66,7 @@
         self.taken_over.values()
     }
 
-    /// Returns the last successor of a home, or the home itself.
+    /// Returns the last successor in the chain from a home, or the home itself if it has no successor.
     pub(super) fn resolve(&self, home: &name::Home) -> name::Home {
         let mut current = home;
         for _ in 0..MAX_HOPS {
@@ -82,7 +86,7 @@
         (departed.instance == home.instance).then_some(successor)
     }
 
-    /// Records a successor; the first recorded one stays, since a second can't hold the table.
+    /// Records a successor; the first recorded successor stays, since a home hands its table over only once.
     pub(super) fn record_successor(
         &mut self,
         departed: name::Home,
@@ -100,7 +104,7 @@
             .or_insert((successor, until));
     }
 
-    /// Ends all takeovers; keys of these homes without a record are *unknown* from now on.
+    /// Ends all takeovers; keys of these homes that have no record here are *unknown* from now on.
     pub(super) fn close_all(&mut self) {
         self.close_where(|_| true);
     }
--- a/crates/damaskvane-dispatch/src/home/scope.rs
+++ b/crates/damaskvane-dispatch/src/home/scope.rs
@@ -1,4 +1,4 @@
-//! The scope in which an idempotency key is unique: its home instance.
+//! The scope in which an idempotency key is unique: its home, the instance that alone may run the key.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -27,7 +27,8 @@
         Self { instance, key }
     }
 
-    /// Returns an eight-byte digest of the scope, for tombstones.
+    /// Returns an eight-byte digest of the scope, for tombstones (digests of keys whose outcomes are no longer
+    /// retained).
     ///
     /// A new key whose digest equals that of a tombstone is answered with *unknown*.
     pub(super) fn digest(&self) -> u64 {
--- a/crates/damaskvane-dispatch/src/home/settings.rs
+++ b/crates/damaskvane-dispatch/src/home/settings.rs
@@ -12,6 +12,9 @@
 
 /// Retention of outcomes and bounds on the memory of the table.
 ///
+/// A tombstone is the digest of a key whose outcome is no longer retained. An incarnation is one start or
+/// renewal of an instance.
+///
 /// With the defaults a table takes at most 16 MiB for entries, about 6 MiB for 20,000 keys that were
 /// answered with *not run*, and about 16 bytes for each of 400,000 tombstones; twice as much while the
 /// table of a departed home is held too.
@@ -24,13 +27,13 @@
     pub max_entries: usize,
     /// Maximum bytes of all keys and outcomes; a running key reserves `max_answer_bytes`.
     pub max_bytes: u64,
-    /// Maximum bytes of a response that is stored for replay.
+    /// Maximum bytes of a response that is stored, to be sent again to repeated attempts.
     pub max_answer_bytes: u64,
     /// Maximum number of keys that one incarnation accepts.
     pub max_tombstones: usize,
     /// Maximum number of attempts that wait for the outcome of one key.
     pub max_waiters: usize,
-    /// Time after its deadline for which a running key's outcome is awaited, in milliseconds.
+    /// Time in milliseconds after the request's deadline for which a running key's outcome is awaited.
     pub answer_grace_ms: u64,
     /// Maximum number of keys answered with *not run* that may be attempted again; beyond the maximum,
     /// the key answered first becomes *unknown* before its window is over.
--- a/crates/damaskvane-dispatch/src/home/snapshot.rs
+++ b/crates/damaskvane-dispatch/src/home/snapshot.rs
@@ -1,4 +1,7 @@
-//! Splits a key table into the messages of a handover.
+//! Splits a table of idempotency keys into the messages of a handover to the successor of a leaving instance.
+//!
+//! A tombstone is the digest of a key whose outcome is no longer retained. A superseded attempt must not run,
+//! since a later one was answered with *not run*.
 
 use crate::home::{handover, name, scope, superseded};
 
--- a/crates/damaskvane-dispatch/src/home/superseded.rs
+++ b/crates/damaskvane-dispatch/src/home/superseded.rs
@@ -15,13 +15,13 @@
 
 use crate::home::{attempt, scope};
 
-/// The attempts of a key that must not run: all up to a number.
+/// The attempts of a key that must not run: all up to `highest_try`.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct SupersededAttempts {
     /// The number of the highest attempt that must not run.
     #[serde(rename = "through")]
     pub highest_try: u32,
-    /// The incarnation of the key's home.
+    /// The incarnation (one start or renewal) of the key's home instance.
     pub incarnation: ids::Incarnation,
 }
 
@@ -70,7 +70,8 @@
         self.entries.len()
     }
 
-    /// Removes and returns the next key that is due, or the oldest if there are over `max_entries`.
+    /// Removes and returns the next key whose entry has expired, or the key that expires first if there are
+    /// more than `max_entries`.
     pub(super) fn pop_due(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-dispatch/src/home/table.rs
+++ b/crates/damaskvane-dispatch/src/home/table.rs
@@ -1,4 +1,7 @@
-//! The table of idempotency keys of one home.
+//! The table of idempotency keys of one home: an instance and its incarnation (one start or renewal).
+//!
+//! A tombstone is the digest of a key whose outcome is no longer retained. A superseded attempt must not run,
+//! since a later one was answered with *not run*.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Ends a dispatch with its outcome, which goes to the client and to each waiter.
+    /// Ends a dispatch with its outcome, which the caller sends to the client and to each waiting attempt.
     ///
     /// A late outcome replaces the *unknown* that was answered when the key was overdue.
     pub fn finish(
@@ -99,7 +102,7 @@
         self.resolve(&scope, serial, outcome)
     }
 
-    /// Abandons overdue outcomes as *unknown* and removes entries whose window has ended.
+    /// Ends overdue running keys as *unknown*, and removes outcomes whose retention window has ended.
     pub fn expire(&mut self, now: time::TimeMs) -> Vec<begin::FinishedKey<A>> {
         self.advance(now);
         let mut finished = Vec::new();
@@ -135,19 +138,20 @@
 
     /// Returns the departed homes with known successors, including those this instance took over.
     ///
-    /// Send them to every instance that starts: the restarted process of a departed home has received
-    /// no announcement, and would answer *unknown* to clients of its predecessor.
+    /// The caller sends them to every instance that starts: the restarted process of a departed home has
+    /// received no announcement, and would answer *unknown* to clients of its predecessor.
     pub fn successors(&self) -> impl Iterator<Item = (&name::Home, &name::Home)> {
         self.routes.successors()
     }
 
-    /// Returns the home that lookups name for this instance.
+    /// Returns the home that lookup responses name for this instance.
     #[must_use]
     pub const fn home(&self) -> &name::Home {
         &self.own_home
     }
 
-    /// Returns the number of keys that are running or stored with their outcome.
+    /// Returns the number of keys that are running (dispatched, without an outcome) or stored with their
+    /// outcome.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
@@ -177,7 +181,7 @@
         self.broken_invariants
     }
 
-    /// Advances the table's time; a step back is ignored, so that it changes the length of no window.
+    /// Advances the table's time; a step back is ignored, so that no retention window gets longer or shorter.
     pub(super) fn advance(&mut self, now: time::TimeMs) {
         self.now = self.now.max(now);
     }
@@ -297,7 +301,7 @@
             None
         };
         let Some(record) = record else {
-            // The outcome arrived after the window of its key; the tombstone stays.
+            // The outcome arrived after the retention window of its key; the tombstone stays.
             return begin::FinishedKey {
                 outcome,
                 waiters: Vec::new(),
--- a/crates/damaskvane-dispatch/src/home/taken_over.rs
+++ b/crates/damaskvane-dispatch/src/home/taken_over.rs
@@ -1,4 +1,4 @@
-//! A departed home whose keys this instance took over.
+//! A departed home (an instance's incarnation that has left) whose keys this instance took over.
 
 use std::collections;
 
--- a/crates/damaskvane-dispatch/src/home/tombstones.rs
+++ b/crates/damaskvane-dispatch/src/home/tombstones.rs
@@ -1,4 +1,5 @@
-//! Tombstones of keys whose outcome is no longer retained.
+//! Tombstones: digests of idempotency keys whose outcome is no longer retained, so that the keys never run
+//! again.
 
 use std::collections;
 
--- a/crates/damaskvane-dispatch/src/home/transfer.rs
+++ b/crates/damaskvane-dispatch/src/home/transfer.rs
@@ -1,4 +1,4 @@
-//! The handover of a table from a leaving instance to its successor.
+//! The handover of the table of idempotency keys from a leaving instance to its successor.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -22,7 +22,7 @@
     begin, closed_table, error, handover, name, record, snapshot, table, taken_over,
 };
 
-/// Factor on the table's bounds while the table also holds a table taken over from another home.
+/// The factor by which the limits of the settings grow for a table that takes over another home's table.
 const TAKEOVER_FACTOR: usize = 2;
 
 impl<A: Clone + ResponseSize> table::HomeTable<A> {
@@ -114,9 +114,9 @@
         Ok(())
     }
 
-    /// Applies an outcome that the predecessor received after its handover.
+    /// Applies an outcome that the predecessor, a departed home, received after its handover to this instance.
     ///
-    /// Returns `None` if the key is not in the table or was dispatched here since.
+    /// Returns `None` if the key is not in the table, or if this instance has dispatched it since.
     pub fn accept_amendment(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-dispatch/src/lib.rs
+++ b/crates/damaskvane-dispatch/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! # Crate guide
 //!
-//! - [`home`]: at-most-once dispatch by a table of idempotency keys at the home instance.
-//! - [`admission`]: the queue in which requests wait for a slot.
+//! - [`home`]: at-most-once dispatch by a table of idempotency keys at each key's home instance. By a key, a
+//!   client names one request across its attempts.
+//! - [`admission`]: the queue in which requests wait for a slot, the right to run one request on a server.
 //! - [`connection`]: the failures of a connection that count against a backend server.
 //! - [`drain`]: the life cycle of a backend server, from its cold start to its drain.
 //! - [`shutdown`]: the planned stop of an entry instance.
@@ -12,7 +13,7 @@
 //! - [`fingerprint`]: a hash that identifies repeats of the same request.
 //! - [`outcome`]: the three final outcomes, and the proof that *not run* needs.
 //! - [`model`]: clients, instances and backend servers that fail, for randomised runs.
-//! - [`quarantine`]: requests that crash the backend servers that run them.
+//! - [`quarantine`]: the refusal of requests that crash the backend servers that run them.
 //! - [`refusal`]: the reasons for a response that comes from the entry instance alone.
 //! - [`retry`]: whether, when and why an attempt on one backend server is followed by another.
 //!
--- a/crates/damaskvane-dispatch/src/model/checker.rs
+++ b/crates/damaskvane-dispatch/src/model/checker.rs
@@ -9,15 +9,16 @@
 /// The execution log of all backend servers, and the answers *not run* that clients were sent.
 #[derive(Debug, Default)]
 pub(super) struct Checker {
-    /// For each client whose request ran, whether the run had the other body.
+    /// For each client whose request ran, whether it ran with the other body. A client sends that body by fault
+    /// on some attempts, under the same key.
     runs: collections::BTreeMap<u64, bool>,
-    /// By client and body, the highest number of a try that was answered with *not run*.
+    /// For each client and body, the highest number of an attempt that was answered with *not run*.
     max_not_run_try: collections::BTreeMap<(u64, bool), u32>,
     pub(super) violations: Vec<String>,
 }
 
 impl Checker {
-    /// Records that a backend server runs a client's request, dispatched for one of the client's tries.
+    /// Records that a backend server runs a client's request, dispatched for one of the client's attempts.
     pub(super) fn record_run(&mut self, client_try: event::ClientTry) {
         let event::ClientTry { client, number, .. } = client_try;
         if self
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Records the home's answer to a try, and checks the answer against the execution log.
+    /// Records the home's answer to an attempt, and checks the answer against the execution log.
     pub(super) fn record_answer(
         &mut self,
         client_try: event::ClientTry,
--- a/crates/damaskvane-dispatch/src/model/event.rs
+++ b/crates/damaskvane-dispatch/src/model/event.rs
@@ -1,10 +1,13 @@
 //! The events of the model, each scheduled for a time.
+//!
+//! A home is an instance and its incarnation (one start or renewal). A departed home has handed its key table
+//! over to a successor.
 
 use crate::home;
 use crate::outcome;
 use crate::retry;
 
-/// One try of a client's request.
+/// One attempt of a client's request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClientTry {
     pub(super) client: u64,
@@ -14,12 +17,12 @@
 
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A client sends its next try, unless it is done or has made another try since try `after`.
+    /// A client sends its next attempt, unless the client is done or its latest attempt is not number `after`.
     Send {
         client: u64,
         after: u32,
     },
-    /// A try arrives at the instance of index `at`, from a client or forwarded by another instance.
+    /// An attempt arrives at the instance of index `at`, from a client or forwarded by another instance.
     Arrive {
         at: usize,
         client_try: ClientTry,
@@ -54,7 +57,7 @@
         departed: home::Home,
         successor: home::Home,
     },
-    /// A leaving instance exits and starts again.
+    /// An instance that has handed its key table over exits and starts again.
     Restart {
         at: usize,
     },
--- a/crates/damaskvane-dispatch/src/model/exchanges.rs
+++ b/crates/damaskvane-dispatch/src/model/exchanges.rs
@@ -1,4 +1,4 @@
-//! Exchanges with backend servers, and their failures.
+//! Exchanges with backend servers (a request and its response), and their failures.
 
 use damaskvane_core::time;
 use rand::RngExt;
--- a/crates/damaskvane-dispatch/src/model/instance.rs
+++ b/crates/damaskvane-dispatch/src/model/instance.rs
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Restarts the process with a higher incarnation and an empty key table; a pause in progress continues.
+    /// Restarts the process with a higher incarnation (the number of its start or renewal) and an empty key
+    /// table; a pause in progress continues.
     pub(super) fn restart(&mut self, settings: home::HomeSettings) {
         let home = home::Home::new(
             self.table.home().instance.clone(),
--- a/crates/damaskvane-dispatch/src/model/run.rs
+++ b/crates/damaskvane-dispatch/src/model/run.rs
@@ -18,7 +18,8 @@
 
 pub(super) const REQUEST_TIMEOUT_MS: u64 = 1_000;
 pub(super) const TICK_MS: u64 = 100;
-/// The maximum number of forwards of a try: to the home, to its successor and to the successor's successor.
+/// The maximum number of forwards of an attempt: to the home, to its successor and to the successor's
+/// successor.
 const MAX_HOPS: u32 = 3;
 const MAX_VIOLATIONS: usize = 20;
 
@@ -85,7 +86,7 @@
         run
     }
 
-    /// Handles the given number of events, or fewer if too many guarantees are violated.
+    /// Handles `steps` events, or fewer if too many guarantees are violated.
     pub fn steps(&mut self, steps: u64) {
         for _ in 0..steps {
             let Some(((at, _), event)) = self.events.pop_first() else {
@@ -222,7 +223,7 @@
             client_try,
             hops: 0,
         });
-        // The client times out and sends its next try while the last one may still be in progress.
+        // The client times out and sends its next attempt while the last one may still be in progress.
         let timeout_ms = self.rng.random_range(20..1_500);
         let next = event::Event::Send {
             client,
--- a/crates/damaskvane-dispatch/src/model/settings.rs
+++ b/crates/damaskvane-dispatch/src/model/settings.rs
@@ -14,9 +14,9 @@
 pub struct ModelSettings {
     /// The number of entry instances.
     pub instances: usize,
-    /// The number of requests in progress at a time.
+    /// The number of clients that have a request in progress at a time.
     pub clients: usize,
-    /// The maximum number of tries of a client.
+    /// The maximum number of attempts of a client.
     pub max_tries: u32,
     /// The mean time in milliseconds between two faults of instances, such as kills and pauses.
     pub fault_every_ms: u64,
@@ -24,7 +24,8 @@
     pub lost_permille: u32,
     /// The number of exchanges with a backend server, in a thousand, that fail with each kind of failure.
     pub backend_fault_permille: u32,
-    /// The settings of the key tables; the default has short windows and small bounds, so that runs reach them.
+    /// The settings of the key tables; the default has short windows and small bounds, so that runs reach the
+    /// ends of the windows and the bounds.
     pub home: home::HomeSettings,
 }
 
--- a/crates/damaskvane-dispatch/src/outcome/answer.rs
+++ b/crates/damaskvane-dispatch/src/outcome/answer.rs
@@ -16,7 +16,7 @@
 pub enum Outcome<A> {
     /// A backend server ran the request and sent this complete response.
     Completed(A),
-    /// No backend server ran the request, so the client may send it again under another key.
+    /// No backend server ran the request, so the client may send it again under another idempotency key.
     NotRun(refused::NotRun),
     /// A backend server may have run the request.
     Unknown(refused::Unknown),
--- a/crates/damaskvane-dispatch/src/outcome/refused.rs
+++ b/crates/damaskvane-dispatch/src/outcome/refused.rs
@@ -12,7 +12,7 @@
 
 use crate::refusal;
 
-/// Proof that no backend server ran the request, with the delay before the client retries.
+/// The answer *not run*: proof that no backend server ran the request, with the delay before a retry.
 ///
 /// A client that receives *not run* sends its request again under another key. If the first request had
 /// reached a backend server all the same, it would run twice, for instance as a double booking. The
@@ -45,7 +45,7 @@
         self.reason
     }
 
-    /// Returns how long the client should wait before it retries, in milliseconds.
+    /// Returns how long the client should wait before it sends the request again, in milliseconds.
     #[must_use]
     pub const fn retry_after(self) -> time::SpanMs {
         self.retry_after
--- a/crates/damaskvane-dispatch/src/quarantine/broken.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/broken.rs
@@ -1,9 +1,9 @@
-//! Finds the broken exchanges that were caused by the crash of a backend server.
+//! Finds the exchanges whose connection was broken by the crash of a backend server.
 //!
-//! A connection breaks for many reasons: the server closed an idle connection, the server lost a response,
-//! or a network device dropped the connection's state. A request becomes a suspect only if its connection
-//! broke shortly before its server was found dead. Otherwise a day of broken connections would quarantine
-//! harmless requests.
+//! A connection breaks for many reasons: the server closed an idle connection, the server lost a response, or a
+//! network device dropped the connection's state. A request becomes a suspect only if its connection broke
+//! shortly before a probe found that its server had crashed. Otherwise a day of broken connections would
+//! quarantine harmless requests.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -22,7 +22,7 @@
 
 use crate::fingerprint;
 
-/// How long a broken exchange waits for confirmation that its server has died: a probe detects the death
+/// How long a broken exchange waits for confirmation that its server has crashed: a probe detects the crash
 /// within 0.1 s on an idle machine, and within 2 s if the first probes are lost.
 const CONFIRMATION_WINDOW: time::SpanMs = time::SpanMs::new(2_500);
 /// The maximum number of broken exchanges retained for each server: well above the number of requests that
@@ -35,7 +35,7 @@
     fingerprint: fingerprint::Fingerprint,
 }
 
-/// Exchanges that broke recently, by backend server.
+/// Broken exchanges, whose connection broke recently after the request was written, by backend server.
 #[derive(Debug, Default)]
 pub struct BrokenExchanges {
     by_server: collections::BTreeMap<ids::BackendServerId, Vec<Broken>>,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns how many broken exchanges of a request wait for confirmation that their server died.
+    /// Returns how many broken exchanges of a request wait for confirmation that their server crashed.
     #[must_use]
     pub fn unconfirmed_count(
         &self,
@@ -81,7 +81,7 @@
         });
     }
 
-    /// Removes the broken exchanges of a server that a probe found alive.
+    /// Removes the broken exchanges of a server that a probe found running.
     pub fn record_alive(&mut self, server: &ids::BackendServerId) {
         self.by_server.remove(server);
     }
@@ -92,7 +92,7 @@
         self.by_server.is_empty()
     }
 
-    /// Removes the broken exchanges of a server that was found dead, and returns their requests, each once.
+    /// Removes the broken exchanges of a server that has crashed, and returns their requests, each once.
     pub fn take_suspects(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-dispatch/src/quarantine/decision.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/decision.rs
@@ -1,5 +1,7 @@
 //! The quarantine's decision on a request, and an entry of the list that operators see.
 //!
+//! An incident is one crash of a backend server; a suspect is a request that ran on the server then.
+//!
 //! ```
 //! use damaskvane_dispatch::quarantine;
 //!
@@ -18,10 +20,10 @@
     Run,
     /// The request is a suspect and may run now, while no other suspect runs on this instance.
     ///
-    /// The caller sends the request to a server on which it was in no incident, and reports the end of the
-    /// run by `record_completed`, `release` or an incident.
+    /// The caller sends the request to a server that did not crash while running it, and ends the run by
+    /// `record_completed`, `release` or `record_incident`.
     RunAlone,
-    /// The request is a suspect and another suspect runs.
+    /// The request is a suspect and another suspect runs on this instance.
     ///
     /// The request waits in the queue, and is refused as overloaded if the wait takes too long.
     Wait,
--- a/crates/damaskvane-dispatch/src/quarantine/incident.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/incident.rs
@@ -1,4 +1,4 @@
-//! One crash of a backend server, as an instance reports it.
+//! An incident: one crash of a backend server, as an entry instance reports it.
 //!
 //! ```
 //! use damaskvane_dispatch::quarantine;
@@ -17,7 +17,7 @@
 /// Identifies an incident; every report of the incident carries the same id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IncidentId {
-    /// The incarnation of the instance that observed the incident.
+    /// The instance that observed the incident, and its incarnation (one start or renewal).
     pub reporter: home::Home,
     /// The serial number of the incident within this incarnation.
     pub serial: u64,
@@ -35,6 +35,6 @@
     pub server: ids::BackendServerId,
     /// The requests that were in flight on the backend server.
     pub suspects: Vec<fingerprint::Fingerprint>,
-    /// The time from the incident until this report was sent, in milliseconds.
+    /// The time in milliseconds between the incident and the sending of this report.
     pub age: time::SpanMs,
 }
--- a/crates/damaskvane-dispatch/src/quarantine/list.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/list.rs
@@ -1,5 +1,8 @@
 //! The suspects and quarantined requests of a region, as known to one instance.
 //!
+//! An incident is one crash of a backend server; a suspect is a request that was in flight on the server. A
+//! quarantined request is refused.
+//!
 //! ```
 //! use damaskvane_dispatch::quarantine;
 //!
@@ -21,7 +24,7 @@
     suspects: collections::BTreeMap<fingerprint::Fingerprint, suspect::Suspect>,
     /// When each request last completed or was cleared; incidents before this time are ignored.
     cleared: collections::BTreeMap<fingerprint::Fingerprint, time::TimeMs>,
-    /// The suspect that runs on this instance; no other suspect may run until it ends.
+    /// The suspect that this instance runs; no other suspect may run until its run ends.
     running_alone: Option<fingerprint::Fingerprint>,
 }
 
@@ -39,8 +42,8 @@
 
     /// Merges an incident that this instance observed or that a peer reported.
     ///
-    /// Incidents may arrive in any order and any number of times. Returns the requests that are refused
-    /// from now on.
+    /// Incidents may arrive in any order and any number of times. Returns the requests that this incident puts
+    /// into quarantine.
     pub fn record_incident(
         &mut self,
         now: time::TimeMs,
@@ -94,8 +97,8 @@
         is_refused.then(|| suspect.until.since(now))
     }
 
-    /// Returns whether a request would be refused if its unconfirmed broken exchanges turn out to be
-    /// incidents; `unconfirmed` is their number.
+    /// Returns whether a request would be refused if each of its `unconfirmed` exchanges, whose connections
+    /// broke without a confirmed crash of the server, turns out to be an incident.
     #[must_use]
     pub fn may_be_refused(
         &self,
@@ -117,7 +120,7 @@
 
     /// Records a completed run, which clears a suspect.
     ///
-    /// Returns whether the request was a suspect; then its peers have to clear it too, with
+    /// Returns whether the request was a suspect; if so, the other instances have to clear it too, with
     /// [`Quarantine::clear`].
     pub fn record_completed(
         &mut self,
@@ -166,7 +169,7 @@
         suspect.into_iter().flat_map(suspect::Suspect::servers)
     }
 
-    /// Removes a request from the list, on an operator's command or after a completed run here or on a peer.
+    /// Removes a request from the list, on an operator's command or after a completed run on any instance.
     ///
     /// Returns `false` if the request was not listed.
     pub fn clear(&mut self, now: time::TimeMs, fingerprint: fingerprint::Fingerprint) -> bool {
--- a/crates/damaskvane-dispatch/src/quarantine/settings.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/settings.rs
@@ -1,4 +1,6 @@
-//! Settings of the quarantine.
+//! Settings of the quarantine, which refuses requests that crash backend servers.
+//!
+//! An incident is one crash of a backend server; a suspect is a request that was in flight on the server.
 //!
 //! ```
 //! use damaskvane_dispatch::quarantine;
--- a/crates/damaskvane-dispatch/src/quarantine/suspect.rs
+++ b/crates/damaskvane-dispatch/src/quarantine/suspect.rs
@@ -1,4 +1,4 @@
-//! The incidents of one suspect request.
+//! The incidents (crashes of backend servers) in which one suspect request was in flight on the server.
 
 use std::collections;
 
--- a/crates/damaskvane-dispatch/src/refusal/reason.rs
+++ b/crates/damaskvane-dispatch/src/refusal/reason.rs
@@ -24,9 +24,9 @@
     BodyTooLarge,
     /// A non-repeatable request lacks its idempotency key or its home.
     KeyMissing,
-    /// The key is bound to another body.
+    /// The idempotency key, by which a client names one request, is bound to another body.
     KeyReusedWithOtherBody,
-    /// A later try of the same key was already answered with *not run*.
+    /// A later attempt of the same key was already answered with *not run*.
     TrySuperseded,
     /// The table of idempotency keys is full.
     KeyTableFull,
@@ -44,7 +44,7 @@
     ClientGone,
     /// No backend server of the service accepts requests.
     NoBackendServer,
-    /// Requests arrive faster than the backend servers complete them.
+    /// Requests arrive faster than the backend servers of the service complete them.
     Overloaded,
     /// Requests with the same fingerprint have crashed backend servers.
     Quarantined,
@@ -52,21 +52,21 @@
     InstanceLeaving,
     /// Each backend server that was tried refused the request before running it.
     BackendRefused,
-    /// The budget of the link to the other availability zone is used up.
+    /// The budget of the link to the other availability zone, a limit on the data per second, is used up.
     LinkBudget,
-    /// The credit that the other availability zone granted is used up.
+    /// The credit, a rate of requests that the other availability zone granted, is used up.
     CreditExhausted,
     /// The key is older than the window for which outcomes are retained.
     KeyExpired,
-    /// The home of the key can't be reached.
+    /// The home of the key, the instance that alone may run it, can't be reached.
     HomeUnreachable,
     /// The home of the key was restarted without a handover of its keys.
     HomeRestarted,
     /// The request was sent, and its response was lost, truncated or belonged to another request.
     OutcomeLost,
-    /// Too many tries of the same key wait for the answer.
+    /// Too many attempts of the same key wait for the answer.
     TriesPending,
-    /// The request ran, and its response was too long to be retained for repeated tries.
+    /// The request ran, and its response was too long to be retained for repeated attempts.
     AnswerNotKept,
     /// The deadline passed after the request was sent.
     DeadlinePassed,
@@ -112,7 +112,7 @@
 }
 
 impl RefusalReason {
-    /// Every reason, in the order of the page of counters.
+    /// Every reason, in the order of docs/COUNTERS.md.
     pub const ALL: [Self; 27] = [
         Self::MalformedRequest,
         Self::BodyTooLarge,
--- a/crates/damaskvane-dispatch/src/retry/decision.rs
+++ b/crates/damaskvane-dispatch/src/retry/decision.rs
@@ -11,26 +11,26 @@
 
 use crate::refusal;
 
-/// Whether to retry a request after a failed try.
+/// Whether to retry a request after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
     /// Try another backend server after a delay.
     Retry {
-        /// The delay before the next try, in milliseconds.
+        /// The delay before the next attempt, in milliseconds.
         after: time::SpanMs,
     },
-    /// Refuse the request without a further try.
+    /// Refuse the request without a further attempt.
     Stop(RetryStop),
 }
 
-/// Why there is no further try.
+/// Why there is no further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryStop {
     /// Each backend server that accepts requests was tried.
     NoOtherServer,
-    /// The request has used up its tries.
+    /// The request has been sent the maximum number of times.
     TriesUsed,
-    /// The delay and a further try don't fit into the time until the deadline.
+    /// The delay and a further attempt don't fit into the time until the deadline.
     DeadlineTooShort,
     /// The retry budget of the service is used up.
     BudgetUsed,
--- a/crates/damaskvane-dispatch/src/retry/policy.rs
+++ b/crates/damaskvane-dispatch/src/retry/policy.rs
@@ -22,7 +22,7 @@
 use crate::exchange;
 use crate::retry::{budget, decision, settings};
 
-/// The number of doublings after which the backoff has reached any sensible maximum.
+/// The number of doublings after which the backoff, the delay before a retry, exceeds any sensible maximum.
 const MAX_DOUBLINGS: usize = 16;
 
 /// The retry policy of one service on one instance.
@@ -36,21 +36,21 @@
 }
 
 impl RetryPolicy {
-    /// Creates a policy with a full budget.
+    /// Creates a policy with a full retry budget.
     #[must_use]
     pub const fn new(settings: settings::RetrySettings) -> Self {
         let budget = budget::RetryBudget::new(settings.share_permille, settings.max_saved);
         Self { settings, budget }
     }
 
-    /// Records the first try of a request, which adds to the budget.
+    /// Records the first attempt of a request, which adds to the budget.
     pub fn record_first_try(&mut self) {
         self.budget.deposit();
     }
 
-    /// Decides whether to retry after a failed try.
+    /// Decides whether to retry after a failed attempt.
     ///
-    /// `untried_servers` is the number of backend servers that could receive the next try.
+    /// `untried_servers` is the number of backend servers that could receive the next attempt.
     pub fn decide(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-dispatch/src/retry/reason.rs
+++ b/crates/damaskvane-dispatch/src/retry/reason.rs
@@ -9,7 +9,7 @@
 
 use core::fmt;
 
-/// Why a try on a backend server failed.
+/// Why an attempt on a backend server failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RetryReason {
     /// The connection could not be opened, so nothing was sent.
@@ -20,7 +20,7 @@
     BackendRefused,
     /// The connection broke after the request was sent and before a response.
     ConnectionLost,
-    /// No byte was received on the connection within the time limit of one try.
+    /// No byte was received on the connection within the time limit of one attempt.
     SilentConnection,
     /// The response ended before its declared length.
     AnswerCut,
@@ -29,7 +29,7 @@
 }
 
 impl RetryReason {
-    /// Every reason, in the order of the page of counters.
+    /// Every reason, in the order of docs/COUNTERS.md.
     pub const ALL: [Self; 7] = [
         Self::ConnectFailed,
         Self::ConnectionStale,
--- a/crates/damaskvane-dispatch/src/retry/settings.rs
+++ b/crates/damaskvane-dispatch/src/retry/settings.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetrySettings {
-    /// The maximum number of tries of one request, including the first.
+    /// The maximum number of attempts of one request, including the first.
     pub max_tries: usize,
-    /// The number of retries that the budget allows for each thousand first tries.
+    /// The number of retries that the budget allows for each thousand first attempts.
     pub share_permille: u32,
-    /// The maximum number of unused retries that the budget holds.
+    /// The maximum number of retries that the budget can save up while few attempts fail.
     pub max_saved: u32,
     /// The maximum delay before the first retry, in milliseconds; the maximum doubles with each further retry.
     pub base_backoff_ms: u64,
--- a/crates/damaskvane-dispatch/src/shutdown.rs
+++ b/crates/damaskvane-dispatch/src/shutdown.rs
@@ -1,8 +1,9 @@
 //! The planned shutdown of an entry instance.
 //!
-//! The instance is removed from lookup responses, keeps serving requests, hands its key table over to a
-//! successor and stops. Each phase is a type. The handover begins only after all lookup responses that
-//! name the instance have expired, because clients send new requests until then.
+//! The instance is removed from lookup responses (which name the instances for clients to use), keeps serving
+//! requests, hands its key table over to a successor and stops. Each phase is a type. The handover begins only
+//! after all lookup responses that name the instance have expired, because clients send new requests until
+//! then.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-dispatch/src/shutdown/phase.rs
+++ b/crates/damaskvane-dispatch/src/shutdown/phase.rs
@@ -1,5 +1,7 @@
 //! The phases of a planned shutdown.
 //!
+//! A lookup response names the entry instances that a client may use; clients cache it for a short time.
+//!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_dispatch::shutdown;
@@ -13,7 +15,7 @@
 
 use crate::shutdown::{progress, settings};
 
-/// The phase before a planned shutdown: the instance is in lookup responses and accepts all requests.
+/// The phase before a planned shutdown: lookup responses name the instance, and it accepts all requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Serving;
 
@@ -36,7 +38,8 @@
 /// The shutdown is finished and the process may exit.
 #[derive(Debug, Clone, Copy)]
 pub struct Stopped {
-    /// Whether the handover timed out before it was complete; then the outcome of requests may be *unknown*.
+    /// Whether the handover timed out before it was complete; in that case the outcomes of requests may be
+    /// answered as *unknown*.
     pub is_timed_out: bool,
 }
 
@@ -52,7 +55,8 @@
 }
 
 impl Leaving {
-    /// Begins the handover once lookup responses have expired and no request runs, or after the maximum time.
+    /// Begins the handover once the lookup responses that name the instance have expired and `running`, the
+    /// number of requests on this instance, is zero, or after `max_leaving_ms`.
     ///
     /// # Errors
     ///
@@ -84,8 +88,8 @@
 }
 
 impl HandingOver {
-    /// Stops once the successor has acknowledged the whole key table and no request runs, or after the maximum
-    /// time.
+    /// Stops once `is_acknowledged` is set, because the successor has acknowledged the whole key table, and
+    /// `running` is zero, or after `max_handover_ms`.
     ///
     /// # Errors
     ///
--- a/crates/damaskvane-dispatch/src/shutdown/progress.rs
+++ b/crates/damaskvane-dispatch/src/shutdown/progress.rs
@@ -11,12 +11,12 @@
 use damaskvane_core::time;
 use serde::Serialize;
 
-/// The current phase of a planned shutdown and what remains of the phase.
+/// The current phase of a planned shutdown, with the running requests and the remaining time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Progress {
     /// The phase: `leaving` or `handing_over`.
     pub phase: &'static str,
-    /// The number of requests that still run on this instance.
+    /// The number of running requests on this instance.
     pub running: usize,
     /// The maximum time until this phase ends, in milliseconds.
     pub time_left: time::SpanMs,
--- a/crates/damaskvane-dispatch/src/shutdown/settings.rs
+++ b/crates/damaskvane-dispatch/src/shutdown/settings.rs
@@ -12,9 +12,10 @@
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ShutdownSettings {
-    /// How long clients use a lookup response, in milliseconds.
+    /// How long clients use a lookup response, which names entry instances, in milliseconds.
     pub lookup_ttl_ms: u64,
-    /// The time in milliseconds until every instance has removed this one from its lookup responses.
+    /// The time in milliseconds from the start of the shutdown until every other instance has removed this one
+    /// from its lookup responses.
     pub notice_ms: u64,
     /// The maximum time in milliseconds from the start of the shutdown until the handover begins, even if
     /// requests still run.
