--- a/crates/damaskvane-engine/src/directory.rs
+++ b/crates/damaskvane-engine/src/directory.rs
@@ -1,6 +1,7 @@
 //! The services, the backend servers of the local availability zone and the other entry instances.
 //!
-//! The control thread builds a new directory whenever the configuration or the membership changes.
+//! The control thread of the instance builds a new directory whenever the configuration or the membership (the
+//! set of entry instances) changes.
 //!
 //! ```
 //! use damaskvane_engine::directory;
@@ -23,13 +24,13 @@
 /// An immutable snapshot of the configuration and membership that the engine uses.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
-    /// The version of the configuration that the snapshot was built from; zero before the first one.
+    /// The version of the configuration that the snapshot was built from; zero before the first configuration.
     pub version: ids::ConfigVersion,
     /// The availability zone of this instance.
     pub own_zone: Option<ids::AvailabilityZoneId>,
     /// The region of this instance.
     pub own_region: Option<ids::RegionId>,
-    /// The longest time for which clients cache a lookup response.
+    /// The longest time for which clients cache a lookup response, which names entry instances to use.
     pub lookup_ttl: time::SpanMs,
     /// Every service that the configuration declares.
     pub services: BTreeMap<ids::ServiceId, Service>,
--- a/crates/damaskvane-engine/src/directory/backend_server.rs
+++ b/crates/damaskvane-engine/src/directory/backend_server.rs
@@ -21,7 +21,7 @@
     pub address: net::SocketAddr,
     /// The maximum number of requests that may run on the backend server at the same time.
     pub slots: units::Slots,
-    /// The maximum number of connections, shared by all instances of the zone.
+    /// The maximum number of connections to the backend server from all entry instances of the zone together.
     pub connections: u32,
     /// Whether the configuration drains the backend server, so that it gets no new requests.
     pub draining: bool,
--- a/crates/damaskvane-engine/src/directory/peer_instance.rs
+++ b/crates/damaskvane-engine/src/directory/peer_instance.rs
@@ -31,11 +31,11 @@
 /// The location and state of another entry instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerInstance {
-    /// The incarnation of the latest process of the instance.
+    /// The incarnation (the number of a start) of the latest process of the instance.
     pub incarnation: ids::Incarnation,
     /// The availability zone of the instance.
     pub availability_zone: ids::AvailabilityZoneId,
-    /// The region of that zone.
+    /// The region of the instance's availability zone.
     pub region: ids::RegionId,
     /// Whether the instance can be reached.
     pub reachability: Reachability,
--- a/crates/damaskvane-engine/src/directory/service.rs
+++ b/crates/damaskvane-engine/src/directory/service.rs
@@ -15,9 +15,10 @@
     pub request_timeout: time::SpanMs,
     /// The usual duration of a request on a backend server.
     pub typical_duration: time::SpanMs,
-    /// The maximum number of requests that wait for a slot on one instance.
+    /// The maximum number of requests that wait on one instance for a slot, the right to run one request on a
+    /// backend server.
     pub queue_limit: u32,
-    /// The maximum share of retries in the number of first attempts.
+    /// The maximum number of retries for each thousand first attempts of requests.
     pub retry_budget: units::Permille,
 }
 
--- a/crates/damaskvane-engine/src/engine.rs
+++ b/crates/damaskvane-engine/src/engine.rs
@@ -1,8 +1,11 @@
 //! The engine, which admits requests, assigns each a slot of a backend server and returns its final response.
 //!
-//! The path of a request: `submit` looks up its key and queues it, `launch_waiting` sends it to a backend server
-//! with a free slot, and `handle_exchange_end` responds or retries. Non-repeatable requests of other homes are
-//! handled in `forwarding`, a planned stop in `leaving`.
+//! The path of a request: `submit` looks up its idempotency key and queues it, `launch_waiting` sends it to a
+//! backend server with a free slot, and `handle_exchange_end` responds or retries. Non-repeatable requests that
+//! another instance has to run (their home) are handled in `forwarding`, a planned stop in `leaving`.
+//!
+//! A slot is the right to run one request on a backend server. An exchange is one request sent to a backend
+//! server, with its response.
 //!
 //! ```
 //! use damaskvane_dispatch::home;
@@ -57,7 +60,8 @@
     clients: BTreeMap<RequestNumber, pending::LocalId>,
     waiters: BTreeMap<home::WaiterId, pending::LocalId>,
     queue: admission::Queue<pending::LocalId>,
-    /// Requests that have left the queue and wait for a slot of particular servers: retries and suspects.
+    /// Requests that have left the queue and wait for a slot: retries, requests suspected of crashing servers,
+    /// and requests for which no slot could be acquired.
     deferred: Vec<pending::LocalId>,
     active_exchanges: BTreeMap<ExchangeNumber, pending::ActiveExchange>,
     servers: servers::Servers,
@@ -101,13 +105,13 @@
         }
     }
 
-    /// Returns the number of exchanges that run.
+    /// Returns the number of exchanges in progress.
     #[must_use]
     pub fn running(&self) -> usize {
         self.active_exchanges.len()
     }
 
-    /// Returns whether no request is in progress and no exchange runs.
+    /// Returns whether no request and no exchange is in progress.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty() && self.active_exchanges.is_empty()
@@ -124,14 +128,15 @@
         self.servers.draining()
     }
 
-    /// Returns the home that lookups name for this instance. After a renewal its incarnation is later than that
-    /// of the process.
+    /// Returns the home that lookup responses name for this instance: the instance and its incarnation, the
+    /// number of its start or renewal. After a renewal the incarnation is later than that of the process.
     #[must_use]
     pub const fn home(&self) -> &home::Home {
         self.keys.home()
     }
 
-    /// Returns whether a configuration is active and requests can get a slot.
+    /// Returns whether a configuration is active, and slots are granted in this zone or the zone has no backend
+    /// servers.
     #[must_use]
     pub fn is_ready(&self, now: time::TimeMs) -> bool {
         self.directory.version > ids::ConfigVersion::default() && self.servers.can_serve(now)
@@ -142,7 +147,7 @@
         self.servers.slots(now)
     }
 
-    /// Returns how often this instance, as an owner, refused to grant slots, by reason.
+    /// Returns how often this instance refused to grant slots of the backend servers that it owns, by reason.
     #[must_use]
     pub fn slot_refusals(&self) -> BTreeMap<&'static str, u64> {
         self.servers.slot_refusals()
@@ -248,7 +253,7 @@
         id
     }
 
-    /// Reports a broken invariant; the caller does not carry out the unsafe operation. In debug builds this
+    /// Reports a broken invariant; the caller does not carry out the unsafe operation. In debug builds the call
     /// panics, so that the events that led to the fault can be analysed.
     fn report_broken_invariant(&mut self, invariant: &'static str) {
         self.actions.push(Action::Broken { invariant });
--- a/crates/damaskvane-engine/src/engine/crashes.rs
+++ b/crates/damaskvane-engine/src/engine/crashes.rs
@@ -1,4 +1,6 @@
-//! Detects requests that crash backend servers, reports them to the region and refuses them.
+//! Detects requests that crash backend servers, reports them to all instances of the region and refuses them.
+//!
+//! An incident is one crash of a backend server; a suspect is a request that ran on the server then.
 //!
 //! ```text
 //! connection lost -> incident with all requests that run on that server -> region
@@ -34,7 +36,8 @@
         }
     }
 
-    /// Returns whether a crash of the server was just reported; a crash also breaks its other connections.
+    /// Returns whether a crash of the server was reported within `incident_window`; the crash also breaks the
+    /// server's other connections.
     fn is_reported(&mut self, now: time::TimeMs, server: &ids::BackendServerId) -> bool {
         let incident_window = self.incident_window;
         self.reported
@@ -44,7 +47,8 @@
 }
 
 impl Engine {
-    /// Records the end of an exchange as evidence for or against its request.
+    /// Records the end of an exchange: a response clears its request of suspicion, a lost connection or a
+    /// truncated response counts as a crash of the server.
     pub(super) fn record_evidence(
         &mut self,
         now: time::TimeMs,
@@ -66,8 +70,8 @@
     }
 
     /// Records a lost connection as a crash of its server. All requests that run on the server become suspects
-    /// at once. If each became one only when its own connection was lost, an innocent request could be retried
-    /// beside the request that caused the crash, and be blamed for the second crash.
+    /// at once. If a request became a suspect only when its own connection was lost, a harmless request could
+    /// be retried beside the request that caused the crash, and become a suspect of the second crash too.
     fn record_crash(&mut self, now: time::TimeMs, lost: &ActiveExchange) {
         let server = lost.slot_permit.server().clone();
         if self.crashes.is_reported(now, &server) {
@@ -123,7 +127,7 @@
         self.send_to_region(&peer::PeerMessage::Cleared(fingerprint));
     }
 
-    /// Returns the suspected and the refused requests, for operators.
+    /// Returns the suspects and the refused requests, for operators.
     #[must_use]
     pub fn quarantined(&self, now: time::TimeMs) -> Vec<quarantine::QuarantineEntry> {
         self.crashes.list.list(now)
--- a/crates/damaskvane-engine/src/engine/ended.rs
+++ b/crates/damaskvane-engine/src/engine/ended.rs
@@ -36,8 +36,8 @@
                 .errors += 1;
         }
         let progress = match end {
-            // The driver has compared the request id and the length of the response; it reports a wrong id
-            // as `MismatchedResponse` and a wrong length as `TruncatedResponse`.
+            // The driver, which does the I/O, has compared the request id and the length of the response; it
+            // reports a wrong id as `MismatchedResponse` and a wrong length as `TruncatedResponse`.
             ExchangeEnd::Answered(response) => {
                 let length = response.body.len() as u64;
                 active.sent.answered(exchange::BackendResponse {
--- a/crates/damaskvane-engine/src/engine/expiry.rs
+++ b/crates/damaskvane-engine/src/engine/expiry.rs
@@ -1,4 +1,4 @@
-//! Expiry of retry delays, deadlines, queued requests and keys.
+//! Expiry of retry delays, deadlines, queued requests and idempotency keys.
 //!
 //! ```text
 //! deadline passed, not sent to a backend server -> final response at once
--- a/crates/damaskvane-engine/src/engine/forwarding.rs
+++ b/crates/damaskvane-engine/src/engine/forwarding.rs
@@ -1,5 +1,8 @@
 //! The forwarding of non-repeatable requests to their home, and of the home's responses to the client.
 //!
+//! The home of a non-repeatable request is the instance, and one incarnation (start or renewal) of it, that
+//! alone may run the request.
+//!
 //! ```text
 //! client -> this instance -> home (or its successor) -> this instance -> client
 //! ```
--- a/crates/damaskvane-engine/src/engine/launch.rs
+++ b/crates/damaskvane-engine/src/engine/launch.rs
@@ -1,8 +1,11 @@
 //! Sends waiting requests to backend servers that have free slots.
 //!
+//! A slot is the right to run one request on a backend server. The owner of a server, one instance of the zone,
+//! leases the slots to instances for a bounded time.
+//!
 //! ```text
 //! queue -> a backend server not tried yet, with a free leased slot -> exchange
-//! requests that still wait -> slots are requested from this instance as an owner first, then from others
+//! requests left waiting -> slots are requested from servers owned by this instance, then from other owners
 //! ```
 
 use std::collections::BTreeMap;
@@ -97,9 +100,9 @@
     /// Returns the backend servers that the request must not be sent to: those that it has tried and, if other
     /// servers remain, those that crashed while they ran a request with the same fingerprint.
     ///
-    /// If no other server remains, the servers that crashed are allowed again, and a second crash decides.
-    /// Otherwise innocent requests that ran during a crash would wait until their suspicion expires, minutes
-    /// later.
+    /// If no other server remains, the servers that crashed are allowed again; a second crash puts the request
+    /// into quarantine. Otherwise harmless requests that ran during a crash would wait until their suspicion
+    /// expires, minutes later.
     fn excluded_servers(&self, now: time::TimeMs, id: LocalId) -> Vec<ids::BackendServerId> {
         let Some(pending) = self.requests.get(&id) else {
             return Vec::new();
--- a/crates/damaskvane-engine/src/engine/leaving.rs
+++ b/crates/damaskvane-engine/src/engine/leaving.rs
@@ -1,5 +1,7 @@
-//! A planned stop: lookups no longer name the instance, it serves for one more lookup TTL, then it hands its
-//! keys over to a successor.
+//! A planned stop: lookup responses no longer name the instance, but it serves requests while clients may use
+//! cached responses (for one TTL), then it hands its idempotency keys over to a successor.
+//!
+//! A home is an instance and its incarnation (one start or renewal), which alone may run the keys naming it.
 //!
 //! ```text
 //! Serving -> Leaving (still serves) -> HandingOver -> Stopped
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Returns the progress of a planned stop, for operators; `None` before and after it.
+    /// Returns the progress of a planned stop, for operators; `None` before the stop begins and after it ends.
     #[must_use]
     pub fn shutdown_progress(&self, now: time::TimeMs) -> Option<shutdown::Progress> {
         let running = self.active_exchanges.len();
@@ -76,9 +78,9 @@
 
     pub(super) fn leave(&mut self, now: time::TimeMs) {
         if let ShutdownState::Serving(serving) = &self.shutdown_state {
-            // Lookups name this instance until every instance has received the notice, and clients cache
-            // their responses for one TTL. Without the wait a client would reach another incarnation or no
-            // process at all.
+            // Lookup responses name this instance until every instance has received the notice of the stop, and
+            // clients cache the responses for one TTL. Without the wait a client would reach another
+            // incarnation or no process at all.
             let settings = shutdown::ShutdownSettings {
                 lookup_ttl_ms: self.directory.lookup_ttl.get(),
                 ..self.settings.shutdown
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Selects a live instance, of the local zone if there is one.
+    /// Selects a live instance as the successor, from the local zone if that zone has one.
     fn successor(&self) -> Option<home::Home> {
         let live = || {
             self.directory
@@ -172,8 +174,8 @@
         }
     }
 
-    /// Sends all reachable instances the successor of this home. An instance that misses the notice responds
-    /// *unknown* to requests for the home.
+    /// Sends all reachable instances the name of this home's successor. An instance that misses the notice
+    /// responds *unknown* to requests for the home.
     fn announce_successor(&mut self) {
         let Some(successor) = self.handover_target.clone() else {
             return;
@@ -211,7 +213,7 @@
         part: home::HandoverPart<Arc<message::BackendResponse>>,
     ) {
         let number = part.part;
-        // The home of the keys can have a later incarnation than the sending process, after a renewal.
+        // After a renewal, the home of the keys has a later incarnation than the sending process.
         let is_senders =
             part.from.instance == from.instance && part.from.incarnation >= from.incarnation;
         if !is_senders {
--- a/crates/damaskvane-engine/src/engine/load.rs
+++ b/crates/damaskvane-engine/src/engine/load.rs
@@ -1,4 +1,6 @@
-//! The load that the engine reports for the digest of its zone.
+//! The load that the engine reports for the digest, the summary that is sent on behalf of its zone.
+//!
+//! A slot is the right to run one request on a backend server; one instance, its owner, grants the slots.
 //!
 //! ```
 //! use damaskvane_engine::engine;
@@ -17,15 +19,16 @@
 pub struct EngineServiceLoad {
     /// The slots of the backend servers that this instance owns and that may get requests.
     pub slots: units::Slots,
-    /// The number of exchanges that run, as slots.
+    /// The slots in use: one for each exchange in progress.
     pub running: units::Slots,
-    /// The number of requests refused for lack of capacity since the last call.
+    /// The number of requests refused for lack of capacity since the last call of `take_load`.
     pub refused: u64,
-    /// The number of exchanges that failed since the last call; refusals by a backend server do not count.
+    /// The number of exchanges that failed since the last call of `take_load`; refusals by a backend server do
+    /// not count.
     pub errors: u64,
 }
 
-/// The load of the engine, with counters since the last call.
+/// The load of the engine, with counters since the last call of [`Engine::take_load`].
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineLoad {
     /// The load by service; services without load or slots can be missing.
--- a/crates/damaskvane-engine/src/engine/pause.rs
+++ b/crates/damaskvane-engine/src/engine/pause.rs
@@ -6,9 +6,11 @@
 
 use damaskvane_core::time;
 
-/// A longer gap between two calls of the engine counts as a pause; ticks arrive every few milliseconds.
+/// A gap between two calls of the engine that is longer than this span counts as a pause; ticks arrive every
+/// few milliseconds.
 const PAUSE_THRESHOLD: time::SpanMs = time::SpanMs::new(1_000);
-/// The time allowed for reading the messages that waited in the sockets, and for a neighbour to report a change.
+/// The time allowed for reading the messages that waited in the sockets, and for another instance to report a
+/// change.
 const CATCH_UP_TIME: time::SpanMs = time::SpanMs::new(300);
 
 /// The time of the last call of the engine, and the end of the delay after a pause.
@@ -31,7 +33,7 @@
         self.last = Some(now);
     }
 
-    /// Returns whether new exchanges have to wait.
+    /// Returns whether new exchanges with backend servers have to wait.
     pub(super) fn is_holding(&self, now: time::TimeMs) -> bool {
         now < self.hold_until
     }
--- a/crates/damaskvane-engine/src/engine/pending.rs
+++ b/crates/damaskvane-engine/src/engine/pending.rs
@@ -1,8 +1,11 @@
 //! The state of a request in the engine.
 //!
+//! A slot is the right to run one request on a backend server. The home of a non-repeatable request is the
+//! instance that alone may run the request.
+//!
 //! ```text
 //! Queued -> Running -> (Backoff -> Running)* -> answered
-//! Joined -> answered by the attempt that runs
+//! Joined -> answered with the outcome of the attempt that runs
 //! Forwarded -> answered by the home
 //! ```
 
@@ -66,10 +69,10 @@
     }
 }
 
-/// A request without a final response.
+/// A request that the engine has not finished.
 #[derive(Debug)]
 pub(super) struct Pending {
-    /// The origin that waits; `None` once the client has disconnected or got its response.
+    /// The origin that waits for the response; `None` once the client has disconnected or got its response.
     pub(super) origin: Option<Origin>,
     pub(super) request: Arc<message::ServiceRequest>,
     /// The fingerprint that identifies the request across backend servers and instances.
--- a/crates/damaskvane-engine/src/engine/renewal.rs
+++ b/crates/damaskvane-engine/src/engine/renewal.rs
@@ -1,4 +1,6 @@
-//! The renewal of the incarnation for keys without a restart, and the notices for new instances.
+//! The renewal of the incarnation for idempotency keys without a restart, and the notices for new instances.
+//!
+//! An incarnation is one start or renewal of an instance; instance and incarnation together are a home.
 //!
 //! ```text
 //! key table nearly exhausted -> next incarnation -> lookups of all instances name it
@@ -19,9 +21,9 @@
 impl Engine {
     /// Moves to the next incarnation when the key table is nearly exhausted.
     ///
-    /// Otherwise the process would refuse every new key with `key_table_full` until its end. A process takes
-    /// the wall clock in milliseconds as its incarnation, so that no later process gets an incarnation that
-    /// was reached by increments here.
+    /// Otherwise the process would refuse every new key with `key_table_full` until the process ends. A process
+    /// takes the wall clock in milliseconds as its incarnation, so that no later process gets an incarnation
+    /// that was reached by increments here.
     pub(super) fn renew_keys(&mut self) {
         if !self.keys.needs_renewal() {
             return;
@@ -47,8 +49,8 @@
         });
     }
 
-    /// Handles the notice that another instance has a new incarnation for its keys. Only a later incarnation of
-    /// the sender itself is accepted.
+    /// Handles the notice that another instance has a new incarnation for its keys. The notice is ignored
+    /// unless `home` is a later incarnation of the sender itself.
     pub(super) fn handle_renewal(&mut self, from: &home::Home, home: home::Home) {
         if home.instance == from.instance && home.incarnation > from.incarnation {
             self.actions.push(Action::HomeRenewed { home });
@@ -57,9 +59,10 @@
 
     /// Sends instances that started, or can be reached again, the notices that they missed.
     ///
-    /// The restarted process of a departed home has not received the notice of its successor. It would respond
-    /// *unknown* to returning clients whose requests were completed. Only the successor sends the notice, so
-    /// that a new instance of a large fleet receives each notice once.
+    /// The restarted process of a departed home has not received the notice that names the home's successor.
+    /// Without the notice, the process would respond *unknown* to returning clients whose requests were
+    /// completed. Only the successor sends the notice, so that a new instance of a large fleet receives each
+    /// notice once.
     pub(super) fn update_new_instances(&mut self, before: &Arc<directory::Directory>) {
         let known = reachable(before);
         let new_instances: Vec<ids::InstanceId> = reachable(&self.directory)
--- a/crates/damaskvane-engine/src/engine/responses.rs
+++ b/crates/damaskvane-engine/src/engine/responses.rs
@@ -1,4 +1,5 @@
-//! Final responses to clients, to instances that forwarded a request, and to joined attempts.
+//! Final responses to clients, to instances that forwarded a request, and to the waiters: attempts that joined
+//! a running attempt with the same idempotency key.
 //!
 //! ```text
 //! Answered -> key table (keyed requests) -> origin and waiters
@@ -17,7 +18,8 @@
 type Outcome = outcome::Outcome<Arc<message::BackendResponse>>;
 
 impl Engine {
-    /// Ends a request: records the outcome for its key, then responds to its origin and to all waiters.
+    /// Ends a request: records the outcome for its key, then responds to its origin (the client or the
+    /// forwarding instance) and to all waiters.
     pub(super) fn finish(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-engine/src/engine/servers.rs
+++ b/crates/damaskvane-engine/src/engine/servers.rs
@@ -1,5 +1,8 @@
 //! The backend servers that this instance may use, with leased slots, a share of connections, and health.
 //!
+//! A slot is the right to run one request on a backend server. The owner of a server, one instance of the zone,
+//! leases the slots to instances for a bounded time.
+//!
 //! ```text
 //! candidate = declared, not draining, admitted by its health; usable with a free connection and slot
 //! ```
@@ -29,7 +32,7 @@
 /// The permit to send one request to a backend server, backed by a leased slot.
 pub(super) type SlotPermit = permit::Permit<permit::Sending>;
 
-/// The backend servers of the local zone.
+/// The backend servers of the local availability zone, with their slots, connections and health.
 #[derive(Debug)]
 pub(super) struct Servers {
     slots: exchange::SlotExchange,
@@ -62,7 +65,7 @@
         }
     }
 
-    /// Returns the actions of the slot exchange since the last call.
+    /// Takes the actions that the slot exchange, the state machine of the leases, returned since the last call.
     pub(super) fn take_actions(&mut self) -> Vec<exchange::Action> {
         core::mem::take(&mut self.actions)
     }
@@ -189,7 +192,8 @@
         pool.is_some_and(|pool| pool.admission(server, now).takes_work())
     }
 
-    /// Returns the number of backend servers that may get a request of a service, now or when a slot is free.
+    /// Returns the number of backend servers outside `tried` that may get a request of a service, whether or
+    /// not they have a free slot now.
     pub(super) fn candidate_count(
         &self,
         now: time::TimeMs,
@@ -206,14 +210,14 @@
             .sum()
     }
 
-    /// Returns whether a request of a service could be sent now.
+    /// Returns whether a backend server that may get a request of a service has a free slot now.
     pub(super) fn has_free_slot(&self, now: time::TimeMs, service: &ids::ServiceId) -> bool {
         self.candidates(now, service, &[])
             .filter(|(id, server)| self.has_capacity(now, id, server))
             .any(|(id, _)| self.slots.free(now, id) > units::Slots::ZERO)
     }
 
-    /// Acquires a slot of the backend server that has the most free slots.
+    /// Acquires a slot of the backend server outside `tried` that has the most free slots.
     pub(super) fn acquire_slot(
         &mut self,
         now: time::TimeMs,
@@ -247,8 +251,9 @@
         }
     }
 
-    /// Returns whether a backend server has capacity for another request. A cold or unhealthy server may use only
-    /// a part of its slots; connections have a limit of their own.
+    /// Returns whether a backend server has capacity for another request. On a cold (recently added or
+    /// recovered) or unhealthy server, only a part of the slots may be used; connections have a limit of their
+    /// own.
     fn has_capacity(
         &self,
         now: time::TimeMs,
@@ -294,8 +299,8 @@
         }
     }
 
-    /// Records the end of an exchange: its slot is free, or counts as in use until the backend server must have
-    /// stopped the request.
+    /// Records the end of an exchange: its slot becomes free at once, or counts as in use until the backend
+    /// server must have stopped the request.
     ///
     /// After a lost connection or a timeout the request may still run until the deadline that was sent with
     /// it. If the slot were used again earlier, the backend server would run more requests than it has slots.
@@ -319,7 +324,8 @@
         self.actions.extend(actions);
     }
 
-    /// Requests slots for waiting requests from backend servers that this instance owns, which takes no message.
+    /// Requests slots for waiting requests on the backend servers that this instance owns; no message is
+    /// needed.
     pub(super) fn demand_own(
         &mut self,
         now: time::TimeMs,
@@ -330,7 +336,7 @@
         self.demand(now, &own, waiting);
     }
 
-    /// Requests slots for waiting requests from the backend servers of other owners, in equal parts.
+    /// Requests slots for waiting requests from the other owners, in equal parts for each backend server.
     pub(super) fn demand_others(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-engine/src/engine/servers/drain_status.rs
+++ b/crates/damaskvane-engine/src/engine/servers/drain_status.rs
@@ -1,5 +1,7 @@
 //! The status of a draining or drained backend server, for operators.
 //!
+//! A draining server gets no new requests; it is drained once no request runs on it.
+//!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_engine::engine;
@@ -25,6 +27,6 @@
     pub phase: &'static str,
     /// The time when the phase began.
     pub since: time::TimeMs,
-    /// The number of requests that this instance still runs on the backend server.
+    /// The number of requests of this instance that run on the backend server.
     pub running: u32,
 }
--- a/crates/damaskvane-engine/src/engine/servers/end_effect.rs
+++ b/crates/damaskvane-engine/src/engine/servers/end_effect.rs
@@ -1,5 +1,7 @@
 //! The effect of the end of an exchange on its slot and on the health of its backend server.
 //!
+//! An exchange is one request sent to a backend server; its slot is the right to run the request there.
+//!
 //! ```text
 //! answered, refused, not sent           -> the slot is free
 //! lost, timeout, truncated, mismatched  -> the slot counts as in use until the server must have stopped
--- a/crates/damaskvane-engine/src/engine/servers/status.rs
+++ b/crates/damaskvane-engine/src/engine/servers/status.rs
@@ -1,4 +1,6 @@
-//! The state of the backend servers, for digests and operators.
+//! The state of the backend servers, for operators and for the digest, the summary sent on behalf of the zone.
+//!
+//! A slot is the right to run one request on a backend server; one instance, its owner, grants the slots.
 //!
 //! ```text
 //! slots granted here -> capacity in the zone's digest; drains -> status
@@ -14,7 +16,7 @@
 use crate::engine::servers::drain_status::DrainStatus;
 
 impl Servers {
-    /// Returns the backend servers that drain or have drained, with the start of that phase.
+    /// Returns the backend servers that drain or have drained, with the time at which that phase began.
     pub(in crate::engine) fn draining(&self) -> impl Iterator<Item = DrainStatus> + '_ {
         self.lifecycles.iter().filter_map(|(server, lifecycle)| {
             let (phase, since) = match lifecycle {
@@ -42,7 +44,7 @@
         self.slots.status(now)
     }
 
-    /// Returns how often this instance, as an owner, refused to grant slots, by reason.
+    /// Returns how often this instance refused to grant slots of the backend servers that it owns, by reason.
     pub(in crate::engine) fn slot_refusals(&self) -> BTreeMap<&'static str, u64> {
         self.slots
             .counters()
@@ -52,8 +54,9 @@
             .collect()
     }
 
-    /// Returns whether requests can get a slot in this zone: another instance owns backend servers, or this
-    /// instance has begun to grant slots. A zone without backend servers has nothing to wait for.
+    /// Returns whether slots are granted in this zone: another instance owns a backend server, or this instance
+    /// has begun to grant slots. The result is also `true` in a zone without backend servers, where there is
+    /// nothing to wait for.
     pub(in crate::engine) fn can_serve(&self, now: time::TimeMs) -> bool {
         let mut is_empty = true;
         for status in self.slots.status(now) {
@@ -66,7 +69,8 @@
         is_empty
     }
 
-    /// Returns the slots that this instance grants on backend servers that may get requests, by service.
+    /// Returns the slots that this instance grants, by service; only backend servers that may get requests
+    /// count.
     pub(in crate::engine) fn serving(
         &self,
         now: time::TimeMs,
--- a/crates/damaskvane-engine/src/engine/settings.rs
+++ b/crates/damaskvane-engine/src/engine/settings.rs
@@ -17,15 +17,18 @@
     pub keys: home::HomeSettings,
     /// The limits of retries; the share of retries comes from each service's declaration instead.
     pub retries: retry::RetrySettings,
-    /// The limits of the admission queue, in which requests wait for a slot.
+    /// The limits of the admission queue, in which requests wait for a slot, the right to run one request on a
+    /// backend server.
     pub queue: admission::QueueSettings,
     /// The limits of the quarantine of requests that crash backend servers.
     pub quarantine: quarantine::QuarantineSettings,
     /// The maximum number of times that a request is forwarded from instance to instance.
     pub max_hops: u32,
-    /// The time limits of a planned stop; the lookup TTL comes from the declared services instead.
+    /// The time limits of a planned stop; the time for which clients cache lookup responses comes from the
+    /// declared services instead.
     pub shutdown: shutdown::ShutdownSettings,
-    /// The delay after which an unacknowledged part of a handover is sent again.
+    /// The delay after which an unacknowledged part of a handover, the transfer of the key table to a
+    /// successor, is sent again.
     pub handover_resend: time::SpanMs,
 }
 
--- a/crates/damaskvane-engine/src/engine/submit.rs
+++ b/crates/damaskvane-engine/src/engine/submit.rs
@@ -1,4 +1,7 @@
-//! The arrival of a request: its key is looked up, then it is queued, joined, forwarded or answered.
+//! The arrival of a request: its idempotency key is looked up, then the request is queued, joined to a running
+//! attempt, forwarded or answered.
+//!
+//! The home of a key is the instance that alone may dispatch the key, that is, send its request to a server.
 //!
 //! ```text
 //! keyed request -> key table -> dispatch here | join a running attempt | replay | forward to its home
@@ -129,7 +132,8 @@
             .count()
     }
 
-    /// Returns the estimated time until all waiting requests are served, from the slots and the typical duration.
+    /// Returns the estimated time until the `waiting` requests of a service are served, from the slots of its
+    /// backend servers and its typical duration.
     fn queue_drain_time(
         &self,
         now: time::TimeMs,
@@ -175,8 +179,9 @@
         };
         pending.origin = None;
         match &pending.stage {
-            // The slot stays in use until the exchange ends, because only then the backend server is known
-            // to be free. A non-repeatable request continues, so that its next attempt gets the outcome.
+            // The slot stays in use until the exchange ends, because only then the backend server is known to
+            // be free for another request. A non-repeatable request continues, so that its next attempt gets
+            // the outcome.
             Stage::Running(exchange) => {
                 let exchange = *exchange;
                 if pending.request.is_repeatable() {
--- a/crates/damaskvane-engine/src/event.rs
+++ b/crates/damaskvane-engine/src/event.rs
@@ -1,5 +1,7 @@
 //! The events that the engine handles and the actions that it returns.
 //!
+//! The driver, which does the engine's I/O, passes in the events and carries out the actions.
+//!
 //! ```
 //! use damaskvane_engine::event;
 //!
--- a/crates/damaskvane-engine/src/event/action.rs
+++ b/crates/damaskvane-engine/src/event/action.rs
@@ -1,4 +1,6 @@
-//! The actions that the engine returns to its driver.
+//! The actions that the engine returns to its driver, which does the engine's I/O.
+//!
+//! A home is an instance and its incarnation, the number of its start or renewal.
 //!
 //! ```
 //! use damaskvane_dispatch::refusal;
@@ -17,7 +19,7 @@
 use crate::event::number;
 use crate::{message, peer};
 
-/// An exchange with a backend server that the driver has to run.
+/// An exchange that the driver has to run: send one request to a backend server and read the response.
 #[derive(Debug, Clone)]
 pub struct Exchange {
     /// The number of the exchange, assigned by the engine.
@@ -30,7 +32,8 @@
     pub request: Arc<message::ServiceRequest>,
     /// The deadline that is sent to the backend server, as a span that starts when the request is sent.
     pub deadline: time::SpanMs,
-    /// The end of the lease of the slot; the request must not be sent at or after this time.
+    /// The end of the lease of the slot, the right to run one request on the backend server; the request must
+    /// not be sent at or after this time.
     pub begin_before: time::TimeMs,
 }
 
@@ -60,8 +63,8 @@
         /// The message to send.
         message: Box<peer::PeerMessage>,
     },
-    /// Name this home in lookup responses for its instance, which may be the local one or another: requests
-    /// with new keys of an older incarnation of the same process end as *unknown* after 30 s.
+    /// Name this home in lookup responses for its instance, which may be the local one or another. Requests
+    /// with new keys that name an older incarnation of the same process end as *unknown* after 30 s.
     HomeRenewed {
         /// The instance with its new incarnation; heartbeats and leases continue under the old incarnation.
         home: home::Home,
@@ -70,7 +73,7 @@
     CountRefusal(refusal::RefusalReason),
     /// Increment the counter of a retry reason.
     CountRetry(retry::RetryReason),
-    /// Increment another event counter.
+    /// Increment a counter of another family.
     Count {
         /// The family of the counter.
         family: &'static str,
--- a/crates/damaskvane-engine/src/event/exchange_end.rs
+++ b/crates/damaskvane-engine/src/event/exchange_end.rs
@@ -1,4 +1,4 @@
-//! How an exchange with a backend server ended.
+//! How an exchange (one request sent to a backend server, with its response) ended.
 //!
 //! ```
 //! use damaskvane_engine::event;
@@ -16,7 +16,8 @@
     Answered(message::BackendResponse),
     /// The backend server refused the request before running any of it.
     Refused,
-    /// The connection could not be opened or the lease of the slot had ended, so that nothing was sent.
+    /// The connection could not be opened, or the lease of the slot (the right to run one request on the
+    /// server) had ended, so that nothing was sent.
     NotSent,
     /// The connection was lost at a time when the backend server may have read the request.
     Lost,
@@ -24,7 +25,7 @@
     Timeout,
     /// The response ended before its declared length, was malformed, or was longer than allowed.
     TruncatedResponse,
-    /// The response does not name exactly this request.
+    /// The response does not carry exactly this request's id.
     MismatchedResponse,
 }
 
--- a/crates/damaskvane-engine/src/event/input.rs
+++ b/crates/damaskvane-engine/src/event/input.rs
@@ -1,4 +1,4 @@
-//! The events that the engine handles.
+//! The events that the engine handles, passed in by its driver, which does the engine's I/O.
 //!
 //! ```
 //! use damaskvane_engine::event;
@@ -31,7 +31,7 @@
         /// The request whose response the client was waiting for.
         number: number::RequestNumber,
     },
-    /// An exchange ended.
+    /// An exchange, one request sent to a backend server, ended.
     ExchangeEnded {
         /// The number of the exchange, assigned by the engine.
         exchange: number::ExchangeNumber,
@@ -45,9 +45,10 @@
         /// The received message.
         message: Box<peer::PeerMessage>,
     },
-    /// The configuration or the membership changed.
+    /// The configuration or the membership (the set of entry instances) changed.
     Directory(Arc<directory::Directory>),
-    /// The instances of the local zone, among which the ownership of slots is divided.
+    /// The current instances of the local availability zone, among which the ownership of the backend servers'
+    /// slots is divided.
     Roster(Box<view::Roster>),
     /// A health report of a backend server was received.
     HealthReported {
@@ -58,7 +59,7 @@
     },
     /// An operator removed a request from the quarantine.
     ClearQuarantine(fingerprint::Fingerprint),
-    /// A planned stop has begun.
+    /// A planned stop of this instance has begun.
     Leave,
     /// The driver's timer fired; deadlines, backoffs and expiries are checked.
     Tick,
--- a/crates/damaskvane-engine/src/event/number.rs
+++ b/crates/damaskvane-engine/src/event/number.rs
@@ -1,4 +1,6 @@
-//! Numbers by which the engine and its driver identify requests and exchanges.
+//! Numbers by which the engine and its driver, which does the I/O, identify requests and exchanges.
+//!
+//! An exchange is one request sent to a backend server, with its response.
 //!
 //! ```
 //! use damaskvane_engine::event;
--- a/crates/damaskvane-engine/src/lib.rs
+++ b/crates/damaskvane-engine/src/lib.rs
@@ -1,5 +1,5 @@
-//! The request engine of an entry instance, a state machine without I/O: it takes events with a time and
-//! returns actions.
+//! The request engine of an entry instance, a state machine without I/O: it takes events with the current time
+//! and returns actions, which its driver carries out.
 //!
 //! # Crate guide
 //!
@@ -7,7 +7,7 @@
 //! - [`directory`]: the services, backend servers and other instances that the engine uses.
 //! - [`event`]: the events that the engine handles and the actions that it returns.
 //! - [`peer`]: the messages between the engines of entry instances.
-//! - [`engine`]: the engine, its settings and its load figures.
+//! - [`engine`]: the engine, its settings, and the load that it reports.
 
 pub mod directory;
 pub mod engine;
--- a/crates/damaskvane-engine/src/message/request.rs
+++ b/crates/damaskvane-engine/src/message/request.rs
@@ -21,7 +21,8 @@
 pub struct Idempotency {
     /// The idempotency key that the client chose; all attempts of a request carry the same key.
     pub key: ids::IdempotencyKey,
-    /// The home of the key: the instance that received the first attempt, with its incarnation.
+    /// The home of the key: the instance that received the first attempt, with its incarnation (the number of
+    /// its start or renewal).
     pub home: home::Home,
     /// The number of the attempt, from 1; 0 if the client does not number its attempts.
     pub try_number: u32,
@@ -43,13 +44,15 @@
     /// The complete body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// The block of clients that the client belongs to, if the request names one.
+    /// The client block (a named group of clients with common delays to the availability zones) that the client
+    /// belongs to; `None` if the request names no block.
     pub client: Option<ids::ClientBlock>,
     /// The idempotency key and its home; present on every non-repeatable request.
     pub idempotency: Option<Idempotency>,
     /// The priority in the admission queue.
     pub priority: admission::Priority,
-    /// The time until the client's deadline when this instance received the request.
+    /// The time that remained until the client's deadline at the moment when this instance received the
+    /// request.
     pub time_left: time::SpanMs,
 }
 
--- a/crates/damaskvane-engine/src/peer/departure.rs
+++ b/crates/damaskvane-engine/src/peer/departure.rs
@@ -1,4 +1,6 @@
-//! The messages of a handover from a leaving instance to its successor.
+//! The messages of a handover of idempotency keys from a leaving instance to its successor.
+//!
+//! A home is an instance and its incarnation (one start or renewal), which alone may run the keys naming it.
 //!
 //! ```
 //! use damaskvane_engine::peer;
--- a/crates/damaskvane-engine/src/peer/forward.rs
+++ b/crates/damaskvane-engine/src/peer/forward.rs
@@ -1,5 +1,8 @@
 //! The messages that forward a non-repeatable request to its home and return the home's response.
 //!
+//! The home of a non-repeatable request is the instance, and one incarnation (start or renewal) of it, that
+//! alone may run the request.
+//!
 //! ```
 //! use damaskvane_engine::peer;
 //!
--- a/crates/damaskvane-engine/src/peer/peer_message.rs
+++ b/crates/damaskvane-engine/src/peer/peer_message.rs
@@ -1,4 +1,7 @@
-//! The type of all messages between engines.
+//! The type of all messages between the engines of entry instances.
+//!
+//! A home is an instance and its incarnation (one start or renewal), which alone may run the idempotency keys
+//! naming it.
 //!
 //! ```
 //! use damaskvane_engine::peer;
@@ -33,17 +36,17 @@
     /// The successor has stored a part of the key table.
     #[serde(rename = "HandoverTaken")]
     HandoverAck(departure::HandoverAck),
-    /// An outcome that reached a leaving instance after its handover.
+    /// An outcome that reached a leaving instance after it had handed its key table over to its successor.
     Amendment(Box<home::HandoverRecord<Arc<message::BackendResponse>>>),
     /// A backend server crashed while it ran the listed requests.
     Incident(Box<quarantine::Incident>),
     /// A request is no longer suspected of crashing backend servers.
     Cleared(fingerprint::Fingerprint),
-    /// A message of the slot exchange about slots of backend servers.
+    /// A message about the leases of slots, the rights to run one request on a backend server.
     Slots(Box<slot_message::AddressedMessage>),
     /// A successor has taken over the keys of a home that has left.
     Departed(departure::Departed),
-    /// The sender now accepts new keys under this home.
+    /// The sender now accepts new idempotency keys under this home, which has a later incarnation.
     Renewed(home::Home),
 }
 
