--- a/crates/damaskvane-slots/src/claim.rs
+++ b/crates/damaskvane-slots/src/claim.rs
@@ -1,11 +1,13 @@
 //! A claim: the request of an instance to become the owner of a backend server.
 //!
-//! The claimant requests consent from all instances of the zone that are not proven gone. The claim is
-//! complete when the current owner hands over its ledger, or when all these instances have consented. In the
-//! second case the last owner is gone and no instance knows all of its grants, so the new owner waits until
-//! every such grant has expired. An instance that consents gives up ownership of that backend server and
-//! accepts grants from no other owner. Two claimants therefore can't both become owner, even if their
-//! rosters differ.
+//! The owner is the instance that grants the server's slots (rights to run one request on it) to the zone's
+//! instances, and records the grants in its ledger. The claimant requests consent from all instances of the
+//! zone that are not gone, that is, not proven to have stopped or to have lost the right to own servers. The
+//! claim is complete when the current owner hands over its ledger, or when all these instances have
+//! consented. In the second case the last owner is gone and no instance knows all of its grants, so the new
+//! owner waits until every such grant has expired. An instance that consents ends its own ownership of that
+//! backend server and accepts grants from the claimant only. Two claimants therefore can't both become the
+//! owner, even if their lists of the zone's instances differ.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -33,7 +35,7 @@
 }
 
 impl Claim {
-    /// Creates a claim without consents, requested at `now`.
+    /// Creates a claim without consents; the first requests for consent are sent at `now`.
     #[must_use]
     pub const fn new(number: u64, now: time::TimeMs) -> Self {
         Self {
@@ -51,7 +53,8 @@
         self.number
     }
 
-    /// Returns whether consent has to be requested again, and if so restarts the interval.
+    /// Returns whether `every` has passed since consent was last requested, so that it has to be requested
+    /// again; if so, records `now` as the time of the last request.
     pub fn is_retry_due(&mut self, now: time::TimeMs, every: time::SpanMs) -> bool {
         let is_due = now.since(self.requested_at) >= every;
         if is_due {
@@ -60,18 +63,20 @@
         is_due
     }
 
-    /// Returns whether any incarnation of `instance` has consented.
+    /// Returns whether any incarnation (start of the process) of `instance` has consented.
     #[must_use]
     pub fn has_consent(&self, instance: &ids::InstanceId) -> bool {
         self.consents.contains_key(instance)
     }
 
-    /// Postpones the start of granting to `not_before`, until which a fenced instance may still act.
+    /// Postpones the first grant of the new owner to `not_before`.
+    ///
+    /// Until then an instance that was fenced (lost the right to own servers) may still grant or use slots.
     pub fn delay(&mut self, not_before: time::TimeMs) {
         self.not_before = self.not_before.max(not_before);
     }
 
-    /// Returns until when an instance that others fenced may still act; zero if none was reported.
+    /// Returns until when a fenced instance may still grant or use slots; zero if none was reported.
     #[must_use]
     pub const fn not_before(&self) -> time::TimeMs {
         self.not_before
@@ -79,7 +84,7 @@
 
     /// Records the consent of an instance and the leases that it holds.
     ///
-    /// The leases expire on the clock of the instance; the new owner counts them for `margin` longer.
+    /// The leases expire on the clock of their holder; the new owner counts each for `margin` longer.
     pub fn record_consent(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-slots/src/connections.rs
+++ b/crates/damaskvane-slots/src/connections.rs
@@ -1,9 +1,10 @@
-//! The fixed share of a backend server's connections.
+//! Each instance's fixed share of a backend server's connections.
 //!
-//! A backend server has far more connections than slots (330 to 6), and open connections are worth keeping,
-//! so connections are not leased. Each instance may open the same fixed share, however many instances run.
-//! The share follows from the configuration alone, so instances that disagree on the membership can't
-//! exceed the limit together.
+//! A backend server accepts far more connections than it has slots (330 to 6); a slot is the right to run one
+//! request on it, which the zone's instances lease for a short time. Open connections are worth keeping, so
+//! connections are not leased: each instance may open the same fixed share, however many instances run. The
+//! share follows from the configuration alone, so instances that disagree on which instances run can't exceed
+//! the server's connection limit together.
 //!
 //! ```
 //! use damaskvane_slots::connections;
@@ -30,7 +31,8 @@
 }
 
 impl ConnectionBudget {
-    /// Creates the budget of one instance: `limit` divided among at most `max_instances` per zone.
+    /// Creates the budget of one instance: the server's connection `limit` divided by `max_instances`, the
+    /// maximum number of instances in a zone.
     #[must_use]
     pub const fn new(limit: u32, max_instances: u32) -> Self {
         let share = match limit.checked_div(max_instances) {
--- a/crates/damaskvane-slots/src/counters.rs
+++ b/crates/damaskvane-slots/src/counters.rs
@@ -1,5 +1,8 @@
 //! Counters of grants, refusals and ownership changes.
 //!
+//! A slot is the right to run one request on a backend server. The server's owner, one of the zone's
+//! instances, grants slots to holders, each grant for a limited time, the lease.
+//!
 //! ```
 //! use damaskvane_slots::counters;
 //!
@@ -15,27 +18,29 @@
 pub struct SlotCounters {
     /// Grants made as an owner.
     pub granted: u64,
-    /// Rounds of recalls that were due because acquire requests waited for a free slot.
+    /// How often this instance as an owner recalled slots because acquire requests waited for a free slot.
     pub recall_rounds: u64,
-    /// Acquire and renewal requests that this instance refused, by reason.
+    /// Acquire and renewal requests of holders that this instance refused, by reason.
     pub refused: BTreeMap<RefusalReason, u64>,
     /// Recall messages sent to holders.
     pub recalled: u64,
-    /// Grants received in time to be used.
+    /// Grants that this instance received before their lease expired.
     pub acquired: u64,
     /// Grants, refusals, renewals and recalls dropped because their sender isn't the owner for this instance.
     pub dropped_owner_messages: u64,
-    /// Permits whose lease expired before the request was sent.
+    /// Permits (slots reserved for a request) whose lease expired before the request was sent.
     pub expired: u64,
     /// Requests sent after their lease had expired, because the process was paused.
     pub sent_late: u64,
-    /// Claims of this instance completed with the ledger of the previous owner.
+    /// Claims of this instance to own a server that were completed by the previous owner's ledger (list of
+    /// grants).
     pub handed_over: u64,
     /// Claims of this instance completed by the consents of all instances, without a ledger.
     pub waited_out: u64,
     /// Decline messages received for claims of this instance.
     pub declined: u64,
-    /// Messages dropped because their sender is not in the roster, is gone or is an earlier incarnation, or
+    /// Messages dropped because their sender is not in the roster (the known instances of the zone), is
+    /// proven to have stopped or lost its rights, or is an earlier incarnation (start of its process), or
     /// because they are for another incarnation of this instance.
     pub old_messages: u64,
 }
--- a/crates/damaskvane-slots/src/exchange.rs
+++ b/crates/damaskvane-slots/src/exchange.rs
@@ -1,10 +1,13 @@
-//! The slot leases of one zone as a state machine: events and the current time in, actions out.
+//! The slot leases of one zone as a state machine, which takes events with their times and returns actions.
 //!
-//! A program passes the roster, the backend servers, messages from peers, and ticks to
-//! [`SlotExchange::handle`]. Before the program sends a request, it takes a permit with
-//! [`SlotExchange::begin`]. If there is no permit, the program reports the waiting requests with
-//! [`Event::Demand`] and tries again on [`Action::Available`]. The owner of a backend server acquires slots
-//! from its own ledger in the same way, without a message on the network.
+//! A slot is the right to run one request on a backend server. Each backend server has one owner, an instance
+//! that grants the server's slots for a limited time (a lease) to the instances of the zone.
+//!
+//! A program passes the roster (the instances of the zone), the backend servers, messages from other
+//! instances, and ticks to [`SlotExchange::handle`]. Before the program sends a request, it reserves a slot
+//! with [`SlotExchange::begin`], which returns a permit. If no slot is free, the program reports the number
+//! of waiting requests with [`Event::Demand`] and calls `begin` again on [`Action::Available`]. The owner of
+//! a backend server acquires slots for its own requests in the same way, without a message on the network.
 //!
 //! ```
 //! use damaskvane_core::{ids, time, units};
--- a/crates/damaskvane-slots/src/exchange/acquiring.rs
+++ b/crates/damaskvane-slots/src/exchange/acquiring.rs
@@ -1,4 +1,7 @@
-//! The holder's part of the exchange: acquires, renews and returns slots.
+//! The holder's part of the slot exchange: acquires, renews and returns slots.
+//!
+//! A slot is the right to run one request on a backend server, granted by the server's owner, one of the
+//! zone's instances, for a limited time.
 
 use damaskvane_core::{ids, time, units};
 
@@ -17,8 +20,9 @@
         let Some(owner) = server.owner.clone() else {
             return;
         };
-        // A leaving instance owns no servers but still acquires slots: clients send it requests until their
-        // lookup responses expire, and those requests would otherwise wait without any prospect of a slot.
+        // An instance that is about to stop owns no servers but still acquires slots: clients send it
+        // requests until their lookup responses expire, and those requests would otherwise wait and never get
+        // a slot.
         let slots = server.pool.slots_to_acquire(now, waiting, timeout);
         if slots == units::Slots::ZERO {
             return;
@@ -43,8 +47,8 @@
             return;
         };
         if server.owner.as_ref() != Some(&from.instance) {
-            // The sender handed the backend server over, or never owned it. Its earlier grants are in the
-            // new owner's ledger, but this message may not be accounted for there.
+            // The sender handed its ownership over, or never owned the backend server. Grants from before the
+            // handover are in the new owner's ledger, but the grant of this message may be missing there.
             self.counters.dropped_owner_messages += 1;
             return;
         }
@@ -104,7 +108,8 @@
             let server = name.clone();
             self.actions.push(Action::Available { server });
         } else {
-            // The grant arrived too late. Once returned, its slots serve other instances before it expires.
+            // The grant arrived too late. Returned slots are available to other instances at once, not only
+            // when the grant expires at the owner.
             self.send_return(name, number, units::Slots::ZERO);
         }
     }
--- a/crates/damaskvane-slots/src/exchange/assignment.rs
+++ b/crates/damaskvane-slots/src/exchange/assignment.rs
@@ -1,6 +1,9 @@
-//! Selection of a backend server's owner, and of the instance that grants slots until that owner may.
+//! Selection of the instance that owns a backend server, and of the one to acquire its slots from.
 //!
-//! "The hash" is the rendezvous hash of `ownership::owner`, which assigns each backend server to an instance.
+//! The owner grants the server's slots; a slot is the right to run one request on the server. "The hash" is
+//! the rendezvous hash of `ownership::owner`, which assigns each backend server to an instance. The assigned
+//! instance becomes the owner by a claim, to which the other instances consent; until then another instance
+//! may be the owner.
 
 use damaskvane_core::ids;
 use damaskvane_membership::ownership;
@@ -11,7 +14,7 @@
 impl SlotExchange {
     /// Returns whether the hash assigns the backend server to this instance.
     ///
-    /// An assigned owner acquires slots from its own ledger, without a message on the network.
+    /// An owner acquires slots for its own requests without a message on the network.
     #[must_use]
     pub fn is_assigned(&self, server: &ids::BackendServerId) -> bool {
         self.assigned_owner(server).as_ref() == Some(&self.own.instance)
@@ -32,12 +35,14 @@
         }
     }
 
-    /// Returns whether acquire requests still go to the current owner, which grants slots until it consents.
+    /// Returns whether acquire requests still go to the current owner, which grants slots until it consents
+    /// to the claim of the assigned instance.
     ///
-    /// The hash assigns servers to a new instance as soon as the roster has the instance. But the new
-    /// instance can claim them only after it has seen itself on the platform's list, which an outage can
-    /// delay. If acquire requests went to the new instance before that, no instance would grant slots, and
-    /// clients' requests would be refused although the backend server has free slots.
+    /// The hash assigns servers to a new instance as soon as the roster (the instances of the zone, as this
+    /// instance knows them) contains the instance. But the new instance can claim them only after it has seen
+    /// itself on the platform's list, which an outage can delay. If acquire requests went to the new instance
+    /// before that, no instance would grant slots, and clients' requests would be refused although the
+    /// backend server has free slots.
     fn keeps_current_owner(&self, name: &ids::BackendServerId) -> bool {
         let Some(server) = self.servers.get(name) else {
             return false;
@@ -62,10 +67,10 @@
         }
     }
 
-    /// Returns the instance to send acquire requests to: the owner by hash.
+    /// Returns the instance to send acquire requests to: the one to which the hash assigns the server.
     ///
-    /// While this instance is the assigned owner but may not claim yet, this is the owner by hash among the
-    /// other instances, which grants slots until the claim.
+    /// If that is this instance and it may not claim the server yet, the hash selects among the other
+    /// instances instead; the selected one grants slots until the claim.
     fn acquire_target(&self, name: &ids::BackendServerId) -> Option<ids::InstanceId> {
         let is_barred = self.is_assigned(name) && !self.may_claim();
         let others = self
@@ -76,7 +81,7 @@
 
     /// Returns the instances that may own backend servers.
     ///
-    /// Silent instances are included, because they may still grant slots.
+    /// Instances without recent heartbeats are included, because they may still grant slots.
     pub(super) fn candidates(&self) -> impl Iterator<Item = &ids::InstanceId> {
         self.roster
             .members
--- a/crates/damaskvane-slots/src/exchange/claiming.rs
+++ b/crates/damaskvane-slots/src/exchange/claiming.rs
@@ -1,4 +1,10 @@
 //! The transfer of ownership: claims of this instance, and consents to claims of others.
+//!
+//! The owner of a backend server is the instance that grants the server's slots (rights to run one request on
+//! it) and records the grants in a ledger. A claim is the request to become the owner. An owner may act only
+//! while it has authority, a right that contact to other instances or the platform renews. A fenced instance
+//! is one whose entry at the platform another instance marked to end its authority. A gone instance is proven
+//! to have stopped, or to be fenced or dropped from the platform's list.
 
 use damaskvane_core::{ids, time};
 use damaskvane_membership::view;
@@ -12,15 +18,16 @@
 impl SlotExchange {
     /// Returns whether this instance may claim the backend servers that the hash assigns to it.
     ///
-    /// Before this instance has seen itself on the platform's list, its roster may lack instances whose
-    /// consent is needed. And another instance that can't read the list may not have this instance in its
-    /// roster. If the owner handed its ledger to this instance and then stopped, the other instance would
-    /// take over the backend server as well, and both would grant its slots.
+    /// Before this instance has seen itself on the platform's list, its roster (the known instances of the
+    /// zone) may lack instances whose consent is needed. And another instance that can't read the list may
+    /// not have this instance in its roster. If the owner handed its ledger to this instance and then
+    /// stopped, the other instance would take over the backend server as well, and both would grant its
+    /// slots.
     pub(super) fn may_claim(&self) -> bool {
         self.roster.is_listed && self.others().all(|member| member.has_acknowledged_own)
     }
 
-    /// Starts, ends or completes a claim after the roster or the assignment has changed.
+    /// Starts, ends or completes a claim after the roster or the instance assigned by the hash has changed.
     pub(super) fn apply_assignment(&mut self, name: &ids::BackendServerId, is_own: bool) {
         let may_claim = is_own && self.may_claim();
         let now = self.now;
@@ -69,11 +76,11 @@
         }
     }
 
-    /// Returns whether an instance has started since all instances of the roster consented.
+    /// Returns whether an instance has started since all instances of the roster consented to the claim.
     ///
-    /// A fenced instance that has not noticed the fence may hand its ledger to a new instance while its
-    /// authority lasts. Then both the new instance and this one would grant slots, and the backend server
-    /// would shed requests.
+    /// A fenced instance that has not noticed the fence may hand its ledger to a new instance while the
+    /// authority of the fenced one lasts. Then both the new instance and this one would grant slots, and the
+    /// backend server would shed requests.
     fn has_new_instances(&self, name: &ids::BackendServerId) -> bool {
         let consented = self
             .servers
@@ -131,13 +138,14 @@
             .filter(|member| member.instance != self.own.instance && member.gone.is_none())
     }
 
-    /// Completes a claim with the consents of all others; the owner then waits for unknown grants to expire.
+    /// Completes a claim if all others have consented; the new owner then waits for unknown grants to expire.
     fn complete_if_consented(&mut self, name: &ids::BackendServerId) {
         let has_all_consents = self.claim(name).is_some_and(|claim| {
             self.others()
                 .all(|member| claim.has_consent(&member.instance))
         });
-        // Without authority the roster may lack instances, and another instance may have taken over by now.
+        // While this instance has no authority, its roster may lack instances, and another instance may have
+        // taken over the backend server.
         if !has_all_consents || !self.has_authority() || !self.roster.may_take_over {
             return;
         }
@@ -153,8 +161,8 @@
     /// Returns the time after which no gone instance can still grant or use slots.
     ///
     /// A new instance does not know which instances were fenced before it started; the consents report them.
-    /// If any instance is gone, it could have reported one, so this instance also waits `unknown_fence_ms`
-    /// from its start.
+    /// A gone instance can't report the fenced ones that it knew of. If any instance is gone, this instance
+    /// therefore also waits until `unknown_fence_ms` after its start.
     fn last_possible_use(&self, name: &ids::BackendServerId) -> time::TimeMs {
         let reported = self.claim(name).map(Claim::not_before);
         let gone = self.roster.members.iter().filter_map(|member| member.gone);
@@ -167,7 +175,8 @@
         last.unwrap_or(self.now).max(self.now)
     }
 
-    /// Makes this instance the owner, with the grants of the handover and the reported leases.
+    /// Makes this instance the owner, with the grants of the previous owner's ledger and the leases that
+    /// holders reported. Slots are granted from `until` on.
     fn complete(&mut self, name: &ids::BackendServerId, handed: Vec<Grant>, until: time::TimeMs) {
         let (now, own) = (self.now, self.own.clone());
         let margin = self.settings.margin_ms;
@@ -234,7 +243,7 @@
         self.reply(from, consent.unwrap_or(declined));
     }
 
-    /// Gives up the ownership or the claim of a backend server and returns the consent.
+    /// Ends this instance's ownership or claim of a backend server, and returns the consent to `owner`.
     ///
     /// An owner's consent carries its ledger. If that message is lost, the next consent has no ledger, and
     /// the new owner waits until all grants have expired.
@@ -258,7 +267,7 @@
                 wait_ms: time::SpanMs::ZERO,
             }),
         };
-        // Another instance may have granted slots since the authority expired, so the ledger may be
+        // Another instance may have granted slots since this one's authority expired, so the ledger may be
         // incomplete.
         let ledger = ledger.filter(|_| has_authority);
         server.queue.clear();
@@ -319,7 +328,8 @@
         }
     }
 
-    /// Completes a claim with the owner's ledger; it has all grants, so no further consent is needed.
+    /// Completes a claim with the previous owner's ledger; the ledger has all grants, so no further consent
+    /// is needed.
     fn apply_handover(&mut self, name: &ids::BackendServerId, ledger: LedgerHandover) {
         let now = self.now;
         let grants = ledger.entries.into_iter().map(|entry| Grant {
--- a/crates/damaskvane-slots/src/exchange/event.rs
+++ b/crates/damaskvane-slots/src/exchange/event.rs
@@ -1,4 +1,7 @@
-//! Events that the exchange takes, and actions that it returns.
+//! Events that the slot exchange takes, and actions that it returns.
+//!
+//! A slot is the right to run one request on a backend server; the exchange acquires slots for this instance
+//! and grants slots of the servers that this instance owns.
 
 use damaskvane_core::{ids, units};
 use damaskvane_membership::view;
@@ -17,7 +20,7 @@
 /// An event that the program passes to [`crate::exchange::SlotExchange::handle`].
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// All backend servers of this instance's zone; servers that are missing are no longer used.
+    /// All backend servers of this instance's zone; the exchange drops servers that are not in the list.
     Servers(Vec<ServerSlots>),
     /// The instances of this instance's zone.
     ///
@@ -27,12 +30,12 @@
     Message {
         /// The instance that sent the message.
         from: ids::InstanceId,
-        /// The incarnation of the sender.
+        /// The incarnation of the sender, which is one start of its process.
         incarnation: ids::Incarnation,
-        /// The message with the incarnation that it is for.
+        /// The message, with the incarnation of this instance that it is for.
         message: AddressedMessage,
     },
-    /// Requests wait for slots of a backend server.
+    /// Clients' requests wait for slots of a backend server.
     Demand {
         /// The backend server.
         server: ids::BackendServerId,
@@ -50,17 +53,18 @@
     Send {
         /// The recipient.
         to: ids::InstanceId,
-        /// The message with the incarnation that it is for.
+        /// The message, with the incarnation of the recipient that it is for.
         message: AddressedMessage,
     },
-    /// Slots of a backend server were granted: try [`crate::exchange::SlotExchange::begin`] again.
+    /// This instance acquired slots of a backend server: for waiting requests, call
+    /// [`crate::exchange::SlotExchange::begin`] again.
     Available {
         /// The backend server.
         server: ids::BackendServerId,
     },
-    /// Report a broken invariant; the exchange has not carried out the unsafe operation.
+    /// Report a broken invariant to operators; the exchange has not carried out the unsafe operation.
     Broken {
-        /// A description of the invariant.
+        /// A description of the violation.
         invariant: &'static str,
     },
 }
--- a/crates/damaskvane-slots/src/exchange/granting.rs
+++ b/crates/damaskvane-slots/src/exchange/granting.rs
@@ -1,4 +1,7 @@
-//! The owner's part of the exchange: grants, renews and recalls slots.
+//! The owner's part of the slot exchange: grants, renews and recalls slots.
+//!
+//! A slot is the right to run one request on a backend server. The server's owner grants slots to the zone's
+//! instances, the holders, for a limited time, and records the grants in its ledger.
 
 use damaskvane_core::{ids, time, units};
 
@@ -6,7 +9,7 @@
 use crate::exchange::slot_exchange::SlotExchange;
 use crate::message::{GrantKey, GrantNumber, RefusalReason, SlotMessage};
 
-/// A grant that the ledger has recorded and the holder has not been sent yet.
+/// A grant that is in the ledger and has to be sent to its holder.
 #[derive(Debug)]
 struct NewGrant {
     key: GrantKey,
@@ -65,7 +68,7 @@
         let key = key_of(from, number);
         let requested_at = self.now;
         if let Some(server) = self.servers.get_mut(name) {
-            // A further request of a holder replaces its earlier one and keeps the place in the queue.
+            // A new request of a holder replaces the holder's queued one and takes its place in the queue.
             let waiting = server
                 .queue
                 .iter_mut()
@@ -141,7 +144,7 @@
         }
         let is_within_slots = new_grants.is_empty() || ledger.is_within_slots();
         if !is_within_slots {
-            // The grants stay in the ledger until they expire, and no message about them is sent.
+            // The new grants stay in the ledger until they expire, and are not sent to their holders.
             self.report_broken_invariant("slots lent above the backend server's limit");
             return;
         }
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Recalls idle slots, and slots above an equal share, from holders while acquire requests wait.
+    /// Recalls free slots, and slots above an equal share, from holders while acquire requests wait.
     ///
     /// Otherwise a holder with steady load would keep its slots forever, and requests at other instances
     /// would be refused while the backend server serves one instance only.
@@ -210,12 +213,12 @@
         let renewed = match ownership {
             _ if !has_authority => Err(RefusalReason::NoAuthority),
             Some(Ownership::Serving(ledger)) => Ok(ledger.renew(now, &key, until)),
-            // As long as a fenced instance may act, it may grant the slots of leases that it counts as
-            // expired.
+            // A fenced instance is one that lost its ownership but may not have noticed. As long as it may
+            // act, it may grant the slots of leases that have expired by its ledger.
             Some(Ownership::Waiting(ledger)) if ledger.until() > all_expired_at => {
                 Err(RefusalReason::Waiting)
             }
-            // Known grants are in the ledger, so they may be renewed while unknown ones expire.
+            // Grants in the ledger may be renewed while this owner waits for unknown grants to expire.
             Some(Ownership::Waiting(ledger)) => Ok(ledger.renew(now, &key, until)),
             Some(Ownership::Claiming(_)) => Err(RefusalReason::Waiting),
             Some(Ownership::None) | None => Err(RefusalReason::NotOwner),
@@ -273,9 +276,10 @@
     }
 }
 
-/// Returns the holders and how many slots each may keep.
+/// Returns the holders, each with the number of slots that it may keep.
 ///
-/// A holder above an equal share has to return what holders below their share wait for, and no more.
+/// Holders above an equal share of the server's slots have to return as many slots in total as instances
+/// below that share wait for, and no more.
 fn recalls(server: &Server) -> Vec<(ids::InstanceId, units::Slots)> {
     let Ownership::Serving(ledger) = &server.ownership else {
         return Vec::new();
--- a/crates/damaskvane-slots/src/exchange/server.rs
+++ b/crates/damaskvane-slots/src/exchange/server.rs
@@ -1,4 +1,7 @@
 //! The state that an instance keeps for one backend server of its zone.
+//!
+//! The owner of a backend server is the instance that grants the server's slots; a slot is the right to run
+//! one request on the server. An incarnation is one start of an instance's process.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,7 +18,7 @@
     /// The instance neither owns nor claims the backend server.
     #[default]
     None,
-    /// The instance is the assigned owner and requests consent from the others.
+    /// The instance is to be the owner, and requests consent from the zone's other instances.
     Claiming(Claim),
     /// The instance is the owner and waits for grants of earlier owners to expire.
     Waiting(SlotLedger<Waiting>),
@@ -23,7 +26,7 @@
     Serving(SlotLedger<Serving>),
 }
 
-/// An acquire request that waits for a free slot.
+/// A holder's acquire request that waits at the owner until a slot is free.
 #[derive(Debug)]
 pub(super) struct QueuedAcquire {
     pub(super) key: GrantKey,
@@ -45,10 +48,11 @@
     pub(super) ownership: Ownership,
     pub(super) pool: LeasePool,
     pub(super) queue: VecDeque<QueuedAcquire>,
-    /// The owner to send acquire requests to; after a consent, the claimant.
+    /// The owner, to which acquire requests are sent; after this instance consented to a claim, the claimant.
     pub(super) owner: Option<ids::InstanceId>,
     pub(super) recalled_at: Option<time::TimeMs>,
-    /// The instances whose consents made this instance the owner; `None` after it took over a ledger.
+    /// The instances whose consents made this instance the owner; `None` if it never became the owner, or did
+    /// so by the previous owner's ledger.
     pub(super) consented: Option<BTreeMap<ids::InstanceId, ids::Incarnation>>,
 }
 
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Sets the owner; grants that were requested from the previous owner are no longer accepted.
+    /// Sets the owner; grants in response to requests to the previous owner are no longer accepted.
     pub(super) fn set_owner(&mut self, owner: Option<ids::InstanceId>) {
         if self.owner != owner {
             self.owner = owner;
--- a/crates/damaskvane-slots/src/exchange/slot_exchange.rs
+++ b/crates/damaskvane-slots/src/exchange/slot_exchange.rs
@@ -1,4 +1,8 @@
-//! The exchange: dispatch of events and messages, and permits.
+//! The slot exchange: handling of events and messages, and permits for requests.
+//!
+//! A slot is the right to run one request on a backend server. The server's owner, one of the zone's
+//! instances, grants slots to holders for a limited time, the lease. A permit reserves a held slot for one
+//! request. An incarnation is one start of an instance's process.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,7 +16,7 @@
 use crate::permit::{Permit, Ready, ReleasedPermit};
 use crate::settings::SlotSettings;
 
-/// The reason why no permit is available.
+/// The reason why [`SlotExchange::begin`] returns no permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum Unavailable {
     /// the backend server is not in this zone; check the active configuration
@@ -21,12 +25,12 @@
     NoSlot,
 }
 
-/// How the request on a slot ended.
+/// How the request of a permit ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Finish {
     /// The whole response arrived, or the request was never sent.
     Ended,
-    /// The request was abandoned; the backend server may run it until its deadline.
+    /// This instance abandoned the request; the backend server may run it until the request's deadline.
     MayStillRun,
 }
 
@@ -40,15 +44,15 @@
     pub(super) counters: SlotCounters,
     pub(super) now: time::TimeMs,
     pub(super) last_claim: u64,
-    /// When the first event was handled.
+    /// When this instance handled its first event; `None` before.
     pub(super) started_at: Option<time::TimeMs>,
     pub(super) actions: Vec<Action>,
-    /// Messages from this instance to itself, such as acquire requests to its own ledger.
+    /// Messages from this instance to itself, such as its acquire requests for a server that it owns.
     local: VecDeque<SlotMessage>,
 }
 
 impl SlotExchange {
-    /// Creates an exchange without other instances and without backend servers.
+    /// Creates an exchange that has no record of other instances or backend servers.
     #[must_use]
     pub const fn new(
         instance: ids::InstanceId,
@@ -116,13 +120,14 @@
         core::mem::take(&mut self.actions)
     }
 
-    /// Takes a slot for one request that needs at least `min_run_ms` and runs for at most `max_run_ms`.
+    /// Reserves a slot for one request that needs at least `min_run_ms` and runs for at most `max_run_ms`.
     ///
-    /// This call uses only slots that this instance holds already and doesn't acquire more.
+    /// This call uses only slots that this instance holds, and requests no more from the owner.
     ///
     /// # Errors
     ///
-    /// Returns [`Unavailable`] if the backend server is unknown, or no free slot is leased for `min_run_ms`.
+    /// Returns [`Unavailable`] if the backend server is unknown, or if no held slot is both free and leased
+    /// for at least `min_run_ms` more.
     pub fn begin(
         &mut self,
         now: time::TimeMs,
@@ -147,7 +152,7 @@
         ))
     }
 
-    /// Frees the slot of a permit and returns the actions to carry out.
+    /// Frees the slot of a permit whose request has ended, and returns the actions to carry out.
     pub fn finish(
         &mut self,
         now: time::TimeMs,
@@ -166,7 +171,7 @@
         self.flush()
     }
 
-    /// Counts a permit whose lease expired before the request was sent.
+    /// Counts a permit whose lease expired before its request was sent.
     pub const fn count_expired(&mut self) {
         self.counters.expired += 1;
     }
@@ -182,7 +187,7 @@
         &self.counters
     }
 
-    /// Returns the number of held slots of a backend server that requests may use now.
+    /// Returns how many slots of a backend server this instance holds without a request on them.
     #[must_use]
     pub fn free(&self, now: time::TimeMs, server: &ids::BackendServerId) -> units::Slots {
         let server = self.servers.get(server);
@@ -191,7 +196,7 @@
 
     /// Returns whether a planned stop may end: no request runs, and no backend server is owned or claimed.
     ///
-    /// Ownership is ignored if no other instance of the zone can take it over.
+    /// Ownership is ignored if no other instance of the zone can take the backend servers over.
     #[must_use]
     pub fn is_drained(&self, now: time::TimeMs) -> bool {
         let has_successor = self.candidates().next().is_some();
@@ -315,7 +320,8 @@
             .any(|member| member.instance == self.own.instance && member.leaving)
     }
 
-    /// Returns whether this instance has the authority to act as an owner.
+    /// Returns whether this instance has authority, the right to act as an owner, which contact to the zone's
+    /// other instances or the platform renews.
     pub(super) fn has_authority(&self) -> bool {
         self.roster
             .authority_until
--- a/crates/damaskvane-slots/src/exchange/status.rs
+++ b/crates/damaskvane-slots/src/exchange/status.rs
@@ -1,4 +1,7 @@
 //! The state of ownership and slots by backend server, for the status page and tests.
+//!
+//! A slot is the right to run one request on a backend server. The server's owner, one of the zone's
+//! instances, grants slots to holders.
 
 use damaskvane_core::{ids, time, units};
 
@@ -10,7 +13,7 @@
 pub enum OwnerPhase {
     /// The instance neither owns nor claims the backend server.
     None,
-    /// The instance requests consent to its ownership.
+    /// The instance requests the consent of the zone's other instances to its ownership.
     Claiming,
     /// The instance is the owner and waits for grants of earlier owners to expire.
     Waiting,
@@ -23,13 +26,13 @@
 pub struct ServerStatus<'a> {
     /// The backend server, one of this instance's zone.
     pub server: &'a ids::BackendServerId,
-    /// The owner to which this instance sends its acquire requests, if there is one.
+    /// The owner, to which this instance sends its requests for slots; `None` if there is none.
     pub owner: Option<&'a ids::InstanceId>,
-    /// The phase of this instance.
+    /// The phase of this instance in the ownership of the backend server.
     pub phase: OwnerPhase,
     /// Slots that this instance has granted as the owner, to itself included.
     pub granted: units::Slots,
-    /// Slots that this instance holds.
+    /// Slots that the owner has granted to this instance and whose lease has not expired.
     pub held: units::Slots,
     /// Held slots on which requests run or may still run.
     pub busy: units::Slots,
--- a/crates/damaskvane-slots/src/holder.rs
+++ b/crates/damaskvane-slots/src/holder.rs
@@ -1,8 +1,9 @@
 //! The slots of one backend server that an instance holds.
 //!
-//! The holder counts a lease on its own clock from the moment when it *sent* the acquire request, and stops
-//! using the lease a margin before the owner reclaims the slots. Message delay can therefore only shorten
-//! the usable time.
+//! A slot is the right to run one request on the backend server. The server's owner, one of the zone's
+//! instances, grants slots under a lease of limited time. The holder counts the lease on its own clock from
+//! the moment when it *sent* the acquire or renewal request, and stops using the slots a margin before the
+//! owner may grant them again. Message delay can therefore only shorten the usable time.
 //!
 //! ```
 //! use damaskvane_core::{time, units};
--- a/crates/damaskvane-slots/src/holder/held_grant.rs
+++ b/crates/damaskvane-slots/src/holder/held_grant.rs
@@ -1,4 +1,7 @@
 //! A grant as its holder tracks it: the lease, the slots in use, and renewals.
+//!
+//! A slot is the right to run one request on a backend server. The lease is the time for which the server's
+//! owner, another instance or this one, granted the slots.
 
 use damaskvane_core::{time, units};
 
@@ -11,13 +14,13 @@
     requested_at: time::TimeMs,
 }
 
-/// A grant of one backend server, with the lease and the slots in use.
+/// Slots of one backend server that this instance acquired with one request, and their use.
 #[derive(Debug)]
 pub struct HeldGrant {
     number: GrantNumber,
     slots: units::Slots,
     running: units::Slots,
-    /// When requests end that were abandoned but may still run on the backend server.
+    /// For each abandoned request that may still run on the backend server, the time by which it has ended.
     abandoned: Vec<time::TimeMs>,
     usable_until: time::TimeMs,
     used_at: time::TimeMs,
@@ -52,13 +55,13 @@
         self.number
     }
 
-    /// Returns how many slots the holder keeps of the grant.
+    /// Returns the number of slots of the grant, without those that the holder has returned.
     #[must_use]
     pub const fn slots(&self) -> units::Slots {
         self.slots
     }
 
-    /// Returns when the lease expires for the holder.
+    /// Returns when the lease expires for the holder, which is earlier than for the owner.
     #[must_use]
     pub const fn usable_until(&self) -> time::TimeMs {
         self.usable_until
@@ -77,7 +80,7 @@
         self.running + units::Slots::new(u32::try_from(abandoned.count()).unwrap_or(u32::MAX))
     }
 
-    /// Returns the number of slots that requests may use now.
+    /// Returns the number of slots on which no request runs; zero if the lease has expired.
     #[must_use]
     pub fn free(&self, now: time::TimeMs) -> units::Slots {
         if self.is_expired(now) {
@@ -91,7 +94,8 @@
         self.used_at = now;
     }
 
-    /// Frees a slot; a slot whose request was abandoned stays busy until the deadline at the backend server.
+    /// Frees a slot after its request; if the request was abandoned, the slot is busy until
+    /// `still_runs_until`.
     pub(super) fn finish(&mut self, now: time::TimeMs, still_runs_until: Option<time::TimeMs>) {
         self.running = self.running.saturating_sub(ONE);
         self.used_at = now;
@@ -131,9 +135,9 @@
         self.attempts
     }
 
-    /// Extends the lease, counted from when the renewal was requested.
+    /// Extends the lease to the time `usable` after the renewal request was sent.
     ///
-    /// A response to an earlier attempt is ignored.
+    /// A response to an attempt before the latest one is ignored.
     pub(super) fn apply_renewal(&mut self, attempt: u32, usable: time::SpanMs) {
         if let Some(renewal) = self.renewal.take_if(|renewal| renewal.attempt == attempt) {
             self.usable_until = self.usable_until.max(renewal.requested_at + usable);
--- a/crates/damaskvane-slots/src/holder/pool.rs
+++ b/crates/damaskvane-slots/src/holder/pool.rs
@@ -1,4 +1,7 @@
 //! The grants of one backend server that an instance holds, and its pending acquire requests.
+//!
+//! A slot is the right to run one request on the backend server. The server's owner, another instance or this
+//! one, grants slots for a limited time, the lease. A held slot is free while no request runs on it.
 
 use std::collections::BTreeMap;
 
@@ -8,21 +11,21 @@
 use crate::message::{GrantNumber, HeldLease};
 use crate::settings::SlotSettings;
 
-/// A request of the holder that has to be sent to the owner.
+/// A request about a grant, which the holder has to send to the owner of the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseOp {
     /// Renew the lease of a grant.
     Renew {
         /// The number of the grant.
         number: GrantNumber,
-        /// The number of the attempt, counted for this grant.
+        /// The number of this renewal request among those for this grant, from 1.
         attempt: u32,
     },
     /// Return slots of a grant.
     Return {
         /// The number of the grant.
         number: GrantNumber,
-        /// How many slots the holder keeps.
+        /// The number of the grant's slots that the holder keeps.
         remaining: units::Slots,
     },
 }
@@ -34,7 +37,7 @@
     slots: units::Slots,
 }
 
-/// A temporary limit on the held slots, set by a recall of the owner.
+/// A temporary limit on the held slots, set when the owner recalls slots.
 #[derive(Debug, Clone, Copy)]
 struct Cap {
     keep: units::Slots,
@@ -49,12 +52,12 @@
     last_number: GrantNumber,
     cap: Option<Cap>,
     acquire_after: time::TimeMs,
-    /// Whether the next returns include all idle slots.
+    /// Whether the next call of `collect_returns` returns all free slots.
     returns_idle: bool,
 }
 
 impl LeasePool {
-    /// Returns the number of slots that requests may use now.
+    /// Returns the number of held slots on which no request runs and whose lease has not expired.
     #[must_use]
     pub fn free(&self, now: time::TimeMs) -> units::Slots {
         self.grants.iter().map(|grant| grant.free(now)).sum()
@@ -75,7 +78,8 @@
 
     /// Returns how many slots to acquire while `waiting` requests wait.
     ///
-    /// Free slots and slots of acquire requests sent less than `timeout` ago are subtracted.
+    /// This is `waiting` less the free slots and the slots of acquire requests sent less than `timeout` ago,
+    /// or zero for a while after the owner refused an acquire request.
     #[must_use]
     pub fn slots_to_acquire(
         &self,
@@ -111,7 +115,8 @@
         self.last_number
     }
 
-    /// Adds a grant; returns whether the grant was requested and its lease has not expired.
+    /// Adds a grant from the owner if an acquire request for it is pending and its lease has not expired;
+    /// returns whether the grant was added.
     pub fn apply_grant(
         &mut self,
         now: time::TimeMs,
@@ -138,7 +143,7 @@
         self.grants.iter().any(|grant| grant.number() == number)
     }
 
-    /// Ends a pending acquire request; the next one is sent no earlier than `acquire_after`.
+    /// Removes an acquire request that the owner refused; the next is sent no earlier than `acquire_after`.
     pub fn apply_refusal(&mut self, number: GrantNumber, acquire_after: time::TimeMs) {
         self.pending_acquires.remove(&number);
         self.acquire_after = acquire_after;
@@ -157,7 +162,7 @@
         }
     }
 
-    /// Marks idle slots for return and limits the held slots to `keep` for a while.
+    /// Marks free slots for return and limits the held slots to `keep` for `recall_ms` of the settings.
     ///
     /// The owner sends a recall while other instances wait for slots.
     pub fn apply_recall(&mut self, now: time::TimeMs, keep: units::Slots, settings: &SlotSettings) {
@@ -166,7 +171,10 @@
         self.returns_idle = true;
     }
 
-    /// Takes a slot of the grant that expires last, or returns `None` if that is within `min_run`.
+    /// Reserves a free slot for a request; returns the grant's number and the end of its lease.
+    ///
+    /// Of the grants with a free slot, the one that expires last is used. Returns `None` if there is none, or
+    /// if it expires in less than `min_run`.
     pub fn begin(
         &mut self,
         now: time::TimeMs,
@@ -186,7 +194,7 @@
 
     /// Frees a slot of a grant for the next request.
     ///
-    /// If the request may still run, the slot stays busy until `still_runs_until`.
+    /// If the last request may still run on the backend server, the slot is busy until `still_runs_until`.
     pub fn finish(
         &mut self,
         now: time::TimeMs,
@@ -198,7 +206,7 @@
         }
     }
 
-    /// Discards pending acquire requests, because their grants would come from a previous owner.
+    /// Discards pending acquire requests, because they were sent to an instance that is no longer the owner.
     pub fn discard_pending_acquires(&mut self) {
         self.pending_acquires.clear();
         self.acquire_after = time::TimeMs::ZERO;
@@ -217,7 +225,7 @@
             .collect()
     }
 
-    /// Removes expired grants and returns the requests to send to the owner.
+    /// Removes expired grants, and returns the return and renewal requests to send to the owner.
     pub fn tick(
         &mut self,
         now: time::TimeMs,
@@ -234,10 +242,12 @@
         requests
     }
 
-    /// Removes idle slots and slots above the cap, and returns the requests that give them back to the owner.
+    /// Removes free slots to be returned, and returns the requests that return them to the owner.
     ///
-    /// All free slots of a grant are removed if the grant was unused for the idle time, after a recall, or if
-    /// this instance is leaving. So the slots are available as soon as other instances need them.
+    /// All free slots of a grant are removed if no request used the grant for `idle_return_ms`, after a
+    /// recall, or if this instance is about to stop. So the slots are available as soon as other instances
+    /// need them. Otherwise only as many free slots are removed as the held slots exceed the limit of a
+    /// recall.
     pub fn collect_returns(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-slots/src/ledger.rs
+++ b/crates/damaskvane-slots/src/ledger.rs
@@ -1,7 +1,8 @@
-//! The grants of a backend server's owner.
+//! The ledger of a backend server's owner: the grants that the owner has made.
 //!
-//! A new owner that did not receive its predecessor's ledger starts by waiting: all grants of the
-//! predecessor must have expired before the new owner grants slots.
+//! The owner is the instance that grants the server's slots; a slot is the right to run one request on the
+//! server. A new owner that did not receive the previous owner's ledger waits first: all grants of the
+//! previous owner must have expired before the new owner grants slots.
 //!
 //! ```
 //! use damaskvane_core::{ids, time, units};
--- a/crates/damaskvane-slots/src/ledger/grant.rs
+++ b/crates/damaskvane-slots/src/ledger/grant.rs
@@ -1,4 +1,6 @@
-//! A grant in the ledger, and the error for a full ledger.
+//! A grant that the owner of a backend server has made, and the error when all slots are granted.
+//!
+//! A slot is the right to run one request on the backend server.
 
 use damaskvane_core::{time, units};
 
@@ -7,11 +9,11 @@
 /// Slots granted to one holder in response to one acquire request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Grant {
-    /// The holder and the number of its acquire request.
+    /// The identity of the grant: its holder and the number of the holder's acquire request.
     pub key: GrantKey,
     /// The number of granted slots.
     pub slots: units::Slots,
-    /// When the grant expires on the owner's clock, so that the owner may grant the slots again.
+    /// When the grant expires on the owner's clock; from then on the owner may grant the slots again.
     pub until: time::TimeMs,
 }
 
--- a/crates/damaskvane-slots/src/ledger/slot_ledger.rs
+++ b/crates/damaskvane-slots/src/ledger/slot_ledger.rs
@@ -1,4 +1,7 @@
-//! The ledger of one backend server, and its phases: waiting, then serving.
+//! The ledger of one backend server: the grants that the server's owner has made.
+//!
+//! The owner is the instance that grants the server's slots; a slot is the right to run one request on the
+//! server. A ledger is first [`Waiting`], while the owner may grant nothing, and then [`Serving`].
 
 use std::collections::BTreeMap;
 
@@ -7,17 +10,17 @@
 use crate::ledger::grant::{Full, Grant};
 use crate::message::{GrantKey, GrantNumber, LedgerEntry};
 
-/// The phase in which the owner waits for grants of earlier owners to expire and grants nothing.
+/// Phase of a ledger whose owner grants nothing, but waits for grants of earlier owners to expire.
 #[derive(Debug)]
 pub struct Waiting {
     until: time::TimeMs,
 }
 
-/// The phase in which the owner grants slots.
+/// Phase of a ledger whose owner grants slots.
 #[derive(Debug)]
 pub struct Serving;
 
-/// The grants that the owner of one backend server has made.
+/// The grants that the owner of one backend server has made, in the ledger's phase `P`.
 #[derive(Debug)]
 pub struct SlotLedger<P> {
     slots: units::Slots,
@@ -26,7 +29,7 @@
 }
 
 impl SlotLedger<Waiting> {
-    /// Creates a ledger that holds the `known` grants and grants nothing before `until`.
+    /// Creates a ledger with the `known` grants of earlier owners; no slot is granted before `until`.
     #[must_use]
     pub fn waiting(
         slots: units::Slots,
@@ -41,17 +44,17 @@
         }
     }
 
-    /// Returns when the ledger may start to grant slots.
+    /// Returns the time from which the owner may grant slots.
     #[must_use]
     pub const fn until(&self) -> time::TimeMs {
         self.phase.until
     }
 
-    /// Starts to grant slots.
+    /// Moves the ledger to the phase in which the owner grants slots.
     ///
     /// # Errors
     ///
-    /// Returns the unchanged ledger while the wait is not over.
+    /// Returns the unchanged ledger if `now` is before the end of the wait.
     pub fn start(self, now: time::TimeMs) -> Result<SlotLedger<Serving>, Self> {
         if now < self.phase.until {
             return Err(self);
@@ -65,7 +68,7 @@
 }
 
 impl SlotLedger<Serving> {
-    /// Grants up to `requested` slots until `until` and returns how many were granted.
+    /// Records a grant of up to `requested` slots that expires at `until`; returns the number of slots.
     ///
     /// # Errors
     ///
@@ -79,7 +82,8 @@
     ) -> Result<units::Slots, Full> {
         self.expire(now);
         if self.grants.contains_key(&key) {
-            // A repeated acquire request, whose response was lost, must not get a second grant under one key.
+            // An acquire request that its holder repeats after a lost response must not get a second grant
+            // under the same key.
             return Err(self.full(now));
         }
         let slots = requested.min(self.free());
@@ -109,13 +113,13 @@
         self.grants.values().map(|grant| grant.slots).sum()
     }
 
-    /// Returns the number of slots that are not granted.
+    /// Returns the number of the backend server's slots that are not granted.
     #[must_use]
     pub fn free(&self) -> units::Slots {
         self.slots.saturating_sub(self.granted())
     }
 
-    /// Returns the number of slots of the backend server.
+    /// Returns how many slots the backend server has in total.
     #[must_use]
     pub const fn slots(&self) -> units::Slots {
         self.slots
@@ -123,13 +127,14 @@
 
     /// Returns whether the granted slots fit into the backend server's slots.
     ///
-    /// After the configuration lowered the limit, they may exceed it for up to one lease.
+    /// After a new configuration lowered the number of the server's slots, the granted slots may exceed that
+    /// number for up to the length of one lease.
     #[must_use]
     pub fn is_within_slots(&self) -> bool {
         self.granted() <= self.slots
     }
 
-    /// Sets the number of slots from a new configuration; grants above it expire or are returned.
+    /// Sets how many slots the server has by a new configuration; grants beyond them expire or are returned.
     pub const fn set_slots(&mut self, slots: units::Slots) {
         self.slots = slots;
     }
@@ -139,10 +144,11 @@
         self.grants.retain(|_, grant| grant.until > now);
     }
 
-    /// Extends a grant to `until`; returns whether the grant is in the ledger and within the limit.
+    /// Extends a grant to `until`, and returns whether it was extended.
     ///
-    /// After the limit was lowered, grants above it are not renewed: repeated renewals would keep the server
-    /// above its limit for as long as its load lasts.
+    /// A grant that is not in the ledger is not extended. After the number of the server's slots was lowered,
+    /// grants beyond that limit aren't either: repeated renewals would keep the server above its limit for as
+    /// long as its load lasts.
     pub fn renew(&mut self, now: time::TimeMs, key: &GrantKey, until: time::TimeMs) -> bool {
         self.expire(now);
         let is_within = self.is_within_limit(key);
@@ -156,7 +162,7 @@
         }
     }
 
-    /// Returns whether the grant and all grants before it in key order fit into the slots.
+    /// Returns whether the grant and all grants before it in key order fit into the server's slots.
     fn is_within_limit(&self, key: &GrantKey) -> bool {
         let up_to_it = self.grants.range(..=key.clone());
         let granted: units::Slots = up_to_it.map(|(_, grant)| grant.slots).sum();
@@ -165,8 +171,8 @@
 
     /// Reduces a grant to `remaining` slots, or removes it if none remain.
     ///
-    /// The message states the remaining slots and not the returned ones, so that a repeated or delayed
-    /// message frees no slot twice.
+    /// A holder's message states how many slots remain and not how many it returns, so that a repeated or
+    /// delayed message frees no slot twice.
     pub fn return_slots(&mut self, key: &GrantKey, remaining: units::Slots) {
         if remaining == units::Slots::ZERO {
             self.grants.remove(key);
@@ -175,7 +181,7 @@
         }
     }
 
-    /// Returns the granted slots by holder.
+    /// Returns the number of granted slots of each holder.
     #[must_use]
     pub fn held(&self) -> BTreeMap<ids::InstanceId, units::Slots> {
         let mut held = BTreeMap::<ids::InstanceId, units::Slots>::new();
@@ -200,7 +206,8 @@
             .collect()
     }
 
-    /// Returns whether the ledger has a grant of `holder` with this number, of any of its incarnations.
+    /// Returns whether the ledger has a grant of `holder` with this number, whichever incarnation (start of
+    /// its process) acquired it.
     #[must_use]
     pub fn contains(&self, holder: &ids::InstanceId, number: GrantNumber) -> bool {
         self.grants
--- a/crates/damaskvane-slots/src/lib.rs
+++ b/crates/damaskvane-slots/src/lib.rs
@@ -1,18 +1,19 @@
 //! Leases on the slots of backend servers, and the instances that own and hold them.
 //!
-//! Each backend server of an availability zone has one owner among the zone's entry instances. The owner
-//! grants slots for a bounded time. An instance sends a request only under such a lease, with a deadline
-//! that ends before the lease does. The sum of the granted slots never exceeds the server's slots.
+//! A slot is the right to run one request on a backend server. Each backend server of an availability zone
+//! has one owner among the zone's entry instances. The owner grants slots to instances, each grant under a
+//! lease, which limits its time. An instance sends a request only under a lease, with a deadline before the
+//! end of the lease. The sum of the granted slots of a server never exceeds the server's number of slots.
 //!
 //! # Crate guide
 //!
 //! - [`exchange`]: the state machine that a program drives with events and the current time.
-//! - [`permit`]: the right to use one slot, checked before and after a request is sent.
-//! - [`ledger`]: the grants of an owner.
+//! - [`permit`]: the reservation of a held slot for one request, checked before and after it is sent.
+//! - [`ledger`]: the grants that an owner has made.
 //! - [`holder`]: the grants that an instance holds.
 //! - [`claim`]: the transfer of a backend server to a new owner.
 //! - [`message`]: the messages between instances.
-//! - [`connections`]: the fixed share of a backend server's connections.
+//! - [`connections`]: each instance's fixed share of a backend server's connections.
 //! - [`settings`], [`counters`]: durations and statistics.
 //!
 //! ```
--- a/crates/damaskvane-slots/src/message.rs
+++ b/crates/damaskvane-slots/src/message.rs
@@ -1,7 +1,12 @@
 //! Messages between the instances of a zone about the slots of its backend servers.
 //!
-//! Any message may be lost, and a grant or a return may cross a claim. Safety depends on no message: a lease
-//! that is not renewed expires.
+//! A slot is the right to run one request on a backend server. The server's owner, one of the instances,
+//! grants slots to holders for a limited time, the lease, and records the grants in its ledger. An instance
+//! that is to become the owner sends a claim to the others. An incarnation is one start of an instance's
+//! process.
+//!
+//! Any message may be lost, and a grant or a return may be on its way while a claim changes the owner. Safety
+//! depends on no message: a lease that is not renewed expires.
 //!
 //! ```
 //! use damaskvane_core::units;
@@ -19,7 +24,9 @@
 use damaskvane_core::{ids, time, units};
 use serde::{Deserialize, Serialize};
 
-/// The number of an acquire request, and of its grant; unique within one incarnation of the holder.
+/// The number of an acquire request, and of the grant that responds to it.
+///
+/// The number is unique within one incarnation of the holder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct GrantNumber(u64);
@@ -52,40 +59,40 @@
     pub number: GrantNumber,
 }
 
-/// A grant as its holder reports it to a new owner.
+/// A grant as its holder reports it to an instance that claims the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldLease {
     /// The number of the grant.
     #[serde(rename = "n")]
     pub number: GrantNumber,
-    /// The number of slots that the grant still has.
+    /// The number of slots of the grant, without returned ones.
     #[serde(rename = "s")]
     pub slots: units::Slots,
-    /// How long the holder may still use the slots, on its own clock.
+    /// Time until the lease expires on the holder's clock.
     #[serde(rename = "l")]
     pub remaining_ms: time::SpanMs,
 }
 
-/// A grant in a ledger that is sent to the next owner.
+/// A grant in the ledger that an owner sends to the next owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerEntry {
     /// The holder and the number of the grant.
     #[serde(rename = "k")]
     pub key: GrantKey,
-    /// The number of slots that the grant still has.
+    /// The number of slots of the grant, without returned ones.
     #[serde(rename = "s")]
     pub slots: units::Slots,
-    /// Time until the grant expires for the owner.
+    /// Time until the grant expires on the clock of the owner that sends the ledger.
     #[serde(rename = "l")]
     pub remaining_ms: time::SpanMs,
 }
 
-/// The ledger of an owner, sent to the next owner with a consent.
+/// The ledger of an owner, which it sends to the next owner in its consent to the claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerHandover {
     /// The grants that have not expired.
     pub entries: Vec<LedgerEntry>,
-    /// How long unknown grants of an earlier owner may still be in use; zero if there are none.
+    /// How long grants of an earlier owner that are not in the ledger may be in use; zero if there are none.
     pub wait_ms: time::SpanMs,
 }
 
@@ -97,9 +104,10 @@
     NotOwner,
     /// The instance is claiming the server, or waits for an earlier owner's grants to expire.
     Waiting,
-    /// The owner's authority has expired, so another instance may have replaced it.
+    /// The instance owns the server, but its authority (right to act as an owner) has expired, so another
+    /// instance may have replaced it.
     NoAuthority,
-    /// The grant to renew is not in the ledger, or exceeds a lowered limit.
+    /// The grant to renew is not in the ledger, or exceeds the server's slots after their number was lowered.
     UnknownGrant,
 }
 
@@ -119,7 +127,7 @@
 /// One message about one backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotMessage {
-    /// Requests slots from the owner, which responds once slots are free.
+    /// Requests slots from the owner, which grants them once slots are free, or refuses.
     Acquire {
         /// The backend server.
         server: ids::BackendServerId,
@@ -128,7 +136,7 @@
         /// The maximum number of slots to grant.
         slots: units::Slots,
     },
-    /// Grants slots to the recipient; the lease counts from the moment when the recipient sent its request.
+    /// Grants slots to the recipient; the lease begins when the recipient sent its acquire request.
     Granted {
         /// The backend server.
         server: ids::BackendServerId,
@@ -150,22 +158,22 @@
         /// The time after which the recipient may request slots again.
         retry_after_ms: time::SpanMs,
     },
-    /// Requests a longer lease of a grant from the owner.
+    /// Requests that the owner extend the lease of a grant.
     Renew {
         /// The backend server.
         server: ids::BackendServerId,
         /// The number of the grant.
         number: GrantNumber,
-        /// Distinguishes this attempt from earlier ones for the same grant.
+        /// Distinguishes this renewal request from earlier ones for the same grant.
         attempt: u32,
     },
-    /// Renews a grant; the lease counts from the moment when the recipient sent its renewal request.
+    /// Renews a grant; the new lease begins when the recipient sent its renewal request.
     Renewed {
         /// The backend server.
         server: ids::BackendServerId,
         /// The number of the grant.
         number: GrantNumber,
-        /// The attempt that this message responds to.
+        /// The attempt of the renewal request that this message responds to.
         attempt: u32,
         /// The length of the lease.
         lease_ms: time::SpanMs,
@@ -176,12 +184,13 @@
         server: ids::BackendServerId,
         /// The number of the grant.
         number: GrantNumber,
-        /// The number of slots that the sender keeps.
+        /// The number of the grant's slots that the sender keeps.
         remaining: units::Slots,
     },
-    /// Requests the return of idle slots, and limits the recipient's slots for a while.
+    /// Requests the return of held slots on which no request runs, and limits the recipient's slots for a
+    /// while.
     ///
-    /// The owner sends it while acquire requests wait.
+    /// The owner sends this message while acquire requests wait for slots.
     Recall {
         /// The backend server.
         server: ids::BackendServerId,
@@ -195,7 +204,7 @@
         /// Distinguishes this claim from earlier ones of the sender.
         claim: u64,
     },
-    /// Consents to a claim: the sender isn't owner any more and accepts grants only from the claimant.
+    /// Consents to a claim: the sender isn't the owner any more, and accepts grants from the claimant only.
     Consent {
         /// The backend server.
         server: ids::BackendServerId,
@@ -203,13 +212,17 @@
         claim: u64,
         /// The leases that the sender holds.
         leases: Vec<HeldLease>,
-        /// The ledger, if the sender was the owner and had authority.
+        /// The ledger, if the sender was the owner and its authority had not expired.
         ledger: Option<LedgerHandover>,
-        /// How long an instance that the sender knows to be fenced or dropped from the list may still act.
+        /// How long instances that may not know of their replacement may still grant or use slots.
+        ///
+        /// These are instances that, as far as the sender knows, were fenced (another instance revoked their
+        /// authority) or dropped from the platform's list.
         #[serde(default)]
         wait_ms: time::SpanMs,
     },
-    /// Declines a claim, because another instance is to own the server by the sender's roster.
+    /// Declines a claim, because by the sender's list of instances another one than the claimant is to own
+    /// the server.
     Decline {
         /// The backend server.
         server: ids::BackendServerId,
@@ -222,7 +235,7 @@
 ///
 /// A message can be delayed while its recipient restarts. The next incarnation numbers its acquire requests
 /// and claims from the start, and would take an old response for a new one. It therefore drops messages for
-/// other incarnations.
+/// other incarnations of its instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressedMessage {
     /// The incarnation of the recipient.
--- a/crates/damaskvane-slots/src/permit.rs
+++ b/crates/damaskvane-slots/src/permit.rs
@@ -1,6 +1,7 @@
 //! A permit to run one request on one slot, with the states ready, sending and running.
 //!
-//! The process that holds a lease may be paused at any moment, and the lease may expire meanwhile. The clock
+//! A slot is the right to run one request on a backend server. An instance holds slots under a lease, that is
+//! for a limited time. Its process may be paused at any moment, and the lease may expire meanwhile. The clock
 //! is therefore checked directly before and directly after the request is written. A request that was written
 //! too late has to be cancelled at once.
 //!
@@ -45,11 +46,11 @@
 pub struct ReleasedPermit {
     pub(crate) server: ids::BackendServerId,
     pub(crate) number: GrantNumber,
-    /// The deadline of the request at the backend server, or when the permit was made if nothing was sent.
+    /// The request's deadline at the backend server; the creation time of the permit if nothing was sent.
     pub(crate) ends_by: time::TimeMs,
 }
 
-/// The right to run one request on one backend server until the lease expires.
+/// The right to run one request on one backend server until the lease of the slot expires.
 #[derive(Debug)]
 #[must_use = "a permit that is dropped blocks its slot until the lease expires"]
 pub struct Permit<S> {
@@ -67,7 +68,7 @@
         &self.released.server
     }
 
-    /// Ends the use of the permit, so that [`crate::exchange::SlotExchange::finish`] can free the slot.
+    /// Converts the permit for [`crate::exchange::SlotExchange::finish`], which frees the slot.
     #[must_use]
     pub fn into_released(self) -> ReleasedPermit {
         self.released
@@ -106,11 +107,12 @@
         }
     }
 
-    /// Sets the deadline; has to be called directly before the request is written.
+    /// Sets the request's deadline; has to be called directly before the request is written.
     ///
     /// # Errors
     ///
-    /// Returns [`LeaseExpired`] if no time remains, because the lease expired or the run time is zero.
+    /// Returns [`LeaseExpired`] if no time remains, because the lease expired or the permit's maximum run
+    /// time is zero.
     pub fn send(mut self, now: time::TimeMs) -> Result<Permit<Sending>, LeaseExpired> {
         self.deadline_ms = self.expires_at.since(now).min(self.max_run_ms);
         if self.deadline_ms == time::SpanMs::ZERO {
@@ -124,7 +126,7 @@
 impl Permit<Sending> {
     /// Returns the time that the backend server has for the request, counted from the call of `send`.
     ///
-    /// The request has to be sent with this deadline, so that it doesn't run beyond the lease.
+    /// The request has to carry this deadline, so that it doesn't run beyond the lease.
     #[must_use]
     pub const fn deadline_ms(&self) -> time::SpanMs {
         self.deadline_ms
@@ -138,7 +140,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`SentLate`] if the lease expired meanwhile.
+    /// Returns [`SentLate`] if the lease expired since the call of `send`.
     pub fn sent(self, now: time::TimeMs) -> Result<Permit<Running>, SentLate> {
         if now >= self.expires_at {
             return Err(SentLate(self.released));
