--- a/crates/damaskvane-membership/src/digest.rs
+++ b/crates/damaskvane-membership/src/digest.rs
@@ -1,11 +1,11 @@
-//! Exchange of digests: one report per availability zone, delivered to the instances of all zones.
+//! Exchange of digests: reports, one per availability zone, that reach the instances of all zones.
 //!
 //! The first instance in a zone's [ranking](crate::ownership::ranking) is the zone's aggregator. Every
-//! second an aggregator sends the digest of its zone to the aggregators of the other zones in its region.
-//! Every few seconds one zone per region sends all digests of the region to the other regions. An
-//! instance that receives a newer digest forwards it along a tree of the instances in its zone. Two
-//! aggregators of one zone by mistake cost messages and do no harm, because only a higher sequence
-//! number replaces a digest.
+//! second an aggregator sends the digest of its zone to the aggregators of the other zones in its
+//! region. Every few seconds one zone per region sends all digests of the region to the other regions.
+//! An instance that receives a newer digest forwards it along a tree of the instances in its zone. If
+//! two instances of one zone act as aggregators by mistake, the only cost is additional messages,
+//! because a stored digest is replaced only by one with a higher sequence number.
 //!
 //! The body of a digest is a type parameter, chosen by the caller.
 //!
--- a/crates/damaskvane-membership/src/digest/exchange.rs
+++ b/crates/damaskvane-membership/src/digest/exchange.rs
@@ -1,4 +1,8 @@
 //! Digest exchange of one instance.
+//!
+//! A digest is a report on one zone, which the zone's aggregator (its first instance by rank) creates.
+//! The instances of a zone form a tree: the aggregator is the root, and each instance forwards to its
+//! children.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,9 +27,10 @@
 pub struct DigestExchange<D> {
     settings: DigestSettings,
     table: DigestTable<D>,
-    /// Zones of other regions whose new digests are sent next to the other zones of this region.
+    /// Zones of other regions whose new digests this instance has to send to the other zones of its
+    /// region.
     imported: BTreeSet<ids::AvailabilityZoneId>,
-    /// Zones whose new digests are sent next to this instance's children in the tree of its zone.
+    /// Zones whose new digests this instance has to send to its children in the tree of its zone.
     pending_for_children: BTreeSet<ids::AvailabilityZoneId>,
     next_region_at: time::TimeMs,
     next_inter_region_at: time::TimeMs,
@@ -33,7 +38,7 @@
 }
 
 impl<D: Clone> DigestExchange<D> {
-    /// Returns an exchange without digests.
+    /// Creates an exchange that has no digests yet.
     #[must_use]
     pub const fn new(settings: DigestSettings) -> Self {
         Self {
@@ -52,20 +57,22 @@
         self.table.views(now)
     }
 
-    /// Sets the time between two bundles to other regions, which depends on the size of the fleet.
+    /// Sets the time between two bundles to other regions, which the caller derives from the fleet's
+    /// size.
     pub const fn set_inter_region_period(&mut self, period: time::SpanMs) {
         self.settings.inter_region_period_ms = period;
     }
 
-    /// Returns whether a new digest of the local zone is due: this instance is the aggregator and the
-    /// period is over.
+    /// Returns whether this instance has to create a new digest of the local zone: it is the
+    /// aggregator, and `region_period_ms` has passed since the last digest.
     #[must_use]
     pub fn is_due(&self, now: time::TimeMs, topology: &Topology) -> bool {
         topology.is_aggregator() && now >= self.next_region_at
     }
 
-    /// Stores a new digest of the local zone and returns the bundles that are due; call it when
-    /// [`Self::is_due`] returns true.
+    /// Stores a new digest of the local zone with the content `body`, and returns the bundles to send.
+    ///
+    /// The caller calls this function when [`Self::is_due`] returns true.
     pub fn publish(
         &mut self,
         now: time::TimeMs,
@@ -97,7 +104,9 @@
         sends
     }
 
-    /// Stores the digests of a received bundle and returns the bundles that forward the newer ones.
+    /// Stores those digests of a received bundle that are newer than the stored ones, and returns the
+    /// bundles to send: the newer digests to further instances, and later ones to an author of outdated
+    /// digests.
     pub fn receive(
         &mut self,
         now: time::TimeMs,
@@ -119,8 +128,8 @@
         let mut sends = self.forward(topology, from, &newer);
         if !replies.is_empty() {
             // A new aggregator may start with too low a sequence number, and continues from the higher
-            // one that this bundle carries. Otherwise its zone would appear frozen to this instance
-            // until the old digest is forgotten.
+            // one that this bundle carries. Otherwise this instance would store no new digest of that
+            // zone until the stored digest is `forget_ms` old.
             let bundle = DigestBundle(replies);
             sends.push(DigestSend {
                 to: from.clone(),
@@ -151,8 +160,8 @@
             self.record_imported(topology, newer);
         }
         if topology.is_aggregator() {
-            // One message a period for each child costs a fraction of one message for each received
-            // bundle.
+            // The digests are sent with the next `publish`: one message a period to each child costs a
+            // fraction of one message to each child for every received bundle.
             let zones = newer.iter().map(|digest| digest.zone.clone());
             self.pending_for_children.extend(zones);
             return Vec::new();
@@ -198,8 +207,8 @@
             .collect()
     }
 
-    /// Sends the digests of the region to each other region, if the local zone is the first one of the
-    /// region with a fresh digest.
+    /// Returns the bundles with the region's digests to each other region, if the local zone is the
+    /// first one of the region, by id, that has a fresh digest.
     fn sends_to_other_regions(&self, now: time::TimeMs, topology: &Topology) -> Vec<DigestSend<D>> {
         let fresh: Vec<&ids::AvailabilityZoneId> = topology
             .zones_of_own_region()
@@ -219,8 +228,8 @@
             .collect()
     }
 
-    /// Selects for each other region the zone with the youngest digest, and the instance to send to in
-    /// that zone.
+    /// Returns for each other region the instance to send to, in the region's zone with the youngest
+    /// digest.
     fn recipients_in_other_regions(
         &self,
         now: time::TimeMs,
@@ -257,8 +266,8 @@
             .is_some_and(|stored| stored.age < self.settings.fresh_ms)
     }
 
-    /// Returns the author of the zone's digest if the digest is fresh, and otherwise each listed
-    /// instance in turn.
+    /// Returns the instance of a zone to send to: the author of the zone's digest if the digest is
+    /// fresh, and otherwise another one of the zone's instances in each round.
     fn recipient(
         &self,
         now: time::TimeMs,
--- a/crates/damaskvane-membership/src/digest/message.rs
+++ b/crates/damaskvane-membership/src/digest/message.rs
@@ -3,7 +3,7 @@
 use damaskvane_core::{ids, time};
 use serde::{Deserialize, Serialize};
 
-/// A report on one zone.
+/// A report on one zone, made by one of its instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest<D> {
     /// Zone that the digest describes.
@@ -12,7 +12,8 @@
     /// Instance that created the digest.
     #[serde(rename = "b")]
     pub author: ids::InstanceId,
-    /// Sequence number; increases with every digest of the zone, whichever instance creates it.
+    /// Sequence number, which increases with every digest of the zone, whichever instance creates the
+    /// digest.
     #[serde(rename = "s")]
     pub sequence: u64,
     /// Time that the digest has spent at instances since it was created; transmission time is not
--- a/crates/damaskvane-membership/src/digest/settings.rs
+++ b/crates/damaskvane-membership/src/digest/settings.rs
@@ -1,4 +1,4 @@
-//! Intervals and limits of the digest exchange.
+//! Intervals and limits of the digest exchange; a digest is a report on one zone.
 
 use damaskvane_core::time::SpanMs;
 
@@ -7,14 +7,15 @@
 pub struct DigestSettings {
     /// Time between two digests that a zone sends within its region.
     pub region_period_ms: SpanMs,
-    /// Time between two bundles to other regions.
+    /// Time between two bundles of digests that a region sends to each other region.
     pub inter_region_period_ms: SpanMs,
-    /// Number of instances to which each instance forwards digests in its zone.
+    /// Maximum number of instances of its zone to which an instance forwards digests.
     pub fan_out: usize,
     /// Age up to which a digest is fresh. Without a fresh digest of a zone, bundles for that zone go to
-    /// its listed instances in turn, not to the author of its last digest.
+    /// its instances in turn, not to the author of its last digest.
     pub fresh_ms: SpanMs,
-    /// Age at which a stored digest is replaced by any other digest of its zone.
+    /// Age from which a stored digest is replaced by any other digest of its zone, also by one with a
+    /// lower sequence number.
     pub forget_ms: SpanMs,
 }
 
--- a/crates/damaskvane-membership/src/digest/table.rs
+++ b/crates/damaskvane-membership/src/digest/table.rs
@@ -1,4 +1,4 @@
-//! Table of the latest digest of each zone.
+//! Table of the latest digest of each zone; a digest is a report on one zone.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,9 @@
 pub enum InsertOutcome {
     /// The digest was stored, as the first or the latest of its zone.
     Stored,
-    /// The table already holds the same digest.
+    /// The digest was not stored: the table already holds the same digest.
     Duplicate,
-    /// The table holds a later digest of the zone.
+    /// The digest was not stored: the table holds a later digest of the zone.
     Outdated,
 }
 
@@ -26,7 +26,7 @@
     pub author: &'a ids::InstanceId,
     /// Sequence number of the digest within its zone.
     pub sequence: u64,
-    /// Time since the digest was created.
+    /// Time since the digest was created, without the transmission times.
     pub age: time::SpanMs,
     /// Content of the digest, defined by the caller.
     pub body: &'a D,
@@ -63,9 +63,9 @@
     /// Stores a digest if it is later than the stored digest of its zone.
     ///
     /// Digests can be late or arrive out of order. A digest that arrives after a later one must not
-    /// replace it, because weights would swing back to old values. Once the stored digest is
-    /// `forget_after` old, a lower sequence number is accepted too, from a zone whose instances were
-    /// all replaced and count from the start again.
+    /// replace that one, because weights that follow from digests would swing back to old values. Once
+    /// the stored digest is `forget_after` old, a digest with a lower sequence number is stored too: if
+    /// all instances of a zone were replaced, the new ones number their digests from the start.
     pub(super) fn insert(&mut self, digest: Digest<D>, now: time::TimeMs) -> InsertOutcome {
         if let Some(stored) = self.stored.get(&digest.zone) {
             let old = (stored.digest.sequence, &stored.digest.author);
@@ -83,7 +83,7 @@
         InsertOutcome::Stored
     }
 
-    /// Returns a copy to send, with its current age.
+    /// Returns a copy of the zone's digest to send, with the digest's age at `now`.
     pub(super) fn copy(
         &self,
         zone: &ids::AvailabilityZoneId,
--- a/crates/damaskvane-membership/src/digest/topology.rs
+++ b/crates/damaskvane-membership/src/digest/topology.rs
@@ -1,15 +1,18 @@
-//! Topology of the digest exchange: which instance sends digests to which others.
+//! Topology of the digest exchange: which instance sends digests (reports on zones) to which others.
+//!
+//! The aggregator of a zone is the instance that creates the zone's digests. It is the root of a tree
+//! of the zone's instances, along which each instance forwards digests to its children.
 
 use std::collections::BTreeMap;
 
 use damaskvane_core::ids;
 
-/// Instances of one zone.
+/// Instances of one zone to which digests can be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneContacts {
     /// Region of the zone.
     pub region: ids::RegionId,
-    /// Instances of the zone that accept new work, the aggregator first.
+    /// Instances of the zone that accept new work, by rank; the first one is the zone's aggregator.
     pub ranked: Vec<ids::InstanceId>,
 }
 
@@ -43,7 +46,7 @@
         self.aggregator() == Some(&self.own)
     }
 
-    /// Returns the instances of the local zone to which this instance forwards digests.
+    /// Returns the children of this instance, at most `fan_out`.
     pub fn children(&self, fan_out: usize) -> impl Iterator<Item = &ids::InstanceId> {
         let ranked = self.own_contacts();
         let own = ranked.iter().position(|instance| *instance == self.own);
@@ -51,25 +54,25 @@
         ranked.iter().skip(first).take(fan_out)
     }
 
-    /// Returns whether an instance belongs to the local zone.
+    /// Returns whether an instance belongs to the local zone and accepts new work.
     #[must_use]
     pub fn is_own_zone(&self, instance: &ids::InstanceId) -> bool {
         self.own_contacts().contains(instance)
     }
 
-    /// Returns the region of the local zone.
+    /// Returns the region of the local zone, or `None` if the topology lacks that zone.
     #[must_use]
     pub fn own_region(&self) -> Option<&ids::RegionId> {
         self.region(&self.own_zone)
     }
 
-    /// Returns the region of a zone.
+    /// Returns the region of a zone, or `None` if the topology lacks the zone.
     #[must_use]
     pub fn region(&self, zone: &ids::AvailabilityZoneId) -> Option<&ids::RegionId> {
         self.zones.get(zone).map(|contacts| &contacts.region)
     }
 
-    /// Returns whether an instance belongs to the local region.
+    /// Returns whether an instance belongs to the local region and accepts new work.
     #[must_use]
     pub fn is_own_region(&self, instance: &ids::InstanceId) -> bool {
         self.zones_of_own_region()
--- a/crates/damaskvane-membership/src/heartbeat.rs
+++ b/crates/damaskvane-membership/src/heartbeat.rs
@@ -1,8 +1,9 @@
 //! Heartbeats that neighbouring instances exchange.
 //!
-//! The envelope around every message carries the sender's id and incarnation. Field names are one
-//! letter long on the wire: with 18 instances in a zone, one more byte costs each instance 14 bytes a
-//! second.
+//! The neighbours of an instance are those instances of its zone with which it exchanges heartbeats.
+//! The envelope around every message carries the sender's id and incarnation (one start of its
+//! process). Field names are one letter long on the wire: with 18 instances in a zone, one more byte
+//! costs each instance 14 bytes a second.
 //!
 //! ```
 //! use damaskvane_membership::heartbeat;
@@ -20,10 +21,10 @@
     /// Requests of the instance that are running on backend servers.
     #[serde(rename = "r", default)]
     pub running: units::Slots,
-    /// Requests that arrived in the last second.
+    /// Clients' requests that arrived at the instance in the last second.
     #[serde(rename = "q", default)]
     pub arrivals: units::RequestsPerSecond,
-    /// Requests that the instance refused in the last second.
+    /// Clients' requests that the instance refused in the last second.
     #[serde(rename = "x", default)]
     pub refused: units::RequestsPerSecond,
 }
@@ -31,13 +32,14 @@
 /// A heartbeat to one neighbour.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Sequence number; increases with every round of heartbeats of one incarnation.
+    /// Number of the sender's round of heartbeats; increases with every round of one incarnation.
     #[serde(rename = "s")]
     pub sequence: u64,
-    /// Sequence number of the last heartbeat received from the neighbour.
+    /// Sequence number of the last heartbeat that the sender received from the neighbour.
     ///
-    /// The echo confirms to the neighbour that its heartbeats arrive; receiving heartbeats from others
-    /// does not prove that. Absent if no heartbeat was received or the neighbour has left the list.
+    /// This echo confirms to the neighbour that its heartbeats arrive; the heartbeats that the
+    /// neighbour receives don't prove that. Absent if the sender received no heartbeat from the
+    /// neighbour, or the neighbour has left the platform's list of instances.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub echo: Option<u64>,
     /// Time until the sender's next round of heartbeats.
@@ -46,10 +48,10 @@
     /// Version of the configuration in effect at the sender.
     #[serde(rename = "v")]
     pub config_version: ids::ConfigVersion,
-    /// Whether the sender is about to stop.
+    /// Whether the sender is about to stop as planned.
     #[serde(rename = "l", default, skip_serializing_if = "core::ops::Not::not")]
     pub leaving: bool,
-    /// Time since the sender last reached the platform; absent if the sender never reached it.
+    /// Time since the sender last reached the platform; absent if it never reached the platform.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub platform_age_ms: Option<time::SpanMs>,
     /// Load of the sender.
--- a/crates/damaskvane-membership/src/lib.rs
+++ b/crates/damaskvane-membership/src/lib.rs
@@ -1,4 +1,8 @@
-//! Membership of instances: heartbeats, fencing, digests and ownership.
+//! Membership of instances: which entry instances exist, are alive, and may own backend servers.
+//!
+//! Neighbouring instances exchange heartbeats. An instance can fence one that stays silent, that is,
+//! revoke at the platform its right to act as an owner. Digests are reports on whole availability
+//! zones.
 //!
 //! # Crate guide
 //!
@@ -6,10 +10,10 @@
 //! - [`heartbeat`]: heartbeats that neighbouring instances exchange.
 //! - [`plan`]: selection of heartbeat neighbours, and the heartbeat period.
 //! - [`view`]: the membership state machine, which takes events with their times and returns actions.
-//!   It determines which instances are alive, and which are proven gone.
+//!   It determines which instances are alive, and which are gone (proven to have stopped or to be fenced).
 //! - [`state`]: states of an instance, and proofs that an instance is gone.
 //! - [`ownership`]: the rendezvous hash that selects the owner of a backend server.
-//! - [`digest`]: exchange of digests between the availability zones.
+//! - [`digest`]: exchange of digests within and between the availability zones.
 //! - [`settings`]: intervals, timeouts and limits.
 //!
 //! Nothing here reads a clock or sends messages: callers pass in the time and carry out the actions.
--- a/crates/damaskvane-membership/src/ownership.rs
+++ b/crates/damaskvane-membership/src/ownership.rs
@@ -1,5 +1,8 @@
 //! Rendezvous hash that selects the owner of a backend server.
 //!
+//! The owner is the instance that decides how many requests each instance may run on the server. A key
+//! is any string to which an instance is assigned, such as the id of a backend server or of a zone.
+//!
 //! Every instance computes the same owner from the same candidates, without exchanging messages. When a
 //! candidate is added or removed, only the backend servers that it gains or loses change their owner.
 //!
@@ -15,8 +18,8 @@
 
 use damaskvane_core::ids;
 
-/// Byte between key and candidate in the hash input. No identifier contains it, so different pairs have
-/// different inputs.
+/// Byte between the key and the candidate's id in the hash input. No identifier contains this byte, so
+/// different pairs have different inputs.
 const SEPARATOR: &[u8] = &[0];
 
 fn weight(key: &str, candidate: &ids::InstanceId) -> [u8; 32] {
@@ -27,7 +30,7 @@
     *hasher.finalize().as_bytes()
 }
 
-/// Returns the candidate that owns `key`, or `None` without candidates.
+/// Returns the candidate that owns `key`, or `None` if there are no candidates.
 #[must_use]
 pub fn owner<'a>(
     key: &str,
@@ -39,8 +42,9 @@
         .cloned()
 }
 
-/// Returns all candidates: the owner of `key` first, followed by the instances that would own `key` if
-/// all candidates before them were removed.
+/// Returns all candidates in an order that starts with the owner of `key`.
+///
+/// Each further candidate would own `key` if all candidates before it were removed.
 #[must_use]
 pub fn ranking<'a>(
     key: &str,
--- a/crates/damaskvane-membership/src/plan.rs
+++ b/crates/damaskvane-membership/src/plan.rs
@@ -1,10 +1,11 @@
 //! Selection of heartbeat neighbours, and the heartbeat period.
 //!
-//! Up to a limit, all instances of a zone exchange heartbeats with each other. In a larger zone each
-//! instance exchanges heartbeats with its nearest neighbours on both sides of a ring, which makes the
-//! relation mutual. The period grows with the number of neighbours, so that each instance sends as many
-//! heartbeats a second in a small zone as in a large one: small zones detect a dead instance within 3
-//! s, and large zones stay within their message budget.
+//! If a zone has at most `mesh_limit` other instances, all instances exchange heartbeats with each
+//! other. In a larger zone each instance exchanges heartbeats with its nearest neighbours on both sides
+//! of a ring, which makes the relation mutual. The period grows with the number of neighbours, so that
+//! each instance sends as many heartbeats a second in a small zone as in a large one: small zones
+//! detect within 3 s that an instance has stopped sending heartbeats, and large zones stay within their
+//! message budget.
 //!
 //! ```
 //! use damaskvane_membership::{plan, settings};
@@ -22,7 +23,7 @@
 
 const MS_PER_SECOND: u64 = 1_000;
 
-/// Returns the time between two rounds of heartbeats for a number of neighbours.
+/// Returns the time between two rounds of heartbeats of an instance that has this number of neighbours.
 #[must_use]
 pub fn period(neighbours: usize, settings: &MembershipSettings) -> time::SpanMs {
     let per_second = u64::from(settings.heartbeats_per_second).max(1);
--- a/crates/damaskvane-membership/src/settings.rs
+++ b/crates/damaskvane-membership/src/settings.rs
@@ -1,4 +1,8 @@
-//! Intervals, timeouts and limits of membership; equal on all instances.
+//! Intervals, timeouts and limits of membership, which have to be equal on all instances.
+//!
+//! The neighbours of an instance are those instances of its zone with which it exchanges heartbeats.
+//! Its authority is the right to act as the owner of backend servers; to fence an instance is to revoke
+//! its authority by a mark on its entry in the platform's list of instances.
 //!
 //! ```
 //! use damaskvane_membership::settings;
@@ -18,42 +22,46 @@
     pub min_period_ms: SpanMs,
     /// Longest time between two heartbeats to one neighbour.
     pub max_period_ms: SpanMs,
-    /// Number of neighbours up to which all instances of a zone exchange heartbeats. In a larger zone
-    /// each instance has this many neighbours.
+    /// Maximum number of neighbours of an instance. In a zone with more other instances, each instance
+    /// exchanges heartbeats with this many of them, otherwise with all.
     pub mesh_limit: usize,
-    /// Shortest silence after which a neighbour can be suspect.
+    /// Shortest time without a heartbeat after which a neighbour can be suspect.
     pub min_suspect_ms: SpanMs,
-    /// Shortest silence after which a neighbour can be dead.
+    /// Shortest time without a heartbeat after which a neighbour can be considered dead.
     pub min_dead_ms: SpanMs,
     /// Time for which a listed neighbour counts as live before its first heartbeat arrives.
     pub first_heartbeat_timeout_ms: SpanMs,
-    /// Time for which an instance that left the list but still sends heartbeats counts as live.
+    /// Time for which an instance that left the list but still sends heartbeats counts as live; after
+    /// that it counts as gone.
     pub delisted_grace_ms: SpanMs,
     /// Gap between two events above which this process is considered to have been paused.
     pub pause_ms: SpanMs,
-    /// Time for which an instance keeps what it owns after its last heartbeat that a neighbour
-    /// received.
+    /// Time for which an instance keeps its authority after it sent the last heartbeat that a neighbour
+    /// confirmed, or after it sent its last successful request for the platform's list.
     pub authority_ms: SpanMs,
-    /// Value that replaces `authority_ms` for an instance whose neighbours had all lost the platform
-    /// before they fell silent.
+    /// Value that replaces `authority_ms` for an instance whose neighbours could all no longer reach
+    /// the platform before their heartbeats stopped.
     ///
-    /// The last instance of a zone that is cut off must continue, and its neighbours may in fact be
-    /// alive. A neighbour that reaches the platform again therefore takes over only after this time.
+    /// The last instance of a zone that is cut off from the platform must continue, and its neighbours
+    /// may in fact be alive. A neighbour that reaches the platform again therefore takes over the
+    /// instance's backend servers only after this time.
     pub cut_off_authority_ms: SpanMs,
-    /// Maximum age of an instance's copy of the list while the platform responds: the lag of the list
-    /// plus the time between two reads.
+    /// Maximum age of an instance's copy of the platform's list while the platform responds: the lag of
+    /// the list plus the time between two reads.
     pub list_lag_ms: SpanMs,
-    /// Time without contact after which an instance is considered unable to reach the platform.
+    /// Time since its last contact with the platform after which an instance is considered cut off from
+    /// it.
     ///
-    /// It must be longer than the time between two reads of the list. Otherwise an instance that is
-    /// considered cut off could fence another instance that does not expect it.
+    /// This must be longer than the time between two reads of the list. Otherwise an instance that is
+    /// considered cut off could fence another instance, which does not expect to be fenced by it.
     pub platform_lost_ms: SpanMs,
-    /// Time for which a neighbour must be dead before it is fenced through the platform; also the
-    /// timeout of a fence request.
+    /// Time for which a neighbour must count as dead before it is fenced; also the timeout of a request
+    /// to the platform to fence it.
     pub fence_after_ms: SpanMs,
-    /// Time between two requests to delete the entry of an instance that was fenced long ago.
+    /// Time between two requests to the platform to delete the entry of an instance that was fenced
+    /// long ago.
     pub fence_record_retry_ms: SpanMs,
-    /// Time between two probes of, or new connections to, one silent neighbour.
+    /// Time between two probes of a silent neighbour, and between two new connections to it.
     pub retry_ms: SpanMs,
 }
 
@@ -81,8 +89,8 @@
 }
 
 impl MembershipSettings {
-    /// Returns how long an instance keeps its authority after its last heartbeat that a neighbour
-    /// received.
+    /// Returns how long an instance keeps its authority after it sent the last heartbeat that a
+    /// neighbour confirmed: `cut_off_authority_ms` if `is_cut_off`, and otherwise `authority_ms`.
     #[must_use]
     pub const fn authority(&self, is_cut_off: bool) -> SpanMs {
         if is_cut_off {
@@ -92,14 +100,15 @@
         }
     }
 
-    /// Returns whether an instance that last reached the platform `age` ago can reach it. `None` means
-    /// that the instance never reached the platform.
+    /// Returns whether an instance that last reached the platform `age` ago is considered able to reach
+    /// it now. `None` means that the instance never reached the platform.
     #[must_use]
     pub fn reaches_platform(&self, age: Option<SpanMs>) -> bool {
         age.is_some_and(|age| age < self.platform_lost_ms)
     }
 
-    /// Returns the silence of a neighbour after which an instance may fence it.
+    /// Returns the time without a heartbeat of a neighbour after which an instance may fence the
+    /// neighbour.
     #[must_use]
     pub const fn min_fence_silence(&self) -> SpanMs {
         SpanMs::new(self.min_dead_ms.get() + self.fence_after_ms.get())
--- a/crates/damaskvane-membership/src/state.rs
+++ b/crates/damaskvane-membership/src/state.rs
@@ -1,8 +1,9 @@
 //! States of an instance, and proofs that an instance is gone.
 //!
-//! Silence proves nothing: a paused process, a broken connection and a dead machine are equally silent.
-//! Silence alone therefore excludes an instance from lookup responses, but the instance remains the
-//! owner of what it owns. Ownership passes to another instance only by proof.
+//! An instance is silent if no heartbeats arrive from it. Silence proves nothing: a paused process, a
+//! broken connection and a crashed machine are equally silent. Silence alone therefore excludes an
+//! instance only from lookup responses, which name instances to clients; the instance remains the owner
+//! of its backend servers. They pass to another instance only by proof that the owner is gone.
 //!
 //! ```
 //! use damaskvane_membership::state;
@@ -20,15 +21,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceState {
-    /// Sent a heartbeat recently, or is trusted because it is listed.
+    /// Sent a heartbeat recently; or is on the platform's list, if it has not had time to send a
+    /// heartbeat or sends none to this instance.
     Live,
-    /// Silent for longer than expected; or no longer listed, if it is not a neighbour.
+    /// Silent for longer than expected. An instance that exchanges no heartbeats with this one is
+    /// suspect if it is no longer on the platform's list.
     Suspect,
-    /// Alive and about to stop.
+    /// Alive and about to stop as planned.
     Leaving,
     /// Silent for so long that it gets no new work; the process may still run.
     Dead,
-    /// Proven to have stopped, or to have lost all that it owned.
+    /// Proven to have stopped, or to have lost the right to own backend servers.
     Gone,
 }
 
@@ -39,7 +42,7 @@
         matches!(self, Self::Live | Self::Suspect)
     }
 
-    /// Returns the label for status and metrics.
+    /// Returns the label for the status page and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -58,24 +61,25 @@
     }
 }
 
-/// Proof that one incarnation of an instance is gone.
+/// Proof that one incarnation (start of the process) of an instance is gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GoneProof {
     /// The machine refused the connection: no process listens at the instance's address.
     Refused,
-    /// The platform's list no longer contains the instance, or contains it as fenced.
+    /// The platform's list no longer contains the instance, or marks it as fenced by another instance.
     Delisted,
-    /// This instance marked the instance's entry at the platform as fenced.
+    /// This instance marked the gone instance's entry at the platform as fenced, which ends its
+    /// ownership.
     Fenced,
 }
 
 /// One incarnation of an instance that is gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Gone {
-    /// The incarnation that is gone; a later one is not.
+    /// The incarnation that is gone; a later incarnation of the instance may be running.
     pub incarnation: ids::Incarnation,
     /// Proof that the incarnation is gone.
     pub proof: GoneProof,
-    /// Time from which the incarnation certainly does nothing more; may lie in the future.
+    /// Time from which the incarnation certainly acts no more as an owner; may lie in the future.
     pub from: time::TimeMs,
 }
--- a/crates/damaskvane-membership/src/view.rs
+++ b/crates/damaskvane-membership/src/view.rs
@@ -1,16 +1,19 @@
 //! The membership state machine, which takes events with their times and returns actions.
 //!
-//! The platform's list names the instances that exist, and heartbeats show which of them are alive.
-//! Where the two disagree, a recent heartbeat takes precedence, but only from an instance that is
-//! listed or was listed recently. A listed instance without any heartbeat so far counts as live for a
-//! limited time.
+//! The platform's list names the instances that exist, and heartbeats show which of them are alive. If
+//! an instance sends heartbeats but is not on the list, it counts as alive, provided that it was listed
+//! recently. A listed instance from which no heartbeat has arrived yet counts as alive for a limited
+//! time.
 //!
 //! The module answers three questions:
 //!
-//! - Which instances take new work? [`Membership::instances`]: decided by silence, in seconds.
-//! - Whose backend servers may pass to another instance? [`Membership::roster`]: decided by proof only.
-//! - May this instance use what it owns? [`Membership::authority_until`]: as long as its neighbours
-//!   echo its heartbeats, or the platform's list contains it.
+//! - Which instances take new work? [`Membership::instances`]: an instance is excluded after some seconds
+//!   without a heartbeat from it.
+//! - Whose backend servers may pass to another instance? [`Membership::roster`]: only those of an instance
+//!   that is proven to have stopped or to have lost its authority.
+//! - Does this instance have authority, the right to act as the owner of its backend servers?
+//!   [`Membership::authority_until`]: as long as its neighbours (the instances with which it exchanges
+//!   heartbeats) confirm the arrival of its heartbeats, or the platform's list contains it.
 //!
 //! ```
 //! use damaskvane_core::{ids, time};
--- a/crates/damaskvane-membership/src/view/authority.rs
+++ b/crates/damaskvane-membership/src/view/authority.rs
@@ -1,15 +1,17 @@
-//! Authority of this instance to use what it owns.
+//! Authority of this instance: its right to act as the owner of its backend servers.
 //!
-//! Another instance takes over only by proof that the old owner is gone. With one kind of proof the old
-//! owner can still be running without noticing: its entry at the platform was fenced while it was cut
-//! off. The old owner must then stop by itself before the other instance starts. An instance therefore
-//! continues only while none of its neighbours can have fenced it: each neighbour has echoed a recently
-//! sent heartbeat, or the platform still lists the instance.
+//! Another instance takes the servers over only by proof that the old owner is gone. With one kind of
+//! proof the old owner can still be running without noticing: another instance fenced it (marked its
+//! entry at the platform, which revokes its authority) while it was cut off from the platform. The old
+//! owner must then stop acting by itself before the other instance becomes the owner. An instance
+//! therefore has authority only while none of its neighbours (the instances with which it exchanges
+//! heartbeats) can have fenced it: each neighbour has echoed (confirmed) a recently sent heartbeat, or
+//! the platform lists the instance.
 //!
-//! One case is not covered: an instance is cut off from the platform and from a new instance that
-//! started after that, while both reach the backend servers and the new instance reaches the platform.
-//! The old instance has no record of the new one. A zone that is cut off as a whole is no such case,
-//! because none of its instances reaches the platform.
+//! One case is not covered: an instance is cut off from the platform, and from a new instance that
+//! started after the cut, while both reach the backend servers and the new instance reaches the
+//! platform. The old instance has no record of the new one. A zone that is cut off as a whole is not
+//! such a case, because none of its instances reaches the platform.
 
 use damaskvane_core::time::{SpanMs, TimeMs};
 
@@ -17,22 +19,22 @@
 use crate::view::member::Member;
 use crate::view::membership::Membership;
 
-/// Limit on the authority of this instance after a silent neighbour is gone.
+/// Limit on the authority of this instance after the proof that a silent neighbour is gone.
 ///
-/// The limit applies until a list shows whether the neighbour fenced this instance meanwhile.
+/// The limit applies until a list of the platform shows whether the neighbour fenced this instance.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LostNeighbour {
-    /// Time until which this instance may use what it owns.
+    /// Time until which this instance has authority at most.
     pub(super) authority_until: TimeMs,
-    /// Creation time of the earliest list that ends the limit.
+    /// A list that was created at this time or later ends the limit.
     pub(super) needs_list_from: TimeMs,
 }
 
-/// Authority without a limit; it lasts until an event ends it.
+/// End of an authority without time limit, which lasts until an event ends it.
 const UNLIMITED: TimeMs = TimeMs::new(u64::MAX);
 
 impl Membership {
-    /// Returns the time until which this instance may use what it owns, or `None` if it may not.
+    /// Returns the time until which this instance has authority, or `None` if it has none.
     #[must_use]
     pub fn authority_until(&self) -> Option<TimeMs> {
         if self.is_fenced {
@@ -48,8 +50,9 @@
 
     /// Discards the echoes of heartbeats that were sent before a pause of this process.
     ///
-    /// Heartbeats that arrive during a pause are delivered when it is over. Their content is outdated:
-    /// a neighbour that could not fence other instances then may have done so since.
+    /// Heartbeats that arrive during a pause are delivered when the pause is over. Their content is
+    /// outdated: a neighbour that could not fence other instances when it sent them may have done so
+    /// since.
     pub(super) fn discard_echoes(&mut self, pause: SpanMs) {
         let lost_ms = self.settings.platform_lost_ms.get() + pause.get();
         self.resumed_at = self.now;
@@ -64,17 +67,18 @@
         }
     }
 
-    /// Suspends the authority from neighbours until a list arrives that would show whether this
-    /// instance was fenced before now.
+    /// Suspends the authority that rests on echoes of neighbours, until a list of the platform arrives
+    /// that is recent enough to show whether this instance was fenced before now.
     pub(super) fn require_newer_list(&mut self) {
         self.needs_list_from = Some(self.now + self.settings.list_lag_ms);
     }
 
-    /// Records that a silent neighbour is gone that was cut off from the platform at its last heartbeat.
+    /// Records that a silent neighbour is gone which was cut off from the platform at its last
+    /// heartbeat.
     ///
     /// The neighbour may have reached the platform again and fenced this instance. This instance keeps
-    /// its authority for as long as it would have beside the silent neighbour. It takes nothing over,
-    /// because what the neighbour owned may have passed to another instance meanwhile.
+    /// its authority for as long as it would have if the neighbour were silent but not gone. It takes
+    /// no backend servers over, because those of the neighbour may have passed to another instance.
     pub(super) fn record_lost_neighbour(&mut self, sent_at: Option<TimeMs>) {
         let authority_until = sent_at.unwrap_or(self.now) + self.settings.cut_off_authority_ms;
         let earlier = self.lost_neighbour.map(|lost| lost.authority_until);
@@ -96,10 +100,11 @@
             .unwrap_or(Some(UNLIMITED))
     }
 
-    /// Returns whether an instance of the zone was fenced and is not yet forgotten.
+    /// Returns whether this instance has a record of a gone instance of its zone that was fenced or
+    /// left the list.
     ///
-    /// Such an instance may be alive, restart and fence this instance in turn, while none of its
-    /// heartbeats arrive here.
+    /// Such an instance may be alive, restart and fence this instance, while none of its heartbeats
+    /// arrive here.
     fn has_fenced_zone_member(&self) -> bool {
         let zone = &self.own.zone;
         let mut gone = self
@@ -113,7 +118,8 @@
         })
     }
 
-    /// Returns the time until which a neighbour certainly does not fence this instance.
+    /// Returns the time until which a neighbour certainly does not fence this instance; `None` if there
+    /// is no such certainty, because no echo of the neighbour is recorded.
     fn authority_from_neighbour(&self, member: &Member) -> Option<TimeMs> {
         let sent_at = member.echoed_sent_at?;
         let is_cut_off_too = self.is_cut_off_too(member, sent_at);
@@ -123,9 +129,9 @@
     /// Returns whether a neighbour may have been without heartbeats of this instance for so long that
     /// it has fenced this instance by now.
     ///
-    /// If the neighbour is then proven gone itself, the fence record that it wrote remains, and only
-    /// the platform can show it. A neighbour fences as soon as the silence is long enough, which may be
-    /// well before its last echo is too old to give authority.
+    /// If the neighbour is then proven gone itself, the mark that it set remains, and only the platform
+    /// can show the mark. A neighbour fences as soon as it has received no heartbeats for
+    /// `min_fence_silence`, which may be well before its last echo is too old to give authority.
     pub(super) fn may_have_fenced_own(&self, member: &Member) -> bool {
         let min_fence_silence = self.settings.min_fence_silence();
         let lacks_echoes = member
@@ -134,17 +140,19 @@
         member.is_neighbour && lacks_echoes
     }
 
-    /// Returns whether a silent neighbour had lost the platform before it fell silent.
+    /// Returns whether the last heartbeat that a neighbour echoed was sent `authority_ms` or longer
+    /// ago, and the neighbour could not reach the platform at its own last heartbeat.
     ///
     /// In a zone that is cut off from the platform no instance can fence another. If the last other
-    /// instance of the zone dies then, this instance keeps what it owns; otherwise the zone would stop
-    /// serving.
+    /// instance of such a zone crashes, this instance keeps its authority; otherwise the zone would
+    /// stop serving.
     fn is_cut_off_too(&self, member: &Member, echoed_sent_at: TimeMs) -> bool {
         let is_stale = self.now.since(echoed_sent_at) >= self.settings.authority_ms;
         is_stale && !member.could_fence(&self.settings)
     }
 
-    /// Returns how long a member may act after its last contact with a neighbour or the platform.
+    /// Returns how long a member may act as an owner after its last contact with a neighbour or the
+    /// platform.
     pub(super) fn max_authority(&self, member: &Member) -> SpanMs {
         self.settings
             .authority(self.may_continue_without_peers(member))
@@ -153,8 +161,9 @@
     /// Returns whether a member may consider itself the last instance of a zone that is cut off from
     /// the platform.
     ///
-    /// It may if it has echoed no heartbeat of this instance after the last one that reported a lost
-    /// platform. If it never echoed a heartbeat, the flag in its fence record decides as well.
+    /// It may if it has echoed no later heartbeat of this instance than the last one which reported
+    /// that this instance could not reach the platform. A member that never echoed a heartbeat may also
+    /// do so if the flag in its fence record (its entry with the mark) says so.
     pub(super) fn may_continue_without_peers(&self, member: &Member) -> bool {
         let was_reported = self.last_cut_off_round.is_some_and(|round| {
             let was_known = round.sent_at + self.settings.list_lag_ms >= member.known_from;
--- a/crates/damaskvane-membership/src/view/counters.rs
+++ b/crates/damaskvane-membership/src/view/counters.rs
@@ -3,9 +3,10 @@
 /// Reason why a heartbeat was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HeartbeatRefusal {
-    /// The sender is not on the list, and was not recently.
+    /// The sender neither is nor was recently on the platform's list of instances.
     Unlisted,
-    /// A later incarnation of the sender is known, or this incarnation is gone.
+    /// A later incarnation (start of the process) of the sender is known, or the heartbeat's
+    /// incarnation is proven to have stopped or to be fenced.
     OldIncarnation,
     /// A later heartbeat of the sender was received before.
     OutOfOrder,
@@ -14,13 +15,13 @@
 /// Counters of membership since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MembershipCounters {
-    /// Heartbeats from instances that are not listed.
+    /// Heartbeats rejected because their sender is not listed.
     pub unlisted: u64,
-    /// Heartbeats from incarnations that are replaced or gone.
+    /// Heartbeats rejected because their sender's incarnation is replaced, stopped or fenced.
     pub old_incarnation: u64,
-    /// Heartbeats that arrived after a later one of the same sender.
+    /// Heartbeats rejected because a later one of the same sender arrived before.
     pub out_of_order: u64,
-    /// Lists that were older than the one in use.
+    /// Copies of the platform's list that were dropped because they were older than the copy in use.
     pub old_lists: u64,
     /// Detected pauses of this process.
     pub pauses: u64,
--- a/crates/damaskvane-membership/src/view/event.rs
+++ b/crates/damaskvane-membership/src/view/event.rs
@@ -1,4 +1,8 @@
 //! Events that membership handles, and actions that it requests.
+//!
+//! The neighbours of an instance are those instances of its zone with which it exchanges heartbeats. To
+//! fence an instance is to revoke its right to own backend servers, by a mark on its entry at the
+//! platform.
 
 use core::net;
 
@@ -13,17 +17,18 @@
 pub enum ListSource {
     /// The platform itself.
     Platform,
-    /// Another instance; used by an instance that starts while the platform is down.
+    /// Another instance, which passed its copy on to an instance that started while the platform was
+    /// down.
     Peer,
 }
 
-/// Result of probing an address.
+/// Result of a probe, which tries to connect to the address of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeOutcome {
     /// The machine refused the connection: no process listens at the address.
     Refused,
-    /// A connection was established. The process may be alive or paused, or may not have received a
-    /// list with this instance yet.
+    /// A connection was established. The probed process may be alive or paused, or may not have
+    /// received a list that contains this instance yet.
     Answered,
     /// No response arrived in time.
     Silent,
@@ -36,7 +41,7 @@
     List {
         /// All entries of the list.
         records: Vec<InstanceRecord>,
-        /// Time since the list was requested.
+        /// Time since this copy of the list was requested from the platform.
         age: time::SpanMs,
         /// Source of the copy.
         source: ListSource,
@@ -45,7 +50,7 @@
     Heartbeat {
         /// Instance that sent the heartbeat.
         from: ids::InstanceId,
-        /// Incarnation of the sender.
+        /// Incarnation (start of the process) of the sender.
         incarnation: ids::Incarnation,
         /// Content of the heartbeat.
         heartbeat: Heartbeat,
@@ -66,7 +71,9 @@
         /// The fenced incarnation.
         incarnation: ids::Incarnation,
     },
-    /// The platform certainly did not mark the entry as fenced; not to be used for an unknown outcome.
+    /// The platform certainly did not mark the entry of an instance as fenced.
+    ///
+    /// The caller must not send this event if the outcome of [`Action::Fence`] is unknown.
     FenceFailed {
         /// The instance that was to be fenced.
         instance: ids::InstanceId,
@@ -81,7 +88,7 @@
         /// Load of this instance.
         load: LoadSummary,
     },
-    /// This instance is about to stop.
+    /// A planned stop of this instance has begun.
     Leave,
     /// Time has passed; send this event at least four times a second.
     Tick,
@@ -99,15 +106,15 @@
         /// Heartbeat to send.
         heartbeat: Heartbeat,
     },
-    /// Drop the connection to a neighbour and open a new one, because heartbeats or echoes from the
-    /// neighbour are missing.
+    /// Drop the connection to a neighbour and open a new one, because no heartbeats arrive from the
+    /// neighbour, or because it does not confirm those of this instance.
     Reconnect {
         /// Neighbour to connect to.
         to: ids::InstanceId,
         /// Peer address of the neighbour.
         address: net::SocketAddr,
     },
-    /// Try to connect, and report [`Event::Probed`].
+    /// Try to connect to a silent neighbour, and report [`Event::Probed`].
     Probe {
         /// The silent neighbour.
         instance: ids::InstanceId,
@@ -127,21 +134,21 @@
         /// the platform; stored in the fence record.
         goes_on_alone: bool,
     },
-    /// Delete an entry that was marked as fenced long ago, on condition that the entry is still marked
-    /// and has this incarnation; no report is needed.
+    /// Delete an entry at the platform that was marked as fenced long ago, on condition that the entry
+    /// is still marked and has this incarnation; the outcome need not be reported.
     RemoveFenceRecord {
         /// The fenced instance.
         instance: ids::InstanceId,
         /// The fenced incarnation.
         incarnation: ids::Incarnation,
     },
-    /// Accept messages from these instances only.
+    /// From now on, accept messages from these instances only.
     AllowPeers(Vec<ids::InstanceId>),
     /// The state of an instance changed.
     Changed {
         /// Instance whose state changed.
         instance: ids::InstanceId,
-        /// New state; `None` if the instance was forgotten.
+        /// New state; `None` if membership has no record of the instance any more.
         state: Option<InstanceState>,
     },
     /// This process resumed after a pause.
--- a/crates/damaskvane-membership/src/view/instance_view.rs
+++ b/crates/damaskvane-membership/src/view/instance_view.rs
@@ -1,4 +1,4 @@
-//! State of each instance, for lookup responses and status.
+//! State of each instance, for lookup responses (which name instances to clients) and the status page.
 
 use damaskvane_core::{ids, time};
 
@@ -12,13 +12,14 @@
 pub struct InstanceView<'a> {
     /// Entry of the instance in the platform's list.
     pub record: &'a InstanceRecord,
-    /// Latest known incarnation; the list may lag behind with an earlier one.
+    /// Latest known incarnation (start of the process); the list may lag behind and have an earlier
+    /// one.
     pub incarnation: ids::Incarnation,
-    /// State of the instance.
+    /// State of the instance by its heartbeats and the list.
     pub state: InstanceState,
     /// Time since its last heartbeat; `None` if no heartbeat was received.
     pub heartbeat_age: Option<time::SpanMs>,
-    /// Version of the configuration in effect there, as of its last heartbeat.
+    /// Version of the configuration in effect at the instance, as of its last heartbeat.
     pub config_version: Option<ids::ConfigVersion>,
     /// Load of the instance, as of its last heartbeat.
     pub load: Option<LoadSummary>,
@@ -46,7 +47,8 @@
         self.own_record.as_ref()
     }
 
-    /// Returns the age of the list in use, or `None` before the first list.
+    /// Returns the time since the copy of the platform's list in use was requested, or `None` before
+    /// the first copy.
     #[must_use]
     pub fn list_age(&self) -> Option<time::SpanMs> {
         self.list.map(|(received_at, age)| {
--- a/crates/damaskvane-membership/src/view/listing.rs
+++ b/crates/damaskvane-membership/src/view/listing.rs
@@ -1,4 +1,8 @@
-//! Application of the platform's list, which lags behind the platform.
+//! Application of copies of the platform's list of instances, which lag behind the platform.
+//!
+//! A fence record is an entry that another instance has marked to revoke the right of one incarnation
+//! (start of the process) to own backend servers. A gone member is proven to have stopped or to be
+//! fenced.
 
 use std::collections::BTreeMap;
 
@@ -44,7 +48,8 @@
 
     /// Applies this instance's entry, which shows whether this instance was fenced.
     ///
-    /// It was if the entry is missing or marked as fenced after it was listed, or has a later incarnation.
+    /// This instance was fenced if its entry was listed before and is now missing or marked as fenced,
+    /// or if its entry has a later incarnation.
     fn apply_own_record(
         &mut self,
         own: Option<InstanceRecord>,
@@ -86,11 +91,12 @@
         }
     }
 
-    /// Records incarnations that others fenced, including those that were unknown here before.
+    /// Records the incarnations in fence records, including those that this instance did not know
+    /// before.
     ///
-    /// A fenced incarnation may use what it owns until its authority expires. Without its fence record,
-    /// an instance that restarts and finds no other would own at once what the fenced incarnation still
-    /// grants.
+    /// A fenced incarnation may act as an owner until its authority (right to do so) expires. Without
+    /// its fence record, an instance that restarts and finds no other instance would own at once the
+    /// backend servers whose slots the fenced incarnation still grants.
     fn apply_fence_records(&mut self, fence_records: Vec<InstanceRecord>) {
         let fence_records: BTreeMap<ids::InstanceId, InstanceRecord> = fence_records
             .into_iter()
@@ -128,7 +134,8 @@
         }
         member.fence_record_since.get_or_insert(now);
         member.fence_record_goes_on_alone |= goes_on_alone;
-        // A member that was known while it was listed is handled as any other that left the list.
+        // If the incarnation was known before its fence record, it is handled like any that left the
+        // list.
         if is_new {
             self.record_gone(&instance, incarnation, GoneProof::Delisted);
         }
@@ -140,7 +147,7 @@
         if !self.has_lowest_id_in_zone() || !self.is_list_fresh() {
             return;
         }
-        // Just before it was fenced, the incarnation may have read a list of the maximum age.
+        // Just before the incarnation was fenced, it may have read a list of the maximum age.
         let lag = self.settings.list_lag_ms;
         let old = self.members.iter().filter(|(_, member)| {
             let is_old = member
@@ -188,8 +195,8 @@
         member.record = record;
     }
 
-    /// Forgets gone members that were off the list for the grace period, and takes the list as proof
-    /// that silent members are gone.
+    /// Removes gone members that have been missing from the list for `delisted_grace_ms`, and records
+    /// other members as gone that have been missing for that time, or are missing and count as dead.
     pub(super) fn forget_delisted(&mut self, actions: &mut Vec<Action>) {
         let grace = self.settings.delisted_grace_ms;
         let mut proven = Vec::new();
@@ -199,8 +206,8 @@
                 continue;
             };
             let is_over = self.now.since(delisted_at) >= grace && self.is_list_fresh();
-            // The list may have dropped an earlier incarnation, and lag behind a later one that sends
-            // heartbeats.
+            // The list may have dropped an earlier incarnation, and not contain a later one yet that
+            // sends heartbeats.
             let was_listed = member.record.incarnation == member.incarnation;
             let is_silent = was_listed && self.state_of(member) == InstanceState::Dead;
             if member
--- a/crates/damaskvane-membership/src/view/member.rs
+++ b/crates/damaskvane-membership/src/view/member.rs
@@ -1,4 +1,8 @@
-//! State that is kept about one other instance.
+//! State that is kept about one other instance, the member.
+//!
+//! A neighbour is a member with which this instance exchanges heartbeats. It echoes a heartbeat of this
+//! instance by returning the sequence number. To fence a member is to revoke its authority, the right
+//! to own backend servers, by a mark at the platform; the marked entry is its fence record.
 
 use damaskvane_core::{ids, time};
 
@@ -22,28 +26,31 @@
 #[derive(Debug)]
 pub(super) struct Member {
     pub(super) record: InstanceRecord,
-    /// Latest incarnation in the list or in a heartbeat.
+    /// Latest incarnation (start of the process) of the member, from the platform's list or a
+    /// heartbeat.
     pub(super) incarnation: ids::Incarnation,
     pub(super) leaving: bool,
     pub(super) delisted_at: Option<time::TimeMs>,
-    /// Time since which all lists have contained a fence record of this incarnation.
+    /// Time since which each copy of the platform's list has contained a fence record of this
+    /// incarnation.
     pub(super) fence_record_since: Option<time::TimeMs>,
     pub(super) is_neighbour: bool,
-    /// Time from which heartbeats are expected.
+    /// Time from which this instance expects heartbeats of the member.
     pub(super) expected_from: time::TimeMs,
     pub(super) last_received: Option<ReceivedHeartbeat>,
     /// Send time of the latest heartbeat of this instance that the member echoed.
     pub(super) echoed_sent_at: Option<time::TimeMs>,
     /// Latest round of heartbeats of this instance that the member echoed.
     pub(super) echoed_sequence: Option<u64>,
-    /// Time at which this incarnation became known.
+    /// Time at which this instance first knew of the member's incarnation.
     pub(super) known_from: time::TimeMs,
-    /// Whether the fence record states that the member may keep its authority for longer.
+    /// Whether a fence record states that the member may keep its authority for longer than usual.
     pub(super) fence_record_goes_on_alone: bool,
-    /// Whether the last probe of its address established a connection; true before the first probe.
+    /// Whether the last probe of the member's address established a connection; true before the first
+    /// probe.
     pub(super) answers_probes: bool,
     pub(super) gone: Option<Gone>,
-    /// Time of the last request to fence the member, while the outcome is unknown.
+    /// Time of the last request to fence the member; `None` if there was none or its outcome is known.
     pub(super) fence_requested_at: Option<time::TimeMs>,
     pub(super) retried_at: time::TimeMs,
     pub(super) last_state: InstanceState,
@@ -127,10 +134,10 @@
         self.echoed_sent_at = self.echoed_sent_at.max(Some(sent_at));
     }
 
-    /// Excludes a pause of this process from the silence of the member.
+    /// Excludes a pause of this process from the time without heartbeats of the member.
     ///
-    /// Otherwise a process that resumes would consider all other instances dead at once, and would
-    /// answer lookups with itself alone.
+    /// Otherwise a process that resumes would consider all other instances dead at once, and its lookup
+    /// responses would name only itself to clients.
     pub(super) fn exclude_pause(&mut self, pause: time::SpanMs, now: time::TimeMs) {
         self.expected_from = (self.expected_from + pause).min(now);
         if let Some(received) = &mut self.last_received {
@@ -193,13 +200,13 @@
         }
     }
 
-    /// Returns whether the member may be fenced: it would notice, or its process certainly does not
-    /// run.
+    /// Returns whether the member may be fenced: either it would lose its authority in time, or the
+    /// last probe of its address established no connection; and no request to fence it is pending.
     ///
-    /// A member that has echoed a heartbeat of this instance loses its authority without further
-    /// echoes. A member that never has may not know of any instance that could fence it: alone in its
-    /// zone and cut off from the platform, it would continue. If its address accepts connections, its
-    /// process runs.
+    /// A member that has echoed a heartbeat of this instance knows this instance, and loses its
+    /// authority without further echoes from here. A member that has echoed none may not know of any
+    /// instance that could fence it: alone in its zone and cut off from the platform, it would
+    /// continue. If the member's address accepts connections, its process runs.
     pub(super) fn may_be_fenced(&self, now: time::TimeMs, settings: &MembershipSettings) -> bool {
         let is_requested = self
             .fence_requested_at
@@ -207,7 +214,8 @@
         !is_requested && (self.echoed_sent_at.is_some() || !self.answers_probes)
     }
 
-    /// Returns whether the member could fence others at its last heartbeat; true without any heartbeat.
+    /// Returns whether the member could reach the platform, and so fence others, at its last heartbeat;
+    /// true if no heartbeat of the member has arrived.
     pub(super) fn could_fence(&self, settings: &MembershipSettings) -> bool {
         let age = self
             .last_received
--- a/crates/damaskvane-membership/src/view/membership.rs
+++ b/crates/damaskvane-membership/src/view/membership.rs
@@ -1,4 +1,9 @@
-//! The membership state machine: its state, events and heartbeats.
+//! The membership state machine: its state, and the handling of events and heartbeats.
+//!
+//! A member is another instance; a neighbour is a member with which this instance exchanges heartbeats,
+//! and which echoes their sequence numbers. An instance is fenced if another one has revoked its right
+//! to own backend servers, by a mark at the platform. It is gone if it is proven to have stopped or to
+//! be fenced.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +27,7 @@
     pub instance: ids::InstanceId,
     /// Availability zone of this instance.
     pub zone: ids::AvailabilityZoneId,
-    /// Incarnation of this process.
+    /// Number of this start of the instance's process.
     pub incarnation: ids::Incarnation,
 }
 
@@ -42,7 +47,7 @@
     }
 }
 
-/// State that this instance keeps about all others.
+/// State that this instance keeps about itself and all other instances.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) own: OwnInstance,
@@ -52,19 +57,19 @@
     pub(super) is_listed: bool,
     pub(super) is_fenced: bool,
     pub(super) leaving: bool,
-    /// Time at which the list in use arrived, and its age then.
+    /// Arrival time of the copy of the platform's list in use, and the copy's age at that time.
     pub(super) list: Option<(time::TimeMs, time::SpanMs)>,
     /// Time at which this process last resumed after a pause, or started.
     pub(super) resumed_at: time::TimeMs,
-    /// Set while this instance may have been fenced unnoticed; a list created at this time or later
-    /// shows whether it was.
+    /// Set while this instance may have been fenced without notice; a list created at this time or
+    /// later shows whether it was fenced.
     pub(super) needs_list_from: Option<time::TimeMs>,
-    /// Set while a gone neighbour may have fenced this instance, until a list shows whether
-    /// it did.
+    /// Set while a neighbour that is now gone may have fenced this instance, until a list shows whether
+    /// the neighbour did.
     pub(super) lost_neighbour: Option<LostNeighbour>,
-    /// Time of the last successful request for the list to the platform.
+    /// Time at which this instance sent its last successful request for the list to the platform.
     pub(super) platform_seen_at: Option<time::TimeMs>,
-    /// Last round of heartbeats that reported a lost platform.
+    /// Last round of heartbeats which reported that this instance could not reach the platform.
     pub(super) last_cut_off_round: Option<CutOffRound>,
     pub(super) counters: MembershipCounters,
     pub(super) now: time::TimeMs,
@@ -153,7 +158,8 @@
         &self.own
     }
 
-    /// Returns whether others have fenced this instance.
+    /// Returns whether this instance has found out that it was fenced, or replaced by a later
+    /// incarnation.
     #[must_use]
     pub const fn is_fenced(&self) -> bool {
         self.is_fenced
@@ -175,7 +181,7 @@
 
     fn leave(&mut self) {
         self.leaving = true;
-        // Neighbours are informed at once, not up to a period later.
+        // Sends the next heartbeats, which report the stop, at once and not up to a period later.
         self.next_round_at = self.now;
     }
 
@@ -201,7 +207,7 @@
             Err(refusal) => self.counters.count(refusal),
             Ok(()) => {
                 if known < Some(incarnation) {
-                    // A member that was gone may have come back with a later incarnation.
+                    // The later incarnation may be a restart of a member that was gone.
                     self.plan_neighbours();
                 }
                 self.apply_echo(from, echo);
@@ -218,8 +224,8 @@
         }
     }
 
-    /// Fences this instance if a later incarnation of it sent a heartbeat, and so replaced it during a
-    /// pause.
+    /// Treats this instance as fenced if a heartbeat shows that a later incarnation of it runs, which
+    /// replaced this one during a pause.
     fn check_own_incarnation(&mut self, incarnation: ids::Incarnation, actions: &mut Vec<Action>) {
         if incarnation > self.own.incarnation {
             self.fence_own(actions);
@@ -255,8 +261,8 @@
         }
         let from = match proof {
             GoneProof::Refused => now,
-            // The incarnation may still run until it reads that it was fenced, or has received no echo
-            // for too long.
+            // The incarnation may act until it reads that it was fenced, or its authority ends because
+            // it receives no echoes.
             GoneProof::Delisted | GoneProof::Fenced => stopped_at,
         };
         member.fence_requested_at = None;
@@ -318,7 +324,8 @@
         }
         for member in self.neighbours() {
             // A member that left the list may have been fenced by an instance that it has no record of.
-            // An echo would prolong its authority, and it would continue beside its successor.
+            // An echo would prolong the member's authority, and both the member and its successor would
+            // act.
             let received = member
                 .last_received
                 .as_ref()
--- a/crates/damaskvane-membership/src/view/roster.rs
+++ b/crates/damaskvane-membership/src/view/roster.rs
@@ -1,4 +1,7 @@
-//! Instances that may own backend servers of the local zone.
+//! The roster: the instances that may own backend servers of the local zone.
+//!
+//! A gone instance is proven to have stopped, or to have been fenced, which revokes its right to own
+//! servers.
 
 use damaskvane_core::{ids, time};
 
@@ -11,17 +14,18 @@
 pub struct RosterMember {
     /// Id of the instance.
     pub instance: ids::InstanceId,
-    /// Latest known incarnation.
+    /// Latest known incarnation (start of the process) of the instance.
     pub incarnation: ids::Incarnation,
-    /// Whether the instance is about to stop, and so may own nothing more.
+    /// Whether the instance is about to stop as planned, and therefore may own no backend servers.
     pub leaving: bool,
-    /// Proof that this incarnation is gone, with the time from which it has stopped.
+    /// Proof that this incarnation is gone, with the time from which it certainly acts no more as an
+    /// owner.
     pub gone: Option<Gone>,
-    /// Time by which a member that left the list has certainly stopped, even without proof that it is
-    /// gone. `None` while the member is listed or leaving.
+    /// Time by which a member that left the platform's list has certainly stopped acting as an owner,
+    /// even without proof that it is gone. `None` while the member is listed or about to stop.
     pub stopped_by: Option<time::TimeMs>,
-    /// Whether the member has echoed a heartbeat of this instance, and so has a record of it; true for
-    /// members that are no neighbours.
+    /// Whether the member has confirmed a heartbeat of this instance, and so has a record of this
+    /// instance; true for members that exchange no heartbeats with this instance.
     pub has_acknowledged_own: bool,
 }
 
@@ -30,22 +34,23 @@
 pub struct Roster {
     /// Instances that are or may still be running, and instances that are gone.
     pub members: Vec<RosterMember>,
-    /// Time until which this instance may use what it owns, as far as is known now.
+    /// Time until which this instance may act as the owner of its backend servers, as far as is known
+    /// now; `None` if it may not.
     ///
-    /// Never more than `authority_ms` ahead, the time that others wait before they take over.
+    /// Never more than `authority_ms` ahead, because other instances may take over after that time.
     pub authority_until: Option<time::TimeMs>,
-    /// Whether this instance has found itself on the list, which then contains all instances that
-    /// started before it.
+    /// Whether this instance has found itself on the platform's list; a list that contains this
+    /// instance contains all instances that started before it, too.
     pub is_listed: bool,
-    /// Whether this instance may take over what gone instances owned.
+    /// Whether this instance may take over the backend servers of gone instances.
     pub may_take_over: bool,
 }
 
 impl Membership {
-    /// Returns the instances of the local zone as owners of backend servers.
+    /// Returns the instances of the local zone that may own backend servers, and those that are gone.
     ///
-    /// A member that is dead by silence alone stays an owner: what it owns passes to another only by
-    /// proof.
+    /// A member that counts as dead only because no heartbeats arrive stays an owner: its backend
+    /// servers pass to another instance only by proof that the member is gone.
     #[must_use]
     pub fn roster(&self) -> Roster {
         let own = RosterMember {
@@ -80,16 +85,17 @@
         }
     }
 
-    /// Returns the time by which a member that left the list has stopped, because neighbours no longer
-    /// echo its heartbeats.
+    /// Returns the time by which a member that left the platform's list has stopped acting as an owner,
+    /// because neighbours no longer confirm its heartbeats.
     ///
-    /// A leaving member has none: it handed over what it owned before its entry was deleted.
+    /// Returns `None` for a member that is about to stop: it handed its backend servers over before its
+    /// entry was deleted.
     fn stop_time(&self, member: &Member) -> Option<time::TimeMs> {
         let delisted_at = member.delisted_at.filter(|_| !member.leaving)?;
         Some(delisted_at + self.settings.list_lag_ms + self.max_authority(member))
     }
 
-    /// Returns whether no neighbour in the local zone is dead, for status.
+    /// Returns whether no neighbour in the local zone counts as dead, for the status page.
     #[must_use]
     pub fn has_no_dead_neighbour(&self) -> bool {
         self.neighbours()
--- a/crates/damaskvane-membership/src/view/silence.rs
+++ b/crates/damaskvane-membership/src/view/silence.rs
@@ -1,4 +1,9 @@
 //! Handling of neighbours that are silent, or that do not echo this instance's heartbeats.
+//!
+//! The neighbours are the instances with which this one exchanges heartbeats. A neighbour is silent if
+//! no heartbeats arrive from it. It echoes a heartbeat of this instance by returning the sequence
+//! number. To fence an instance is to revoke its right to own backend servers, by a mark at the
+//! platform.
 
 use damaskvane_core::ids;
 
@@ -8,11 +13,12 @@
 use crate::view::membership::Membership;
 
 impl Membership {
-    /// Requests new connections, probes and fencing for neighbours that are silent or send no echoes.
+    /// Adds actions that reconnect to neighbours that are silent or send no echoes, and probe or fence
+    /// silent ones.
     ///
-    /// A connection can fail for good while new ones work. The failure shows as echoes that stop while
-    /// heartbeats still arrive, or as silence in both directions. A new connection distinguishes the
-    /// failed connection from a dead neighbour.
+    /// One connection can fail for good while new connections work. The failure shows as echoes that
+    /// stop while heartbeats still arrive, or as silence in both directions. If heartbeats arrive on a
+    /// new connection, the old one had failed and the neighbour is alive.
     pub(super) fn check_silent_neighbours(&mut self, actions: &mut Vec<Action>) {
         let mut retried: Vec<ids::InstanceId> = Vec::new();
         for member in self.neighbours() {
@@ -75,7 +81,8 @@
 
     /// Returns whether this instance may fence others.
     ///
-    /// An instance that may be cut off itself must not; it could not write the fence record anyway.
+    /// An instance that may itself be cut off from the platform must not, and could not mark the entry
+    /// of another instance at the platform anyway.
     fn can_fence(&self) -> bool {
         let age = self.platform_seen_at.map(|seen_at| self.now.since(seen_at));
         let is_reached = self.settings.reaches_platform(age);
--- a/crates/damaskvane-membership/src/view/topology.rs
+++ b/crates/damaskvane-membership/src/view/topology.rs
@@ -1,4 +1,6 @@
 //! Topology of the digest exchange, as seen by this instance.
+//!
+//! Digests are reports on zones. The topology names the instances that may exchange them.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +11,9 @@
 use crate::view::membership::Membership;
 
 impl Membership {
-    /// Returns the instances of every zone that take new work, in order of rank.
+    /// Returns for every zone the instances that take new work, in the order of `ownership::ranking`.
     ///
-    /// `own_region` comes from the settings, because the list may not contain this instance yet.
+    /// `own_region` is passed in, because the platform's list may not contain this instance yet.
     #[must_use]
     pub fn topology(&self, own_region: &ids::RegionId) -> Topology {
         let mut by_zone: BTreeMap<ids::AvailabilityZoneId, (ids::RegionId, Vec<ids::InstanceId>)> =
