--- a/crates/damaskvane-slots/tests/common/digest.rs
+++ b/crates/damaskvane-slots/tests/common/digest.rs
@@ -1,11 +1,11 @@
-//! Hash of the state of the simulated zone, for a search through its states.
+//! Hash of the state of the simulated zone, by which a search recognizes a state that it has reached before.
 
 use std::fmt::{self, Write};
 use std::hash::{DefaultHasher, Hasher};
 
 use super::SimulatedZone;
 
-/// Hashes the text that is written to it.
+/// Writer that hashes the text written to it.
 struct TextHasher(DefaultHasher);
 
 impl Write for TextHasher {
@@ -16,7 +16,7 @@
 }
 
 impl SimulatedZone {
-    /// Returns a hash of all state that decides what happens next: two zones with the same hash continue alike.
+    /// Returns a hash of all state that determines later events: two zones with the same hash continue alike.
     pub(crate) fn state_hash(&self) -> u64 {
         let mut hasher = TextHasher(DefaultHasher::new());
         let state = (
--- a/crates/damaskvane-slots/tests/common/disturbance.rs
+++ b/crates/damaskvane-slots/tests/common/disturbance.rs
@@ -12,7 +12,7 @@
 pub(crate) enum Disturbance {
     Kill(ids::InstanceId),
     Leave(ids::InstanceId),
-    /// All faults end and an instance starts, so that all others can discover it.
+    /// All faults end and an instance starts, so that all other instances can discover it.
     Join(ids::InstanceId),
     /// An instance starts while faults continue.
     Start(ids::InstanceId),
@@ -35,7 +35,7 @@
 }
 
 impl Disturbance {
-    /// Draws a disturbance at random; an instance starts only where all others can discover it.
+    /// Draws a disturbance at random; instances start only by `Join`, after which all others can discover them.
     pub(crate) fn draw(
         random: &mut rand_pcg::Pcg32,
         is_running: impl Fn(&ids::InstanceId) -> bool,
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Draws a disturbance at random; instances start amid faults and regain the platform one by one.
+    /// Draws a disturbance at random; instances start while faults continue, and reach the platform again one by one
+    /// or all at once.
     pub(crate) fn draw_amid_faults(random: &mut rand_pcg::Pcg32) -> Self {
         let (a, b) = (name(random), name(random));
         match random.random_range(0..20) {
@@ -112,7 +113,7 @@
         self.cuts.extend([forward, reverse]);
     }
 
-    /// Pauses the process; messages that arrive meanwhile wait.
+    /// Pauses the process of an instance; messages that arrive during the pause wait until it is over.
     pub(crate) fn pause(&mut self, name: &ids::InstanceId, pause: time::SpanMs) {
         let now = self.now;
         if let Some(instance) = self.instances.get_mut(name) {
--- a/crates/damaskvane-slots/tests/common/messages.rs
+++ b/crates/damaskvane-slots/tests/common/messages.rs
@@ -1,4 +1,5 @@
-//! Messages and actions of the instances in the simulated zone: heartbeats, probes, fences and slot messages.
+//! Messages and actions of the instances in the simulated zone: heartbeats, probes of silent instances, fences
+//! (marks on the platform's list that end an instance's ownership of servers) and messages about slots.
 
 use damaskvane_core::ids;
 use damaskvane_membership::view;
@@ -120,7 +121,7 @@
                     self.trace.record_event(self.now, removed);
                 }
             }
-            // A fenced process exits; its supervisor restarts it.
+            // The process of a fenced instance exits; its supervisor restarts the process.
             view::Action::OwnFenced => {
                 let detected = trace::TraceEvent::FenceDetected(name.clone());
                 self.trace.record_event(self.now, detected);
@@ -137,7 +138,8 @@
                 || !(self.cannot_discover(from, to) || self.cannot_discover(to, from)))
     }
 
-    /// Returns whether an instance can't discover another: it does not know the other and has no platform.
+    /// Returns whether an instance can't discover another one: it does not know the other and can't reach the
+    /// platform.
     fn cannot_discover(&self, name: &ids::InstanceId, other: &ids::InstanceId) -> bool {
         let (Some(instance), Some(other)) = (self.instances.get(name), self.instances.get(other))
         else {
--- a/crates/damaskvane-slots/tests/common/mod.rs
+++ b/crates/damaskvane-slots/tests/common/mod.rs
@@ -1,5 +1,7 @@
 //! Simulation of one zone in virtual time: instances with membership and slots, the platform's list of
 //! instances, and backend servers that count the requests that really run on them.
+//!
+//! A slot is the right to run one request on a backend server. A permit reserves a slot for one request.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -20,7 +22,8 @@
 
 pub(crate) const STEP_MS: u64 = 10;
 
-/// Time for which clients still send requests to a leaving instance, since they may use an old lookup response.
+/// Time for which clients send requests to an instance after its planned stop has begun, since they may use an old
+/// lookup response.
 const LOOKUP_TTL_MS: u64 = 2_000;
 
 #[derive(Debug, Clone)]
@@ -38,7 +41,7 @@
     payload: Payload,
 }
 
-/// A request from its sending under a permit until its response arrives at the instance.
+/// A request that an instance has sent under a permit and whose response has not arrived at the instance.
 #[derive(Debug)]
 struct BackendRequest {
     starts_at: time::TimeMs,
@@ -79,7 +82,7 @@
     pub(crate) max_delay_ms: u64,
     /// Percentage of time steps in which each instance gets a request for each backend server.
     pub(crate) demand_percent: u32,
-    /// Whether each request runs until its deadline.
+    /// Whether each request runs until its deadline on the backend server, and not for a random time.
     pub(crate) uses_full_deadline: bool,
     in_flight: Vec<InFlightMessage>,
     requests: Vec<BackendRequest>,
@@ -96,9 +99,10 @@
     pub(crate) excess: Option<String>,
     /// Whether the run continues after a server ran more requests than its slots, instead of a panic.
     pub(crate) tolerates_excess: bool,
-    /// Time from which the running requests are compared with the slots, after the slots were lowered.
+    /// Time from which the number of running requests is checked, after the number of slots was lowered.
     checked_from: time::TimeMs,
-    /// Whether a cut also holds between two instances of which one has no platform and does not know the other.
+    /// Whether a cut also holds between two instances of which one can't reach the platform and does not know the
+    /// other.
     pub(crate) allows_cuts_before_discovery: bool,
 }
 
@@ -152,7 +156,8 @@
         zone
     }
 
-    /// Starts an instance under its next incarnation and writes its record if it reaches the platform.
+    /// Starts an instance under its next incarnation (number of the start), and writes its record to the platform's
+    /// list if it reaches the platform.
     pub(crate) fn start(&mut self, name: &ids::InstanceId) {
         let incarnation = self.incarnations.entry(name.clone()).or_default();
         *incarnation += 1;
@@ -191,10 +196,10 @@
         self.list.insert(name.clone(), record);
     }
 
-    /// Ends all faults, then starts an instance, so that all others can discover it.
+    /// Ends all faults, then starts an instance, so that all other instances can discover it.
     ///
-    /// Not covered: an instance that is cut off from the platform and from a new instance that it does not
-    /// know. It continues beside the new one, as it must in a zone that is cut off as a whole.
+    /// Not covered is an instance that is cut off from the platform and from a new instance that it does not know.
+    /// It continues beside the new instance, as it must in a zone that is cut off as a whole.
     pub(crate) fn join(&mut self, name: &ids::InstanceId) {
         self.without_platform.clear();
         self.cuts.clear();
@@ -206,7 +211,7 @@
         self.run(1_500);
     }
 
-    /// Changes the slots of all backend servers; running requests have the time of one lease to end.
+    /// Changes the number of slots of all backend servers; running requests may take the time of one lease to end.
     pub(crate) fn set_slots(&mut self, slots: u32) {
         for limit in self.servers.values_mut() {
             *limit = slots;
--- a/crates/damaskvane-slots/tests/common/requests.rs
+++ b/crates/damaskvane-slots/tests/common/requests.rs
@@ -1,4 +1,5 @@
-//! Requests of the simulated zone: sent under a permit, run by a backend server, answered or abandoned.
+//! Requests of the simulated zone, which are sent under a permit (the reservation of a slot), run by a backend
+//! server, and answered or abandoned.
 
 use damaskvane_core::ids;
 use damaskvane_core::units;
@@ -35,7 +36,8 @@
         let sending = ready.send(now).expect("checked at the same time");
         let deadline = sending.deadline_ms();
         let running = sending.sent(now).expect("sent at the same time");
-        // The delay to the backend server is shorter than the margin; the server counts the deadline from the arrival.
+        // The server counts the deadline from the arrival of the request. The time until then is shorter than the
+        // margin by which a lease expires earlier for its holder than for the owner.
         let starts_at = now + ms(self.random.random_range(0..100));
         let run_ms = self.random.random_range(10..900);
         let run_time = if self.uses_full_deadline {
--- a/crates/damaskvane-slots/tests/common/trace.rs
+++ b/crates/damaskvane-slots/tests/common/trace.rs
@@ -52,7 +52,7 @@
         self.events.push((now, event));
     }
 
-    /// Returns the number of events that match.
+    /// Returns the number of events for which `matches_kind` returns true.
     pub(crate) fn count(&self, matches_kind: impl Fn(&TraceEvent) -> bool) -> usize {
         let events = self.events.iter();
         events.filter(|(_, event)| matches_kind(event)).count()
@@ -80,7 +80,8 @@
 }
 
 impl SimulatedZone {
-    /// Records each change of an owner phase, with the granted slots and the end of the authority.
+    /// Records each change of an instance's phase in the ownership of a backend server, with the slots that it has
+    /// granted and the end of its authority (right to act as an owner).
     pub(super) fn trace_phases(&mut self) {
         for (name, instance) in &self.instances {
             let authority_until = instance.membership.roster().authority_until;
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Describes all events so far, the requests on a backend server, the roster of each instance and the list.
+    /// Describes all events so far, the requests on a backend server, the instances that each instance knows, and
+    /// the platform's list.
     pub(super) fn describe(&self, server: &ids::BackendServerId) -> String {
         let events = self.trace.events.iter();
         let mut lines: Vec<String> = events
--- a/crates/damaskvane-slots/tests/failures.rs
+++ b/crates/damaskvane-slots/tests/failures.rs
@@ -1,5 +1,8 @@
 //! One failure for each test, in a zone whose requests run until their deadlines. After every step the
 //! simulation checks that no backend server runs more requests than it has slots.
+//!
+//! A slot is the right to run one request on a backend server; the server's owner, one of the zone's instances,
+//! grants slots to instances for the time of a lease.
 
 mod common;
 
@@ -7,7 +10,7 @@
 use damaskvane_core::ids;
 use damaskvane_slots::exchange::OwnerPhase;
 
-/// Time within which a planned change of owner ends.
+/// Time in which another instance has become the owner after a planned stop of the previous owner.
 const SOON_MS: u64 = 1_000;
 
 fn other(zone: &SimulatedZone, excluded: &ids::InstanceId) -> ids::InstanceId {
@@ -15,8 +18,9 @@
     others.next().cloned().expect("another instance")
 }
 
-/// Guards against a successor that grants the slots of a dead owner at once. Requests of the dead owner, and of
-/// others under its leases, still run, so the backend server would get twice the requests that it has slots for.
+/// Guards against a new owner that grants a server's slots at once after the previous owner died. Requests of the
+/// dead owner, and requests of other instances under its grants, still run, so the backend server would get twice
+/// the requests that it has slots for.
 #[test]
 fn the_successor_of_a_dead_owner_waits_until_all_leases_have_expired() {
     let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2", "a-3"], &[4, 2, 2]);
@@ -32,7 +36,8 @@
     assert!(zone.owner(0).is_some());
 }
 
-/// Guards against a gap for clients while the successor waits: the other instances still use their leases.
+/// Guards against refused requests of clients while the new owner of a server waits for the dead owner's grants to
+/// expire: the other instances still use the slots that the dead owner granted to them.
 #[test]
 fn survivors_keep_their_leases_while_the_successor_waits() {
     let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2", "a-3"], &[6]);
@@ -47,7 +52,8 @@
     }
 }
 
-/// Guards against a planned stop that makes the successor wait: the leaving owner hands its ledger over.
+/// Guards against a planned stop of an owner after which the new owner waits for grants to expire. The wait is not
+/// needed, because the stopping owner hands over its ledger, the list of its grants.
 #[test]
 fn a_planned_stop_hands_over_without_a_wait() {
     let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &[4, 2]);
@@ -63,7 +69,7 @@
 }
 
 /// Guards against two owners after an owner was cut off from its neighbours and the platform, but not from the
-/// backend servers. The owner continues for a bounded time, then stops; only then may its successor start.
+/// backend servers. The owner continues to grant slots for a bounded time; only then may a new owner grant slots.
 #[test]
 fn an_owner_that_is_cut_off_stops_before_its_successor_begins() {
     let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2", "a-3"], &[4]);
@@ -103,8 +109,9 @@
     }
 }
 
-/// Guards against a takeover without consent. Heartbeats of one instance do not reach the other, so the two
-/// disagree on the owner. The one that claims gets no consent, and the present owner stays the only owner.
+/// Guards against an instance that becomes the owner of a server without the consent of the other instances.
+/// Heartbeats of one instance do not reach the other, so the two disagree on the owner. The instance that claims the
+/// server gets no consent, and the current owner stays the only owner.
 #[test]
 fn no_instance_takes_over_without_consent() {
     let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &[3, 3, 3, 3]);
@@ -116,8 +123,8 @@
     assert_eq!(now, owners);
 }
 
-/// Guards against a server without an owner after a death in a zone that was long cut off from the platform. A
-/// refused connection proves the death, so the other instance takes over.
+/// Guards against a server without an owner after one of two instances died in a zone that had long been cut off
+/// from the platform. A refused connection proves the death, so the other instance becomes the owner.
 #[test]
 fn a_zone_without_the_platform_replaces_a_dead_owner() {
     let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &[3, 3]);
@@ -130,7 +137,8 @@
     assert_eq!(zone.owner(0), Some(successor));
 }
 
-/// Guards against a rolling replacement under load that leaves a server with an old owner or with none.
+/// Guards against a server that has an old instance or none as its owner after all instances of the zone were
+/// replaced one by one under load.
 #[test]
 fn all_instances_of_a_zone_are_replaced() {
     let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &[3, 3]);
@@ -147,8 +155,9 @@
     }
 }
 
-/// Guards against new instances that grant slots still in use after all instances of a zone were lost at once.
-/// Requests of the lost ones run on the backend servers until their deadlines, unknown to the new ones.
+/// Guards against new instances that grant slots which are still in use after all instances of a zone died at once.
+/// Requests of the dead instances run on the backend servers until their deadlines, and the new instances have no
+/// record of these requests.
 #[test]
 fn all_instances_of_a_zone_are_lost_at_once() {
     let mut zone = SimulatedZone::under_full_load(&["a-1", "a-2"], &[3, 3]);
@@ -181,7 +190,7 @@
         .collect()
 }
 
-/// Guards against renewals that keep the old number of slots after operators lowered it.
+/// Guards against holders that keep their slots by renewals after operators lowered the server's number of slots.
 #[test]
 fn lowered_slots_apply_after_one_lease() {
     for (names, demand_percent) in [
--- a/crates/damaskvane-slots/tests/fences_exhaustive.rs
+++ b/crates/damaskvane-slots/tests/fences_exhaustive.rs
@@ -1,7 +1,9 @@
 //! Exhaustive search through all orders of a few disturbances in a zone of two instances, where a third may start.
 //!
-//! Disturbances are cuts, loss and return of the platform, deaths, planned stops, starts and pauses, each at one of
-//! `MOMENTS` times. The zone has one server, requests as long as their leases, no loss and no delay.
+//! Disturbances are cuts of the network between instances, loss and return of the platform, deaths, planned stops,
+//! starts and pauses of instances, each at one of `MOMENTS` times. The zone has one backend server, and requests run
+//! until their leases end. No message is lost or delayed. A fenced instance is one whose right to own servers
+//! another instance revoked, by a fence record on the platform's list.
 //!
 //! `DAMASKVANE_DISTURBANCES=3 cargo test --release -p damaskvane-slots --test fences_exhaustive` searches deeper.
 
@@ -12,15 +14,15 @@
 use common::disturbance::Disturbance;
 use common::{SimulatedZone, id, ms};
 
-/// Number of times at which a disturbance may happen.
+/// Number of points in time at which a disturbance may happen.
 const MOMENTS: usize = 8;
 const BETWEEN_MOMENTS_MS: u64 = 300;
-/// Time after which the zone has an owner and serves.
+/// Time after which the backend server has an owner and the zone serves requests.
 const SETTLED_MS: u64 = 4_000;
 /// Time after which all leases, waits for other instances and fence records have expired.
 const EXPIRY_MS: u64 = 10_000;
 const SLOTS: u32 = 2;
-/// Pauses: one longer than a lease and shorter than the authority, one longer than both.
+/// Pauses of a process: one longer than a lease and shorter than an owner's authority, one longer than both.
 const PAUSES_MS: [u64; 2] = [2_500, 7_000];
 
 #[derive(Debug, Clone, Copy)]
@@ -29,7 +31,7 @@
     deletes_fenced_entries: bool,
 }
 
-/// Disturbances in order, each with the number of its moment.
+/// Disturbances in order, each with the number of the moment at which it happens.
 type Schedule = Vec<(usize, Disturbance)>;
 
 fn actions() -> Vec<Disturbance> {
@@ -54,7 +56,7 @@
     actions
 }
 
-/// Returns whether a disturbance may change the state of the zone.
+/// Returns whether a disturbance applies to the zone's state, such as a pause of an instance that runs.
 fn is_possible(zone: &SimulatedZone, action: &Disturbance) -> bool {
     match action {
         Disturbance::Kill(name) | Disturbance::Pause(name, _) => zone.instances.contains_key(name),
@@ -83,7 +85,7 @@
     zone
 }
 
-/// Returns the zone at the given moment, after all disturbances of the schedule that are due before it.
+/// Returns the zone at moment `moments`, after all disturbances of the schedule with an earlier moment.
 fn replay(schedule: &Schedule, bounds: Bounds, moments: usize) -> SimulatedZone {
     let mut zone = settled(bounds);
     let mut schedule = schedule.iter().peekable();
@@ -96,7 +98,7 @@
     zone
 }
 
-/// Result of a search.
+/// Result of a search through all schedules.
 #[derive(Debug, Default)]
 struct SearchResult {
     states: usize,
@@ -114,7 +116,7 @@
         for moment in next_moment..MOMENTS {
             let zone = replay(&schedule, bounds, moment);
             if !seen.insert((bounds.disturbances - schedule.len(), zone.state_hash())) {
-                // Another schedule reached this state with as many disturbances remaining.
+                // Another schedule reached this state of the zone with the same number of disturbances left.
                 break;
             }
             result.states += 1;
@@ -151,7 +153,7 @@
     text.and_then(|text| text.parse().ok()).unwrap_or(2)
 }
 
-/// Guards against two instances that have different views of each other and grant the same slots.
+/// Guards against two instances that both grant the same slots, because they disagree on which of them are alive.
 #[test]
 fn no_order_of_cuts_fences_and_starts_overloads_a_server() {
     let bounds = Bounds {
@@ -173,7 +175,8 @@
     assert!(result.mutual_fences > 10, "{result:?}");
 }
 
-/// Guards against a search that cannot find the fault: it must find it if a fence leaves no fence record.
+/// Guards against a search that can't find an overloaded server: if a fence leaves no fence record, the search must
+/// find one.
 #[test]
 fn the_search_finds_the_fault_without_fence_records() {
     let result = search(Bounds {
--- a/crates/damaskvane-slots/tests/messages.rs
+++ b/crates/damaskvane-slots/tests/messages.rs
@@ -1,4 +1,8 @@
 //! Messages that arrive late, twice or for another incarnation of an instance; and the clock checks of permits.
+//!
+//! A slot is the right to run one request on a backend server; the server's owner grants slots to holders for the
+//! time of a lease. A permit reserves a held slot for one request. An incarnation is one start of an instance's
+//! process.
 
 mod common;
 
@@ -112,8 +116,8 @@
     assert_eq!(slots.counters().old_messages, 1);
 }
 
-/// Guards against the use of a grant that the owner's ledger does not hold. The owner was restarted, a grant of
-/// its earlier incarnation arrives late, and the new incarnation counts only its own ledger.
+/// Guards against the use of a grant that is not in the owner's ledger (list of grants). The owner was restarted, a
+/// grant of its earlier incarnation arrives late, and the new incarnation counts only the grants in its own ledger.
 #[test]
 fn a_grant_from_an_earlier_incarnation_is_dropped() {
     let (mut slots, owner) = holder();
@@ -125,8 +129,8 @@
     assert_eq!(slots.free(at(110), &server(0)), units::Slots::ZERO);
 }
 
-/// Guards against the use of a grant that the new owner does not count: it is from the former owner and arrives
-/// after the holder has consented to the new one.
+/// Guards against the use of a grant that the new owner does not count, because it comes from the previous owner and
+/// arrives after the holder has consented to the new owner.
 #[test]
 fn a_grant_of_a_former_owner_is_not_used() {
     let (mut slots, owner) = holder();
@@ -161,8 +165,8 @@
     assert!(sending.sent(at(1_400)).is_err());
 }
 
-/// Guards against an instance, the only one in its view, that grants slots after its authority has expired and
-/// others may have replaced it.
+/// Guards against an instance that knows no other live instance, and grants slots after its authority (right to act
+/// as an owner) has expired and other instances may have replaced it.
 #[test]
 fn an_owner_without_authority_grants_nothing() {
     let mut members = roster(&[("a-1", 1)]);
@@ -183,7 +187,8 @@
     assert_eq!(slots.free(at(6_000), &server(0)), units::Slots::ZERO);
 }
 
-/// Guards against more connections than the limit, whichever instances are alive: each has the same fixed share.
+/// Guards against more connections to a backend server than its limit, however many instances are alive: each has
+/// the same fixed share.
 #[test]
 fn shares_of_connections_never_exceed_the_limit() {
     for (limit, instances) in [(330, 32), (390, 18), (7, 8), (5, 0)] {
@@ -219,8 +224,8 @@
     assert_eq!(slots.free(settled, &server(0)), units::Slots::new(1));
 }
 
-/// Guards against requests that wait in vain at a leaving instance. Clients send requests to it until their lookup
-/// responses expire; it no longer owns servers, but must still acquire slots.
+/// Guards against requests that never get a slot at an instance whose planned stop has begun. Clients send requests
+/// to the instance until their lookup responses expire; it no longer owns servers, but must still acquire slots.
 #[test]
 fn a_leaving_instance_still_acquires_slots() {
     let (mut slots, owner) = holder();
--- a/crates/damaskvane-slots/tests/mutual_fence.rs
+++ b/crates/damaskvane-slots/tests/mutual_fence.rs
@@ -1,7 +1,9 @@
-//! Two owners are cut from each other while both reach the platform, and each fences the other.
+//! Two owners are cut off from each other while both reach the platform, and each fences the other.
 //!
-//! The first reads its fence record and restarts as the only instance on the list. The second can't read its
-//! record yet and still grants slots. The scenarios vary the order and times of these events without randomness.
+//! To fence an instance is to revoke its right to own backend servers, by a fence record: a mark on its entry in the
+//! platform's list. The first owner reads its fence record and restarts as the only instance on the list. The second
+//! owner can't read its fence record yet and still grants slots (rights to run a request) of its servers. The
+//! scenarios vary the order and times of these events without randomness.
 
 mod common;
 
@@ -10,11 +12,11 @@
 /// Fault that keeps the second owner from detecting that it was fenced.
 #[derive(Debug, Clone, Copy)]
 enum SecondOwnerFault {
-    /// Loses the platform as soon as both owners are fenced.
+    /// The second owner can't reach the platform from the moment when both owners are fenced.
     LosesPlatform,
-    /// Loses the platform this many milliseconds after both owners are fenced.
+    /// The second owner can't reach the platform from this many milliseconds after both owners are fenced.
     LosesPlatformLater(u64),
-    /// Is paused for this many milliseconds.
+    /// The process of the second owner is paused for this many milliseconds.
     Paused(u64),
     /// No fault: both owners restart.
     Restarts,
@@ -28,9 +30,9 @@
     RepeatedRestarts,
     /// A third instance joins.
     ThirdInstanceJoins,
-    /// The first owner loses the platform too, for one second after its restart.
+    /// The first owner can't reach the platform either, for one second after its restart.
     PlatformLost,
-    /// Operators lower the slots of all servers.
+    /// Operators lower the number of slots of all servers.
     SlotsLowered,
     /// The two owners can reach each other again.
     CutHealed,
@@ -38,7 +40,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Scenario {
-    /// Delay of the cut of the second direction, and so of the second fence, after the first.
+    /// Time from the cut of the first direction to the cut of the second one, which delays the second fence.
     second_cut_after_ms: u64,
     list_every_ms: u64,
     second: SecondOwnerFault,
@@ -81,14 +83,14 @@
 }
 
 const SLOTS: u32 = 3;
-/// Upper bound on the wait for both fences; it covers the list's lag and a fence.
+/// Maximum time until both owners are fenced; covers the lag of the platform's list and the time of a fence.
 const MAX_WAIT_FOR_FENCES_MS: u64 = 4_000;
 
 fn is_fence(event: &trace::TraceEvent) -> bool {
     matches!(event, trace::TraceEvent::Fenced { .. })
 }
 
-/// Runs a scenario: the first owner detects that it was fenced, the second may be kept from that.
+/// Runs a scenario in which the first owner detects that it was fenced, and a fault may keep the second one from it.
 fn run_scenario(scenario: Scenario, deletes_fenced_entries: bool) -> SimulatedZone {
     let (first, second) = (id("a-1"), id("a-2"));
     let mut zone = SimulatedZone::new(1, &["a-1", "a-2"], &[SLOTS, SLOTS, SLOTS]);
@@ -156,7 +158,7 @@
     zone.trace.has_mutual_fence()
 }
 
-/// Guards against an owner that restarts and grants slots which the other owner, fenced too, still grants.
+/// Guards against an owner that restarts and grants slots which the other owner, fenced as well, still grants.
 #[test]
 fn two_owners_that_fenced_each_other_never_grant_the_same_slots() {
     let mut mutual = 0;
--- a/crates/damaskvane-slots/tests/random.rs
+++ b/crates/damaskvane-slots/tests/random.rs
@@ -1,4 +1,7 @@
-//! Randomised runs: no fault or change in a zone makes a backend server run more requests than its slots.
+//! Randomised runs: no fault or change in a zone makes a backend server run more requests than it has slots.
+//!
+//! A slot is the right to run one request on a backend server; the server's owner, one of the zone's instances,
+//! grants slots to instances for the time of a lease.
 
 mod common;
 
@@ -16,7 +19,7 @@
 /// Seeds whose runs once had two owners of one server.
 const FAILED_ONCE: [u64; 10] = [86, 116, 291, 298, 507, 1520, 1752, 2698, 3479, 3571];
 
-/// Seeds whose runs once had two owners of one server, in runs in which instances start amid faults.
+/// Seeds whose runs once had two owners of one server, if instances start while faults continue.
 const FAILED_AMID_FAULTS: [u64; 10] = [206, 620, 670, 850, 1038, 1050, 1592, 1872, 3331, 6709];
 
 /// Returns the number of seeds to run, 24 by default; `DAMASKVANE_SEEDS=1000` makes a long run.
@@ -33,7 +36,7 @@
     zone
 }
 
-/// Runs one seed for a minute of virtual time and returns the number of requests that were sent.
+/// Runs the zone of a seed for a minute of virtual time, and returns the number of requests that were sent.
 fn run_disturbed(seed: u64) -> u64 {
     eprintln!("seed {seed}");
     let mut zone = zone_of(seed);
@@ -58,18 +61,19 @@
     assert!(started > 400 * seeds(), "only {started} requests ran");
 }
 
-/// Guards against two owners after two instances, cut from each other, fenced each other at the same time. One
-/// restarts, is the only instance on the list and waits for leases to expire, but not for the authority of the
-/// other, which grants slots for longer. The backend server then gets more requests than slots and sheds some.
+/// Guards against two owners after two instances, cut off from each other, fenced each other (revoked the right to
+/// own servers) at the same time. One restarts, is the only instance on the list and waits for leases to expire, but
+/// not for the authority of the other instance, which grants slots for longer. The backend server then gets more
+/// requests than it has slots and sheds some.
 #[test]
 fn a_server_keeps_to_its_slots_after_two_owners_fenced_each_other() {
     assert!(run_disturbed(669) > 400);
 }
 
-/// Runs one seed for a minute of virtual time in which instances start amid faults, and returns the number of
-/// requests that were sent.
+/// Runs the zone of a seed for a minute of virtual time, in which instances start while faults continue, and returns
+/// the number of requests that were sent.
 ///
-/// Disturbances have their own generator, so that a seed gives the same faults whatever the code sends.
+/// Disturbances have their own random generator, so that a seed gives the same faults whatever messages are sent.
 fn run_amid_faults(seed: u64) -> u64 {
     eprintln!("seed {seed}");
     let mut faults = rand_pcg::Pcg32::seed_from_u64(seed);
@@ -84,7 +88,8 @@
     zone.started
 }
 
-/// Guards against two owners of one server after an instance started amid cuts, pauses and a lost platform.
+/// Guards against two owners of one server after an instance started while others were cut off, paused or without
+/// the platform.
 #[test]
 fn a_backend_server_keeps_to_its_slots_when_instances_start_amid_faults() {
     let mut started = 0;
@@ -94,7 +99,7 @@
     assert!(started > 100 * seeds(), "only {started} requests ran");
 }
 
-/// Guards against a backend server that has no owner, or several, long after all faults are over.
+/// Guards against a backend server that has no owner, or several owners, long after all faults are over.
 #[test]
 fn a_zone_serves_again_after_the_faults_are_over() {
     for seed in 100..108 {
--- a/crates/damaskvane-slots/tests/takeover.rs
+++ b/crates/damaskvane-slots/tests/takeover.rs
@@ -1,4 +1,7 @@
-//! Which instance may take over a backend server while the instances of the zone have different views of it.
+//! Which instance may become the owner of a backend server while the zone's instances know different instances.
+//!
+//! The owner grants the server's slots, which are rights to run one request on the server. To fence an instance is
+//! to revoke its right to own servers, by a fence record on the platform's list of instances.
 
 mod common;
 
@@ -6,11 +9,12 @@
 use damaskvane_membership::ownership;
 use damaskvane_slots::exchange::OwnerPhase;
 
-/// Slots of the only server of the zone: requests at all instances use them, whichever instance is the owner.
+/// Number of slots of each server of a zone with one server. Requests at all instances use its slots, whichever
+/// instance is the owner.
 const ONE_SERVER: [u32; 1] = [3];
 
-/// Guards against two owners after an instance was replaced and another one, without the platform, does not know
-/// the replacement.
+/// Guards against two owners after an instance was replaced, and another instance, which can't reach the platform,
+/// does not know the replacement.
 #[test]
 fn a_replacement_unknown_to_one_instance_does_not_overload_a_server() {
     for names in [
@@ -31,8 +35,8 @@
     }
 }
 
-/// Guards against two owners after the old owner handed over to a new instance and died, while one instance does
-/// not know the new one.
+/// Guards against two owners after the old owner handed its ownership to a new instance and died, while another
+/// instance does not know the new one.
 #[test]
 fn a_death_after_a_handover_does_not_let_an_unaware_instance_grant_slots() {
     for new_instance in ["b-1", "b-2", "b-3", "b-4"] {
@@ -45,7 +49,7 @@
     }
 }
 
-/// Guards against a new instance that refuses its clients as long as one instance does not know it.
+/// Guards against a new instance that refuses clients' requests as long as another instance does not know it.
 #[test]
 fn a_new_instance_that_may_not_claim_yet_acquires_slots() {
     let new_instances = (1..30).map(|number| id(&format!("b-{number}")));
@@ -69,7 +73,7 @@
     assert!(runs > 0);
 }
 
-/// Guards against a new instance that never owns a server, even after all instances regained the platform.
+/// Guards against a new instance that never owns a server, even after all instances reach the platform again.
 #[test]
 fn a_new_instance_claims_once_all_instances_know_it() {
     let mut owned = 0;
@@ -88,8 +92,8 @@
     assert!(owned > 0);
 }
 
-/// Guards against a fenced owner that continues to grant slots, as the only instance in its view, when the
-/// instance that fenced it dies soon after.
+/// Guards against a fenced owner that continues to grant slots, because it knows no other live instance after the
+/// instance that fenced it died.
 #[test]
 fn the_death_of_the_fencing_neighbour_restores_no_owner() {
     for death_after_ms in (1_000..4_000).step_by(100) {
@@ -110,8 +114,8 @@
     }
 }
 
-/// Guards against a takeover from an instance that continues as the last one of a zone without the platform,
-/// when the other instance of the zone regains the platform.
+/// Guards against a second owner beside an instance that continues as the last one of a zone without the platform,
+/// when the other instance of the zone reaches the platform again.
 #[test]
 fn a_platform_regained_by_half_a_zone_leaves_one_owner() {
     for cut_after_ms in [600, 2_000, 6_000] {
@@ -130,8 +134,8 @@
     }
 }
 
-/// Guards against a takeover by a new instance from an owner that continues without peers. The new instance
-/// knows of that owner only by its fence record.
+/// Guards against a new instance that becomes a second owner beside an owner that continues without other instances.
+/// The new instance knows of that owner only by the owner's fence record.
 #[test]
 fn a_fence_record_makes_a_new_instance_wait_for_an_isolated_owner() {
     for replaced_after_ms in [0, 1_000, 4_000] {
@@ -162,8 +166,8 @@
     }
 }
 
-/// Guards against a fenced instance that takes over servers which the instance that fenced it has handed to a
-/// new instance.
+/// Guards against a fenced instance that becomes the owner of servers which the instance that fenced it has handed
+/// to a new instance.
 #[test]
 fn an_isolated_instance_takes_nothing_over_from_a_possible_fencer() {
     for stop_after_ms in [500, 1_500, 3_000, 5_000] {
@@ -200,8 +204,8 @@
     }
 }
 
-/// Guards against two owners when a new instance starts and the platform has lost the entry of an owner, so that
-/// the list does not name it.
+/// Guards against two owners when a new instance starts and the platform has lost the entry of an owner, so that the
+/// list does not name that owner.
 #[test]
 fn a_new_instance_discovers_an_owner_missing_from_the_list() {
     let mut served = 0;
