--- a/crates/damaskvane-membership/tests/authority.rs
+++ b/crates/damaskvane-membership/tests/authority.rs
@@ -1,4 +1,8 @@
 //! Whether an instance keeps its authority and whether another may take over its servers: never both at once.
+//!
+//! Authority is the right to act as the owner of backend servers. To fence an instance is to revoke its authority,
+//! by a fence record on the platform's list. An instance echoes heartbeats of its neighbour by returning their
+//! numbers.
 
 mod common;
 
@@ -7,8 +11,8 @@
 use damaskvane_membership::{record, view};
 use rand::{RngExt, SeedableRng};
 
-/// Guards against a wait for the platform after a process died and its machine refuses connections. The refused
-/// probe proves the death, so the servers of the dead instance can be taken over at once.
+/// Guards against a delay until the platform confirms the death of a process whose machine refuses connections. The
+/// refused probe proves the death, so the servers of the dead instance can be taken over at once.
 #[test]
 fn a_refused_probe_proves_a_death() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -18,9 +22,8 @@
     assert!(zone.has_authority(&id("z-a-1")));
 }
 
-/// Guards against two instances that fill the same slots after a pause of their owner. The owner looks dead to
-/// its neighbour, but without proof it keeps its servers until it is fenced through the platform. After the pause
-/// it must not use them.
+/// Guards against two owners of the same servers after a pause of the first one. The paused owner counts as dead at
+/// its neighbour, but without proof it keeps its servers until it is fenced. After the pause it must not use them.
 #[test]
 fn a_paused_owner_is_fenced_and_regains_no_authority() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -37,7 +40,8 @@
 }
 
 /// Guards against two owners after an instance was cut off from its neighbour and the platform, but not from the
-/// backend servers. It can't detect that it was fenced, so its authority must expire before the other takes over.
+/// backend servers. The instance can't detect that it was fenced, so its authority must expire before the neighbour
+/// takes its servers over.
 #[test]
 fn an_instance_that_is_cut_off_stops_by_itself() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -53,8 +57,8 @@
     assert!(zone.has_authority(&id("z-a-1")));
 }
 
-/// Guards against an owner that keeps its authority because it receives heartbeats, while its own do not arrive.
-/// Only the direction from the owner to its neighbour is cut.
+/// Guards against an owner that keeps its authority because it receives heartbeats, while those that it sends do not
+/// arrive. Only the direction from the owner to its neighbour is cut.
 #[test]
 fn received_heartbeats_alone_do_not_keep_authority() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -66,8 +70,8 @@
     assert!(!zone.has_authority(&id("z-a-2")));
 }
 
-/// Guards against a zone that serves nothing after it was cut off from the platform and then lost the machine of
-/// its other instance. No instance could have fenced the last one, so the last one continues.
+/// Guards against a zone that serves no requests after it was cut off from the platform and then lost the machine of
+/// one of its two instances. No instance could have fenced the last one, so the last one keeps its authority.
 #[test]
 fn the_last_instance_of_a_zone_without_the_platform_keeps_authority() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -79,8 +83,8 @@
     assert_eq!(zone.state("z-a-1", "z-a-2"), Some(InstanceState::Dead));
 }
 
-/// Guards against a connection that stays in use after it stopped working in one direction, while a new one would
-/// work. Missing echoes show the sender that its heartbeats do not arrive, and it reconnects.
+/// Guards against a connection that stays in use after it stopped working in one direction, although a new
+/// connection would work. Missing echoes show the sender that its heartbeats do not arrive, and it reconnects.
 #[test]
 fn a_silent_connection_is_reopened() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -101,7 +105,7 @@
 }
 
 /// Guards against a fenced instance that regains its authority when the instance that fenced it dies. A third
-/// instance may have taken over on the proof of that fence.
+/// instance may have taken over the servers, since the fence proves that their owner is gone.
 #[test]
 fn the_death_of_the_fencing_instance_restores_no_authority() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -117,7 +121,7 @@
 }
 
 /// Guards against a fenced instance that keeps its authority by the echoes of a neighbour. A new instance, unknown
-/// to the fenced one, has fenced it; the neighbour reads that on the list and must not support its authority.
+/// to the fenced one, has fenced it; the neighbour reads that on the list and must not echo its heartbeats any more.
 #[test]
 fn a_neighbour_does_not_support_the_authority_of_an_unlisted_instance() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -127,8 +131,9 @@
     assert!(!zone.has_authority(&id("z-a-1")));
 }
 
-/// Guards against authority after a pause that rests on a heartbeat from before it. The neighbour had no platform
-/// when it sent that heartbeat, but may have regained it during the pause and fenced the paused instance.
+/// Guards against authority after a pause that rests on a heartbeat from before the pause. The neighbour could not
+/// reach the platform when it sent that heartbeat, but may have reached it during the pause and fenced the paused
+/// instance.
 #[test]
 fn heartbeats_from_before_a_pause_support_no_authority_after_it() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -147,8 +152,8 @@
     }
 }
 
-/// Guards against a wait of a quarter of an hour for an instance that was listed long after an outage of the
-/// platform.
+/// Guards against a delay of a quarter of an hour before the servers of a fenced instance are taken over, if that
+/// instance was first listed long after an outage of the platform.
 #[test]
 fn an_instance_listed_after_an_outage_is_not_waited_for_longer() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -163,7 +168,8 @@
     assert!(gone.from <= zone.now + common::ms(18_000));
 }
 
-/// Guards against a takeover from an instance that may continue as the last one of a zone without the platform.
+/// Guards against an instance that takes over the servers of another one, which may continue as the last one of a
+/// zone without the platform.
 #[test]
 fn an_instance_that_may_continue_alone_is_waited_for() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
@@ -184,7 +190,8 @@
     );
 }
 
-/// Guards against a live incarnation that is reported as fenced because of the fence record of an earlier one.
+/// Guards against a live incarnation (start of a process) that is reported as fenced because of the fence record of
+/// an earlier incarnation.
 #[test]
 fn a_fence_record_does_not_apply_to_a_later_incarnation() {
     let mut a = common::member("z-a-1", 1);
@@ -233,8 +240,9 @@
     assert!(zone.instances[&id("z-a-2")].roster().may_take_over);
 }
 
-/// Guards against a new instance that takes over because it received no heartbeat from an instance whose address
-/// answers. That instance may not know the new one, and may continue as the only instance in its view.
+/// Guards against a new instance that takes over the servers of an instance because it received no heartbeat from
+/// that one, although the address of that one accepts connections. The old instance may not know the new one, and
+/// may continue because it knows no other live instance.
 #[test]
 fn an_instance_unaware_of_a_new_one_is_not_fenced() {
     let mut zone = Zone::new(&["z-a-1"]);
--- a/crates/damaskvane-membership/tests/common/mod.rs
+++ b/crates/damaskvane-membership/tests/common/mod.rs
@@ -93,7 +93,7 @@
     pub(crate) cuts: BTreeSet<(ids::InstanceId, ids::InstanceId)>,
     pub(crate) paused: BTreeSet<ids::InstanceId>,
     pub(crate) without_platform: BTreeSet<ids::InstanceId>,
-    /// Pairs (from, to) of the connections that instances asked to have replaced.
+    /// Pairs (from, to) of the connections that instances requested to replace by new ones.
     pub(crate) reconnects: Vec<(ids::InstanceId, ids::InstanceId)>,
     in_flight: Vec<InFlightMessage>,
 }
@@ -245,7 +245,8 @@
         state_of(&self.instances[&id(observer)], name)
     }
 
-    /// Returns the proof and time by which the observer counts another instance as gone, if it does.
+    /// Returns the proof and time by which `observer` counts the instance `name` as gone (stopped or fenced); `None`
+    /// if it does not.
     pub(crate) fn gone(&self, observer: &str, name: &str) -> Option<state::Gone> {
         let roster = self.instances[&id(observer)].roster();
         let mut members = roster.members.into_iter();
@@ -253,7 +254,7 @@
         member.and_then(|member| member.gone)
     }
 
-    /// Returns whether the instance still has authority over the servers that it owns.
+    /// Returns whether the instance has authority, the right to act as the owner of its servers.
     pub(crate) fn has_authority(&self, name: &ids::InstanceId) -> bool {
         self.instances[name]
             .authority_until()
--- a/crates/damaskvane-membership/tests/digests.rs
+++ b/crates/damaskvane-membership/tests/digests.rs
@@ -1,4 +1,5 @@
-//! Digests between zones and regions that arrive late, out of order or twice, and the cost of control traffic.
+//! Digests (reports on zones) that arrive late, out of order or twice, and the number of bytes that heartbeats and
+//! digests need.
 
 mod common;
 
@@ -18,7 +19,7 @@
 
 /// Bytes that TCP, IP and the transport add to a message.
 const HEADER_BYTES: usize = 8 + 52;
-/// Bytes of the acknowledgement that is returned for a message.
+/// Bytes of the TCP acknowledgement that is returned for a message.
 const ACKNOWLEDGEMENT_BYTES: usize = 52;
 
 #[derive(Serialize)]
@@ -38,7 +39,7 @@
     bytes_in: usize,
 }
 
-/// Simulated regions of zones of instances; every message arrives one step after it was sent.
+/// Simulated instances of several zones and regions; every message arrives one time step after it was sent.
 struct Fleet {
     now: time::TimeMs,
     nodes: BTreeMap<ids::InstanceId, Node>,
@@ -245,8 +246,8 @@
     }
 }
 
-/// Guards against a digest that looks newer than it is. Its age is sent as a span and grows while an instance
-/// holds the digest, also while that instance is paused.
+/// Guards against a digest whose age is too low. The age is sent as a time span and grows while an instance holds
+/// the digest, also while that instance is paused.
 #[test]
 fn the_age_of_a_digest_includes_the_time_at_every_holder() {
     let topology = topology();
@@ -261,9 +262,9 @@
     assert_eq!(age, Some(ms(30_400)));
 }
 
-/// Guards against a zone whose digests are ignored after all its instances were replaced, because the new
-/// aggregator counts from one. The aggregator receives the higher number and continues from there; otherwise all
-/// other zones would hold an old digest.
+/// Guards against a zone whose digests are ignored after all its instances were replaced, because the new aggregator
+/// (the instance that creates the zone's digests) numbers them from one. The aggregator receives the higher number
+/// and continues from there; otherwise all other zones would hold an old digest.
 #[test]
 fn digests_of_a_fully_replaced_zone_are_accepted_at_once() {
     let mut fleet = Fleet::new(&[2], 2);
@@ -283,8 +284,8 @@
     }
 }
 
-/// Guards against a zone without digests after its aggregator died: the next in rank takes over as soon as it
-/// counts the aggregator as dead.
+/// Guards against a zone without digests after its aggregator died: the next instance by rank becomes the aggregator
+/// as soon as it counts the old one as dead.
 #[test]
 fn a_dead_aggregator_is_replaced() {
     let mut fleet = Fleet::new(&[2], 3);
--- a/crates/damaskvane-membership/tests/silence.rs
+++ b/crates/damaskvane-membership/tests/silence.rs
@@ -1,4 +1,6 @@
-//! Which instances count as live, suspect or dead, by the list, heartbeats and pauses.
+//! Which instances count as live, suspect or dead, by the platform's list, heartbeats and pauses.
+//!
+//! A suspect instance has sent no heartbeat for longer than expected, but still gets new work; a dead one gets none.
 
 mod common;
 
@@ -15,7 +17,7 @@
     }
 }
 
-/// Ticks every 100 ms, as a process that is not paused does.
+/// Sends a tick every 100 ms, as a process that is not paused does.
 fn tick_until(membership: &mut view::Membership, from_ms: u64, to_ms: u64) {
     for now_ms in (from_ms..=to_ms).step_by(100) {
         membership.handle(at(now_ms), view::Event::Tick);
@@ -56,8 +58,8 @@
     assert_eq!(state_of(&a, "z-a-2"), Some(InstanceState::Dead));
 }
 
-/// Guards against a restarted instance that is shown as leaving, and so lost to clients, by heartbeats of its
-/// earlier incarnation that are still in flight.
+/// Guards against a restarted instance that counts as about to stop, and is not named to clients, because of
+/// heartbeats of its earlier incarnation (start of its process) that are still in flight.
 #[test]
 fn a_later_incarnation_replaces_the_earlier() {
     let mut a = member("z-a-1", 1);
@@ -81,8 +83,8 @@
     assert_eq!(incarnations, [2]);
 }
 
-/// Guards against the loss of a running instance that the list drops by mistake. Its heartbeats keep it, but not
-/// for ever; heartbeats of an instance that was never listed are ignored.
+/// Guards against the loss of a running instance that the list drops by mistake. Because of its heartbeats it counts
+/// as live, but not for ever; heartbeats of an instance that was never listed are ignored.
 #[test]
 fn heartbeats_keep_an_unlisted_instance_for_a_bounded_time() {
     let mut a = member("z-a-1", 1);
@@ -101,8 +103,8 @@
     assert_eq!(state_of(&a, "z-a-2"), Some(InstanceState::Gone));
 }
 
-/// Guards against a listed instance that stays live for ever although it died before this instance started. It
-/// counts as live until a timeout, because its first heartbeat may not have arrived yet.
+/// Guards against a listed instance that counts as live for ever although it died before this instance started. The
+/// listed instance counts as live only until a timeout, because its first heartbeat may not have arrived yet.
 #[test]
 fn a_listed_instance_without_heartbeats_is_live_until_a_timeout() {
     let mut a = member("z-a-1", 1);
--- a/crates/damaskvane-membership/tests/sizes.rs
+++ b/crates/damaskvane-membership/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! The size of a heartbeat in the self-describing encoding, against a compact one.
+//! The size of a heartbeat in the self-describing encoding, compared with the size in a compact encoding.
 
 mod common;
 
