--- a/crates/damaskvane-slots/src/exchange/slot_exchange.rs
+++ b/crates/damaskvane-slots/src/exchange/slot_exchange.rs
@@ -187,7 +187,7 @@
         &self.counters
     }
 
-    /// Returns how many slots of a backend server this instance holds without a request on them.
+    /// Returns the number of held slots of a backend server on which no request runs or may still run.
     #[must_use]
     pub fn free(&self, now: time::TimeMs, server: &ids::BackendServerId) -> units::Slots {
         let server = self.servers.get(server);
--- a/crates/damaskvane-slots/src/holder/held_grant.rs
+++ b/crates/damaskvane-slots/src/holder/held_grant.rs
@@ -80,7 +80,7 @@
         self.running + units::Slots::new(u32::try_from(abandoned.count()).unwrap_or(u32::MAX))
     }
 
-    /// Returns the number of slots on which no request runs; zero if the lease has expired.
+    /// Returns the number of slots on which no request runs or may still run; zero if the lease has expired.
     #[must_use]
     pub fn free(&self, now: time::TimeMs) -> units::Slots {
         if self.is_expired(now) {
--- a/crates/damaskvane-slots/src/holder/pool.rs
+++ b/crates/damaskvane-slots/src/holder/pool.rs
@@ -57,7 +57,8 @@
 }
 
 impl LeasePool {
-    /// Returns the number of held slots on which no request runs and whose lease has not expired.
+    /// Returns the number of held slots, under leases that have not expired, on which no request runs or may
+    /// still run.
     #[must_use]
     pub fn free(&self, now: time::TimeMs) -> units::Slots {
         self.grants.iter().map(|grant| grant.free(now)).sum()
--- a/crates/damaskvane-slots/src/lib.rs
+++ b/crates/damaskvane-slots/src/lib.rs
@@ -8,7 +8,8 @@
 //! # Crate guide
 //!
 //! - [`exchange`]: the state machine that a program drives with events and the current time.
-//! - [`permit`]: the reservation of a held slot for one request, checked before and after it is sent.
+//! - [`permit`]: the reservation of a held slot for one request; its lease is checked before and after the
+//!   request is sent.
 //! - [`ledger`]: the grants that an owner has made.
 //! - [`holder`]: the grants that an instance holds.
 //! - [`claim`]: the transfer of a backend server to a new owner.
--- a/crates/damaskvane-slots/src/message.rs
+++ b/crates/damaskvane-slots/src/message.rs
@@ -104,8 +104,8 @@
     NotOwner,
     /// The instance is claiming the server, or waits for an earlier owner's grants to expire.
     Waiting,
-    /// The instance owns the server, but its authority (right to act as an owner) has expired, so another
-    /// instance may have replaced it.
+    /// The authority of the instance (its right to act as an owner) has expired, so another instance may have
+    /// replaced it.
     NoAuthority,
     /// The grant to renew is not in the ledger, or exceeds the server's slots after their number was lowered.
     UnknownGrant,
