--- a/crates/damaskvane-membership/src/digest/exchange.rs
+++ b/crates/damaskvane-membership/src/digest/exchange.rs
@@ -267,7 +267,8 @@
     }
 
     /// Returns the instance of a zone to send to: the author of the zone's digest if the digest is
-    /// fresh, and otherwise another one of the zone's instances in each round.
+    /// fresh, and otherwise one of the zone's instances in turn, another one after each digest that
+    /// this instance creates.
     fn recipient(
         &self,
         now: time::TimeMs,
--- a/crates/damaskvane-membership/src/plan.rs
+++ b/crates/damaskvane-membership/src/plan.rs
@@ -1,10 +1,11 @@
 //! Selection of heartbeat neighbours, and the heartbeat period.
 //!
-//! If a zone has at most `mesh_limit` other instances, all instances exchange heartbeats with each
-//! other. In a larger zone each instance exchanges heartbeats with its nearest neighbours on both sides
-//! of a ring, which makes the relation mutual. The period grows with the number of neighbours, so that
-//! each instance sends as many heartbeats a second in a small zone as in a large one: small zones
-//! detect within 3 s that an instance has stopped sending heartbeats, and large zones stay within their
+//! The neighbours of an instance are the instances of its zone with which it exchanges heartbeats. If a
+//! zone has at most `mesh_limit` other instances, all instances exchange heartbeats with each other. In
+//! a larger zone each instance exchanges heartbeats with its nearest neighbours on both sides of a
+//! ring, which makes the relation mutual. The period grows with the number of neighbours, so that each
+//! instance sends as many heartbeats a second in a small zone as in a large one: small zones detect
+//! within 3 s that an instance has stopped sending heartbeats, and large zones stay within their
 //! message budget.
 //!
 //! ```
--- a/crates/damaskvane-membership/src/settings.rs
+++ b/crates/damaskvane-membership/src/settings.rs
@@ -25,14 +25,16 @@
     /// Maximum number of neighbours of an instance. In a zone with more other instances, each instance
     /// exchanges heartbeats with this many of them, otherwise with all.
     pub mesh_limit: usize,
-    /// Shortest time without a heartbeat after which a neighbour can be suspect.
+    /// Shortest time without a heartbeat after which a neighbour can be suspect; a suspect instance
+    /// still gets new work.
     pub min_suspect_ms: SpanMs,
-    /// Shortest time without a heartbeat after which a neighbour can be considered dead.
+    /// Shortest time without a heartbeat after which a neighbour can be dead; a dead instance gets no
+    /// new work.
     pub min_dead_ms: SpanMs,
     /// Time for which a listed neighbour counts as live before its first heartbeat arrives.
     pub first_heartbeat_timeout_ms: SpanMs,
     /// Time for which an instance that left the list but still sends heartbeats counts as live; after
-    /// that it counts as gone.
+    /// that it counts as gone, that is, stopped.
     pub delisted_grace_ms: SpanMs,
     /// Gap between two events above which this process is considered to have been paused.
     pub pause_ms: SpanMs,
--- a/crates/damaskvane-membership/src/state.rs
+++ b/crates/damaskvane-membership/src/state.rs
@@ -66,10 +66,10 @@
 pub enum GoneProof {
     /// The machine refused the connection: no process listens at the instance's address.
     Refused,
-    /// The platform's list no longer contains the instance, or marks it as fenced by another instance.
+    /// The platform's list no longer contains the instance, or marks it as fenced: another instance has
+    /// revoked its right to own backend servers.
     Delisted,
-    /// This instance marked the gone instance's entry at the platform as fenced, which ends its
-    /// ownership.
+    /// This instance marked the gone instance's entry at the platform as fenced.
     Fenced,
 }
 
--- a/crates/damaskvane-membership/src/view/counters.rs
+++ b/crates/damaskvane-membership/src/view/counters.rs
@@ -25,7 +25,7 @@
     pub old_lists: u64,
     /// Detected pauses of this process.
     pub pauses: u64,
-    /// Requested reconnects to neighbours.
+    /// Requested new connections to neighbours, the instances with which this one exchanges heartbeats.
     pub reconnects: u64,
 }
 
--- a/crates/damaskvane-membership/src/view/membership.rs
+++ b/crates/damaskvane-membership/src/view/membership.rs
@@ -1,9 +1,9 @@
 //! The membership state machine: its state, and the handling of events and heartbeats.
 //!
 //! A member is another instance; a neighbour is a member with which this instance exchanges heartbeats,
-//! and which echoes their sequence numbers. An instance is fenced if another one has revoked its right
-//! to own backend servers, by a mark at the platform. It is gone if it is proven to have stopped or to
-//! be fenced.
+//! and which echoes their sequence numbers. An instance is fenced if another one has revoked its
+//! authority, the right to own backend servers, by a mark at the platform. It is gone if it is proven
+//! to have stopped or to be fenced.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     pub instance: ids::InstanceId,
     /// Availability zone of this instance.
     pub zone: ids::AvailabilityZoneId,
-    /// Number of this start of the instance's process.
+    /// Incarnation, the number of this start of the instance's process.
     pub incarnation: ids::Incarnation,
 }
 
--- a/crates/damaskvane-membership/src/view/roster.rs
+++ b/crates/damaskvane-membership/src/view/roster.rs
@@ -1,7 +1,7 @@
 //! The roster: the instances that may own backend servers of the local zone.
 //!
 //! A gone instance is proven to have stopped, or to have been fenced, which revokes its right to own
-//! servers.
+//! servers. The neighbours of an instance are those with which it exchanges heartbeats.
 
 use damaskvane_core::{ids, time};
 
