--- a/crates/damaskvane-slots/src/exchange/acquiring.rs
+++ b/crates/damaskvane-slots/src/exchange/acquiring.rs
@@ -48,7 +48,8 @@
         };
         if server.owner.as_ref() != Some(&from.instance) {
             // The sender handed its ownership over, or never owned the backend server. Grants from before the
-            // handover are in the new owner's ledger, but the grant of this message may be missing there.
+            // handover are in the new owner's ledger (list of grants), but the grant of this message may be
+            // missing there.
             self.counters.dropped_owner_messages += 1;
             return;
         }
--- a/crates/damaskvane-slots/src/exchange/claiming.rs
+++ b/crates/damaskvane-slots/src/exchange/claiming.rs
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Returns all other instances of the zone that are not proven gone, including silent ones.
+    /// Returns all other instances of the zone that are not proven gone, including those that send no
+    /// heartbeats.
     fn others(&self) -> impl Iterator<Item = &view::RosterMember> {
         self.roster
             .members
