--- a/crates/damaskvane-gateway/src/clients/body.rs
+++ b/crates/damaskvane-gateway/src/clients/body.rs
@@ -1,4 +1,4 @@
-//! Reading of request bodies within the limits on size and memory.
+//! Reading of request bodies, with a limit on the size of one body and on the memory for all bodies.
 
 use core::pin::Pin;
 use std::future;
@@ -20,11 +20,12 @@
     MemoryExhausted,
 }
 
-/// Request bodies may fill the process's memory limit divided by this number. A process above its memory limit
-/// is killed, and all its requests in progress are lost.
+/// The bodies of all requests in progress may together fill the process's memory limit divided by this
+/// number. A process above its memory limit is killed, and all its requests in progress are lost.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 
-/// The bytes of one body, counted in the node's `buffered_body_bytes` until this guard is dropped.
+/// Guard that counts the bytes of one body in `buffered_body_bytes` of the node, which holds the state of
+/// this instance, and subtracts them when dropped.
 #[derive(Debug)]
 pub(super) struct HeldBytes {
     node: Rc<Node>,
@@ -58,7 +59,8 @@
     }
 }
 
-/// Reads a complete body of at most `max_bytes`; returns `None` if the client announced no body.
+/// Reads a complete body of at most `max_bytes` and counts its bytes in `held`; returns `None` if the client
+/// announced no body.
 pub(super) async fn read(
     mut body: Incoming,
     max_bytes: usize,
--- a/crates/damaskvane-gateway/src/clients/dispatch.rs
+++ b/crates/damaskvane-gateway/src/clients/dispatch.rs
@@ -1,6 +1,9 @@
 //! Preparation of a client's request: selects the route, reads the body and selects the service.
 //!
 //! The module `routed_request` then sends the request to backend servers.
+//!
+//! A service is a group of backend servers that serve the same requests; a route sends its requests to one or
+//! more services.
 
 use std::net;
 use std::rc::Rc;
@@ -155,7 +158,8 @@
     .await
 }
 
-/// Returns how much longer the request is quarantined for crashing backend servers; `None` if it may run.
+/// Returns how much longer this instance refuses the request because the request has crashed backend servers;
+/// `None` if the request may run.
 async fn remaining_quarantine(
     pending: &PendingRequest<'_>,
     outgoing: &OutgoingRequest,
--- a/crates/damaskvane-gateway/src/clients/head_timer.rs
+++ b/crates/damaskvane-gateway/src/clients/head_timer.rs
@@ -1,8 +1,9 @@
 //! Timeout for the head of a client's request.
 //!
-//! The HTTP library has a single timeout for the head and for the idle time before it. Clients may leave a
-//! connection idle far longer than they may take to send a head. With the longer timeout alone, clients that
-//! begin a request and never finish it would occupy their connections for the idle timeout.
+//! The HTTP library has a single timeout for the arrival of a head and for the idle time of the connection
+//! before the head. Clients may leave a connection idle far longer than they may take to send a head. With
+//! the idle timeout for both, clients that begin a request and never finish it would occupy their connections
+//! for the whole idle timeout.
 
 use core::pin::Pin;
 use core::task::{Context, Poll};
@@ -36,7 +37,7 @@
         self.is_in_request.set(false);
     }
 
-    /// Returns once a head has taken longer than `timeout`.
+    /// Waits until a head has been incomplete for `timeout` since its first bytes arrived.
     pub(super) async fn expired(&self, timeout: Duration) {
         loop {
             self.started.notified().await;
@@ -58,7 +59,7 @@
     }
 }
 
-/// A client's connection that starts the timer when bytes arrive.
+/// A client's connection that starts the timer when the first bytes of a request arrive.
 #[derive(Debug)]
 pub(super) struct TimedStream {
     stream: TcpStream,
--- a/crates/damaskvane-gateway/src/clients/listener.rs
+++ b/crates/damaskvane-gateway/src/clients/listener.rs
@@ -34,7 +34,7 @@
 const MIN_BUFFER_BYTES: usize = 8_192;
 /// How long sent bytes may stay unacknowledged before the client is considered disconnected.
 const CLIENT_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
-/// File descriptors that are reserved for backend servers, the store and files.
+/// Number of file descriptors reserved for files and for connections to backend servers and the store.
 const RESERVED_DESCRIPTORS: usize = 1_200;
 
 /// The purpose of a listening socket.
@@ -42,7 +42,7 @@
 pub enum ListenerKind {
     /// Serves clients' requests.
     Clients,
-    /// Serves clients' lookups of the address to connect to.
+    /// Serves lookups, which return to a client the addresses of entry instances to connect to.
     Lookups,
     /// Serves the platform's readiness probes.
     Ready,
@@ -50,7 +50,7 @@
     Metrics,
 }
 
-/// Accepts and serves connections until the instance is in the phase [`StopPhase::Closing`].
+/// Accepts and serves connections until the shutdown of the instance reaches [`StopPhase::Closing`].
 ///
 /// # Errors
 ///
--- a/crates/damaskvane-gateway/src/clients/pending.rs
+++ b/crates/damaskvane-gateway/src/clients/pending.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Records that the response is ready, and drops the guard.
+    /// Records that the response is ready, and drops the guard without logging the request.
     pub(super) fn mark_answered(mut self) {
         self.is_answered = true;
     }
--- a/crates/damaskvane-gateway/src/clients/reply.rs
+++ b/crates/damaskvane-gateway/src/clients/reply.rs
@@ -17,7 +17,8 @@
     response
 }
 
-/// Returns the response that the request has not run and will not run, with a `Retry-After` header.
+/// Returns a 503 response with a `Retry-After` header; the status means that no server runs the request or
+/// has run the request.
 pub(super) fn not_run(text: &'static str, retry_after_ms: u64) -> Response<ResponseBody> {
     let mut response = from_instance(StatusCode::SERVICE_UNAVAILABLE, text);
     let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
@@ -37,7 +38,7 @@
     response
 }
 
-/// Counts a refused request, by reason.
+/// Counts a refused request in the metrics, by the reason of the refusal.
 pub(super) fn count_refusal(node: &Rc<Node>, reason: &str) {
     node.metrics.refusals.with_label_values(&[reason]).inc();
 }
--- a/crates/damaskvane-gateway/src/clients/routed_request.rs
+++ b/crates/damaskvane-gateway/src/clients/routed_request.rs
@@ -1,4 +1,7 @@
 //! Sending of one request to backend servers, with retries, until its response is determined.
+//!
+//! An exchange is one attempt: the request is sent to one server, and the server's response is read. The
+//! retry budget of a service (a group of servers) limits the retries of all its requests.
 
 use core::pin::pin;
 use core::time::Duration;
@@ -22,7 +25,8 @@
 use crate::node::Node;
 use crate::upstream::{BackendResponse, Exchange, ExchangeOutcome, OutgoingRequest, ResponseBody};
 
-/// Retry delay sent to a client whose request no server accepted, in milliseconds, if no server named one.
+/// Retry delay sent to a client whose request no server accepted, in milliseconds, if no server's response
+/// named a delay.
 pub(super) const REJECTED_RETRY_AFTER_MS: u64 = 200;
 
 /// A request with its selected service, and the state of its attempts.
@@ -32,7 +36,8 @@
     pub(super) configuration: &'a Configuration,
     pub(super) route: &'a Route,
     pub(super) service: ids::ServiceId,
-    /// The hash of the request's object, if the route has affinity.
+    /// The hash of the object that the request is about; `None` if the route doesn't prefer the same servers
+    /// for the same object, or the request names no object.
     pub(super) object: Option<u64>,
     pub(super) outgoing: &'a OutgoingRequest,
     pub(super) deadline: TimeMs,
@@ -103,8 +108,8 @@
 
     /// Takes one retry from the service's budget; returns whether the next attempt is allowed.
     ///
-    /// An attempt after unreachable servers is free: it isn't a retry, because no server has received any
-    /// part of the request.
+    /// An attempt takes nothing from the budget if all servers before were unreachable: the attempt isn't a
+    /// retry, because no server has received any part of the request.
     fn spend_retry_budget(&self, last: Option<&ExchangeOutcome>) -> bool {
         let was_abandoned = last.is_some_and(|last| last.end == ExchangeEnd::Abandoned);
         if !self.progress.was_sent() && !was_abandoned {
@@ -130,7 +135,7 @@
         may
     }
 
-    /// Runs one exchange; returns `None` if the request's deadline passes.
+    /// Runs one exchange with the server of `pick`; returns `None` if the request's deadline passes.
     async fn attempt(&mut self, pick: &Pick) -> Option<ExchangeOutcome> {
         let started = self.node.now();
         self.pending.record_server(&pick.server);
@@ -163,7 +168,8 @@
         tokio::time::timeout(remaining_time, running).await.ok()
     }
 
-    /// Selects a server to replace one that has responded to no request since the exchange started.
+    /// Selects another server if the server of `pick` has responded to no request since the exchange started
+    /// at `started`.
     ///
     /// A server that has stopped responding would use up the deadline, while another server could still
     /// respond to an idempotent request. A server that responds to other requests is only busy: a second
