--- a/crates/damaskvane-gateway/src/http.rs
+++ b/crates/damaskvane-gateway/src/http.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 on connections that this instance opens: writing requests and parsing responses.
 //!
 //! Backend servers also send late, duplicate and truncated responses and responses without a length.
-//! Distinguishing them requires access to the bytes, so this module parses responses itself, with
-//! `httparse`. An HTTP client library would return the first response that arrives to the pending request.
+//! Distinguishing them requires access to the bytes, so this module parses responses itself, with `httparse`.
+//! An HTTP client library would take the first response that arrives for the response to the pending request.
 
 mod body;
 mod connection;
--- a/crates/damaskvane-gateway/src/http/connection.rs
+++ b/crates/damaskvane-gateway/src/http/connection.rs
@@ -196,7 +196,8 @@
         if !self.buffer.is_empty() {
             return false;
         }
-        // The event loop may not have processed the peer's close yet, but the kernel knows of it.
+        // The event loop may not have processed the peer's close yet, but a peek at the socket shows the
+        // close.
         let mut byte = [MaybeUninit::uninit()];
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut byte);
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
--- a/crates/damaskvane-gateway/src/upstream/exchange.rs
+++ b/crates/damaskvane-gateway/src/upstream/exchange.rs
@@ -16,18 +16,19 @@
 use crate::node::Node;
 use crate::upstream::{BackendResponse, OutgoingRequest, ResponseBody, request};
 
-/// Timeout for opening a connection. The kernel retransmits a lost SYN packet only after a second, and by then
-/// another server has responded.
+/// Timeout for opening a connection. The kernel retransmits a lost SYN packet only after a second, and within
+/// this second another server can respond.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time without an acknowledgement after which a connection fails; longer than two retransmissions on a lossy
-/// link.
+/// Time without an acknowledgement of sent packets after which a connection fails; longer than two
+/// retransmissions on a lossy link.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Response bodies up to this size are read completely before any byte is sent to the client, so that the
 /// request can be retried after a truncated response.
 const MAX_BUFFERED_BODY_BYTES: usize = 262_144;
 /// Requests up to this size fit the socket's buffers and are written without reading at the same time.
 const SHORT_REQUEST_BYTES: usize = 16_384;
-/// Maximum number of responses to other requests that are skipped on one connection.
+/// Maximum number of responses to other requests that are skipped on a connection before the expected
+/// response.
 const MAX_SKIPPED_RESPONSES: usize = 3;
 /// Maximum number of pieces of a long response body that are queued for the client.
 const MAX_QUEUED_PIECES: usize = 4;
@@ -44,7 +45,8 @@
     /// The delay from the response's `Retry-After` header, in milliseconds. Servers set it when they reject a
     /// request.
     pub retry_after_ms: Option<u64>,
-    /// The duration of the exchange in milliseconds; `None` if the server is no longer known.
+    /// The duration of the exchange in milliseconds; `None` if the server has been removed from the pool, the
+    /// list of known servers.
     pub took_ms: Option<u64>,
 }
 
@@ -66,7 +68,8 @@
     }
 }
 
-/// Guard that removes an exchange from its server's running requests when the exchange ends or is dropped.
+/// Guard that removes an exchange from the requests counted as running on its server when the exchange ends
+/// or is dropped.
 ///
 /// When a client disconnects, the future that handles its request is dropped. Without this guard the request
 /// would count as running at the server permanently, and the server would appear full.
@@ -117,11 +120,11 @@
     pub node: &'a Rc<Node>,
     /// The request to send.
     pub request: &'a OutgoingRequest,
-    /// The selected server, with the estimates made at its selection.
+    /// The selected server, with the load and response time that were estimated at its selection.
     pub pick: &'a Pick,
     /// The deadline of the request.
     pub deadline: TimeMs,
-    /// Whether the request was sent to a server before.
+    /// Whether an earlier exchange has sent the request to any server.
     pub is_retry: bool,
 }
 
--- a/crates/damaskvane-gateway/src/upstream/idle.rs
+++ b/crates/damaskvane-gateway/src/upstream/idle.rs
@@ -1,4 +1,4 @@
-//! Pool of idle connections to backend servers.
+//! Pool of idle connections to backend servers: open connections that carry no request at present.
 
 use std::collections::HashMap;
 
@@ -10,12 +10,12 @@
 /// How long an idle connection is kept if its server announces no idle timeout, in milliseconds. This is
 /// shorter than the timeouts of common servers.
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 4_000;
-/// How long before the server's idle timeout this instance drops a connection, in milliseconds. If the server
-/// closes a connection while a request is sent, the request may or may not have run, and the client can't
-/// find out which.
+/// How long before the end of the server's idle timeout this instance closes a connection, in milliseconds.
+/// If the server closes a connection while a request is sent, the request may or may not have run, and the
+/// client can't find out which.
 const CLOSE_MARGIN_MS: u64 = 1_000;
-/// Maximum number of idle connections to one server; more than one instance's share of the requests that a
-/// server runs at the same time.
+/// Maximum number of idle connections from this instance to one server. Larger than the part of the server's
+/// concurrent requests that comes from one instance.
 const MAX_IDLE_PER_SERVER: usize = 16;
 
 #[derive(Debug)]
@@ -31,7 +31,8 @@
 }
 
 impl IdleConnections {
-    /// Returns whether any connection to `server` is in the pool, including expired and closed ones.
+    /// Returns whether any connection to `server` is in the pool, including expired connections and those
+    /// that the server has closed.
     #[must_use]
     pub fn has(&self, server: &ids::BackendServerId) -> bool {
         self.connections
@@ -39,9 +40,9 @@
             .is_some_and(|connections| !connections.is_empty())
     }
 
-    /// Removes and returns the most recently used connection to `server` that is still usable.
+    /// Removes and returns the most recently used connection to `server` that is neither expired nor closed.
     ///
-    /// Expired and closed connections found before it are dropped.
+    /// Expired and closed connections that were used more recently are dropped.
     pub fn take(&mut self, now: TimeMs, server: &ids::BackendServerId) -> Option<http::Connection> {
         let connections = self.connections.get_mut(server)?;
         while let Some(last) = connections.pop() {
@@ -54,7 +55,8 @@
 
     /// Adds a connection that `server` closes after `idle_timeout_s` seconds without a request.
     ///
-    /// The connection is closed instead if the timeout is too short or the server's pool is full.
+    /// The connection is closed at once instead if the timeout is not above a second, the margin, or the pool
+    /// holds the maximum number of connections to the server.
     pub fn keep(
         &mut self,
         now: TimeMs,
@@ -80,7 +82,7 @@
         self.connections.remove(server);
     }
 
-    /// Closes the connections that have exceeded their idle timeout.
+    /// Closes the connections that at `now` have been idle longer than this instance keeps them.
     pub fn expire(&mut self, now: TimeMs) {
         self.connections.retain(|_, connections| {
             connections.retain(|entry| now < entry.expires_at);
