--- a/crates/damaskvane-steering/src/blocks/chunk.rs
+++ b/crates/damaskvane-steering/src/blocks/chunk.rs
@@ -1,7 +1,10 @@
 //! Chunk of the table: sorted tails, then the classes, four per word, in one allocation.
 //!
+//! A tail is the lower 32 bits of a client block's key, and a class is the block's steering class
+//! in 8 bits. A chunk holds the blocks whose keys have the same upper 16 bits.
+//!
 //! A single allocation saves a cache miss over two allocations, and the number of blocks follows
-//! from the length, so that no header is read.
+//! from the length of the allocation, so that no header is read.
 
 use std::sync::Arc;
 
@@ -9,7 +12,7 @@
 
 const CLASSES_PER_WORD: usize = 4;
 
-/// Width of the first search interval around the estimated position, in entries.
+/// Width of the first search interval around the estimated position of a tail, in tails.
 const FIRST_WIDTH: usize = 8;
 
 #[derive(Debug, Clone)]
@@ -62,8 +65,8 @@
 /// Returns the number of tails below `tail`.
 ///
 /// Tails are spread almost evenly over a chunk, so the search starts at the position that an even
-/// spread would give and widens from there. It touches one or two cache lines, whereas binary
-/// search touches one in each of its first steps.
+/// spread would give and widens from there. Such a search touches one or two cache lines, whereas
+/// binary search touches one cache line in each of its first steps.
 fn position_of(tails: &[u32], tail: u32) -> usize {
     let guess = ((u64::from(tail) * tails.len() as u64) >> u32::BITS) as usize;
     let mut width = FIRST_WIDTH;
--- a/crates/damaskvane-steering/src/blocks/key.rs
+++ b/crates/damaskvane-steering/src/blocks/key.rs
@@ -15,7 +15,8 @@
 const ADDRESS_SHIFT: u32 = 16;
 const TAIL_BITS: u32 = 32;
 
-/// Key of a client block in the table, 48 bits.
+/// Key of a client block in the table, 48 bits. A client block is a group of clients that is named
+/// by an address prefix or a text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BlockKey(u64);
 
@@ -30,8 +31,8 @@
 
     /// Returns the key of a block named by text: 48 bits of the hash of the name.
     ///
-    /// Among 3.6 million names, two have the same key in about one set out of forty.
-    /// [`BlockTable::build`](crate::blocks::BlockTable::build) reports this as an error.
+    /// About one of forty sets of 3.6 million names has two names with the same key.
+    /// [`BlockTable::build`](crate::blocks::BlockTable::build) reports such a pair as an error.
     #[must_use]
     pub fn name(block: &ids::ClientBlock) -> Self {
         let hash = hash::ContentHash::of(block.as_str().as_bytes());
--- a/crates/damaskvane-steering/src/blocks/table.rs
+++ b/crates/damaskvane-steering/src/blocks/table.rs
@@ -1,5 +1,7 @@
 //! Lookup table from client blocks to steering classes.
 //!
+//! A client block is a group of clients; a class is a group of blocks that are steered alike.
+//!
 //! ```
 //! use damaskvane_steering::blocks;
 //!
--- a/crates/damaskvane-steering/src/credit.rs
+++ b/crates/damaskvane-steering/src/credit.rs
@@ -1,9 +1,10 @@
 //! Request rate that a receiving zone grants to the other zones.
 //!
-//! A source zone requests credit, the receiving zone grants it from its measured headroom, and the
-//! grant expires on its own. The source counts the lifetime of a grant from the time of its
-//! *request*, and the receiver counts from the later time of its *grant*. The source therefore
-//! stops first, whatever the delay between them. The receiver adds the TTL of lookup results, since
+//! A source zone, which sends its clients to other zones, requests credit. The receiving zone
+//! grants credit from its measured free capacity, and the grant expires without a further message.
+//! The source counts the lifetime of a grant from the time of its *request*, and the receiver
+//! counts from the later time of its *grant*. The source therefore stops first, whatever the delay
+//! between request and grant. The receiver adds the TTL of lookup results to the lifetime, since
 //! clients continue to use the results that they have cached.
 //!
 //! ```
--- a/crates/damaskvane-steering/src/credit/granter.rs
+++ b/crates/damaskvane-steering/src/credit/granter.rs
@@ -1,5 +1,7 @@
 //! Receiver's side of the credit: grants of one service's capacity, by source zone.
 //!
+//! A receiver is a zone that permits source zones to send it requests at granted rates.
+//!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_steering::{credit, rate};
@@ -22,10 +24,10 @@
 use crate::credit::message::{CreditRequest, Grant};
 use crate::rate;
 
-/// Settings of a receiver.
+/// Settings by which a receiver grants credit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GranterSettings {
-    /// Lifetime of a grant.
+    /// How long a source may use a grant.
     pub lifetime: time::SpanMs,
     /// How long clients cache a lookup result.
     pub lookup_ttl: time::SpanMs,
@@ -51,8 +53,8 @@
 pub struct LocalLoad {
     /// Capacity of the zone.
     pub capacity: rate::Rate,
-    /// Load of the zone's own clients, including clients that may return because of a cached lookup
-    /// result.
+    /// Load of the zone's own clients, including clients in other zones that may return because of
+    /// a cached lookup result.
     pub local: rate::Rate,
 }
 
@@ -84,7 +86,7 @@
     /// Grants a credit request from the free capacity.
     ///
     /// A renewal may be smaller than the previous grant, which the source may use until that grant
-    /// expires. The larger of both stays reserved until then.
+    /// expires. The larger of the two rates stays reserved until then.
     pub fn grant(
         &mut self,
         source: &ids::AvailabilityZoneId,
@@ -108,7 +110,8 @@
         }
     }
 
-    /// Returns the rate reserved for all other zones, including static shares.
+    /// Returns the rate reserved for all other zones: for each zone the largest of its grants and
+    /// its static share, which needs no grant.
     #[must_use]
     pub fn reserved(&self) -> rate::Rate {
         let mut sources: Vec<_> = self.settings.static_shares.keys().collect();
@@ -127,7 +130,8 @@
         capacity.saturating_sub(self.reserved())
     }
 
-    /// Returns the number of grants that were reduced because they exceeded the capacity.
+    /// Returns the number of grants that were reduced because reserved rate and local load would
+    /// have exceeded the capacity.
     ///
     /// A value above zero indicates a programming error.
     #[must_use]
@@ -167,8 +171,8 @@
         let retained = if load.capacity >= load.local + reserved {
             self.reserved_for(source)
         } else {
-            // The capacity is exceeded already, because capacity fell or local load rose. No grant
-            // is renewed, so that the sum falls as grants expire.
+            // Reserved rate and local load exceed the capacity already, because the capacity fell
+            // or the local load rose. No grant is renewed, so that the sum falls as grants expire.
             rate::Rate::ZERO
         };
         requested
--- a/crates/damaskvane-steering/src/credit/holder.rs
+++ b/crates/damaskvane-steering/src/credit/holder.rs
@@ -1,4 +1,7 @@
-//! Source's side of the credit: the rate granted by one receiver, and its use.
+//! Source's side of the credit: the rate granted by one receiver, and the use of this rate.
+//!
+//! A source is a zone that sends its clients' requests to another zone, the receiver. The static
+//! share is the rate that the source may use without a grant.
 //!
 //! ```
 //! use damaskvane_core::time;
@@ -21,11 +24,12 @@
 /// second and a time in milliseconds.
 const COST_MICRO: u64 = 1_000_000;
 
-/// How long unused rate accumulates; a larger burst could exceed the receiver's free slots.
+/// How long unused rate accumulates. With a longer time, a burst of requests could exceed the
+/// requests that the receiver's servers can run at once.
 const BURST: time::SpanMs = time::SpanMs::new(250);
 
-/// Maximum number of pending requests; a grant for an earlier request arrives too late to be
-/// useful.
+/// Maximum number of credit requests that await a grant. A grant for an older request would arrive
+/// too late to be useful.
 const MAX_PENDING_REQUESTS: usize = 8;
 
 #[derive(Debug, Clone, Copy)]
@@ -52,7 +56,8 @@
 }
 
 impl Permit {
-    /// Returns whether the permit is still valid; to be checked just before the request is sent.
+    /// Returns whether the permit is valid at `now`; the caller checks this just before it sends
+    /// the request.
     ///
     /// Without this check, a process that pauses between acquiring a permit and sending could use
     /// rate that the receiver has since granted to another source, and the receiver would receive
@@ -77,7 +82,7 @@
         }
     }
 
-    /// Creates a request for `rate`; the lifetime of its grant counts from `now`.
+    /// Creates a credit request for `rate`; the lifetime of the resulting grant counts from `now`.
     pub fn request(&mut self, rate: rate::Rate, now: time::TimeMs) -> CreditRequest {
         let number = self.next_number;
         self.next_number += 1;
@@ -90,8 +95,8 @@
 
     /// Applies a grant and returns whether it takes effect.
     ///
-    /// A grant has no effect if it matches no pending request, if it expired in transit, or if the
-    /// current grant expires later.
+    /// A grant has no effect if it matches no pending credit request, if it expired in transit, or
+    /// if the current grant expires later.
     pub fn accept(&mut self, grant: Grant, now: time::TimeMs) -> bool {
         let position = self
             .pending
@@ -107,7 +112,7 @@
         }
         self.refill(now);
         // A late grant for an earlier request must not replace a grant that expires later. The
-        // receiver reserves the larger of both until the later one expires.
+        // receiver reserves the larger rate until the later grant expires.
         let is_later = self.held.is_none_or(|held| held.expires_at <= expires_at);
         if is_later {
             self.held = Some(HeldGrant {
--- a/crates/damaskvane-steering/src/credit/message.rs
+++ b/crates/damaskvane-steering/src/credit/message.rs
@@ -1,4 +1,5 @@
-//! Messages between source and receiver.
+//! Messages about credit between a source zone, which sends its clients' requests to another zone,
+//! and this other zone, the receiver.
 //!
 //! ```
 //! use damaskvane_steering::{credit, rate};
@@ -14,16 +15,16 @@
 /// Request of a source zone for rate at a receiving zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CreditRequest {
-    /// Number of the request, repeated in its grant.
+    /// Number of the credit request, repeated in its grant.
     pub number: u64,
-    /// Rate that the source would use.
+    /// Rate that the source needs.
     pub rate: rate::Rate,
 }
 
 /// Grant of rate by a receiving zone to a source zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Grant {
-    /// Number of the request that this grant responds to.
+    /// Number of the credit request that this grant responds to.
     pub number: u64,
     /// Granted rate.
     pub rate: rate::Rate,
--- a/crates/damaskvane-steering/src/digest/view.rs
+++ b/crates/damaskvane-steering/src/digest/view.rs
@@ -1,4 +1,4 @@
-//! The latest report of every zone, and the unreachable zones.
+//! The latest report of every zone about its load and capacity, and the unreachable zones.
 //!
 //! ```
 //! use damaskvane_steering::digest;
@@ -21,13 +21,13 @@
 }
 
 impl View {
-    /// Stores a report unless the view holds the same or a later one of its zone, and returns
+    /// Stores a report unless the view holds the same or a later report of the zone, and returns
     /// whether the report was stored.
     ///
-    /// A frozen zone sends the same numbers repeatedly. If each arrival renewed their age, the
-    /// planner would steer by them indefinitely, so only a higher sequence number counts as a new
-    /// report. The caller has to reject a report whose time lies further in the future than a clock
-    /// error can explain.
+    /// A zone whose reporting has stalled sends the same report repeatedly. If each arrival renewed
+    /// the report's age, the planner would steer by the report indefinitely, so only a higher
+    /// sequence number counts as a new report. The caller has to reject a report whose time lies
+    /// further in the future than a clock error can explain.
     pub fn apply_digest(&mut self, report: ZoneDigest) -> bool {
         let stored = self.digests.get(&report.zone);
         if stored.is_some_and(|stored| stored.sequence >= report.sequence) {
--- a/crates/damaskvane-steering/src/digest/zone.rs
+++ b/crates/damaskvane-steering/src/digest/zone.rs
@@ -1,4 +1,6 @@
-//! Report of one zone.
+//! Report of one zone about its load and capacity.
+//!
+//! A slot is the capacity of a backend server to run one request.
 //!
 //! ```
 //! use damaskvane_steering::{digest, rate};
@@ -13,16 +15,18 @@
 
 use crate::rate;
 
-/// Errors above this part of the arrivals count as overload, in thousandths.
+/// Part of the arriving requests above which failed requests count as overload, in thousandths.
 const ERROR_LIMIT_PERMILLE: u32 = 50;
 
-/// Refusals above this part of the arrivals count as overload, in thousandths.
+/// Part of the arriving requests above which refused requests count as overload, in thousandths.
 const REFUSED_LIMIT_PERMILLE: u32 = 50;
 
-/// Rate of refusals or errors that is treated as noise, whatever their part of the arrivals.
+/// Rate of refused or failed requests that is treated as noise, whatever their part of the
+/// arrivals.
 const REFUSED_NOISE: rate::Rate = rate::Rate::per_second(1);
 
-/// Arrivals above this part of the capacity account for refusals without overload, in thousandths.
+/// Part of the capacity, in thousandths. Refused requests do not count as overload up to the rate
+/// by which the arriving requests exceed this part.
 const BUSY_PERMILLE: u32 = 800;
 
 /// Rates of the lookups that a zone's entry instances received from clients of one source zone.
@@ -46,7 +50,7 @@
     pub demand: BTreeMap<ids::AvailabilityZoneId, rate::Rate>,
     /// Lookups by the client's source zone, counted over the same span as the demand.
     ///
-    /// A source zone without refused lookups may be left out.
+    /// Source zones of which no lookup was refused may be absent.
     pub lookups: BTreeMap<ids::AvailabilityZoneId, Lookups>,
     /// Rate of requests refused by the zone or its backend servers for lack of capacity.
     pub refused: rate::Rate,
@@ -57,7 +61,7 @@
 }
 
 impl ServiceDigest {
-    /// Returns the arrivals from all source zones.
+    /// Returns the rate of arriving requests from all source zones.
     #[must_use]
     pub fn arrivals(&self) -> rate::Rate {
         self.demand.values().copied().sum()
@@ -66,9 +70,9 @@
     /// Returns whether the report shows that the service carries less than its reported capacity.
     ///
     /// A service that reports a low load while it sheds requests would keep attracting traffic, and
-    /// its refusals would rise with every step. Refusals and errors therefore count, whatever the
-    /// load. Refusals that occur by chance in a full zone do not count: reducing its trust would
-    /// leave capacity unused when all of it is needed.
+    /// its refusals would rise with every plan. Refusals and errors therefore count, whatever the
+    /// load. Refusals that occur by chance in a full zone do not count: if the planner reduced its
+    /// trust in the zone's capacity, capacity would stay unused when all of it is needed.
     #[must_use]
     pub fn shows_overload(&self) -> bool {
         let arrivals = self.arrivals();
@@ -87,8 +91,8 @@
     pub zone: ids::AvailabilityZoneId,
     /// Sequence number; rises with every report of the zone.
     pub sequence: u64,
-    /// Time at which the numbers were taken, by the receiver's clock: the time of arrival minus the
-    /// age on arrival.
+    /// Time at which the zone measured the reported numbers, by the receiver's clock: the time of
+    /// arrival minus the age on arrival.
     pub taken_at: time::TimeMs,
     /// Report for each service.
     pub services: BTreeMap<ids::ServiceId, ServiceDigest>,
--- a/crates/damaskvane-steering/src/health.rs
+++ b/crates/damaskvane-steering/src/health.rs
@@ -1,9 +1,10 @@
 //! Health of the backend servers of a pool, from health reports and from the outcomes of requests.
 //!
-//! Health reports lag and can be wrong, so the outcomes of this instance's own requests take
-//! precedence. A server that has just responded is not excluded because of a report, and reports
-//! alone exclude no more than a configured part of the pool. The share of a cold server increases
-//! gradually.
+//! A pool holds the servers of one service in one zone. Health reports lag and can be wrong, so the
+//! outcomes of this instance's own requests take precedence. A server that has just responded is
+//! not excluded because of a report, and reports alone exclude no more than a configured part of
+//! the pool. A cold server has started or recovered recently, and its share of new requests
+//! increases gradually.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-steering/src/health/admission.rs
+++ b/crates/damaskvane-steering/src/health/admission.rs
@@ -1,5 +1,7 @@
 //! Share of new requests that a backend server receives.
 //!
+//! A slot is the right to run one request on the server.
+//!
 //! ```
 //! use damaskvane_steering::health;
 //!
@@ -10,9 +12,9 @@
 /// Share of new requests that a backend server receives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Its full share.
+    /// The full share: all slots of the server.
     Full,
-    /// A part of its slots.
+    /// A part of the server's slots.
     Part {
         /// Part of the slots, in thousandths.
         permille: u32,
@@ -29,7 +31,7 @@
 /// Reason why a backend server receives no new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExclusionReason {
-    /// The server leaves, or is not in the pool.
+    /// The server is about to leave the pool, or is not in the pool.
     Leaving,
     /// Consecutive requests to the server failed.
     Failures,
@@ -38,13 +40,13 @@
 }
 
 impl Admission {
-    /// Returns whether new requests may be sent.
+    /// Returns whether new requests may be sent to the server.
     #[must_use]
     pub const fn takes_work(self) -> bool {
         !matches!(self, Self::Excluded { .. })
     }
 
-    /// Returns how many of a server's `slots` may be used; one for a probe.
+    /// Returns how many of a server's `slots` new requests may use; one for [`Self::Probe`].
     #[must_use]
     pub const fn slots(self, slots: u32) -> u32 {
         match self {
--- a/crates/damaskvane-steering/src/health/pool.rs
+++ b/crates/damaskvane-steering/src/health/pool.rs
@@ -18,7 +18,8 @@
 use crate::health::server::{Outcome, ServerState};
 use crate::health::settings::Settings;
 
-/// Consecutive refusals after which a server receives half of its slots.
+/// Consecutive refused requests after which only half of a server's slots are used, where a slot is
+/// the right to run one request on the server.
 const REFUSALS_TO_HALVE: u32 = 3;
 
 const HALF_PERMILLE: u32 = 500;
@@ -40,13 +41,14 @@
         }
     }
 
-    /// Adds a server that starts cold. A server that is in the pool already is left unchanged.
+    /// Adds a cold server, whose share of new requests increases gradually. A server that is in the
+    /// pool already is left unchanged.
     pub fn join(&mut self, server: ids::BackendServerId, now: time::TimeMs) {
         self.servers.entry(server).or_insert(ServerState::new(now));
     }
 
-    /// Adds a server that has been running already. A server that is in the pool already is left
-    /// unchanged.
+    /// Adds a server that is not cold, because the server was running before this instance added
+    /// it. A server that is in the pool already is left unchanged.
     ///
     /// An instance that has just started finds every server running. If the instance treated them
     /// as cold, each of its restarts would take most of its zone's capacity away for a while.
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Records that a request was sent to a server.
+    /// Records that this instance has sent a request to a server.
     pub fn record_start(&mut self, server: &ids::BackendServerId) {
         if let Some(state) = self.servers.get_mut(server) {
             state.in_flight += 1;
@@ -140,10 +142,11 @@
         }
     }
 
-    /// Returns the servers that are excluded because of reports alone, up to the configured bound.
+    /// Returns the servers that are excluded because of health reports alone, up to the configured
+    /// maximum part of the pool.
     ///
-    /// Without the bound, a health endpoint that is broken in the same way everywhere would empty
-    /// the whole pool, and clients would be refused although no request fails.
+    /// Without the maximum, a health endpoint that is broken in the same way on all servers would
+    /// exclude the whole pool, and clients would be refused although no request fails.
     fn excluded_by_report(&self, now: time::TimeMs) -> BTreeSet<&ids::BackendServerId> {
         let members = self.servers.values().filter(|state| !state.leaving).count();
         let bound = members * self.settings.max_excluded_permille as usize / 1_000;
@@ -151,7 +154,7 @@
         let mut suspects: Vec<_> = suspects
             .filter(|(_, state)| self.is_suspect(state, now))
             .collect();
-        // Servers with failures first, then by the time since the last response, longest first.
+        // Servers with more failures first, then servers with a longer time since the last response.
         suspects
             .sort_by_key(|(id, state)| (u32::MAX - state.failures, state.last_response_at, *id));
         let excluded: BTreeSet<_> = suspects.into_iter().take(bound).map(|(id, _)| id).collect();
--- a/crates/damaskvane-steering/src/health/settings.rs
+++ b/crates/damaskvane-steering/src/health/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a pool.
+//! Settings of a pool, which holds the backend servers of one service in one zone.
 //!
 //! ```
 //! use damaskvane_steering::health;
@@ -11,7 +11,8 @@
 /// Settings of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Maximum part of the pool that reports alone may exclude, in thousandths, rounded down.
+    /// Maximum part of the pool's servers that health reports alone may exclude, in thousandths;
+    /// the number of servers is rounded down.
     ///
     /// The default excludes one server of three.
     pub max_excluded_permille: u32,
@@ -23,9 +24,10 @@
     pub exclusion_failures: u32,
     /// How long a server stays excluded after a failure before a single request probes it.
     pub probe_delay: time::SpanMs,
-    /// How long a cold server takes to reach its full share.
+    /// How long a cold server, which has started or recovered recently, takes to reach its full
+    /// share of new requests.
     pub slow_start: time::SpanMs,
-    /// Share with which a cold server starts, in thousandths.
+    /// Part of its full share with which a cold server starts, in thousandths.
     pub cold_permille: u32,
     /// Multiple of the pool's median latency above which a server is treated as slow.
     pub slow_multiple: u32,
--- a/crates/damaskvane-steering/src/input/movement.rs
+++ b/crates/damaskvane-steering/src/input/movement.rs
@@ -1,5 +1,7 @@
 //! Part of a source zone's clients that a shift ticket moves.
 //!
+//! A shift ticket is an operator's order to move clients from one zone to another step by step.
+//!
 //! ```
 //! use damaskvane_steering::input;
 //!
@@ -17,8 +19,8 @@
 
 /// Part of a source zone's clients that a shift ticket moves, at the current progress of the shift.
 ///
-/// The planner places this part first, up to the destination's capacity. The excess is steered as
-/// if it had not been moved.
+/// The planner assigns this part before all other demand, up to the destination's capacity. Clients
+/// in excess of the capacity are steered as if the shift did not move them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Movement {
     /// Service whose traffic moves.
--- a/crates/damaskvane-steering/src/input/service.rs
+++ b/crates/damaskvane-steering/src/input/service.rs
@@ -1,5 +1,8 @@
 //! Service with the slots of its backend servers.
 //!
+//! A slot is the capacity of a backend server to run one request. A grant is the permission of a
+//! zone for another zone to send it requests at a given rate.
+//!
 //! ```
 //! use damaskvane_core::units;
 //! use damaskvane_steering::{input, rate};
--- a/crates/damaskvane-steering/src/input/topology.rs
+++ b/crates/damaskvane-steering/src/input/topology.rs
@@ -25,12 +25,12 @@
     OtherRegion,
 }
 
-/// Declared topology of a deployment, as far as steering depends on it.
+/// Topology of a deployment, as declared by operators, as far as steering depends on the topology.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Topology {
     /// Region of every zone.
     pub zones: BTreeMap<ids::AvailabilityZoneId, ids::RegionId>,
-    /// Every service with its slots.
+    /// Every service with its slots, each of which is the capacity of a server to run one request.
     pub services: BTreeMap<ids::ServiceId, Service>,
     /// Budget of the link between two regions in each direction, by the pair of regions in
     /// ascending order.
@@ -42,7 +42,8 @@
     /// Latency measured between two zones, where it differs from the latency of their distance
     /// class, in milliseconds.
     pub measured_latency_ms: BTreeMap<(ids::AvailabilityZoneId, ids::AvailabilityZoneId), u32>,
-    /// Parts of source zones' clients that shift tickets move at present.
+    /// Parts of source zones' clients that shift tickets, operators' orders to move traffic, move
+    /// at present.
     pub movements: Vec<Movement>,
 }
 
@@ -99,8 +100,8 @@
         self.links.get(&pair).copied()
     }
 
-    /// Returns the zone to assume for a client of which only the region is known, chosen by the
-    /// client's hash.
+    /// Returns the source zone to assume for a client of which only the region is known: a zone of
+    /// the region, selected by the client's hash.
     #[must_use]
     pub fn zone_of(
         &self,
--- a/crates/damaskvane-steering/src/picker.rs
+++ b/crates/damaskvane-steering/src/picker.rs
@@ -24,19 +24,20 @@
 const DEFAULT_RETRY_AFTER: time::SpanMs = time::SpanMs::new(2_000);
 const WHOLE: u64 = plan::WHOLE_PPM as u64;
 
-/// Client that requests a lookup.
+/// Client that requests a lookup, whose result is the list of zones to use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Client {
     /// Zone nearest to the client.
     pub zone: ids::AvailabilityZoneId,
-    /// Hash of the client block, equal on every lookup.
+    /// Hash of the client block, the group of clients that this client belongs to. Equal on every
+    /// lookup.
     pub hash: u64,
 }
 
 /// no zone has capacity left for this client; retry after {retry_after}
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct Refused {
-    /// Wait before the next lookup.
+    /// How long the client waits before its next lookup.
     pub retry_after: time::SpanMs,
 }
 
@@ -44,9 +45,9 @@
 ///
 /// # Errors
 ///
-/// Returns [`Refused`] for the part of the clients that no capacity is left for, or if the plan
-/// does not cover the service and the zone. Which clients are refused changes with each retry
-/// period, so that the same clients are not refused repeatedly.
+/// Returns [`Refused`] for the part of the clients for which the plan has no capacity, or if the
+/// plan does not cover the service and the client's zone. Which clients are refused changes with
+/// each retry period, so that the same clients are not refused repeatedly.
 pub fn pick(
     plan: &plan::Plan,
     service: &ids::ServiceId,
@@ -85,8 +86,8 @@
     random < u64::from(source.refused_ppm())
 }
 
-/// Returns the waiting time of an exponential clock whose rate is the weight; the shortest time
-/// wins.
+/// Returns a pseudo-random time, exponentially distributed with the weight as rate and determined
+/// by the client's hash and the zone; the zone with the shortest time is the first choice.
 fn score(share: &plan::Share, client_hash: u64) -> f64 {
     let hash = mix(client_hash ^ hash_name(share.zone.as_str()));
     // 53 bits with an offset of one half, since the logarithm of zero is not finite.
--- a/crates/damaskvane-steering/src/plan.rs
+++ b/crates/damaskvane-steering/src/plan.rs
@@ -1,5 +1,8 @@
 //! Weights from every source zone to every destination zone, per service.
 //!
+//! A source is the zone nearest to a client; a destination is a zone whose backend servers run the
+//! client's requests. A weight is the share of a source's clients that use a destination.
+//!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_steering::plan;
@@ -19,7 +22,7 @@
 pub(crate) use service::{Estimate, ReportedCapacity};
 pub use source::{Share, SourcePlan};
 
-/// The whole of a source's clients, in millionths.
+/// Share of all clients of a source, in millionths.
 pub const WHOLE_PPM: u32 = 1_000_000;
 
 /// Traffic plan for all services, computed at one point in time.
@@ -29,13 +32,13 @@
     pub made_at: time::TimeMs,
     /// Plan of each service.
     pub services: BTreeMap<ids::ServiceId, ServicePlan>,
-    /// Number of invariants violated during planning. The planner drops the unsafe part of the plan
-    /// on each violation.
+    /// Number of destinations, over all services, to which planning assigned more than their usable
+    /// capacity because of a programming error. The planner drops the flows to such a destination.
     pub broken_invariants: u32,
 }
 
 impl Plan {
-    /// Creates a plan without services; every lookup is refused under it.
+    /// Creates a plan without services, under which every lookup is refused.
     #[must_use]
     pub const fn empty(made_at: time::TimeMs) -> Self {
         Self {
--- a/crates/damaskvane-steering/src/plan/service.rs
+++ b/crates/damaskvane-steering/src/plan/service.rs
@@ -1,5 +1,9 @@
 //! Plan of one service, with the state that the next plan is computed from.
 //!
+//! A source is the zone nearest to a client; a destination is a zone that runs the client's
+//! requests. Trust is the part of a zone's reported capacity that the planner uses; overload
+//! reduces the trust.
+//!
 //! ```
 //! use damaskvane_steering::plan;
 //!
@@ -32,7 +36,7 @@
 pub(crate) struct Estimate {
     /// Current demand, in thousandths of a request per second.
     pub(crate) level_milli: i64,
-    /// Rise of the demand per step, in thousandths of a request per second.
+    /// Rise of the demand from one plan to the next, in thousandths of a request per second.
     pub(crate) trend_milli: i64,
     /// Deviation of the last measured demand from its forecast, in thousandths of a request per
     /// second.
@@ -44,9 +48,9 @@
 pub struct ServicePlan {
     /// Plan for the clients of each source zone.
     pub sources: BTreeMap<ids::AvailabilityZoneId, SourcePlan>,
-    /// Trust in each zone's capacity after overload, in thousandths; full trust where absent.
+    /// Trust in each zone's capacity after overload, in thousandths; an absent zone has full trust.
     pub trusted_permille: BTreeMap<ids::AvailabilityZoneId, u32>,
-    /// Sequence number of the last report of each zone that was applied to the trust.
+    /// Sequence number of each zone's last report that was used to update the trust.
     pub applied_sequence: BTreeMap<ids::AvailabilityZoneId, u64>,
     /// The last two capacities that each zone reported.
     pub(crate) reported: BTreeMap<ids::AvailabilityZoneId, ReportedCapacity>,
@@ -104,8 +108,8 @@
         lookup_ttl: time::SpanMs,
     ) {
         if let Some(previous) = previous {
-            // Lookups use a plan until the next one is computed, so a plan's results have left the
-            // caches one TTL after its successor was computed.
+            // Lookups use a plan until the next plan is computed, so clients cache a plan's lookup
+            // results until one TTL after the next plan was computed.
             let next_made = previous
                 .cached_shares
                 .iter()
--- a/crates/damaskvane-steering/src/plan/source.rs
+++ b/crates/damaskvane-steering/src/plan/source.rs
@@ -24,9 +24,10 @@
 /// Destinations of the clients of one source zone, nearest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SourcePlan {
-    /// Demand for which the shares were computed.
+    /// Rate of the source's requests for which the shares were computed.
     pub demand: rate::Rate,
-    /// Shares by destination; the part missing from the whole is refused.
+    /// Shares by destination. If they add up to less than all clients, the remaining clients are
+    /// refused.
     pub shares: Vec<Share>,
     /// How long a refused client waits before its next lookup.
     pub retry_after: time::SpanMs,
@@ -40,14 +41,14 @@
         share.map_or(0, |share| share.share_ppm)
     }
 
-    /// Returns the refused share, in millionths.
+    /// Returns the share of the source's clients that are refused, in millionths.
     #[must_use]
     pub fn refused_ppm(&self) -> u32 {
         let sent: u32 = self.shares.iter().map(|share| share.share_ppm).sum();
         WHOLE_PPM.saturating_sub(sent)
     }
 
-    /// Returns the flow to a destination at the planned demand.
+    /// Returns the flow to a destination, which is the destination's share of the planned demand.
     #[must_use]
     pub fn flow(&self, zone: &ids::AvailabilityZoneId) -> rate::Rate {
         self.demand.ppm(self.share_ppm(zone))
--- a/crates/damaskvane-steering/src/planner.rs
+++ b/crates/damaskvane-steering/src/planner.rs
@@ -2,10 +2,11 @@
 //! current time.
 //!
 //! The computation is deterministic: every instance derives the same plan from the same input.
-//! Demand is measured by source zone. Destination zones are filled nearest first, in steps of
-//! utilization, and the policy's knee sets the utilization at which clients are sent farther away.
-//! Planned flow never exceeds a zone's capacity minus the traffic that clients may still send
-//! because of cached lookup results.
+//! Demand is measured by source zone, the zone nearest to the clients. Destination zones are filled
+//! nearest first, in steps of utilization (the part of a zone's capacity in use). The policy's knee
+//! is the utilization above which clients are sent to zones farther away. Planned flow never
+//! exceeds a zone's capacity minus the traffic that clients may still send because of cached lookup
+//! results.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-steering/src/planner/capacity.rs
+++ b/crates/damaskvane-steering/src/planner/capacity.rs
@@ -1,4 +1,7 @@
 //! Limits on the traffic that each destination zone may be assigned.
+//!
+//! Trust is the part of a zone's capacity that the planner uses; reports of overload reduce the
+//! trust.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +10,20 @@
 use crate::planner::inputs::Inputs;
 use crate::{digest, plan, rate, staleness};
 
-/// Lower bound for a reported capacity without evidence of overload, in thousandths of the declared
-/// capacity.
+/// Lower bound for the capacity of a zone whose report shows no overload, in thousandths of the
+/// declared capacity.
 const MIN_UNCONFIRMED_PERMILLE: u32 = 250;
 
-/// Upper bound of the factor that reduces a zone's trust on overload, in thousandths. Applies to
-/// overload without refused requests.
+/// Upper bound of the factor that reduces a zone's trust on overload, in thousandths. Applies if a
+/// report shows overload without refused requests.
 const MAX_OVERLOAD_FACTOR_PERMILLE: u32 = 950;
 
 /// Lower bound of the factor that reduces a zone's trust on overload, in thousandths. The factor is
-/// the part of the arrivals that was not refused.
+/// the part of the arriving requests that was not refused.
 const MIN_OVERLOAD_FACTOR_PERMILLE: u32 = 850;
 
-/// Lowest trust of a zone, in thousandths. Above zero, so that the zone still receives traffic that
-/// can show its recovery.
+/// Lowest trust in a zone, in thousandths. Above zero, so that the zone still receives traffic that
+/// can show the zone's recovery.
 const MIN_TRUST_PERMILLE: u32 = 250;
 
 /// Trust regained with each report that shows no overload, in thousandths.
@@ -37,7 +40,8 @@
 pub(super) struct Limit {
     /// How the planner uses the zone's latest report.
     pub(super) decision: staleness::Decision,
-    /// Capacity of the zone.
+    /// Declared or reported capacity of the zone, before reserve and trust; zero for an excluded
+    /// zone.
     pub(super) capacity: rate::Rate,
     /// Maximum flow that the planner assigns; at most the capacity.
     pub(super) usable: rate::Rate,
@@ -49,11 +53,11 @@
 }
 
 impl Trust {
-    /// Reduces the trust in zones whose new report shows overload and restores it step by step
-    /// otherwise.
+    /// Reduces the trust in zones whose new report shows overload, and restores the trust in other
+    /// zones step by step with their new reports.
     ///
-    /// Each report is applied once. Otherwise a frozen report would reduce or restore trust with
-    /// every plan.
+    /// Each report is applied once. Otherwise a report that the zone does not renew would reduce or
+    /// restore trust with every plan.
     pub(super) fn update(inputs: &Inputs<'_>) -> Self {
         let mut trust = Self {
             trusted_permille: BTreeMap::new(),
@@ -134,8 +138,8 @@
     }
 }
 
-/// Returns the reported capacity, limited to the declared capacity and bounded below unless the
-/// report shows overload.
+/// Returns the reported capacity, limited above by the declared capacity and, unless the report
+/// shows overload, below by [`MIN_UNCONFIRMED_PERMILLE`] of the declared capacity.
 ///
 /// A false report of zero capacity would push a healthy zone's traffic onto its neighbors, and such
 /// reports from all zones would cause every client to be refused although no request fails. A drop
@@ -186,7 +190,7 @@
     }
 }
 
-/// Collects the reported capacities that the next plan needs.
+/// Returns the last two reported capacities of each zone, which the next plan needs.
 pub(super) fn reported(
     inputs: &Inputs<'_>,
 ) -> BTreeMap<ids::AvailabilityZoneId, plan::ReportedCapacity> {
--- a/crates/damaskvane-steering/src/planner/check.rs
+++ b/crates/damaskvane-steering/src/planner/check.rs
@@ -5,13 +5,13 @@
 use crate::planner::inputs::Inputs;
 use crate::rate;
 
-/// Clears all flows to a destination whose limit is exceeded and returns the number of such
-/// destinations.
+/// Clears all flows to each destination whose usable capacity is exceeded, and returns the number
+/// of such destinations.
 ///
-/// The fill algorithm stays within capacity by construction. If a later change breaks this, all
-/// instances together would send a zone more than it can carry, and that zone would refuse requests
-/// while others have free capacity. Release builds clear the flows and count the violation; debug
-/// builds panic.
+/// The algorithm that assigns flows stays within capacity by construction. If a later change of the
+/// code breaks this, all instances together would send a zone more than it can carry, and that zone
+/// would refuse requests while others have free capacity. Release builds clear the flows and count
+/// the violation; debug builds panic.
 pub(super) fn enforce(
     inputs: &Inputs<'_>,
     capacity: &Capacity,
--- a/crates/damaskvane-steering/src/planner/demand.rs
+++ b/crates/damaskvane-steering/src/planner/demand.rs
@@ -1,4 +1,7 @@
-//! Demand estimate of every source zone.
+//! Demand estimate of every source zone: the rate of requests of the clients nearest to the zone.
+//!
+//! A step is the computation of one plan. The level is the estimated demand, and the trend is the
+//! rise of the level per step. A change is the measured demand minus the sum of level and trend.
 
 use damaskvane_core::ids;
 
@@ -12,16 +15,16 @@
 /// Relative size of a change that is treated as noise, in thousandths of the estimate.
 const NOISE_PERMILLE: i64 = 150;
 
-/// Size of a change that is treated as noise, in standard deviations of the counted arrivals.
+/// Size of a change that is treated as noise, in standard deviations of the counted requests.
 const NOISE_DEVIATIONS: u64 = 3;
 
-/// Part of a change within the noise that the level takes over in one step, in thousandths.
+/// Part of a change within the noise that is added to the level in one step, in thousandths.
 const NOISE_GAIN_PERMILLE: i64 = 200;
 
-/// Part of a change within the noise that the trend takes over in one step, in thousandths.
+/// Part of a change within the noise that is added to the trend in one step, in thousandths.
 const TREND_GAIN_PERMILLE: i64 = 10;
 
-/// Part of a change beyond the noise that the level takes over in one step, in thousandths.
+/// Part of a change beyond the noise that is added to the level in one step, in thousandths.
 const CHANGE_GAIN_PERMILLE: i64 = 500;
 
 /// Number of steps that the demand is forecast ahead: the time until reports and client caches
@@ -32,11 +35,12 @@
 /// of the estimate.
 const UNREPORTED_DECAY_PERMILLE: i64 = 10;
 
-/// Minimum demand planned for a source zone, so that its first clients receive weights.
+/// Minimum demand planned for a source zone, so that the plan has weights for the first clients of
+/// a zone without demand.
 const MIN_DEMAND: rate::Rate = rate::Rate::per_second(1);
 
 /// Upper bound for the demand of one source zone, as a multiple of the declared capacity of all
-/// zones. Larger values are treated as a false report.
+/// zones. A larger measured demand is treated as a false report and limited to this bound.
 const MAX_DEMAND_MULTIPLE: u64 = 4;
 
 pub(super) fn estimate(inputs: &Inputs<'_>) -> Vec<Estimate> {
@@ -83,8 +87,9 @@
     let expected = previous.level_milli + previous.trend_milli;
     let residual_milli = measured - expected;
     if residual_milli < 0 && !all_reported {
-        // The sum lacks the traffic of the zone without a report. If the estimate followed the sum,
-        // the clients of a lost region would not be counted just when they need capacity elsewhere.
+        // The measured demand lacks the part in the zone without a report. If the estimate followed
+        // it, the clients of a lost region would not be counted just when they need capacity
+        // elsewhere.
         let decay = previous.level_milli * UNREPORTED_DECAY_PERMILLE / 1_000;
         return Estimate {
             level_milli: previous.level_milli + residual_milli.max(-decay),
@@ -109,8 +114,8 @@
     }
 }
 
-/// Limits a large change to the part that the previous step confirmed, but to no less than the
-/// noise.
+/// Limits a change beyond the noise to the size of the previous step's change in the same
+/// direction, but to no less than the noise.
 ///
 /// Without this limit, a single false report, or a report under another zone's name, would multiply
 /// or halve the demand for seconds, and clients would be refused while capacity is free.
@@ -154,8 +159,8 @@
 }
 
 fn measured(inputs: &Inputs<'_>, zone: &ids::AvailabilityZoneId) -> rate::Rate {
-    // The last report of an unreachable zone includes clients that other zones count by now. With
-    // both, the demand of a lost region would appear doubled.
+    // The last report of an unreachable zone includes clients that other zones count by now. If
+    // both counted, the demand of a lost region would appear doubled.
     let excluded = staleness::Decision::Exclude;
     let digests = inputs.view.digests();
     let reachable = digests.filter(|digest| inputs.decision(&digest.zone) != excluded);
--- a/crates/damaskvane-steering/src/planner/fill.rs
+++ b/crates/damaskvane-steering/src/planner/fill.rs
@@ -1,4 +1,7 @@
-//! Assignment of the sources' demand to destination zones, nearest first and level by level.
+//! Assignment of the source zones' demand to destination zones, nearest first and level by level.
+//!
+//! A level is an upper limit on the utilization (the used part of the usable capacity) of all
+//! destinations. A step is the change from one plan to the next.
 
 use crate::planner::capacity::Capacity;
 use crate::planner::demand::Demand;
@@ -7,17 +10,18 @@
 use crate::planner::links::Budgets;
 use crate::{input, plan, rate, staleness};
 
-/// Step between utilization levels above the policy's knee, in thousandths.
+/// Difference between consecutive utilization levels above the policy's knee, in thousandths.
 const LEVEL_PERMILLE: u32 = 50;
 
 /// Highest utilization level, in thousandths: the whole usable capacity.
 const LEVEL_LIMIT_PERMILLE: u32 = 1_000;
 
-/// Passes over each level and distance; a later pass assigns what an earlier one left over.
+/// Number of passes over each level and distance; the second pass assigns demand that the first
+/// pass could not assign.
 const ROUNDS_PER_LEVEL: usize = 2;
 
-/// Part of its surplus over the fair share that a source retains per step while other sources lack
-/// theirs, in thousandths.
+/// Part of a source's flow beyond its fair share that the source retains per step while other
+/// sources get less than their fair shares, in thousandths.
 const RETAINED_SURPLUS_PERMILLE: u32 = 800;
 
 const UNLIMITED: rate::Rate = rate::Rate::from_milli(u64::MAX);
@@ -34,15 +38,15 @@
     capacity: &'a Capacity,
     remaining: Demand,
     used: Vec<rate::Rate>,
-    /// Traffic that clients may still send because of cached lookup results, minus the part that is
-    /// planned again.
+    /// Traffic that clients may still send because of cached lookup results, minus the part that
+    /// the new plan has assigned to the same destination.
     cached: Flows,
-    /// Remaining rise of the flow to each destination above the cached traffic.
+    /// How much the flow to each destination may still rise above the cached traffic.
     rise: Vec<rate::Rate>,
     planned: Flows,
 }
 
-/// Computes the flows of one service and charges the links for them.
+/// Computes the flows of one service and subtracts the flows from the budgets of the links.
 pub(super) fn fill(
     inputs: &Inputs<'_>,
     links: &mut Budgets,
@@ -72,7 +76,8 @@
     fill.planned
 }
 
-/// Splits demand into the fair share that the total capacity can carry and the rest.
+/// Splits the demand of each source into the fair share, which the total capacity can carry, and
+/// the rest.
 ///
 /// The fair share is the same part of the demand for every source.
 ///
@@ -113,10 +118,10 @@
 impl Fill<'_> {
     /// Returns the demand beyond the fair share that each source may place.
     ///
-    /// Links, steps or static shares can leave capacity that the fair shares could not use. While
-    /// some source lacks its fair share, the sources with a surplus give it up step by step.
-    /// Otherwise the free capacity would return to the same sources each time, since only their
-    /// clients have cached lookup results.
+    /// The limits of links, of the rise per step or of static shares can leave capacity that the
+    /// fair shares could not use. While some source gets less than its fair share, the sources with
+    /// more than theirs reduce the surplus step by step. Otherwise the free capacity would return
+    /// to the same sources each time, since only their clients have cached lookup results.
     fn demand_beyond_fair_share(&self, rest: Demand) -> Demand {
         if self
             .remaining
@@ -142,8 +147,8 @@
         })
     }
 
-    /// Places the demand that shift tickets move, limited by the capacity available at the
-    /// destinations.
+    /// Assigns the demand that shift tickets (operators' orders to move traffic) move, limited by
+    /// the capacity available at the destinations.
     fn place_movements(&mut self) {
         let inputs = self.inputs;
         let movements = inputs.geometry.topology.movements.iter();
@@ -250,8 +255,8 @@
         link.map_or(available, |link| available.min(link))
     }
 
-    /// Returns the flow that a destination without a fresh report may still receive from one
-    /// source.
+    /// Returns how much more flow a destination may receive from one source by the age of the
+    /// destination's report.
     fn staleness_limit(&self, source: usize, destination: usize) -> rate::Rate {
         let allowed = match self.capacity.limits[destination].decision {
             staleness::Decision::Measured => return UNLIMITED,
@@ -262,9 +267,10 @@
         allowed.saturating_sub(self.planned.flows.at(source, destination))
     }
 
-    /// Returns the flow of the previous plan.
+    /// Returns the flow of the previous plan, above which the flow to a destination with an old
+    /// report may not rise.
     ///
-    /// A limit on the share alone would let the flow rise with the demand.
+    /// A limit on the share of the source's clients alone would let the flow rise with the demand.
     fn held_flow(&self, source: usize, destination: usize) -> rate::Rate {
         let zones = &self.inputs.geometry.zones;
         let previous = self.inputs.previous;
--- a/crates/damaskvane-steering/src/planner/flows.rs
+++ b/crates/damaskvane-steering/src/planner/flows.rs
@@ -1,4 +1,4 @@
-//! Flows from source zones to destination zones.
+//! Flows (rates of requests) from source zones, nearest to the clients, to destination zones.
 
 use std::collections::BTreeMap;
 
--- a/crates/damaskvane-steering/src/planner/links.rs
+++ b/crates/damaskvane-steering/src/planner/links.rs
@@ -11,8 +11,8 @@
 ///
 /// All services share the links, so one set of budgets is used for the whole plan. A link has its
 /// budget in each direction. A request uses one direction and its response the other, but the
-/// declared size covers both together. The whole size is therefore charged to the pair of regions,
-/// whichever one sends.
+/// declared size covers both together. The whole size is therefore subtracted from the budget of
+/// the pair of regions, whichever region sends.
 pub(super) struct Budgets {
     remaining_bits: Matrix<Option<u64>>,
 }
--- a/crates/damaskvane-steering/src/planner/settings.rs
+++ b/crates/damaskvane-steering/src/planner/settings.rs
@@ -22,14 +22,14 @@
     pub limits: staleness::Limits,
     /// Part of a zone's capacity that the planner may assign, in thousandths.
     pub usable_permille: u32,
-    /// Additional reserve, in thousandths of the square root of the capacity in requests per
-    /// second.
+    /// Capacity that the planner does not assign beyond the part excluded by `usable_permille`, in
+    /// thousandths of the square root of the capacity in requests per second.
     pub margin_permille: u32,
-    /// Maximum rise of the planned flow to a zone in one step, in thousandths of the zone's
-    /// capacity.
+    /// Maximum rise of the planned flow to a zone from one plan to the next (a step), in
+    /// thousandths of the zone's capacity.
     pub step_permille: u32,
-    /// Maximum rise in one step while some zone is excluded and its clients need capacity
-    /// elsewhere, in thousandths.
+    /// Maximum rise of the planned flow to a zone in one step while some other zone is excluded and
+    /// its clients need capacity elsewhere, in thousandths of the zone's capacity.
     pub failover_step_permille: u32,
     /// How long a refused client waits before its next lookup.
     pub retry_after: time::SpanMs,
--- a/crates/damaskvane-steering/src/policy.rs
+++ b/crates/damaskvane-steering/src/policy.rs
@@ -1,5 +1,8 @@
 //! Steering policy of a deployment.
 //!
+//! Utilization is the part of a zone's capacity that is in use. A knee is the utilization above
+//! which the planner sends further clients to other zones.
+//!
 //! ```
 //! use damaskvane_steering::policy;
 //!
@@ -15,8 +18,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Policy {
-    /// Clients use near zones until these zones' utilization passes a knee, and only the excess
-    /// goes farther.
+    /// Clients use near zones until the utilization of these zones passes a high knee, and only the
+    /// clients in excess of the knee use zones that are farther away.
     #[default]
     Latency,
     /// Utilization is balanced over all zones, so that the fullest region keeps as much free
@@ -31,8 +34,8 @@
 }
 
 impl Policy {
-    /// Returns the utilization of a zone up to which its clients stay before other zones are
-    /// considered, in thousandths.
+    /// Returns the knee of a zone's utilization, up to which the zone's clients use only this zone,
+    /// in thousandths.
     #[must_use]
     pub const fn knee_permille(self) -> u32 {
         match self {
--- a/crates/damaskvane-steering/src/rate.rs
+++ b/crates/damaskvane-steering/src/rate.rs
@@ -1,7 +1,7 @@
 //! Request rates in thousandths of a request per second.
 //!
-//! A zone of three backend servers may carry only a few requests per second, of which a source zone
-//! receives a tenth. Whole requests per second would round such a grant to zero.
+//! A zone of three backend servers may carry only a few requests per second and grant a tenth of
+//! them to another zone. Whole requests per second would round such a grant to zero.
 //!
 //! ```
 //! use damaskvane_steering::rate;
@@ -34,7 +34,7 @@
 }
 
 impl Rate {
-    /// Rate of no requests.
+    /// Zero requests per second.
     pub const ZERO: Self = Self(0);
 
     /// Creates a rate from whole requests per second; saturates on overflow.
@@ -55,7 +55,7 @@
         self.0
     }
 
-    /// Returns the difference, or zero where it would be negative.
+    /// Returns this rate minus the other rate, or zero if the difference is negative.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
--- a/crates/damaskvane-steering/src/shift.rs
+++ b/crates/damaskvane-steering/src/shift.rs
@@ -1,9 +1,10 @@
 //! Planned shifts of traffic between zones, ordered by ticket and limited by a cap.
 //!
-//! A shift moves traffic in steps. Each step waits until the caches at the destination are warm and
-//! is at most half of the traffic moved so far. Overload or errors freeze the shift and revert it
-//! step by step. A ledger records all moves, forward and back, and enforces the cap over any
-//! window.
+//! A ticket is an operator's order of a shift. The cap limits the sum of the moves, forward and
+//! back, within a window of time. A shift moves traffic in steps. Each step waits until the caches
+//! at the destination are warm and is at most half of the traffic moved so far. Overload or errors
+//! freeze the shift and revert it step by step. A ledger records all moves and enforces the cap
+//! over any window.
 //!
 //! ```
 //! use damaskvane_core::time;
--- a/crates/damaskvane-steering/src/shift/ledger.rs
+++ b/crates/damaskvane-steering/src/shift/ledger.rs
@@ -1,5 +1,7 @@
 //! Record of a shift's moves that enforces the cap over any window.
 //!
+//! The cap limits the part of the clients that is moved, forward and back, within a window of time.
+//!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_steering::shift;
@@ -39,7 +41,7 @@
 
     /// Creates a ledger that allows no move before a whole window has passed.
     ///
-    /// For an instance that resumes a shift and has no record of the moves just before.
+    /// For an instance that resumes a shift and has no record of the moves in the last window.
     #[must_use]
     pub fn exhausted(cap_permille: u32, window: time::SpanMs, now: time::TimeMs) -> Self {
         let mut ledger = Self::new(cap_permille, window);
@@ -47,7 +49,8 @@
         ledger
     }
 
-    /// Returns the sum of the moves in the window that ends at `now`, in thousandths.
+    /// Returns the sum of the moves in the window that ends at `now`, in thousandths of the
+    /// clients.
     #[must_use]
     pub fn moved(&self, now: time::TimeMs) -> u32 {
         let recent = self.moves.iter();
@@ -55,7 +58,7 @@
         recent.map(|(_, moved)| moved).sum()
     }
 
-    /// Returns how much may still move at `now`, in thousandths.
+    /// Returns the part of the clients that the cap allows to move at `now`, in thousandths.
     #[must_use]
     pub fn available(&self, now: time::TimeMs) -> u32 {
         self.cap_permille.saturating_sub(self.moved(now))
@@ -63,9 +66,9 @@
 
     /// Records a move and returns the part of it that the cap allows.
     ///
-    /// The shift never requests more than is available. If a later change breaks this, the rest of
-    /// the move is refused and counted; otherwise the shift would exceed the cap that its ticket
-    /// promises.
+    /// The shift never requests more than is available. If a later change of the code breaks this,
+    /// the rest of the move is refused and the move is counted as a violation; otherwise the shift
+    /// would exceed the cap that its ticket promises.
     pub fn record(&mut self, moved_permille: u32, now: time::TimeMs) -> u32 {
         self.moves
             .retain(|(moved_at, _)| now.since(*moved_at) < self.window);
--- a/crates/damaskvane-steering/src/shift/machine.rs
+++ b/crates/damaskvane-steering/src/shift/machine.rs
@@ -14,7 +14,8 @@
 use crate::shift::progress::{Phase, Progress};
 use crate::shift::stage::Stage;
 
-/// Part of the cap that forward moves may use, in thousandths; the rest is reserved for reverting.
+/// Part of the cap (the limit on all moves within a window) that forward moves may use, in
+/// thousandths; the rest is reserved for reverting.
 const FORWARD_PERMILLE: u32 = 667;
 
 /// Maximum step, in thousandths of the traffic moved so far, so that most cache entries at the
@@ -97,14 +98,14 @@
         }
     }
 
-    /// Starts the shift; nothing has moved yet.
+    /// Starts the shift, with no client moved yet.
     #[must_use]
     pub fn start(self, _now: time::TimeMs) -> Shift<Ramping> {
         self.with_phase(Ramping { stepped_at: None })
     }
 
-    /// Resumes a shift of which other instances have already moved `moved_permille`; nothing more
-    /// moves for one window.
+    /// Resumes a shift by which other instances have already moved `moved_permille` of the clients.
+    /// No further client moves for one window of the cap.
     ///
     /// If a restarted instance began at zero, it would send all moved clients back at once.
     #[must_use]
--- a/crates/damaskvane-steering/src/shift/order.rs
+++ b/crates/damaskvane-steering/src/shift/order.rs
@@ -8,16 +8,17 @@
 
 use damaskvane_core::time;
 
-/// Parameters of a shift, as its ticket orders them.
+/// Parameters of a shift, as given in its ticket, the operator's order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Order {
     /// Part of the clients that is moved when the shift is complete, in thousandths.
     pub target_permille: u32,
-    /// Maximum sum of the moves in any window, forward and back together, in thousandths.
+    /// Maximum sum of the moves in any window, forward and back together, in thousandths of the
+    /// clients.
     pub cap_permille: u32,
-    /// Window of the cap.
+    /// Length of the window within which the cap limits the moves.
     pub window: time::SpanMs,
-    /// First step, and minimum of later steps, in thousandths.
+    /// Size of the first step and minimum size of later steps, in thousandths of the clients.
     pub first_step_permille: u32,
     /// Minimum time between two steps, in which the caches at the destination warm up.
     pub warm_up: time::SpanMs,
--- a/crates/damaskvane-steering/src/shift/progress.rs
+++ b/crates/damaskvane-steering/src/shift/progress.rs
@@ -39,9 +39,9 @@
     pub phase: Phase,
     /// Part of the clients that is moved, in thousandths.
     pub moved_permille: u32,
-    /// Part of the clients that the shift moves in total, in thousandths.
+    /// Part of the clients that is moved when the shift is complete, in thousandths.
     pub target_permille: u32,
-    /// Number of moves that were reduced because they exceeded the cap. A value above zero
-    /// indicates a programming error.
+    /// Number of moves that were reduced because they exceeded the cap, the limit on the moves
+    /// within a window. A value above zero indicates a programming error.
     pub limit_violations: u64,
 }
--- a/crates/damaskvane-steering/src/staleness.rs
+++ b/crates/damaskvane-steering/src/staleness.rs
@@ -1,4 +1,5 @@
-//! Steering decision by the age of a zone's report and the zone's reachability.
+//! How the planner uses a destination zone, by the age of the zone's report on its load and
+//! capacity and by the zone's reachability.
 //!
 //! The decision table covers every combination of age and reachability;
 //! `docs/operations/steering.md` lists it.
@@ -15,9 +16,9 @@
 /// Age class of a zone's latest report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Age {
-    /// Recent enough to steer by.
+    /// Recent enough to raise and lower the flow to the zone by.
     Fresh,
-    /// Too old to raise flows by, but recent enough to keep them.
+    /// Too old to raise the flow to the zone by, but recent enough to keep the flow.
     Old,
     /// Too old to use, or no report was received.
     Expired,
@@ -35,11 +36,12 @@
 /// How the planner uses a destination zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Steer by the report.
+    /// Assign traffic by the capacity in the report.
     Measured,
-    /// Keep at most the planned flow and raise nothing.
+    /// Assign at most the flow of the previous plan.
     Hold,
-    /// Use the static share of the declared capacity.
+    /// Assign traffic by the declared capacity, of which other zones use only the static share: the
+    /// part for which they need no grant.
     StaticShare,
     /// Send no new traffic.
     Exclude,
@@ -80,7 +82,7 @@
 ///
 /// An unreachable zone receives no new traffic, however recent its report is. The report describes
 /// the zone before the connection was lost, and clients sent there would wait for a timeout while
-/// the digests look healthy.
+/// the report looks healthy.
 #[must_use]
 pub const fn decide(age: Age, reachability: Reachability) -> Decision {
     match (age, reachability) {
