--- a/crates/damaskvane-routing/tests/admission.rs
+++ b/crates/damaskvane-routing/tests/admission.rs
@@ -1,4 +1,9 @@
 //! Tests of the requests that placement refuses, and of the servers that replace unusable ones.
+//!
+//! Each object has a first and a second server. A server's slots are the number of requests that it runs at the same
+//! time; further requests wait in its queue. A cold server has started recently and gets few requests. A first run is
+//! the slow run of a request on a server that has not handled the request's object recently. The usual time is the
+//! duration that placement expects of an exchange, from earlier exchanges of the route.
 
 mod support;
 
@@ -8,9 +13,10 @@
     at, choose, configuration, fill, pick, placer, pool_of, request, route, server_id, service_id,
 };
 
-/// Guards against an overload that outlasts its cause. Load exceeds the slots and queues grow. If objects then spread
-/// over more servers, each request takes longer, the queues grow further, and the overload stays after the load has
-/// fallen. An object stays with its two servers, and requests beyond their capacity are refused at once.
+/// Guards against an overload that outlasts its cause. More requests arrive than the slots can run, and queues grow. If
+/// objects were then sent to more than two servers each, slow first runs would fill the slots, the queues would grow
+/// further, and the overload would stay after the load has fallen. An object stays with its two servers, and requests
+/// beyond the capacity of both are refused at once.
 #[test]
 fn a_request_is_refused_when_both_servers_of_its_object_are_full() {
     let mut pool = pool_of(&[("east-a", 4)]);
@@ -28,9 +34,9 @@
     }
 }
 
-/// Guards against a server that counts as full permanently. A burst of other instances' requests fills the server, and
-/// its last report states so. Without a request the server sends no further report, so the refusals must end once the
-/// report is old.
+/// Guards against a server that counts as full permanently. Requests of other instances fill the server, and its last
+/// load report to this instance states that it is full. A server reports its load only with a response, so this
+/// instance must send it requests again once the report is old.
 #[test]
 fn a_full_server_receives_requests_again_once_its_report_is_old() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -54,8 +60,8 @@
     assert!(matches!(later, Choice::Send(_)));
 }
 
-/// Guards against load limits that don't fall with the priority: under load, the less urgent requests of a service must
-/// be refused first.
+/// Guards against load limits that don't fall with the priority. The load limit is the load of a server above which a
+/// request is refused, and a less urgent request must have a lower limit.
 #[test]
 fn less_urgent_requests_are_refused_at_a_lower_load() {
     let settings = placement::PlacementSettings::default();
@@ -66,7 +72,7 @@
     );
 }
 
-/// Guards against a request that leaves the allowed regions of its route because no server is left there.
+/// Guards against a request that is sent outside the allowed regions of its route because these regions have no server.
 #[test]
 fn a_request_is_refused_rather_than_sent_outside_its_allowed_regions() {
     let pool = pool_of(&[("west-a", 3)]);
@@ -78,8 +84,9 @@
     assert!(matches!(choice, Choice::Refuse(refusal) if refusal.reason == RefusalReason::NoServer));
 }
 
-/// Guards against a wrong usual time. The servers of an object are cold, and another server takes the request. If that
-/// server counted as one that has handled the object recently, its slow first run would distort the usual time.
+/// Guards against a wrong usual time. Both servers of an object are cold, and a third server receives the request. If
+/// placement assumed that the third server has handled the object recently, the slow first run there would distort the
+/// usual time.
 #[test]
 fn a_replacement_for_cold_servers_is_not_assumed_to_have_handled_the_object() {
     let mut pool = pool_of(&[("east-a", 4), ("west-a", 4)]);
--- a/crates/damaskvane-routing/tests/configuration.rs
+++ b/crates/damaskvane-routing/tests/configuration.rs
@@ -27,8 +27,8 @@
     assert!(configuration.route("other.example", "/look/1").is_none());
 }
 
-/// Guards against shares that differ from the declared weights: over a few hundred requests each service must receive
-/// its share within one or two requests, also right after a change of the weights.
+/// Guards against a traffic split that differs from the declared weights: of a few hundred requests, each service must
+/// receive its share within one or two requests, also right after a change of the weights.
 #[test]
 fn a_split_follows_its_weights() {
     let parts = |weights: [u32; 3]| {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Guards against a panic or an arbitrary service for a route whose weights are all zero.
+/// Guards against a panic or an arbitrary choice of service for a route whose services all have the weight zero.
 #[test]
 fn a_split_with_zero_weights_has_no_destination() {
     let parts = [0, 0].map(|weight| Destination {
--- a/crates/damaskvane-routing/tests/digests.rs
+++ b/crates/damaskvane-routing/tests/digests.rs
@@ -1,4 +1,7 @@
 //! Tests of the digests, membership updates and heartbeats from which instances learn of other zones' instances.
+//!
+//! An aggregator is one of the first live instances of a zone; it sends the zone's digests (lists of live instances)
+//! and membership updates (heartbeats that report a start or a change of phase) to other zones.
 
 mod support;
 
@@ -48,8 +51,8 @@
     assert_eq!(within, [heartbeat("east-2", "east-a", 1).peer_address]);
 }
 
-/// Guards against a stop that other zones miss: the last instance of a zone stops, and the zone has no aggregator left,
-/// so the instance must send its phase to all instances itself.
+/// Guards against a stop that other zones don't learn of. The last instance of a zone stops. Its zone has no aggregator
+/// left to report the phase, so the instance must send its phase to all instances itself.
 #[test]
 fn a_change_of_phase_is_sent_to_all_instances() {
     let mut own = members("east-1", "east-a");
@@ -67,9 +70,8 @@
     }
 }
 
-/// Guards against an instance that stays unknown after its start: it is listed, but no heartbeat of it was received. An
-/// instance of the same zone receives every heartbeat, since the zone's store changes come through its first instances.
-/// An instance of another zone receives only some heartbeats.
+/// Guards against an instance that stays unknown because it is listed and no heartbeat from it was received. Its own
+/// zone sends it every heartbeat, as the zone's store changes come through its first instances; other zones send some.
 #[test]
 fn a_listed_instance_without_a_heartbeat_receives_heartbeats() {
     let mut own = members("east-1", "east-a");
@@ -80,8 +82,8 @@
     assert_eq!(recipients, [far.peer_address, near.peer_address]);
 }
 
-/// Guards against a start of hundreds of instances that each send heartbeats to all others, most of the traffic between
-/// zones in a large fleet. An instance sends heartbeats to its zone, and an aggregator sends updates to other zones.
+/// Guards against a start of hundreds of instances that each send heartbeats to all others, which would be most of the
+/// traffic between zones. An instance sends heartbeats to its zone, and an aggregator sends updates to other zones.
 #[test]
 fn an_aggregator_sends_the_starts_of_its_zone_to_other_zones() {
     let own_id = "east-1".parse().expect("a name");
@@ -212,7 +214,7 @@
     }
 }
 
-/// Guards against a fleet that starts at once and whose zones exchange no message until an instance is ready.
+/// Guards against zones that exchange no message until an instance is ready, after all instances started at once.
 #[test]
 fn an_announcement_goes_to_the_first_listed_instances_of_each_other_zone() {
     let mut own = members("east-1", "east-a");
@@ -225,9 +227,9 @@
     assert_eq!(own.recipients(at(300), 12).len(), 1);
 }
 
-/// Guards against a ready instance that another zone doesn't use: the heartbeat that reported the phase was lost
-/// between the zones. Without the phase in the digest, callers there would not be sent to the instance until its next
-/// heartbeat to all instances.
+/// Guards against a ready instance that another zone doesn't use, because the heartbeat that reported its phase was
+/// lost between the zones. Without the phase in the digest, callers there would not be sent to the instance until its
+/// next heartbeat to all instances.
 #[test]
 fn a_digest_reports_that_an_instance_is_ready() {
     let mut west = members("west-1", "west-a");
@@ -263,8 +265,8 @@
     assert!(is_usable(&west, 8_000, "east-1"));
 }
 
-/// Guards against digests that keep an instance usable after it has lost power: clients that are sent there wait a
-/// second for each new connection.
+/// Guards against digests that keep an instance usable after the instance has lost power: clients that are sent to it
+/// wait a second for each new connection.
 #[test]
 fn a_digest_does_not_keep_a_silent_instance_alive() {
     let mut west = members("west-1", "west-a");
@@ -329,8 +331,8 @@
     assert!(last.digest_forward_recipients(at(100)).is_empty());
 }
 
-/// Guards against a zone that counts all other zones as dead: the instances of the zone that receive digests lose
-/// power, so the next instances must receive them.
+/// Guards against a zone that receives no digests and counts all other zones as dead: its instances that receive the
+/// digests lose power, so the digests must go to the zone's next instances.
 #[test]
 fn digests_go_to_the_next_instances_of_a_zone_when_the_first_are_silent() {
     let mut east = members("east-1", "east-a");
@@ -371,8 +373,8 @@
     assert!(total < to_all / 2, "{total} of {to_all}");
 }
 
-/// Guards against a new instance in a running fleet that knows only a few instances of other zones: it would send all
-/// callers of a lost zone to those few.
+/// Guards against a new instance in a running fleet that has received heartbeats of only a few instances of other
+/// zones: it would send all callers of a lost zone to those few.
 #[test]
 fn an_aggregator_sends_the_instances_of_other_zones_to_a_new_instance() {
     let mut aggregator = members("east-1", "east-a");
--- a/crates/damaskvane-routing/tests/index.rs
+++ b/crates/damaskvane-routing/tests/index.rs
@@ -1,4 +1,7 @@
 //! Tests of the index that finds the servers of an object while servers join, leave and change.
+//!
+//! A server's slots are the number of requests that it runs at the same time. A first run is the slow run of a request
+//! on a server that has not handled the request's object recently.
 
 mod support;
 
@@ -10,7 +13,8 @@
 
 const ZONES: [&str; 3] = ["east-a", "east-b", "west-a"];
 
-/// Returns the first servers of an object, in order. Each is selected with the servers before it as already tried.
+/// Returns up to `max_servers` servers of an object in the order in which a request tries them: each is selected with
+/// the servers before it as already tried.
 fn servers_of(pool: &ServerPool, own_zone: &str, object: u64, max_servers: usize) -> Vec<String> {
     let (route, service) = (route(), service_id());
     let mut placer = placer(own_zone);
@@ -81,8 +85,8 @@
     fresh
 }
 
-/// Guards against an index that differs from its servers after many changes: an instance that has run for long would
-/// use other servers for an object than an instance that has just started.
+/// Guards against an index that differs from a new index of the same servers after many changes: an instance that has
+/// run for long would use other servers for an object than an instance that has just started.
 #[test]
 fn an_index_after_many_changes_equals_a_rebuilt_index() {
     for seed in 0..20 {
@@ -101,7 +105,7 @@
     }
 }
 
-/// Guards against objects that move between other servers when a server joins: each such object costs a slow first run.
+/// Guards against a new server that makes objects move between the old servers: each such move costs a slow first run.
 #[test]
 fn a_new_server_takes_objects_and_moves_no_others() {
     let mut random = rand_pcg::Pcg32::seed_from_u64(7);
@@ -125,8 +129,8 @@
     );
 }
 
-/// Guards against a second server that depends on the path of the search: instances that have removed a lost first
-/// server must select the server that other instances use as the object's second one.
+/// Guards against an order of servers that changes when the first one is removed: instances that have removed a lost
+/// first server must select the server that other instances use as the object's second one.
 #[test]
 fn the_order_of_servers_stays_when_the_first_is_removed() {
     let mut random = rand_pcg::Pcg32::seed_from_u64(11);
@@ -142,7 +146,7 @@
     }
 }
 
-/// Guards against servers that receive far more or far fewer objects than their slots can serve.
+/// Guards against servers that are the first server of far more or far fewer objects than their slots can serve.
 #[test]
 fn servers_get_objects_in_proportion_to_their_slots() {
     let mut random = rand_pcg::Pcg32::seed_from_u64(5);
--- a/crates/damaskvane-routing/tests/limits.rs
+++ b/crates/damaskvane-routing/tests/limits.rs
@@ -1,4 +1,6 @@
-//! Tests of limits that instances share without exchanging messages.
+//! Tests of limits that instances share without exchanging messages: each instance keeps to its part of a limit.
+//!
+//! A cold server has started recently and gets few requests.
 
 mod support;
 
@@ -8,9 +10,9 @@
 
 const INSTANCES: usize = 8;
 
-/// Guards against cold servers that crash under the sum of all instances' requests: the servers of a whole zone start
-/// at once and every instance sends requests for their objects. The shares of all instances must stay within the limit
-/// of a server.
+/// Guards against cold servers that crash under the requests of all instances together: the servers of a whole zone
+/// start at once, and every instance sends requests for their objects. The shares of all instances must add up to no
+/// more than the limit of a cold server.
 #[test]
 fn shares_of_a_cold_server_stay_within_its_limit_in_any_second() {
     let settings = ColdRateSettings::default();
@@ -35,8 +37,8 @@
     }
 }
 
-/// Guards against retries that keep failed servers down: every server fails and every request needs a second attempt at
-/// every instance. The retries of all instances must stay within the declared share of the requests.
+/// Guards against retries that keep failed servers down: every server fails, and every request needs a second attempt
+/// at each instance. The retries of all instances together must stay within the declared ratio of retries to requests.
 #[test]
 fn retries_of_all_instances_stay_within_the_budget_in_any_window() {
     let settings = RetryBudgetSettings::default();
@@ -61,8 +63,8 @@
     }
 }
 
-/// Guards against shared limits that a restarted instance exceeds: it knows no other instance yet, and with the whole
-/// limits for itself the instances together would exceed them.
+/// Guards against shared limits that are exceeded after an instance restarts: the instance has no list of other
+/// instances yet. If it used each limit alone, all instances together would exceed the limit.
 #[test]
 fn an_instance_without_peers_assumes_many_instances() {
     let settings = PeerSettings::default();
--- a/crates/damaskvane-routing/tests/peer_reports.rs
+++ b/crates/damaskvane-routing/tests/peer_reports.rs
@@ -66,7 +66,7 @@
     assert!(slowness(&receiver, 2_200) < 1.5);
 }
 
-/// Guards against a peer's report of slowness that overrides newer measurements of this instance.
+/// Guards against a peer's report that a server is slow, which overrides newer measurements of this instance.
 #[test]
 fn newer_local_measurements_override_a_report_of_slowness() {
     let mut observer = pool_of(&[("east-a", 1)]);
@@ -81,7 +81,7 @@
     assert!(server.slowness(at(1_600)) < 1.2);
 }
 
-/// Guards against a peer's report of failures that overrides newer responses to this instance.
+/// Guards against a peer's report of a server's failures that overrides newer responses of the server to this instance.
 #[test]
 fn newer_local_responses_override_a_report_of_failures() {
     let mut receiver = pool_of(&[("east-a", 1)]);
@@ -128,7 +128,7 @@
     assert!(server.slowness(at(1_200)) > 4.0);
 }
 
-/// Guards against a server whose exchanges hang and that is not reported before one of them ends.
+/// Guards against a server whose exchanges hang, and which is reported to peers only after one of these exchanges ends.
 #[test]
 fn a_server_whose_exchanges_hang_is_reported() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -144,8 +144,9 @@
     );
 }
 
-/// Guards against a region that seems full because busy servers receive more of the requests and are the only ones that
-/// peers report: popular objects would lose their servers in each zone, and their requests would cross zones.
+/// Guards against a region that seems full because most load reports are about busy servers: they receive more of the
+/// requests, and peers report only them. Popular objects would then lose their servers in each zone, and their requests
+/// would cross zones.
 #[test]
 fn the_load_of_a_region_is_the_mean_load_of_its_servers() {
     const SERVERS: usize = 100;
--- a/crates/damaskvane-routing/tests/peers.rs
+++ b/crates/damaskvane-routing/tests/peers.rs
@@ -1,4 +1,7 @@
-//! Tests of which instances count as alive, which ones a lookup returns, and which ones watch or relay changes.
+//! Tests of which instances count as alive, which instances a lookup returns, and which instances watch the store or
+//! relay its changes.
+//!
+//! A lookup is a client's request for the addresses of instances. An incarnation is one start of an instance's process.
 
 mod support;
 
@@ -37,9 +40,9 @@
     name.bytes().map(u16::from).sum()
 }
 
-/// Guards against outdated routes and servers. The store rejects an instance just after its start, before its record is
-/// written. No other instance knows it, so it receives no changes; if it were ready, its clients would use the outdated
-/// state permanently.
+/// Guards against outdated routes and servers. The store rejects an instance just after its start, before the
+/// instance's record is written. No other instance has a record of it, so it receives no changes; if it were ready, its
+/// clients would use the outdated state permanently.
 #[test]
 fn an_instance_without_peers_has_joined_only_after_the_timeout() {
     let members = members();
@@ -84,8 +87,8 @@
     assert_eq!(looked_up_ports(&members, 200, "west-a"), [port("own")]);
 }
 
-/// Guards against a restarted instance that no lookup returns: it numbers its heartbeats from the start again, and
-/// compared with the numbers of its last incarnation they would count as outdated.
+/// Guards against a restarted instance that no lookup returns: it numbers its heartbeats from the start again. Compared
+/// with the numbers of the instance's previous incarnation, the new heartbeats would count as outdated.
 #[test]
 fn a_lookup_returns_a_restarted_instance() {
     let mut members = members();
@@ -94,8 +97,8 @@
     assert_eq!(looked_up_ports(&members, 2_100, "west-a"), [port("peer")]);
 }
 
-/// Guards against callers that are sent far away when all instances of their zone are lost: the instances of their
-/// region are nearest.
+/// Guards against callers that are sent far away when all instances of their zone are lost: the other instances of
+/// their region are nearest.
 #[test]
 fn a_zone_without_instances_is_served_from_its_region() {
     let mut members = members();
@@ -103,16 +106,17 @@
     assert_eq!(looked_up_ports(&members, 100, "east-b"), [port("own")]);
 }
 
-/// Guards against an instance that omits itself after its process was suspended: this instance is alive even if its
-/// last heartbeat is old.
+/// Guards against an instance that leaves itself out of lookups after its process was suspended: an instance counts
+/// itself as alive even if its own last heartbeat is old.
 #[test]
 fn a_lookup_returns_this_instance_while_it_is_ready() {
     let members = members();
     assert_eq!(looked_up_ports(&members, 60_000, "east-a"), [port("own")]);
 }
 
-/// Guards against request bodies in a region that must not receive them: a route is restricted to some regions, and the
-/// callers' region has no instance left. An instance selected at random could be in a third region.
+/// Guards against request bodies in a region that must not receive them. A route is restricted to some regions, and the
+/// callers' own region has no instance left. An instance that a lookup selected at random could be in a region outside
+/// the restriction.
 #[test]
 fn callers_without_nearby_instances_receive_those_of_allowed_regions() {
     let mut members = members();
@@ -133,7 +137,7 @@
         .collect()
 }
 
-/// Guards against a region that loses all its watchers of the store with one zone.
+/// Guards against a region whose watchers of the store are all in one zone, so that the loss of the zone leaves none.
 #[test]
 fn a_region_has_watchers_in_different_zones() {
     let mut members = members();
@@ -146,8 +150,8 @@
     assert_eq!(watchers(&members, 3_000), ["own", "b-1"]);
 }
 
-/// Guards against shares that add up to more than a limit: every instance that is listed or from which a heartbeat was
-/// received counts once, also after it has become silent.
+/// Guards against shares of a limit that add up to more than the limit: every instance that is listed or from which a
+/// heartbeat was received counts once, also after its heartbeats have stopped.
 #[test]
 fn all_listed_instances_and_senders_of_heartbeats_share_the_limits() {
     let listed = |name: &str| ListedInstance {
@@ -178,9 +182,9 @@
         .collect()
 }
 
-/// Guards against a new deployment in which every instance watches the store: its first configuration is written a
-/// second after the start, and until then no instance is ready. If only ready instances were relays, each instance
-/// would watch the store itself.
+/// Guards against a new deployment in which every instance watches the store itself. The first configuration is written
+/// a second after the start, and until then no instance is ready. If only ready instances relayed store changes, each
+/// instance would have to watch the store.
 #[test]
 fn starting_instances_are_relays_until_an_instance_is_ready() {
     let mut members = members();
--- a/crates/damaskvane-routing/tests/placement.rs
+++ b/crates/damaskvane-routing/tests/placement.rs
@@ -1,4 +1,8 @@
 //! Tests of the server that placement selects for a request.
+//!
+//! A server's slots are the number of requests that it runs at the same time. A first run is the slow run of a request
+//! on a server that has not handled the request's object recently. The usual time is the duration that placement
+//! expects of an exchange, from earlier exchanges of the route.
 
 mod support;
 
@@ -58,7 +62,7 @@
 }
 
 /// Guards against instances of a zone that select different servers for an object: each further server costs a first
-/// run, which takes several times as long.
+/// run, which takes several times as long as a later run.
 #[test]
 fn all_instances_of_a_zone_choose_the_same_server_for_an_object() {
     let mut one = pool_of(&[("east-a", 4), ("west-a", 4)]);
@@ -69,8 +73,8 @@
     }
 }
 
-/// Guards against paid traffic between zones: popular objects belong to the servers of their own zone if the slots
-/// there suffice.
+/// Guards against paid traffic between zones: a popular object is sent to a server of the zone that requests it, if the
+/// zone's slots suffice.
 #[test]
 fn a_zone_with_its_share_of_the_slots_keeps_its_popular_objects() {
     let mut pool = pool_of(&[("east-a", 4), ("east-b", 4), ("west-a", 4)]);
@@ -99,8 +103,8 @@
     assert!((360..520).contains(&of("west-a")), "{zones:?}");
 }
 
-/// Guards against the same overload by rarely requested objects: a region keeps the objects that the slots of all its
-/// zones can serve.
+/// Guards against a region that overloads its few servers with rarely requested objects while other regions' servers
+/// are idle: a region keeps the objects that the slots of all its zones can serve.
 #[test]
 fn a_region_with_few_slots_keeps_objects_up_to_their_capacity() {
     let mut pool = pool_of(&[("east-a", 1), ("east-b", 4), ("west-a", 7)]);
@@ -110,9 +114,9 @@
     assert!((480..640).contains(&in_region), "{in_region} of 1000");
 }
 
-/// Guards against late responses for rarely requested objects. A server is faster for few recent objects, and the first
-/// run of each object takes several times as long. If each zone of a region used its own server for such an object,
-/// half of its requests would be late.
+/// Guards against late responses for rarely requested objects. A server is fast for an object only while the object is
+/// among the few that it has handled recently. If each zone of a region used its own server for a rarely requested
+/// object, half of the object's requests would be slow first runs.
 #[test]
 fn a_rarely_requested_object_has_one_server_in_its_region() {
     let mut pool = pool_of(&[("east-a", 4), ("east-b", 4)]);
@@ -122,9 +126,9 @@
     }
 }
 
-/// Guards against popular objects on several servers of a zone. One server in each zone is worth its first run. With
-/// several, the region's servers would handle so many objects that they are no longer faster for an object at its next
-/// request.
+/// Guards against a popular object on several servers of a zone. One server in each zone is worth the first run there.
+/// With several, the region's servers would handle so many objects that they would no longer be faster for an object at
+/// its next request.
 #[test]
 fn a_popular_object_has_one_server_in_each_zone_of_its_region() {
     let mut pool = pool_of(&[("east-a", 4), ("east-b", 4), ("west-a", 4)]);
@@ -176,7 +180,7 @@
 }
 
 /// Guards against requests that wait in a busy region while other regions have free slots. The load of all zones of a
-/// region rises at the same time, so the second server of an object is in another region.
+/// region rises at the same time, so an object's second server is in another region.
 #[test]
 fn requests_beyond_the_capacity_of_a_region_go_to_another_region() {
     let mut pool = pool_of(&[("east-a", 4), ("east-b", 4), ("west-a", 4)]);
@@ -188,9 +192,10 @@
     assert_eq!(pick(&mut pool, "east-a", object).zone.as_str(), "west-a");
 }
 
-/// Guards against a burst that makes responses late in two regions. If all its requests were sent to another region at
-/// once, the servers there would have handled none of the objects recently, and responses to the callers there would be
-/// late too. The share of shifted requests rises in steps, each a part of its maximum.
+/// Guards against a burst of requests that makes responses late in two regions. If all its requests beyond the region's
+/// capacity were sent to another region at once, the servers there would need a first run for each object, and
+/// responses to the callers of that region would be late too. The share of requests sent to the other region rises in
+/// steps, each a part of the maximum share.
 #[test]
 fn a_burst_shifts_to_another_region_in_steps() {
     let mut pool = pool_of(&[("east-a", 4), ("west-a", 4)]);
@@ -219,7 +224,8 @@
 }
 
 /// Guards against wasted slots. The server that has handled the object recently has a queue, so its response will be
-/// late. On another server the slow first run would be late too, and take three times the slot time.
+/// late. On another server the response would be late too, because of the first run, and the run would take a slot for
+/// three times as long.
 #[test]
 fn a_request_that_is_late_everywhere_uses_the_server_that_handled_its_object() {
     let mut pool = pool_of(&[("east-a", 4)]);
@@ -248,8 +254,8 @@
     }
 }
 
-/// Guards against new requests to a draining server, which are cut off when the server ends, and to servers of an
-/// evacuated zone.
+/// Guards against new requests to a draining server, where they are cut off when the server ends, and against requests
+/// to the servers of an evacuated zone.
 #[test]
 fn a_draining_server_and_an_evacuated_zone_receive_no_requests() {
     let mut pool = pool_of(&[("east-a", 2), ("west-a", 2)]);
@@ -279,7 +285,7 @@
 }
 
 /// Guards against a server that fails some of its requests while its health check passes: the server must receive fewer
-/// requests while it fails, and its requests again some time later.
+/// requests while it fails, and as many as before some time later.
 #[test]
 fn a_failing_server_is_passed_over_and_used_again_later() {
     let mut pool = pool_of(&[("east-a", 3)]);
--- a/crates/damaskvane-routing/tests/pool.rs
+++ b/crates/damaskvane-routing/tests/pool.rs
@@ -1,4 +1,8 @@
 //! Tests of how the pool applies store changes, broken connections, probe results and peers' reports of load.
+//!
+//! An entry is a server's record in the store. The grace time is the time for which the pool retains a server whose
+//! entry is missing after a store outage. A cold server has started recently and gets few requests during its warm-up.
+//! A server's slots are the number of requests that it runs at the same time.
 
 mod support;
 
@@ -27,8 +31,9 @@
     );
 }
 
-/// Guards against a live server without requests: its entry expired during an outage and is written again, so the end
-/// of the grace time must not remove the server. It would receive no requests until its next change.
+/// Guards against a live server that receives no requests: its entry expired during an outage and was written again, so
+/// the end of the grace time must not remove the server. A removed server would receive no requests until the next
+/// change of its entry.
 #[test]
 fn an_expired_entry_that_is_written_again_is_kept() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -40,7 +45,7 @@
 }
 
 /// Guards against requests to a server after its drain time: a server that was draining before a store outage has ended
-/// when the store returns, so it must have no grace time.
+/// by the time the store is available again, so the server must have no grace time.
 #[test]
 fn a_draining_server_has_no_grace_time() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -57,8 +62,8 @@
     );
 }
 
-/// Guards against requests to a server that has left without notice: while the store is available, a removed entry
-/// means that the server serves for its drain time only, so requests to it must stop at once.
+/// Guards against requests to a server that has left without draining first. While the store is available, a removed
+/// entry means that the server accepts requests for its drain time only, so instances must stop sending at once.
 #[test]
 fn a_server_is_removed_with_its_entry_while_the_store_is_available() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -66,8 +71,8 @@
     assert_eq!(change, Some(Change::Gone(server_id("east-a-0"))));
 }
 
-/// Guards against requests that are cut off when their server ends: a delayed write arrives after later ones, and would
-/// make a draining server ready again.
+/// Guards against requests that are cut off when their server ends: an older write of the server's entry arrives after
+/// newer ones, and would make the draining server ready again.
 #[test]
 fn an_older_entry_does_not_undo_a_drain() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -86,8 +91,9 @@
     assert_eq!(server.entry.state, ServerState::Draining);
 }
 
-/// Guards against full load that crashes a restarted server: it restarts under its old name and numbers its entries
-/// from the start again. Compared by number alone, the new entry would be ignored and the warm-up would stay unknown.
+/// Guards against full load that crashes a restarted server. The server restarts under its old name and numbers its
+/// entries from the start again. If entries were compared by this number alone, the new entry, which reports the
+/// warm-up, would be ignored.
 #[test]
 fn a_server_that_restarts_under_its_name_is_cold() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -104,8 +110,8 @@
     assert!(!server.is_cold(at(8_000)));
 }
 
-/// Guards against a warm server that is limited to the few requests of a cold one: the whole list is read again, with
-/// an entry that was written at the server's start.
+/// Guards against a warm server that gets only the few requests of a cold one: the whole list of entries is read again,
+/// and the server's entry in it was written at the server's start.
 #[test]
 fn an_entry_that_is_read_again_does_not_make_its_server_cold_again() {
     let mut pool = pool();
@@ -119,8 +125,8 @@
     assert!(!server.is_cold(at(10_001)));
 }
 
-/// Guards against full load that crashes the servers of a zone after its evacuation: they may have restarted during the
-/// evacuation, so they count as cold at first.
+/// Guards against full load that crashes the servers of a zone when its evacuation ends: they may have restarted during
+/// the evacuation, so they count as cold at first.
 #[test]
 fn servers_of_a_restored_zone_count_as_cold() {
     let mut pool = pool_of(&[("east-a", 1), ("west-a", 1)]);
@@ -139,7 +145,7 @@
     assert!(!is_cold("west-a-0"));
 }
 
-/// Records an exchange with the first server that starts and ends at `now_ms`.
+/// Records an exchange with server `east-a-0` that starts and ends at `now_ms`.
 fn record_exchange(pool: &mut ServerPool, now_ms: u64, end: ExchangeEnd) {
     let mut server = pool
         .server_mut(&server_id("east-a-0"))
@@ -148,8 +154,9 @@
     server.record_end(at(now_ms), ExchangeId(now_ms), end, ServerReport::default());
 }
 
-/// Guards against full load on a server that has just crashed: its connection breaks, and it is back a moment later,
-/// cold and under the same name. It receives no more than a cold server until a probe has reported that it is warm.
+/// Guards against full load on a server that has just crashed: its connection breaks, and a moment later the server
+/// runs again, cold and under the same name. It receives no more than a cold server until a probe has reported that it
+/// is warm.
 #[test]
 fn a_server_whose_connection_broke_counts_as_cold_until_a_probe_succeeds() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -164,8 +171,9 @@
     assert!(!server.is_cold(at(1_051)));
 }
 
-/// Guards against requests that are rejected one by one: the address of a server that ended is assigned to a server of
-/// another service. The first such response ends the use of the address, without a recorded failure and without probes.
+/// Guards against requests that are each sent to a wrong server and rejected: the address of a server that ended is
+/// assigned to a server of another service. The first such response ends the use of the address, without a recorded
+/// failure and without probes.
 #[test]
 fn an_address_taken_over_by_another_server_is_not_used_again() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -178,8 +186,8 @@
     );
 }
 
-/// Guards against frequent probes of a server that is down for some seconds, which cost more than they gain, and
-/// against rare ones, which leave a recovered server unused. The interval grows to two seconds and no further.
+/// Guards against probes of a down server that are too frequent, which cost more than they gain, or too rare, which
+/// leave a recovered server unused. The interval between probes grows to two seconds and no further.
 #[test]
 fn the_interval_between_probes_of_a_down_server_grows_up_to_a_limit() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -208,9 +216,9 @@
     assert_eq!(region.map(ToString::to_string).as_deref(), Some("west"));
 }
 
-/// Guards against growing queues. Many instances use a server that always has a queue, and each receives a response
-/// every second or two. If the queue did not count between two responses, every instance would take the server for idle
-/// and extend its queue, while the object's other server has free slots.
+/// Guards against growing queues. Many instances use a server that always has a queue, and each instance receives a
+/// response of the server every second or two. If the reported queue did not count between two responses, every
+/// instance would take the server for idle and add to its queue, while the object's other server has free slots.
 #[test]
 fn a_reported_queue_counts_until_the_next_response() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -239,9 +247,9 @@
     }
 }
 
-/// Guards against requests that join a queue while the object's other server has free slots: one instance of the zone
-/// observes the queue. The other instances, which send the server only about one request a second, would use the server
-/// further.
+/// Guards against requests that join a queue while the object's other server has free slots. Only one instance of the
+/// zone observes the queue. Without its report, the other instances, which each send the server about one request a
+/// second, would continue to use the server.
 #[test]
 fn a_queue_that_one_instance_observes_is_reported_to_its_zone() {
     let mut observer = pool_of(&[("east-a", 2)]);
@@ -268,8 +276,8 @@
     assert_eq!(load_of("east-a-1"), Some(0.0));
 }
 
-/// Guards against a free server that receives no requests because of an old queue: a peer's report of its load arrives
-/// late, after the server itself has reported a newer load to this instance.
+/// Guards against a server with free slots that receives no requests because of an old queue: a peer's report of the
+/// queue arrives after the server itself has reported a newer load to this instance.
 #[test]
 fn an_outdated_load_report_of_a_peer_is_ignored() {
     let mut pool = pool_of(&[("east-a", 1)]);
@@ -291,8 +299,8 @@
     assert!(server.load(at(1_200)) < 2.0);
 }
 
-/// Guards against a queue that counts in the zone after its end: if only queues were reported, other instances would
-/// assume the queue until the last report has decayed.
+/// Guards against a queue that other instances of the zone still count after its end: if reports were sent only while a
+/// server has a queue, other instances would assume the queue until the last report has decayed.
 #[test]
 fn the_end_of_a_queue_is_reported_once() {
     let mut pool = pool_of(&[("east-a", 1)]);
--- a/crates/damaskvane-routing/tests/popularity.rs
+++ b/crates/damaskvane-routing/tests/popularity.rs
@@ -1,4 +1,7 @@
 //! Tests of how the instances of a zone decide together which objects are popular.
+//!
+//! Each instance counts a sample of its requests by object, and the zone's aggregator decides from the reports of all
+//! instances. A first run is the slow run of a request on a server that has not handled the request's object recently.
 
 mod support;
 
@@ -61,8 +64,8 @@
         decisions
     }
 
-    /// Returns for each instance the zone to which it sends a request for an object. For popular objects, this is
-    /// always the zone of the instances.
+    /// Returns for each instance the zone to which the instance sends a request for the object `number`. For popular
+    /// objects, this is always the zone of the instances.
     fn zones_of(&mut self, pool: &ServerPool, number: u64) -> Vec<String> {
         let (route, service) = (route(), service_id());
         let request = support::request(&route, &service, object(number));
@@ -103,8 +106,8 @@
     }
 }
 
-/// Guards against further servers for objects that are requested about once in a minute: each further server costs a
-/// slow first run.
+/// Guards against a server in each zone for objects that are requested only about once a minute: each further server of
+/// an object costs a slow first run.
 #[test]
 fn rarely_requested_objects_get_no_further_servers() {
     for seed in 0..10 {
@@ -115,8 +118,8 @@
     }
 }
 
-/// Guards against decisions that follow a change of the request rate too late, by more than ten seconds, and against
-/// decisions that make all objects popular at once: their first runs would fill the servers.
+/// Guards against decisions that follow a change of the request rate more than ten seconds late, and against decisions
+/// that make all objects popular at once, because the first runs of all objects would fill the servers.
 #[test]
 fn decisions_follow_a_tenfold_rate_in_steps_within_ten_seconds() {
     for seed in 0..10 {
@@ -138,7 +141,7 @@
     }
 }
 
-/// Guards against instances that follow the decisions of different aggregators of their zone.
+/// Guards against instances of a zone that follow the decisions of different aggregators at the same time.
 #[test]
 fn the_second_aggregator_counts_only_after_the_first_is_silent() {
     let mut zone = Zone::new(1);
@@ -169,7 +172,7 @@
     assert!(in_zone(&mut zone) < popular);
 }
 
-/// Guards against samples that don't add up because each instance omits different objects.
+/// Guards against samples of several instances that don't add up because each instance leaves out different objects.
 #[test]
 fn samples_of_instances_add_up_to_the_sample_of_all_requests() {
     let mut random = rand_pcg::Pcg32::seed_from_u64(3);
--- a/crates/damaskvane-routing/tests/relay.rs
+++ b/crates/damaskvane-routing/tests/relay.rs
@@ -1,8 +1,12 @@
 //! Tests of the log of store changes that instances relay to each other.
+//!
+//! The log holds batches of changes of one collection (a set of records in the store), each with the store's revision,
+//! a number that grows with every change.
 
 use damaskvane_routing::relay::{RelayLog, Since};
 
-/// Returns the batch that follows a revision, if the log has one.
+/// Returns the body of the first batch after a revision, or `None` if the log has no such batch or no longer retains
+/// it.
 fn next<'a>(log: &RelayLog<&'a str>, revision: u64) -> Option<&'a str> {
     match log.since(revision) {
         Since::Next(batch) => Some(batch.body),
@@ -10,9 +14,9 @@
     }
 }
 
-/// Guards against missed changes: an instance has listed the store at one revision and its relay at another. The
-/// instance must receive every batch with a change that it may lack, or it would still send requests to a server that
-/// has left.
+/// Guards against missed changes: an instance has listed the store at one revision, and the relay that sends it changes
+/// has batches with other revisions. The instance must receive every batch with a change that it may lack, or it would
+/// still send requests to a server that has left.
 #[test]
 fn an_instance_between_two_batches_receives_the_whole_later_batch() {
     let mut log = RelayLog::new(10);
@@ -37,9 +41,9 @@
     assert_eq!(next(&log, 50), Some("second"));
 }
 
-/// Guards against missed changes: an instance was disconnected for long, and the changes that it lacks are no longer
-/// retained. The log must report the gap, because with only the later changes the instance would never receive the
-/// others.
+/// Guards against missed changes: an instance was disconnected for so long that the changes it lacks are no longer
+/// retained. The log must report the gap, because with only the later changes the instance would never receive the lost
+/// ones.
 #[test]
 fn an_instance_behind_the_log_reads_the_collection_again() {
     let mut log = RelayLog::new(10);
@@ -50,7 +54,7 @@
     assert_eq!(next(&log, 58), Some("large"));
 }
 
-/// Guards against a duplicate batch: a relay that switches to another source may receive a batch twice.
+/// Guards against a batch that is applied twice: a relay that switches to another source may receive a batch again.
 #[test]
 fn a_batch_that_does_not_advance_the_log_is_ignored() {
     let mut log = RelayLog::new(10);
--- a/crates/damaskvane-routing/tests/retries.rs
+++ b/crates/damaskvane-routing/tests/retries.rs
@@ -1,4 +1,7 @@
 //! Tests of whether another server is tried after an exchange, and how long an attempt may take.
+//!
+//! A booking is a request of a non-idempotent route: it must not run twice. The objective is the time within which a
+//! route's requests should be answered.
 
 mod support;
 
@@ -29,7 +32,7 @@
     }
 }
 
-/// Guards against a refusal without need: a full server rejects a booking and reports that the booking was not run, so
+/// Guards against a needless refusal: a full server rejects a booking and reports that the booking was not run, so
 /// another server may run it.
 #[test]
 fn a_rejected_request_goes_to_another_server() {
@@ -45,8 +48,8 @@
     }
 }
 
-/// Guards against a request that is reported as *not run* although it may have run: one server rejected the request,
-/// but another exchange of the request has no such proof.
+/// Guards against a request that is reported as *not run* although it may have run: one server proved by its rejection
+/// that it did not run the request, but an earlier exchange with another server ended without such a proof.
 #[test]
 fn the_proof_of_not_run_is_lost_with_the_first_exchange_without_it() {
     let mut progress = Progress::new(RouteKind::Idempotent, 4);
@@ -55,8 +58,8 @@
     assert!(!progress.is_proven_not_run());
 }
 
-/// Guards against a request that is sent to more servers than the attempts of its route, whatever the ends of its
-/// exchanges.
+/// Guards against a request that is sent to more servers than the maximum number of attempts of its route, however its
+/// exchanges end.
 #[test]
 fn attempts_limit_the_servers_that_receive_a_request() {
     let mut progress = Progress::new(RouteKind::Idempotent, 2);
@@ -89,9 +92,9 @@
     (route, pick)
 }
 
-/// Guards against first runs that are repeated under load. After a start no server has handled any object recently, and
-/// first runs take 1.6 s where the objective is one second. With a timeout of two objectives, a fifth of them would run
-/// again on another server that is as busy, and all requests would wait.
+/// Guards against first runs that are repeated under load. After a start, no server has handled any object recently,
+/// and a first run takes 1.6 s where the objective is one second. With a timeout of two objectives, a fifth of the
+/// first runs would be repeated on another server that is as busy, and all requests would wait.
 #[test]
 fn a_first_run_on_a_healthy_server_is_not_abandoned() {
     let (route, pick) = slow_work();
@@ -100,8 +103,8 @@
     assert!(attempt_timeout_ms.is_some_and(|attempt_timeout_ms| attempt_timeout_ms >= 2_200));
 }
 
-/// Guards against wasted slots: a server doesn't respond, and the remaining time of its caller is too short for a
-/// response of another server.
+/// Guards against wasted slots (the requests that a server can run at the same time): a server doesn't respond, and the
+/// time until the caller's timeout is too short for a response of another server.
 #[test]
 fn no_server_is_tried_that_could_not_respond_in_time() {
     let (route, pick) = slow_work();
