--- a/crates/damaskvane-dispatch/tests/admission.rs
+++ b/crates/damaskvane-dispatch/tests/admission.rs
@@ -1,4 +1,6 @@
 //! Tests of the admission queue under overload.
+//!
+//! The queue holds requests for which no backend server has capacity yet.
 
 use damaskvane_core::time;
 use damaskvane_dispatch::{admission, deadline, refusal};
@@ -72,8 +74,9 @@
     assert!(queue.is_empty());
 }
 
-/// The queue drains ten requests a second, and twenty more arrive at once. A request that can't be served
-/// within the maximum wait is rejected on arrival, with the time until the queue is served as retry-after.
+/// Ten requests a second leave the queue, and twenty more arrive at once. A request that can't be served
+/// within the maximum wait is rejected on arrival; its retry-after is the time until the queued requests are
+/// served.
 #[test]
 fn retry_after_follows_the_drain_rate() {
     let mut queue = admission::Queue::new(admission::QueueSettings {
@@ -104,8 +107,9 @@
     }
 }
 
-/// Requests arrive at a low rate and are served at once. The low drain rate does not measure the capacity
-/// of the backend servers, so requests that then have to wait must not be rejected because of it.
+/// Requests arrive at a low rate and are served at once. The low rate at which they leave the queue is not
+/// the capacity of the backend servers, so requests that have to wait later must not be rejected because of
+/// this rate.
 #[test]
 fn a_low_arrival_rate_is_not_taken_for_a_slow_drain() {
     let mut queue = queue(10);
--- a/crates/damaskvane-dispatch/tests/exchange.rs
+++ b/crates/damaskvane-dispatch/tests/exchange.rs
@@ -1,4 +1,6 @@
 //! Tests of the life cycle of one request and of the retry policy.
+//!
+//! An exchange is the sending of a request to a backend server and the receiving of the response.
 
 use damaskvane_core::time;
 use damaskvane_dispatch::{deadline, exchange, home, outcome, refusal, retry};
@@ -40,8 +42,9 @@
     }
 }
 
-/// A backend server fails at each phase of an exchange. A non-repeatable request must be retried only
-/// if it has not run, and the outcome must not be *not run* if the request may have run.
+/// An exchange fails for each possible reason, before or after the backend server may have run the request. A
+/// non-repeatable request must be retried only if the reason proves that it has not run, and the outcome must
+/// not be *not run* if the request may have run.
 #[test]
 fn each_failure_leads_to_a_correct_outcome() {
     for reason in retry::RetryReason::ALL {
@@ -90,8 +93,9 @@
     assert_eq!(answered.outcome().as_str(), "unknown");
 }
 
-/// The response to an abandoned exchange is read as the response to the next one, or a connection is
-/// closed within a response. A client would receive another client's booking or a truncated list.
+/// The response to an abandoned request is read as the response to the next request on the connection, or a
+/// connection is closed in the middle of a response. A client would receive another client's booking or a
+/// truncated list.
 #[test]
 fn mismatched_and_truncated_responses_are_not_forwarded() {
     let cases = [
@@ -116,8 +120,8 @@
     assert_eq!(answered.outcome().as_str(), "unknown");
 }
 
-/// A backend server sheds all requests, and each entry instance retries them. Without a retry budget the
-/// retries would double the load of an overloaded server.
+/// A backend server sheds all requests, and each entry instance retries them. Without a retry budget, which
+/// limits retries to a part of the first attempts, the load of an overloaded server would double.
 #[test]
 fn retries_stay_within_their_budget() {
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(4);
--- a/crates/damaskvane-dispatch/tests/handover.rs
+++ b/crates/damaskvane-dispatch/tests/handover.rs
@@ -1,4 +1,9 @@
 //! Tests of the handover of a leaving instance's keys to its successor.
+//!
+//! A key is an idempotency key, by which a client names one request across its attempts. Its home is the
+//! instance and incarnation (one start or renewal) that alone may run it. The successor is the home that
+//! takes over the keys of a leaving home, its predecessor. An amendment reports to the successor the outcome
+//! of a key that was in progress at the handover.
 
 mod support;
 
@@ -36,8 +41,8 @@
     matches!(begin, home::BeginDecision::Answer(outcome::Outcome::Completed(response)) if *response == RESPONSE)
 }
 
-/// An entry instance has a planned restart between a booking and its repetition. The successor must
-/// return the same outcome, and run keys that the departed instance never received.
+/// An entry instance has a planned restart between a booking and the client's repetition of the booking. The
+/// successor must return the same outcome, and must run keys that the departed instance never received.
 #[test]
 fn a_successor_replays_outcomes_of_the_departed_home() {
     let (mut old, mut new) = (table("a/1"), table("b/1"));
@@ -67,8 +72,9 @@
     assert!(is_replay(&new.begin(at(6), &attempt("k", "a/1", 3))));
 }
 
-/// The predecessor refuses a queued key after the handover and sends an amendment that releases the key.
-/// Only then may the successor run the key. A duplicate of the amendment must not release the key again.
+/// After the handover, the predecessor refuses a queued key without running it and sends an amendment that
+/// releases the key. Only then may the successor run the key. A duplicate of the amendment must not release
+/// the key again.
 #[test]
 fn a_key_released_by_the_predecessor_runs_once_at_the_successor() {
     let (mut old, mut new) = (table("a/1"), table("b/1"));
@@ -94,8 +100,8 @@
     assert!(matches!(joined, home::BeginDecision::Join(_)), "{joined:?}");
 }
 
-/// The leaving instance is killed during its handover. A key that is in none of the received parts may
-/// have run, so its outcome is *unknown*.
+/// The leaving instance is killed during its handover. A key that is in none of the parts that the successor
+/// received may have run, so its outcome is *unknown*.
 #[test]
 fn an_incomplete_handover_dispatches_nothing() {
     let settings = home::HomeSettings {
@@ -125,8 +131,8 @@
     assert!(is_replay(&new.begin(at(6), &attempt("l", "a/1", 2))));
 }
 
-/// The acknowledgement of a handover is lost, and the leaving instance selects another successor. Two
-/// successors could both run the client's next key.
+/// The acknowledgement of a handover is lost, and the leaving instance selects another successor. If both
+/// instances became successors, both could run the client's next key.
 #[test]
 fn a_table_has_one_successor() {
     let mut old = table("a/1");
@@ -149,8 +155,9 @@
     ));
 }
 
-/// A successor is paused, and receives a part of a handover a second time, long after the retention
-/// window. The part must not reopen the departed home: a key that ran since could run again.
+/// A successor is paused and receives a part of a handover a second time, long after the retention window
+/// (the time for which outcomes are retained). The part must not make the successor accept keys of the
+/// departed home as new: a key that has run since the handover could run again.
 #[test]
 fn a_handover_repeated_after_the_window_is_ignored() {
     let (mut old, mut new) = (table("a/1"), table("b/1"));
@@ -189,8 +196,9 @@
     assert!(matches!(forwarded, home::BeginDecision::Forward(home) if home == home_of("c/1")));
 }
 
-/// A restarted instance receives a repeated request whose key names its previous incarnation. The instance
-/// was down when the successor was announced, and must learn the successor from any other instance.
+/// A restarted instance receives a repeated request whose key has the instance's previous incarnation as its
+/// home. The instance was down when the successor was announced, and must learn the successor from any other
+/// instance.
 #[test]
 fn a_restarted_instance_forwards_keys_of_its_predecessor() {
     let (mut old, mut new) = (table("a/1"), table("b/1"));
@@ -205,8 +213,8 @@
     assert!(matches!(forwarded, home::BeginDecision::Forward(home) if home == home_of("b/1")));
 }
 
-/// A key is older than the retention window when its home leaves. The successor must not run the key as
-/// a new one.
+/// The outcome of a key is removed after the retention window, and then the key's home leaves. The successor
+/// must not run the key as a new one.
 #[test]
 fn expired_keys_stay_unknown_at_the_successor() {
     let (mut old, mut new) = (table("a/1"), table("b/1"));
@@ -218,8 +226,8 @@
     assert_eq!(reason(&late), Some(refusal::RefusalReason::KeyExpired));
 }
 
-/// The predecessor is killed after the handover and never sends an outcome. The successor must abandon
-/// the key as *unknown*.
+/// The predecessor is killed after the handover and never sends the outcome of a key in progress. The
+/// successor must stop waiting after a timeout and answer *unknown* for the key.
 #[test]
 fn an_awaited_outcome_times_out_as_unknown() {
     let (mut old, mut new) = (table("a/1"), table("b/1"));
--- a/crates/damaskvane-dispatch/tests/home.rs
+++ b/crates/damaskvane-dispatch/tests/home.rs
@@ -1,4 +1,8 @@
 //! Tests of the table of idempotency keys at their home instance.
+//!
+//! A key names one request of a client across its attempts. Its home is the instance and incarnation (one
+//! start or renewal) that alone may run it. A tombstone is the digest of a key whose outcome is no longer
+//! retained.
 
 mod support;
 
@@ -27,8 +31,8 @@
     );
 }
 
-/// A client with a short timeout sends the same key through three entry instances at once. All three
-/// attempts must get the outcome of the one that runs.
+/// A client with a short timeout sends the same key through three entry instances at once. All three attempts
+/// must get the outcome of the attempt that runs.
 #[test]
 fn concurrent_attempts_join_the_running_one() {
     let mut table = table("a/1");
@@ -60,8 +64,9 @@
     assert_eq!(reason(&table.begin(at(3), &other_body)), expected);
 }
 
-/// The home is killed and restarted without its key table, and the client repeats its request. The key
-/// would run twice if the previous incarnation had already dispatched it.
+/// The home is killed and restarted without its key table, and the client repeats its request. If the new
+/// incarnation ran the key, the key could run twice: the previous incarnation may have sent it to a backend
+/// server.
 #[test]
 fn keys_of_other_homes_are_forwarded_or_unknown() {
     let mut table = table("a/2");
@@ -79,8 +84,8 @@
     assert!(matches!(elsewhere, home::BeginDecision::Forward(home) if home == home_of("b/1")));
 }
 
-/// An attempt arrives after the outcome of its key was removed. The key would run twice if it were treated
-/// as new, and the answer *not run* would be false.
+/// An attempt arrives after the outcome of its key was removed. If the key were treated as new, it would run
+/// twice. The answer *not run* would be false, since the key has run.
 #[test]
 fn a_key_is_unknown_after_its_window() {
     let mut table = table("a/1");
@@ -140,8 +145,8 @@
     }
 }
 
-/// A first attempt stays unread in the socket of a paused instance. The second attempt is answered with
-/// *not run*, and the client stops. When the pause ends, the first attempt must not run.
+/// A first attempt stays unread in the socket of a paused instance. The second attempt is answered with *not
+/// run*, and the client stops repeating the request. When the pause ends, the first attempt must not run.
 #[test]
 fn a_late_attempt_does_not_run_after_a_later_one_was_refused() {
     let mut table = table("a/1");
@@ -198,7 +203,8 @@
 }
 
 /// An instance renews the incarnation of its key table while clients hold lookup responses that name the
-/// previous one. New keys of these clients must run for a limited time; keys that ran must not run again.
+/// previous incarnation. New keys of these clients must run for a limited time after the renewal; keys that
+/// ran must not run again.
 #[test]
 fn the_previous_incarnation_accepts_new_keys_for_a_while_after_a_renewal() {
     let mut table = table("a/1");
@@ -214,8 +220,9 @@
     assert_eq!(reason(&late), Some(refusal::RefusalReason::KeyExpired));
 }
 
-/// A table has all its tombstones in use and refuses an attempt. An earlier attempt arrives after the
-/// renewal of the table. If that attempt ran, the refusal's *not run* would be false.
+/// A table has no capacity for further tombstones and refuses an attempt as *not run*. An earlier attempt
+/// with the same key arrives after the renewal of the table. If the earlier attempt ran, the answer *not run*
+/// would be false.
 #[test]
 fn a_full_incarnation_accepts_no_keys_after_a_renewal() {
     let settings = home::HomeSettings {
--- a/crates/damaskvane-dispatch/tests/home_exhaustive.rs
+++ b/crates/damaskvane-dispatch/tests/home_exhaustive.rs
@@ -1,6 +1,9 @@
 //! An exhaustive search through the orders of events within small bounds: 2 entry instances, 2 keys, 3
-//! attempts, one restart, one handover and one wait beyond the retention window, with delayed, reordered
-//! and duplicated messages.
+//! attempts, one restart, one handover and one wait beyond the retention window, with delayed, reordered and
+//! duplicated messages.
+//!
+//! A key names one request of a client across its attempts. Its home is the instance that alone may run it
+//! and that retains its outcome for the retention window.
 
 mod support;
 
@@ -36,7 +39,8 @@
 
 /// Searches all reachable states breadth first and returns their number.
 ///
-/// A dispatch permit can't be cloned, so each state is rebuilt by replaying the actions that lead to it.
+/// A dispatch permit (the right to send a key to a backend server once) can't be cloned, so each state is
+/// rebuilt by replaying the actions that lead to it.
 fn search(bounds: Bounds) -> usize {
     let mut seen = collections::HashSet::new();
     let mut queue = collections::VecDeque::from([Vec::new()]);
@@ -56,8 +60,9 @@
     seen.len()
 }
 
-/// The home is killed before, during or after a dispatch, and restarted. The attempts reach both
-/// instances in any order. A booking could run twice, or run and be reported as *not run*.
+/// The home is killed and restarted before, during or after it sends an attempt to a backend server. The
+/// attempts reach both instances in any order. A booking could run twice, or run and be reported as *not
+/// run*.
 #[test]
 fn at_most_once_holds_in_every_order_around_a_restart() {
     let bounds = Bounds {
@@ -69,8 +74,9 @@
     assert!(search(bounds) > 1_000);
 }
 
-/// The home leaves and hands over while attempts and outcomes are in transit, and messages are delayed,
-/// reordered and duplicated. One key is enough, because keys share no record, and two take minutes.
+/// The home leaves and hands over its keys while attempts and outcomes are in transit, and messages are
+/// delayed, reordered and duplicated. One key is enough, because keys share no record; a search with two keys
+/// takes minutes.
 #[test]
 fn at_most_once_holds_in_every_order_around_a_handover() {
     let bounds = Bounds {
@@ -81,7 +87,8 @@
     assert!(search(bounds) > 1_000);
 }
 
-/// The outcomes of attempts are removed after the retention window while late attempts are in transit.
+/// The outcomes of keys are removed after the retention window while late attempts are in transit. A key
+/// could run again as a new one.
 #[test]
 fn at_most_once_holds_in_every_order_around_the_window() {
     let bounds = Bounds {
--- a/crates/damaskvane-dispatch/tests/quarantine.rs
+++ b/crates/damaskvane-dispatch/tests/quarantine.rs
@@ -1,4 +1,7 @@
 //! Tests of the quarantine of requests that crash backend servers, and of requests that run beside them.
+//!
+//! An incident is one crash of a backend server; a suspect is a request that was in flight on the server
+//! then. A quarantined request is refused.
 
 mod support;
 
@@ -41,8 +44,8 @@
     assert!(!is_refused(&mut quarantine, 600_002, "bad"));
 }
 
-/// Notices of one crash arrive twice, or from each instance with a connection to the crashed server. If
-/// they counted separately, one crash would quarantine every request that was running on the server.
+/// Reports of one incident arrive twice, or from each instance with a connection to the crashed server. If
+/// each report counted, one crash would quarantine every request that was running on the server.
 #[test]
 fn one_crash_counts_once() {
     let mut quarantine = new_quarantine();
@@ -59,7 +62,8 @@
     assert!(!is_refused(&mut quarantine, 20_001, "bad"));
 }
 
-/// The service has one backend server, and the request crashes the server again after each restart.
+/// The service has one backend server, and the request crashes the server again after each restart. Each
+/// crash must count as an incident of its own.
 #[test]
 fn two_crashes_of_one_server_count_twice() {
     let mut quarantine = new_quarantine();
@@ -68,8 +72,8 @@
     assert!(is_refused(&mut quarantine, 5_001, "bad"));
 }
 
-/// Harmless requests run on the same server as a request that crashes it. The harmless ones must run
-/// alone the next time, complete, and never be refused; the crashing request must be refused.
+/// Harmless requests run on the same server as a request that crashes it. The harmless ones must next run
+/// without another suspect beside them, complete, and never be refused; the crashing request must be refused.
 #[test]
 fn harmless_requests_on_a_crashed_server_are_not_refused() {
     let mut quarantine = new_quarantine();
@@ -96,7 +100,7 @@
     );
     quarantine.record_incident(at(4), &incident(2, "a/1", "desk-2", &["bad"]));
     assert!(is_refused(&mut quarantine, 5, "bad"));
-    // A peer repeats the first notice, whose crash is older than the completed run.
+    // A peer repeats the report of the first incident, which is older than the completed run.
     let late = quarantine::Incident {
         age: time::SpanMs::new(6),
         ..shared
@@ -108,7 +112,7 @@
     );
 }
 
-/// Operators repair the backend server and clear the quarantined request.
+/// Operators repair the backend server and clear the quarantined request, which may then run again.
 #[test]
 fn operators_list_and_clear_quarantined_requests() {
     let mut quarantine = new_quarantine();
@@ -146,8 +150,9 @@
     assert!(broken.is_empty());
 }
 
-/// All instances are killed at once, and a client repeats a request that crashed two servers. The
-/// restarted instances have no incidents; the stored record must keep the request from a third server.
+/// All instances are killed at once, and a client repeats a request that crashed two servers. The restarted
+/// instances have no incidents; the record of the quarantine in the store must keep the request from a third
+/// server.
 #[test]
 fn a_request_recorded_by_another_instance_is_refused_without_an_incident() {
     let mut quarantine = new_quarantine();
@@ -170,8 +175,8 @@
     );
 }
 
-/// Every instance that receives the incidents records the request for all other instances, and must do so
-/// only once, because each record is a call to the store.
+/// Every instance that receives a request's second incident records the quarantine for all other instances,
+/// and must do so only once, because each record is a call to the store.
 #[test]
 fn a_request_is_reported_for_refusal_once() {
     let mut quarantine = new_quarantine();
--- a/crates/damaskvane-dispatch/tests/random_run.rs
+++ b/crates/damaskvane-dispatch/tests/random_run.rs
@@ -1,4 +1,5 @@
-//! Randomised runs of the decision code, checked by comparing the executed requests with the answers.
+//! Randomised runs of the code that decides which requests run, checked by comparing the requests that
+//! backend servers ran with the answers that clients got.
 
 use damaskvane_dispatch::model;
 
--- a/crates/damaskvane-dispatch/tests/stops.rs
+++ b/crates/damaskvane-dispatch/tests/stops.rs
@@ -30,7 +30,8 @@
     }
 }
 
-/// A backend server returns with empty caches. Its full share at once would overload the server.
+/// A backend server returns from a drain with empty caches. If it got its full share of requests at once, it
+/// would be overloaded.
 #[test]
 fn the_share_of_a_cold_server_grows_with_time() {
     let settings = drain::WarmUpSettings::default();
@@ -82,7 +83,7 @@
     assert!(!health.is_suspect());
 }
 
-/// A client abandons its exchange before the response arrives. On a reused connection, the response
+/// A client abandons its exchange before the response arrives. If the connection were reused, the response
 /// would be read as the response to the next request.
 #[test]
 fn only_a_shed_request_leaves_a_connection_reusable() {
@@ -130,7 +131,8 @@
     assert!(!stopped.is_timed_out);
 }
 
-/// A request never ends. The planned stop must still end, and report that its time ran out.
+/// A request never ends. The planned stop must still end after its maximum duration, and report that it timed
+/// out.
 #[test]
 fn a_planned_stop_has_a_max_duration() {
     let leaving = shutdown::Serving.leave(at(0), shutdown::ShutdownSettings::default());
--- a/crates/damaskvane-dispatch/tests/support/keys.rs
+++ b/crates/damaskvane-dispatch/tests/support/keys.rs
@@ -1,4 +1,6 @@
 //! Builders of attempts, key tables and outcomes for the tests of homes and handovers.
+//!
+//! A key table holds the idempotency keys of one home, the instance that alone may run these keys.
 
 use damaskvane_core::time;
 use damaskvane_dispatch::{deadline, exchange, fingerprint, home, outcome, refusal};
--- a/crates/damaskvane-dispatch/tests/support/small_world.rs
+++ b/crates/damaskvane-dispatch/tests/support/small_world.rs
@@ -1,4 +1,6 @@
 //! A model of two entry instances, their keys, the messages between them and the runs of backend servers.
+//!
+//! A key names one request of a client across its attempts.
 
 use std::collections;
 
@@ -10,7 +12,7 @@
 const HOMES: [&str; 2] = ["a/1", "b/1"];
 const MAX_ATTEMPTS: u32 = 3;
 const BEYOND_WINDOW_MS: u64 = 700_000;
-/// How many times the network may deliver a message of a handover.
+/// Maximum number of times that the network delivers a message of a handover.
 const MAX_DELIVERIES: u8 = 2;
 
 /// Which rare events may happen, each at most once, and the number of keys.
@@ -103,7 +105,8 @@
     pub fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.next_attempt <= MAX_ATTEMPTS {
-            // The two keys are interchangeable until the first attempt.
+            // The two keys are interchangeable until the first attempt, so the first attempt uses only one of
+            // them.
             let keys = if self.next_attempt == 1 {
                 1
             } else {
@@ -200,7 +203,8 @@
                 self.bounds.wait = false;
                 self.now_ms += BEYOND_WINDOW_MS;
                 for entry in 0..HOMES.len() {
-                    // The first pass abandons the keys in progress, the second removes their outcomes.
+                    // The first pass abandons the keys in progress, and the second pass removes the outcomes
+                    // of these keys.
                     for _ in 0..2 {
                         let finished = self.tables[entry].expire(at(self.now_ms));
                         for finish in finished {
