--- a/crates/damaskvane-steering/tests/blocks.rs
+++ b/crates/damaskvane-steering/tests/blocks.rs
@@ -1,4 +1,6 @@
-//! Tests that the compact block table agrees with an ordered map.
+//! Tests that the compact table of client blocks and their steering classes agrees with an ordered map.
+//!
+//! A client block is a group of clients that is named by an address prefix or by a text.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
--- a/crates/damaskvane-steering/tests/common/mod.rs
+++ b/crates/damaskvane-steering/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A topology, digests and accessors of plans that several test files share.
+//! A topology, digests (reports of a zone's load and capacity) and accessors of plans that several test files
+//! share.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -26,7 +27,8 @@
     rate::Rate::per_second(requests)
 }
 
-/// Returns three regions of two zones; 20 slots a zone at 100 ms are 200 requests a second.
+/// Returns a topology of three regions with two zones each. A zone has 20 slots, each of which runs one
+/// request at a time; at 100 ms a request they serve 200 requests a second.
 pub(crate) fn topology() -> input::Topology {
     let regions = ["ab", "mb", "sask"];
     let mut topology = input::Topology::default();
@@ -48,7 +50,7 @@
     topology
 }
 
-/// Returns a zone's digest with a demand of the zone's own clients, in requests a second.
+/// Returns a zone's digest with the given demand of the zone's own clients, in requests a second.
 pub(crate) fn report(
     id: &ids::AvailabilityZoneId,
     sequence: u64,
@@ -65,20 +67,20 @@
     report
 }
 
-/// Applies a new digest of each zone, with the same demand of each zone's own clients.
+/// Applies a new digest of each zone to a view, with the same demand of each zone's own clients.
 pub(crate) fn apply_all_reports(view: &mut digest::View, sequence: u64, now_ms: u64, demand: u64) {
     for id in topology().zones.keys() {
         view.apply_digest(report(id, sequence, now_ms, demand));
     }
 }
 
-/// Returns the sum of all planned flows to a destination.
+/// Returns the sum of the planned request rates from all source zones to a destination zone.
 pub(crate) fn planned_to(plan: &plan::Plan, destination: &ids::AvailabilityZoneId) -> rate::Rate {
     let sources = plan.services[&service_id()].sources.values();
     sources.map(|source| source.flow(destination)).sum()
 }
 
-/// Returns the planned flow from a source to a destination.
+/// Returns the planned request rate from a source zone to a destination zone.
 pub(crate) fn flow(plan: &plan::Plan, source: &str, destination: &str) -> rate::Rate {
     let source = plan.source(&service_id(), &zone(source)).unwrap();
     source.flow(&zone(destination))
--- a/crates/damaskvane-steering/tests/credit.rs
+++ b/crates/damaskvane-steering/tests/credit.rs
@@ -1,5 +1,7 @@
-//! Tests that granted and local rates together stay within capacity, and that a grant expires at its
-//! holder before the granter releases the granted rate.
+//! Tests of the request rate that a receiving zone (the granter) grants to a source zone (the holder).
+//!
+//! Granted and local rates together stay within the capacity of the receiving zone, and a grant expires at
+//! its holder before the granter releases the granted rate.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -38,9 +40,9 @@
     );
 }
 
-/// A grant is delayed and arrives after the receiving zone has granted its rate to another source. If the
-/// lifetime started at the arrival, both sources would use the rate, and the receiver would get twice the
-/// granted rate.
+/// A grant is delayed and arrives after the receiving zone has granted the same rate to another source. If
+/// the grant's lifetime started at its arrival, both sources would use the rate, and the receiving zone would
+/// get twice the granted rate.
 #[test]
 fn a_late_grant_is_not_used() {
     let mut holder = credit::Holder::new(rps(3), at(0));
@@ -58,7 +60,8 @@
     );
 }
 
-/// A source is paused between acquiring a permit and sending the request, until its grant has expired.
+/// A source is paused after it acquired a permit (the right to send one request to the receiving zone) and
+/// before it sends the request. When the grant has expired, the permit must be invalid.
 #[test]
 fn a_permit_is_invalid_once_its_grant_has_expired() {
     let mut holder = credit::Holder::new(rps(3), at(0));
@@ -113,8 +116,9 @@
     assert!((0..20).all(|step| holder.acquire(at(step * 1_000)).is_none()));
 }
 
-/// Grants are delayed and lost, local demand jumps, and sources request more than the capacity. If the sum
-/// of rates exceeded the capacity, the receiver's own clients would be refused in favour of other zones.
+/// Grants are delayed and lost, local demand jumps, and sources request more than the capacity. If the sum of
+/// granted and local rates exceeded the capacity, the receiving zone would refuse its own clients in favour
+/// of other zones' clients.
 #[test]
 fn granted_and_local_rates_never_exceed_the_capacity() {
     for seed in 0..30 {
@@ -128,7 +132,8 @@
         let mut local = rps(100);
         for now_ms in (0..120_000).step_by(100) {
             granter.remove_expired(at(now_ms));
-            // As in an entry instance, local clients are admitted up to the capacity that is not reserved.
+            // As in an entry instance, local clients are admitted up to the capacity that is not reserved for
+            // grants.
             let demand = rps(rng.random_range(50..200));
             local = if rng.random_range(0..20) == 0 {
                 demand
@@ -197,8 +202,8 @@
     assert_eq!(granter.reserved(), rps(9));
 }
 
-/// A smaller renewal is granted while the larger previous grant may still be in use, because the renewal
-/// can be lost. If the larger grant were no longer reserved, its rate could be granted twice.
+/// A grant is renewed with a smaller rate while the larger previous grant may still be in use, because the
+/// renewal can be lost. If the larger rate were no longer reserved, part of it could be granted twice.
 #[test]
 fn a_smaller_renewal_keeps_the_larger_grant_reserved_until_it_expires() {
     let mut granter = credit::Granter::new(settings());
--- a/crates/damaskvane-steering/tests/health.rs
+++ b/crates/damaskvane-steering/tests/health.rs
@@ -1,4 +1,7 @@
-//! Tests of how health reports and the observed outcomes of requests decide a server's admission.
+//! Tests of how health reports and the observed outcomes of requests decide a server's admission, the part of
+//! its slots that may be used.
+//!
+//! A slot is the right to run one request on a backend server.
 #![allow(clippy::unwrap_used)]
 
 use damaskvane_core::{ids, time};
@@ -30,8 +33,8 @@
     }
 }
 
-/// All health endpoints report unhealthy at once, for a cause outside the service. A pool that excluded all
-/// servers would refuse all requests, although every request would succeed.
+/// All health endpoints report unhealthy at once, for a cause outside the service. If the pool excluded all
+/// servers because of these reports, it would refuse all requests, although every request would succeed.
 #[test]
 fn reports_alone_exclude_no_more_servers_than_their_limit() {
     for count in 1..=20 {
@@ -69,7 +72,7 @@
     assert_eq!(pool.admission(&servers[0], at(65_001)), Admission::Full);
 }
 
-/// A server reports healthy while its requests fail.
+/// A server reports healthy while requests to the server fail. The failures must exclude the server.
 #[test]
 fn failures_exclude_a_server_despite_a_healthy_report() {
     let (mut pool, servers) = pool(3);
@@ -105,8 +108,8 @@
     assert_eq!([slots(0), slots(5_000), slots(10_000)], [1, 3, 6]);
 }
 
-/// A server reports that it is idle while it sheds requests. The pool counts the refusals and halves the
-/// server's slots.
+/// A server reports that it is idle while it sheds requests. The pool must count these refusals and halve the
+/// number of slots that may be used on the server.
 #[test]
 fn a_server_that_refuses_requests_gets_half_of_its_slots() {
     let (mut pool, servers) = pool(3);
--- a/crates/damaskvane-steering/tests/picker.rs
+++ b/crates/damaskvane-steering/tests/picker.rs
@@ -1,4 +1,5 @@
-//! Tests that clients keep their zone, and that refusals rotate among the clients.
+//! Tests of the zone that a plan selects for a client: the client keeps its zone while the plan stays the
+//! same, and refusals rotate among the clients.
 #![allow(clippy::unwrap_used)]
 
 mod common;
--- a/crates/damaskvane-steering/tests/planner.rs
+++ b/crates/damaskvane-steering/tests/planner.rs
@@ -1,4 +1,6 @@
 //! Tests of the limits that plans keep, some of them in random runs with fixed seeds.
+//!
+//! A plan divides the demand of each source zone among the destination zones.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -22,7 +24,8 @@
     shares
 }
 
-/// Returns the highest rate that can arrive at a destination while caches hold any of the recent shares.
+/// Returns the highest request rate that can arrive at the zone `to` while lookup responses in clients'
+/// caches still hold any of the `recent` shares; `plan` gives the demand of each source zone.
 fn max_arrival_rate(
     recent: &VecDeque<Shares>,
     plan: &plan::Plan,
@@ -56,7 +59,8 @@
 }
 
 /// Reports are lost or have extreme values, zones become unreachable and return, and a plan is made each
-/// second. A plan above a zone's capacity would cause refusals there while other zones have capacity.
+/// second. If a plan sent a zone more than its capacity, the zone would refuse requests while other zones
+/// have capacity.
 #[test]
 fn no_destination_is_planned_above_its_capacity() {
     for seed in 0..40 {
@@ -186,8 +190,8 @@
         let used = ["ab-a", "ab-b"].map(|id| planned_to(&plan, &zone(id)).milli());
         400_000 - used.iter().sum::<u64>()
     };
-    // 780 of 1,200 requests a second are 65%. At equal utilization, a region with a capacity of 400 has
-    // 140 free; the planner fills in steps of 5% (20).
+    // The demand of 780 requests a second is 65% of the capacity of 1,200. At equal utilization, a region
+    // with a capacity of 400 has 140 free; the planner fills in steps of 5% (20 requests a second).
     let headroom = free_in_ab(policy::Policy::Headroom);
     assert!((120_000..=140_000).contains(&headroom), "{headroom}");
     let latency = free_in_ab(policy::Policy::Latency);
@@ -205,8 +209,8 @@
     assert!(*min > 200_000 && max - min < 20_000, "{refused:?}");
 }
 
-/// A link between regions carries the traffic of all services. If the planner counted only requests and
-/// not bytes, the link would saturate, and the responses of all services would slow down.
+/// A link between regions carries the traffic of all services. If the planner counted only the requests and
+/// not the bytes on a link, the link would saturate, and the responses of all services would slow down.
 #[test]
 fn flows_between_regions_stay_within_the_link_budget() {
     let mut topology = topology();
--- a/crates/damaskvane-steering/tests/planner_faults.rs
+++ b/crates/damaskvane-steering/tests/planner_faults.rs
@@ -1,4 +1,7 @@
 //! Tests of plans while zones shed requests, regions are lost and reports are wrong.
+//!
+//! A zone reports its load and capacity in digests; a plan divides the demand of each source zone among the
+//! destination zones.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -7,8 +10,8 @@
 use damaskvane_core::units;
 use damaskvane_steering::{digest, plan, planner, rate};
 
-/// A zone sheds requests while its digest reports no running requests. Steering by the reported load would
-/// send the zone ever more clients, who would be refused while other zones have capacity.
+/// A zone sheds requests while its digest reports no running requests. If the planner steered by the reported
+/// load, it would send the zone ever more clients, which would be refused while other zones have capacity.
 #[test]
 fn a_zone_that_sheds_loses_traffic_despite_a_low_reported_load() {
     let planner = planner::Planner::new(planner::Settings::default());
@@ -57,8 +60,8 @@
     );
 }
 
-/// A region fails at peak load. Its clients must be spread within the capacity of the other regions;
-/// otherwise these are overloaded, and their own clients are refused as well.
+/// A region fails at peak load. The plan must spread its clients within the capacity of the other regions;
+/// otherwise these regions are overloaded and refuse their own clients as well.
 #[test]
 fn clients_of_a_lost_region_spread_within_the_capacity_of_the_others() {
     let planner = planner::Planner::new(planner::Settings::default());
@@ -88,9 +91,9 @@
     }
 }
 
-/// The last reports of a lost region stay in the view. If they were added to the requests that the
-/// region's clients now send to other zones, the region's demand would be counted twice, and far more
-/// clients would be refused than the capacity requires.
+/// The last reports of a lost region stay in the view (the latest digest of each zone). If the planner added
+/// them to the requests that the region's clients now send to other zones, it would count the region's demand
+/// twice, and far more clients would be refused than the capacity requires.
 #[test]
 fn the_last_reports_of_a_lost_region_are_not_counted_twice() {
     let planner = planner::Planner::new(planner::Settings::default());
@@ -121,8 +124,9 @@
     assert!(demand <= rps(105) && demand >= rps(95), "{demand}");
 }
 
-/// A region is lost, and its clients do not send requests to other zones yet. If the region's demand fell
-/// at once, its capacity would be planned for others, and its clients would be refused on arrival.
+/// A region is lost, and its clients do not send requests to other zones yet. If the planner reduced the
+/// region's demand at once, it would plan other clients' requests for the capacity that the region's clients
+/// need, and the region's clients would be refused on arrival.
 #[test]
 fn the_demand_of_a_lost_region_is_retained_for_a_while() {
     let planner = planner::Planner::new(planner::Settings::default());
@@ -146,8 +150,8 @@
     assert!(demand >= rps(85), "{demand}");
 }
 
-/// One report shows fifty times the actual demand. If the estimate followed at once, clients of all zones
-/// would be refused for seconds while capacity is free.
+/// One report shows fifty times the actual demand. If the planner's estimate of the demand followed this
+/// report at once, clients of all zones would be refused for seconds while capacity is free.
 #[test]
 fn a_single_outlier_report_barely_moves_the_estimate_and_refuses_no_clients() {
     let planner = planner::Planner::new(planner::Settings::default());
--- a/crates/damaskvane-steering/tests/shift.rs
+++ b/crates/damaskvane-steering/tests/shift.rs
@@ -1,4 +1,5 @@
-//! Tests of the cap, the freezing and the step back of traffic shifts.
+//! Tests of traffic shifts, which move a share of the clients to another zone in steps: the cap on the share
+//! that moves in any window of time, and the freezing and reverting of a shift.
 #![allow(clippy::unwrap_used)]
 
 use damaskvane_core::time;
@@ -13,7 +14,8 @@
     shift::Stage::Ramping(shift::Shift::accept(order).start(at(0)))
 }
 
-/// Runs a shift with random signals at irregular intervals; returns each time with the share moved by then.
+/// Runs a shift with random signals at irregular intervals; returns the time of each signal with the share of
+/// the clients moved by then, in thousandths.
 fn random_run(seed: u64, order: shift::Order) -> Vec<(u64, u32)> {
     let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
     let mut stage = start(order);
@@ -34,8 +36,9 @@
     moved
 }
 
-/// A ticket limits the share that moves in any window. If steps were counted in fixed windows, steps on
-/// both sides of a boundary could add up, and caches would receive twice the cap.
+/// The ticket that orders a shift limits the share of the clients that moves in any window (the cap). If
+/// steps were counted in fixed windows, steps on both sides of a boundary could add up, and the caches at the
+/// destination would receive twice the cap.
 #[test]
 fn no_window_moves_more_than_the_cap() {
     for seed in 0..30 {
@@ -92,8 +95,8 @@
     assert!(steps.iter().all(|(_, moved)| *moved <= 50), "{steps:?}");
 }
 
-/// A large shift meets cold caches, and the destination is overloaded. If the shift continued, the old and
-/// the new clients of the destination would be refused.
+/// A large shift moves clients to a destination whose caches are cold, and the destination is overloaded. If
+/// the shift continued, the old and the new clients of the destination would be refused.
 #[test]
 fn overload_and_errors_freeze_a_shift_and_revert_a_step() {
     for signal in [shift::Signal::Overload, shift::Signal::Errors] {
@@ -128,8 +131,8 @@
     assert_eq!(stage.progress().moved_permille, before);
 }
 
-/// The instance that runs a shift is replaced. If the shift restarted at zero, all moved clients would
-/// return in one step, which exceeds the cap by far.
+/// The instance that runs a shift is replaced. If the new instance restarted the shift at zero, all moved
+/// clients would return in one step, which exceeds the cap by far.
 #[test]
 fn a_resumed_shift_keeps_its_moved_share_and_waits_a_window() {
     let shift = shift::Shift::accept(shift::Order::default()).resume(400, at(5_000));
--- a/crates/damaskvane-steering/tests/staleness.rs
+++ b/crates/damaskvane-steering/tests/staleness.rs
@@ -1,4 +1,5 @@
-//! Tests of each row of the table in `docs/operations/steering.md`: the decision and its effect on the plan.
+//! Tests of each row of the table in `docs/operations/steering.md`: the decision by the age of a zone's last
+//! report and the zone's reachability, and the effect of the decision on the plan.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -46,9 +47,10 @@
     assert_eq!(limits.age(Some(at(200_000)), at(100_000)), Age::Fresh);
 }
 
-/// Returns the planned rate to `mb-a` at its last report and `report_age_ms` later.
+/// Returns the request rate planned to zone `mb-a` at the zone's last report, and the rate planned
+/// `report_age_ms` later.
 ///
-/// After the last report, the demand of its neighbour `mb-b` rises from 100 to 260 requests a second.
+/// After the last report, the demand of the neighbour zone `mb-b` rises from 100 to 260 requests a second.
 fn planned_to_mb_a(report_age_ms: u64, reachability: Reachability) -> (rate::Rate, rate::Rate) {
     let planner = planner::Planner::new(planner::Settings::default());
     let mut view = digest::View::default();
@@ -87,8 +89,9 @@
     );
 }
 
-/// A zone's reports stop while the zone still serves requests. If the planned rate rose on seconds-old
-/// reports, the zone would get the overflow of all neighbours at once, and its own clients would be refused.
+/// A zone's reports stop while the zone still serves requests. If the planner raised the zone's planned rate
+/// by reports that are seconds old, the zone would get the overflow of all neighbours at once, and its own
+/// clients would be refused.
 #[test]
 fn an_old_report_holds_the_planned_rate() {
     let (_, at_old) = planned_to_mb_a(4_000, Reachability::Connected);
@@ -142,8 +145,8 @@
     assert_eq!(own.retry_after, time::SpanMs::new(2_000));
 }
 
-/// An aggregator is stuck and sends the same digest repeatedly. If each arrival counted as a new digest,
-/// the plan would use values that are minutes old.
+/// An aggregator (an instance that sends its zone's digests) is stuck and sends the same digest repeatedly.
+/// If each arrival counted as a new digest, the plan would use values that are minutes old.
 #[test]
 fn a_repeated_report_expires() {
     let mut view = digest::View::default();
