--- a/crates/damaskvane-gateway/tests/datagrams.rs
+++ b/crates/damaskvane-gateway/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Encodes and decodes the datagrams between instances, including truncated and arbitrary bytes.
+//! Tests of the encoding and decoding of the datagrams between instances, including truncated and arbitrary bytes.
 
 use damaskvane_core::ids;
 use damaskvane_core::time::SpanMs;
@@ -128,8 +128,8 @@
     }
 }
 
-/// A message longer than the largest datagram is truncated by the receiver and can't be decoded: all instances of a
-/// large zone would appear dead to the other instances.
+/// A message longer than the largest datagram is truncated by the receiver and can't be decoded: if a large zone's
+/// messages became that long, all instances of the zone would appear dead to the other instances.
 #[test]
 fn the_largest_messages_fit_a_datagram() {
     for message in messages() {
@@ -137,8 +137,8 @@
     }
 }
 
-/// Another program, or another version of this program, sends to the port. A truncated message that is decoded as a
-/// complete one would make instances appear dead or alive.
+/// Another program, or another version of this program, sends datagrams to an instance's port. A truncated message that
+/// is decoded as a complete one would make instances appear dead or alive.
 #[test]
 fn truncated_messages_and_other_protocols_are_rejected() {
     for message in messages() {
--- a/crates/damaskvane-gateway/tests/http.rs
+++ b/crates/damaskvane-gateway/tests/http.rs
@@ -1,4 +1,4 @@
-//! Reads backend servers' responses from a connection, in pieces of several sizes.
+//! Tests of reading backend servers' responses from a connection, in pieces of several sizes.
 
 use std::io::Write;
 use std::net;
@@ -115,8 +115,9 @@
     assert!(read(keeping, 100).expect("a response").2);
 }
 
-/// A request is abandoned while its bytes are delayed by the network, as in a partition between two zones. After an
-/// ordinary close the system would still send the bytes, and a server that has left since would get the request.
+/// A request is abandoned while the network delays its bytes, as in a partition between two zones. After an ordinary
+/// close of the connection the operating system would still send the bytes, and a server that has left in the meantime
+/// would get the request.
 #[test]
 fn an_abandoned_request_is_not_delivered_later() {
     const REQUEST_BYTES: usize = 64 << 20;
--- a/crates/damaskvane-gateway/tests/settings.rs
+++ b/crates/damaskvane-gateway/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Values derived from the settings file, and its errors.
+//! Tests of values that are derived from the settings file, and of errors in the file.
 
 use damaskvane_gateway::settings::GatewaySettings;
 
-/// Returns the text of a settings file with one additional line.
+/// Returns the text of a valid settings file with one additional line.
 fn text(line: &str) -> String {
     format!(
         r#"instance = "east-a-1"
@@ -34,9 +34,9 @@
     GatewaySettings::parse("test.toml", &text(line)).expect("valid settings")
 }
 
-/// A watch that waits until the store has discarded its starting revision returns without a result. The instance then
-/// lists everything again, and all instances that receive its changes call the store, at the same moment on every
-/// machine.
+/// A watch is a call to the store that waits for changes after a revision. If it waits until the store no longer
+/// retains this revision, it returns without a result. The instance then lists everything again, and all instances that
+/// receive changes from this instance call the store, at the same moment on every machine.
 #[test]
 fn a_watch_waits_for_less_than_the_store_retains_its_history() {
     assert_eq!(settings("store_history_s = 8").watch_wait_ms(), 6_000);
--- a/crates/damaskvane-gateway/tests/store_health.rs
+++ b/crates/damaskvane-gateway/tests/store_health.rs
@@ -1,4 +1,6 @@
-//! Age of an instance's data from the store, and the end of watches when the store does not respond.
+//! Tests of the age of an instance's data from the store, and of the end of watches when the store does not respond.
+//!
+//! A watch is a call to the store that waits for changes; a relay is an instance that forwards changes to others.
 
 use std::time::Duration;
 
@@ -10,9 +12,9 @@
     IncarnationKey::from_wire(1)
 }
 
-/// An instance starts while the store is unavailable and receives all data from other instances. If its age began at
-/// the start of the process, the instance would appear to be a fresh source, and the instances that receive changes
-/// from it would not search for a better one.
+/// An instance starts while the store is unavailable and receives all data from other instances. If the age of its data
+/// counted from the start of the process, the instance would appear to be a fresh source, and the instances that
+/// receive changes from it would not search for a better source.
 #[test]
 fn the_age_is_unlimited_before_the_first_response() {
     let health = StoreHealth::default();
@@ -22,7 +24,8 @@
 }
 
 /// A watch begins while a relay reports that the store is available, but the store does not respond to this instance.
-/// The watch would hang for its whole wait; the next call without a response has to end the watch.
+/// The watch would hang for its whole waiting time, so the next call to the store that gets no response has to end the
+/// watch.
 #[test]
 fn a_call_without_a_response_ends_watches_although_a_relay_reports_the_store_available() {
     let runtime = tokio::runtime::Builder::new_current_thread()
