--- a/crates/damaskvane-engine/tests/renewal.rs
+++ b/crates/damaskvane-engine/tests/renewal.rs
@@ -1,4 +1,7 @@
 //! Tests of the notices about a renewed home: which instances get them, and which notices are accepted.
+//!
+//! A home is the instance and incarnation that alone may run the idempotency keys of its clients. A renewal
+//! starts a new incarnation without a restart.
 
 use std::sync::Arc;
 
@@ -28,7 +31,8 @@
     }))
 }
 
-/// Returns an engine whose key table requires a new incarnation before it accepts any key.
+/// Returns an engine that renews its home at the next tick, because its key table can't accept any key
+/// before.
 fn engine_due_for_renewal() -> engine::Engine {
     let mut settings = engine::EngineSettings::default();
     settings.keys.max_tombstones = 0;
@@ -49,8 +53,9 @@
         .collect()
 }
 
-/// Guards against an instance that names the old home in lookups after a renewal: new requests of its clients
-/// would end as *unknown*. Instances that start after the renewal need the notice as well.
+/// Guards against an instance that names another instance's old home in lookup responses after a renewal: new
+/// requests of its clients would end as *unknown*. Instances that start after the renewal need the notice as
+/// well.
 #[test]
 fn a_renewed_home_is_sent_to_peers_and_new_instances() {
     let mut engine = engine_due_for_renewal();
@@ -66,7 +71,8 @@
     assert_eq!(renewals(&actions), ["to b-1: a-1/6"]);
 }
 
-/// A notice of another instance's home, or of an older incarnation, would send clients to a wrong home.
+/// Guards against a notice that names the home of an instance other than its sender, or an older incarnation
+/// of the sender: it would send clients to a wrong home.
 #[test]
 fn a_renewal_is_accepted_only_from_the_instance_itself() {
     let mut engine = engine::Engine::new(home_of("a-1/5"), engine::EngineSettings::default());
