--- a/crates/damaskvane-entry/src/client_api.rs
+++ b/crates/damaskvane-entry/src/client_api.rs
@@ -1,7 +1,8 @@
 //! HTTP/1.1 interface for clients: lookups and requests for services.
 //!
-//! All limits on clients are applied here: number of connections, size of and time for head and body, and
-//! the time that a client may leave sent bytes unacknowledged.
+//! All limits on clients are applied here: the number of connections, the size of a request's head and
+//! body, the time to receive each of them, and the time that sent bytes may stay unacknowledged by a
+//! client.
 //!
 //! Path of a request: [`binding`] opens the port, [`listener`] accepts the connection, [`route`] parses
 //! the path, [`lookup`] or [`request_reader`] reads the rest, and [`reply`] builds the response.
--- a/crates/damaskvane-entry/src/client_api/binding.rs
+++ b/crates/damaskvane-entry/src/client_api/binding.rs
@@ -1,10 +1,12 @@
 //! Binds the clients' address when the process starts, and listens on it later.
 //!
-//! Clients cache lookup responses that name an earlier incarnation of this instance as the home of a key.
-//! The new process can only answer *outcome unknown* to a request with that home, although in most cases
-//! nothing ran. While the port is bound but not listening, connections are refused instead: the client
-//! then knows that nothing was sent, and uses another home. The port is bound at once, so that an address
-//! in use is detected early. Listening starts after the cached responses have expired.
+//! Clients cache lookup responses. A cached response can name an earlier incarnation (an earlier start) of
+//! this instance as the home of an idempotency key, which is the process that handles all attempts with
+//! that key. The new process can only answer *outcome unknown* to a request with that home, although in
+//! most cases no backend server ran the request. While the port is bound but not listening, connections are
+//! refused instead: the client then knows that nothing was sent, and uses another home. The port is bound
+//! at once, so that an address in use is detected early. Listening starts after the cached responses have
+//! expired.
 //!
 //! ```
 //! use damaskvane_entry::client_api::binding;
--- a/crates/damaskvane-entry/src/client_api/header.rs
+++ b/crates/damaskvane-entry/src/client_api/header.rs
@@ -7,34 +7,35 @@
 //! assert!(!header::is_forwarded("connection"));
 //! ```
 
-/// Id of one attempt of a request; the response repeats it.
+/// Id of one attempt of a request; the response to the attempt carries the same id.
 pub const REQUEST_ID: &str = "damaskvane-request-id";
-/// Client block that the client belongs to.
+/// Name of the client's block, a group of clients that have the same nearest availability zone.
 pub const CLIENT: &str = "damaskvane-client";
-/// Remaining time for the request, in milliseconds.
+/// Remaining time until the deadline of the request, in milliseconds.
 pub const DEADLINE_MS: &str = "damaskvane-deadline-ms";
-/// Idempotency key of a non-repeatable request.
+/// Idempotency key, which names a non-repeatable request across all its attempts.
 pub const IDEMPOTENCY_KEY: &str = "damaskvane-idempotency-key";
-/// Home of the idempotency key: instance and incarnation that dispatch it.
+/// Home of the idempotency key: the instance that handles all attempts with this key, and its incarnation
+/// (a number that identifies one start of its process).
 pub const HOME: &str = "damaskvane-home";
 /// Number of the attempt of a non-repeatable request, from 1.
 pub const TRY: &str = "damaskvane-try";
 /// Priority of the request.
 pub const PRIORITY: &str = "damaskvane-priority";
-/// Label of the outcome in a response.
+/// Label of the request's outcome, in a response to a client.
 pub const OUTCOME: &str = "damaskvane-outcome";
-/// Refusal reason in a response without a backend server's response.
+/// Reason of a refusal, in a response to a client that contains no response of a backend server.
 pub const REASON: &str = "damaskvane-reason";
-/// Delay before the client retries, in milliseconds.
+/// Time after which the client may retry, in milliseconds.
 pub const RETRY_AFTER_MS: &str = "retry-after-ms";
 /// Configuration version that was active when the response was built.
 pub const CONFIG_VERSION: &str = "damaskvane-config-version";
-/// Set by a backend server that refused the request without running it.
+/// Header that a backend server sets in its response if it refused the request without running it.
 pub const NOT_RUN: &str = "damaskvane-not-run";
 
 const OWN_PREFIX: &str = "damaskvane-";
 
-/// Headers that apply to one connection only, or that are set again for the next connection.
+/// Headers that apply to one connection only, or that the sender sets anew for the next connection.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -47,7 +48,7 @@
     "content-length",
 ];
 
-/// Returns whether a header belongs to this system.
+/// Returns whether a header has the name prefix of the headers that this system defines.
 #[must_use]
 pub fn is_own(name: &str) -> bool {
     name.starts_with(OWN_PREFIX)
--- a/crates/damaskvane-entry/src/client_api/listener.rs
+++ b/crates/damaskvane-entry/src/client_api/listener.rs
@@ -1,4 +1,5 @@
-//! Serves the requests of clients: answers lookups directly and submits all others to the engine.
+//! Serves the requests of clients: answers lookups directly and submits requests for services to the
+//! engine.
 //!
 //! ```no_run
 //! use std::sync::Arc;
@@ -35,9 +36,10 @@
 /// State shared by all client connections.
 #[derive(Debug)]
 pub struct ClientApi {
-    /// Snapshot, counters and load meter that requests are served with.
+    /// State shared by the process's threads, with the snapshot for lookups, the counters and the load
+    /// meter.
     pub serving: Arc<serving::Serving>,
-    /// Inbox of the engine.
+    /// Sender to the engine's thread.
     pub inbox: flume::Sender<inbox::Input>,
     /// Settings with the limits on connections, heads and bodies.
     pub settings: settings::EntrySettings,
@@ -102,8 +104,8 @@
     reply::refused(reason, detail)
 }
 
-/// Refuses a request and sets its request id in the response. A client takes a response without its
-/// request id for the response to another request.
+/// Refuses a request and sets its request id in the response. Without the id, the client would take the
+/// response for one to another request.
 fn refuse_with_request_id(
     api: &ClientApi,
     parts: &request::Parts,
@@ -154,7 +156,8 @@
     )
 }
 
-/// Counts the arrival of a request. Only first attempts count, since a retry adds no demand.
+/// Counts the arrival of a request in the load meter. Only first attempts count, since a retry adds no
+/// demand.
 fn count_arrival(serving: &serving::Serving, request: &message::ServiceRequest) {
     let is_first = request
         .idempotency
@@ -168,7 +171,7 @@
 }
 
 /// Submits the request to the engine and waits for the outcome. hyper drops this future when the client
-/// closes its connection. The guard then notifies the engine, which cancels the running exchange.
+/// closes its connection. The client guard then notifies the engine, which cancels the running exchange.
 async fn run(
     api: &ClientApi,
     request: message::ServiceRequest,
--- a/crates/damaskvane-entry/src/client_api/lookup.rs
+++ b/crates/damaskvane-entry/src/client_api/lookup.rs
@@ -1,7 +1,9 @@
-//! Selects the entry instances that a client should use.
+//! Selects the entry instances that a client should send its requests to.
 //!
-//! The traffic plan determines the order of the zones. Within a zone, a hash of client block and instance
-//! distributes clients over the instances, so that a client keeps its instance while the fleet is unchanged.
+//! The traffic plan, which distributes the clients of each zone over the zones, determines the order of the
+//! zones. Within a zone, a hash of client block and instance distributes clients over the instances, so
+//! that a client keeps its instance while the set of instances is unchanged. A client block is a group of
+//! clients that have the same nearest zone.
 //!
 //! ```
 //! use damaskvane_entry::{client_api::lookup, serving};
@@ -55,7 +57,7 @@
     }
 }
 
-/// Returns the response to a lookup with the given query string.
+/// Returns the response to a lookup; `query` is the part of its URL after the question mark.
 #[must_use]
 pub fn respond(serving: &serving::Serving, query: &str) -> reply::HttpResponse {
     let state = serving.state();
--- a/crates/damaskvane-entry/src/client_api/reply.rs
+++ b/crates/damaskvane-entry/src/client_api/reply.rs
@@ -61,7 +61,8 @@
     response
 }
 
-/// Builds the response to a request that was refused before it reached the engine; nothing ran.
+/// Builds the response to a request that was refused before it reached the engine, so that no backend
+/// server ran it.
 #[must_use]
 pub fn refused(reason: refusal::RefusalReason, detail: &str) -> HttpResponse {
     let mut response = refusal_body("not-run", reason, detail);
--- a/crates/damaskvane-entry/src/client_api/reserved.rs
+++ b/crates/damaskvane-entry/src/client_api/reserved.rs
@@ -1,4 +1,4 @@
-//! Paths that backend servers offer to entry instances only; requests of clients for them are refused.
+//! Paths that backend servers offer to entry instances only; clients' requests for these paths are refused.
 //!
 //! ```
 //! use damaskvane_entry::client_api::reserved;
@@ -11,7 +11,7 @@
 /// First segments of reserved paths.
 const RESERVED_SEGMENTS: [&str; 3] = ["cancel", "health", "load"];
 
-/// Returns whether a path with its query is reserved, or could become a reserved path.
+/// Returns whether a path with its query is reserved, or could resolve to a reserved path.
 ///
 /// Segments `.` and `..` are resolved before the request reaches the backend server, also if they are
 /// percent-encoded, and the backend server may decode the rest of the path. Therefore every path with such
--- a/crates/damaskvane-entry/src/client_api/route.rs
+++ b/crates/damaskvane-entry/src/client_api/route.rs
@@ -49,7 +49,8 @@
     }
 }
 
-/// Returns the value of a query parameter as sent; values are identifiers, which need no escaping.
+/// Returns the value of a query parameter without decoding, since values are identifiers, which need no
+/// escaping. Returns `None` if the parameter is absent.
 #[must_use]
 pub fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
