--- a/crates/damaskvane-entry/src/control.rs
+++ b/crates/damaskvane-entry/src/control.rs
@@ -1,9 +1,11 @@
 //! The control thread: configuration, membership and steering of this instance.
 //!
 //! The control thread makes the decisions that do not concern a single request, and publishes the results:
-//! a serving state for lookups, a directory for the engine, an address book for the transport to peers.
-//! `configuration` drives the relay of the configuration, `fleet` the membership, `steering` the plan. Each
-//! module turns the actions of pure decision code into calls and messages, and their results into events.
+//! a serving state for lookups, a directory (services, backend servers of the zone, and known instances)
+//! for the engine, an address book for the transport to peers. `configuration` drives the relay, which
+//! fetches configurations from the platform or from peers. `fleet` drives the membership, which tracks the
+//! other instances. `steering` computes the traffic plan. Each module turns the actions of pure decision
+//! code into calls and messages, and their results into events.
 //!
 //! ```
 //! use damaskvane_entry::control;
@@ -73,7 +75,8 @@
     pub record: api::InstanceRecord,
     /// Contents of the settings file.
     pub settings: settings::EntrySettings,
-    /// Peers that receive a request for the list of instances until the platform or a peer sends one.
+    /// Peers that this instance requests the list of instances from, until the platform or a peer has sent
+    /// the list.
     pub seeds: peers::Seeds,
     /// State that the client API serves lookups from, with the counters and the clock.
     pub serving: Arc<serving::Serving>,
@@ -85,11 +88,12 @@
     pub store: store::Store,
     /// Values that the operator API shows.
     pub status: status::Source,
-    /// Sender of the backend servers to poll for their health.
+    /// Sender to the polling thread, for the list of backend servers whose health is polled.
     pub health: flume::Sender<Vec<health_reports::PolledServer>>,
     /// Sender of requests to stop the process, with the same effect as SIGTERM.
     pub stop: flume::Sender<()>,
-    /// Sender to the control thread itself, for the results of probes.
+    /// Sender to the control thread itself, for the results of probes (connection attempts to instances
+    /// whose heartbeats stopped).
     pub own_inbox: flume::Sender<ControlInput>,
     /// Logger with the instance and the availability zone as fields.
     pub logger: slog::Logger,
--- a/crates/damaskvane-entry/src/control/configuration.rs
+++ b/crates/damaskvane-entry/src/control/configuration.rs
@@ -1,4 +1,8 @@
-//! Drives the relay of the configuration: turns its actions into calls on the platform and messages to peers.
+//! Drives the relay of the configuration: turns its actions into calls on the platform and messages to
+//! peers.
+//!
+//! The relay fetches new configuration versions and announces them to peers. The head of a version lists
+//! all declared objects; a chunk holds the state of one object.
 //!
 //! ```text
 //! store or peer -> head -> missing chunks -> complete, checked, validated -> active -> announced to peers
@@ -19,7 +23,7 @@
 const WATCH_TIMEOUT: time::SpanMs = time::SpanMs::new(20_000);
 const WATCH_RETRY_DELAY: time::SpanMs = time::SpanMs::new(500);
 
-/// State of the long poll for changes of the configuration's head in the platform.
+/// State of the long poll by which the platform reports a change of the configuration's head.
 #[derive(Debug, Default)]
 pub(super) struct Watch {
     is_requested: bool,
@@ -145,7 +149,8 @@
             }
             store::Call::Instances => self.handle_list_failure(),
             store::Call::Announce => self.handle_announce_failure(),
-            // The membership repeats the deletion as long as the entry is listed.
+            // No retry is needed here: the membership requests the deletion again as long as the platform
+            // lists the fence record.
             store::Call::RemoveFenceRecord => {}
         }
     }
--- a/crates/damaskvane-entry/src/control/fleet.rs
+++ b/crates/damaskvane-entry/src/control/fleet.rs
@@ -1,5 +1,8 @@
 //! Drives the membership: turns its actions into heartbeats, probes, and fence records in the platform.
 //!
+//! The membership tracks the state of all instances. A fence record in the platform's list withdraws from
+//! an incarnation (one start of an instance's process) the right to act as the owner of backend servers.
+//!
 //! ```text
 //! platform's list + heartbeats -> instances that are live, leaving, dead or gone
 //! ```
@@ -26,7 +29,8 @@
 use crate::store;
 use crate::wire;
 
-/// Reads of the platform's list per second by all instances together, whatever their number.
+/// Target for the reads of the platform's list of instances per second, by all instances together, whatever
+/// their number.
 const FLEET_LIST_READS_PER_SECOND: u64 = 60;
 const MIN_LIST_PERIOD_MS: u64 = 1_000;
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -41,7 +45,8 @@
     peer_address: net::SocketAddr,
 }
 
-/// State of reading the platform's list of instances, of announcing this instance, and of the seeds.
+/// State of this instance's reads of the platform's list of instances, of its own entry in that list, and
+/// of its requests to the seeds, the peers that the settings name.
 #[derive(Debug)]
 pub(super) struct InstanceListState {
     rng: Pcg64Mcg,
@@ -99,7 +104,8 @@
         }
     }
 
-    /// Carries out an action. Returns whether the address book and the directory have to be published again.
+    /// Carries out an action of the membership. Returns whether the address book and the directory have to
+    /// be published again.
     fn apply_membership_action(&mut self, action: view::Action) -> bool {
         match action {
             view::Action::Send { to, heartbeat, .. } => {
@@ -154,8 +160,8 @@
         false
     }
 
-    /// Stores the listed instances. Returns whether an instance, an incarnation or an address changed, which
-    /// few reads of the list show.
+    /// Stores the listed instances. Returns whether an instance, an incarnation or an address changed since
+    /// the last call; most reads of the list show no change.
     fn update_listed_instances(&mut self) -> bool {
         let listed: Vec<ListedInstance> = self
             .membership
@@ -217,7 +223,7 @@
         });
     }
 
-    /// Probes an instance with a TCP connection, on a thread of its own.
+    /// Probes an instance by opening a TCP connection to it, on a separate thread.
     ///
     /// A refused connection proves that the process has ended; a timeout proves nothing.
     fn probe(
--- a/crates/damaskvane-entry/src/control/input.rs
+++ b/crates/damaskvane-entry/src/control/input.rs
@@ -24,7 +24,7 @@
     Probed {
         /// Probed instance.
         instance: ids::InstanceId,
-        /// Incarnation that the membership suspects to have stopped.
+        /// Incarnation (start of the instance's process) that the membership suspects to have stopped.
         incarnation: ids::Incarnation,
         /// Result of the connection attempt to the instance's address.
         outcome: view::ProbeOutcome,
--- a/crates/damaskvane-entry/src/control/notices.rs
+++ b/crates/damaskvane-entry/src/control/notices.rs
@@ -1,4 +1,5 @@
-//! Notices to instances of other zones that this instance has started or leaves.
+//! Notices to instances of other zones that this instance has started or that it leaves, that is, stops as
+//! planned.
 //!
 //! ```text
 //! first list -> start notice to other zones; planned stop -> leave notice
@@ -10,19 +11,20 @@
 use crate::control::Control;
 use crate::wire;
 
-/// Heartbeat period that a notice states. A notice is a single message; a regular heartbeat, if one follows,
-/// states its own period.
+/// Heartbeat period that a notice states; a notice has the form of a heartbeat. A notice is sent once; a
+/// regular heartbeat, if one follows, states its own period.
 const NOTICE_PERIOD: time::SpanMs = time::SpanMs::new(2_500);
-/// Sequence numbers of the two notices, the only heartbeats that go to other zones.
+/// Sequence numbers of the start notice and the leave notice, the only heartbeats that go to other zones.
 const START_NOTICE: u64 = 0;
 const LEAVE_NOTICE: u64 = 1;
 
 impl Control {
     /// Sends the start notice to all instances of other zones, once, after the first list of instances.
     ///
-    /// Without the notice, instances of other zones learn this incarnation from the platform's list only.
-    /// During an outage of the platform they would name the previous incarnation in lookup responses, and a
-    /// client that used such a response would get outcome *unknown* from this process.
+    /// Without the notice, instances of other zones learn this incarnation (the number of this process's
+    /// start) from the platform's list only. During an outage of the platform they would name the previous
+    /// incarnation in lookup responses, and a client that used such a response would get outcome *unknown*
+    /// from this process.
     pub(super) fn send_start_notice(&mut self) {
         if self.instance_list.start_notice_sent || self.membership.list_age().is_none() {
             return;
@@ -33,8 +35,8 @@
 
     /// Sends the leave notice to all instances of other zones.
     ///
-    /// The platform's list shows the leave only seconds later, and until then lookup responses of other zones
-    /// would send clients to this instance, even after its stop.
+    /// The platform's list shows the leave only seconds later. Until then, lookup responses from instances
+    /// of other zones would send clients to this instance, even after its stop.
     pub(super) fn send_leave_notice(&self) {
         self.send_notice_to_other_zones(LEAVE_NOTICE, true);
     }
--- a/crates/damaskvane-entry/src/control/publishing.rs
+++ b/crates/damaskvane-entry/src/control/publishing.rs
@@ -21,8 +21,9 @@
 use crate::translate;
 
 impl Control {
-    /// Sends the list of polled backend servers and a new directory, and replaces the plan and the serving
-    /// state. Does nothing while no configuration is active.
+    /// Sends the list of backend servers to the polling thread and a new directory (services, backend
+    /// servers of the zone, and known instances) to the engine, and replaces the plan and the serving state
+    /// for lookups. Does nothing while no configuration is active.
     pub(super) fn publish(&mut self) {
         let Some(active) = self.relay.applier().active_config().cloned() else {
             return;
@@ -100,7 +101,8 @@
         points
     }
 
-    /// Returns the backend servers that this instance owns. Only their owner polls them for their health.
+    /// Returns the backend servers that this instance owns, that is, whose slots it grants. Only the owner
+    /// polls a server for its health.
     fn polled_servers(&self, config: &state::ConfigState) -> Vec<health_reports::PolledServer> {
         let roster = self.membership.roster();
         let owners: Vec<&ids::InstanceId> = roster
--- a/crates/damaskvane-entry/src/control/seeding.rs
+++ b/crates/damaskvane-entry/src/control/seeding.rs
@@ -1,5 +1,7 @@
 //! Fetches the list of instances from peers when this instance starts during an outage of the platform.
 //!
+//! The seeds are the peers that the settings name for this purpose.
+//!
 //! ```text
 //! start without a list -> request to the seeds -> list, heartbeats, configuration from peers
 //! ```
@@ -14,8 +16,9 @@
 impl Control {
     /// Requests the list of instances from the seeds, as long as this instance has none.
     ///
-    /// Otherwise an instance that is replaced during an outage of the platform would have no peers: it could
-    /// receive neither the configuration nor heartbeats, and would refuse clients until the outage ends.
+    /// Without this request, an instance that is replaced during an outage of the platform would have no
+    /// peers: it could receive neither the configuration nor heartbeats, and would refuse clients until the
+    /// outage ends.
     pub(super) fn request_list_from_seeds(&mut self) {
         self.instance_list.seeds_requested_at = self.now();
         if self.membership.list_age().is_some() {
--- a/crates/damaskvane-entry/src/control/shifts.rs
+++ b/crates/damaskvane-entry/src/control/shifts.rs
@@ -11,11 +11,12 @@
 use damaskvane_steering::{digest, input, shift, staleness};
 use serde_json::json;
 
-/// Approximate number of steps of a ramp.
+/// Approximate number of steps in which a shift reaches its declared share of clients.
 const RAMP_STEPS: u64 = 8;
 const MIN_STEP_INTERVAL: time::SpanMs = time::SpanMs::new(200);
 const MIN_RECOVERY_MS: u64 = 5_000;
-/// Share of failed exchanges among arrivals, in thousandths, above which a shift steps back.
+/// Ratio of failed exchanges to arrivals in the destination zone, in thousandths, above which a shift steps
+/// back.
 const ERRORS_PERMILLE: u64 = 50;
 
 #[derive(Debug)]
@@ -33,8 +34,8 @@
 impl Shifts {
     /// Adds and removes shifts as `config` declares them. A shift with a changed declaration is added anew.
     ///
-    /// `moved` holds the progress of shifts in other zones, in thousandths by name; a shift that is new to
-    /// this instance resumes from there.
+    /// `moved` holds, by the name of each shift, the share of clients that the zones report as moved, in
+    /// thousandths. A shift that is new to this instance resumes from that share.
     pub(super) fn apply_declarations(
         &mut self,
         config: &state::ConfigState,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Advances each shift according to the state of its destination zone.
+    /// Advances each shift according to the load and errors that its destination zone reports.
     pub(super) fn advance(
         &mut self,
         view: &digest::View,
@@ -76,14 +77,14 @@
         }
     }
 
-    /// Returns the moved share of each shift by name, in thousandths.
+    /// Returns the share of clients that each shift has moved so far, in thousandths, by the shift's name.
     pub(super) fn moved_permille(&self) -> BTreeMap<String, u32> {
         self.progress()
             .map(|(name, _, progress)| (name.clone(), progress.moved_permille))
             .collect()
     }
 
-    /// Returns the shifts in the planner's form.
+    /// Returns the shifts, with the shares moved so far, as input for the planner of the traffic plan.
     pub(super) fn movements(&self) -> Vec<input::Movement> {
         self.progress()
             .map(|(_, declared, progress)| input::Movement {
@@ -131,10 +132,11 @@
     }
 }
 
-/// Returns the state of the destination zone, and [`shift::Signal::Unknown`] without a fresh digest of the zone.
+/// Returns the condition of a shift's destination zone from the zone's digest (its load report to other
+/// zones), or [`shift::Signal::Unknown`] without a fresh digest.
 ///
-/// The planner raises no zone's share on an old digest. A shift that advanced meanwhile would take effect all
-/// at once with the next fresh digest, above its cap.
+/// The planner raises no zone's share on an old digest. A shift that advanced meanwhile would take effect
+/// all at once with the next fresh digest, and exceed its cap on the share moved per window of time.
 fn signal(
     view: &digest::View,
     limits: staleness::Limits,
--- a/crates/damaskvane-entry/src/control/steering.rs
+++ b/crates/damaskvane-entry/src/control/steering.rs
@@ -1,5 +1,8 @@
 //! Computes the plan for lookups from the load digests of all zones.
 //!
+//! The plan distributes the clients of each zone over the zones. A digest is the load report of one zone;
+//! the zone's aggregator is the instance that sums the loads of the zone's instances and sends the digest.
+//!
 //! ```text
 //! local load -> aggregator of the zone -> digest -> all zones -> view -> plan
 //! ```
@@ -23,8 +26,8 @@
 const MIN_INTER_REGION_PERIOD: time::SpanMs = time::SpanMs::new(1_000);
 const MAX_INTER_REGION_PERIOD: time::SpanMs = time::SpanMs::new(10_000);
 
-/// Number of zones from which on the maximum period applies. With this many zones, that period keeps the
-/// traffic of control messages within its budget.
+/// Number of zones from which on digests are sent at the maximum period. With this many zones, that period
+/// keeps the traffic of control messages within its budget.
 const ZONES_AT_MAX_PERIOD: u64 = 23;
 
 /// State of steering that is kept between two plans.
@@ -127,8 +130,9 @@
         self.apply_digests();
     }
 
-    /// Returns the age limits of digests. A digest is fresh for as long as the next one may take to arrive.
-    /// A digest older than three periods (never less than the default limit) is too old to use.
+    /// Returns the age limits of digests. A digest is fresh until the next one, sent one period later, has
+    /// had time to arrive. A digest older than three periods (never less than the default limit) is too old
+    /// to use.
     fn limits(&self) -> staleness::Limits {
         let period_ms = self.steering.inter_region_period.get();
         let defaults = staleness::Limits::default();
@@ -188,8 +192,8 @@
         }
     }
 
-    /// Returns the largest moved share of each shift that any zone reports, in thousandths. An instance that has
-    /// just started resumes its shifts from there.
+    /// Returns, for each shift of traffic between zones, the largest share of clients that any zone reports
+    /// as moved, in thousandths. An instance that has just started resumes its shifts from there.
     fn max_moved_permille(&self, now: time::TimeMs) -> BTreeMap<String, u32> {
         let mut moved = BTreeMap::new();
         for held in self.steering.exchange.digests(now) {
@@ -250,7 +254,7 @@
 }
 
 /// Returns the time between two digests to other regions. The time grows with the number of zones, so that
-/// the rate of digests that each instance receives does not.
+/// the rate of digests that each instance receives does not grow.
 fn inter_region_period(zones: usize) -> time::SpanMs {
     let period_ms = MAX_INTER_REGION_PERIOD.get() * zones as u64 / ZONES_AT_MAX_PERIOD;
     time::SpanMs::new(period_ms)
@@ -260,7 +264,8 @@
 
 /// Returns the settings of the planner, which plans for all services together.
 ///
-/// The policy is headroom if any service declares that policy. The lookup TTL is the longest of all services.
+/// The policy is headroom if any service declares that policy. The lookup TTL, the time for which clients
+/// may cache a lookup response, is the longest of all services.
 fn settings(config: &state::ConfigState) -> planner::Settings {
     let services = || config.services().values();
     let uses_headroom = services().any(|service| service.policy == declaration::Policy::Headroom);
