--- a/crates/damaskvane-entry/src/store/job.rs
+++ b/crates/damaskvane-entry/src/store/job.rs
@@ -1,5 +1,7 @@
 //! The calls that the control thread submits, and the reports of their results.
 //!
+//! An incarnation is a number that identifies one start of an instance's process.
+//!
 //! ```
 //! use damaskvane_entry::store;
 //!
@@ -17,7 +19,7 @@
 pub enum StoreJob {
     /// Wait until the head of the configuration changes.
     WatchHead {
-        /// The revision of the last watch; the call returns once the platform has a later one.
+        /// The revision that the last watch returned; the call returns once the platform has a later one.
         after: api::Revision,
         /// The maximum time to wait.
         wait: time::SpanMs,
@@ -28,22 +30,24 @@
     ReadChunks(Vec<hash::ContentHash>),
     /// Read the platform's list of instances.
     ListInstances {
-        /// When the control thread submitted the call.
+        /// The time at which the control thread submitted the call.
         requested_at: time::TimeMs,
     },
     /// Write this instance's record, unless the stored one is fenced or of a later incarnation.
     Announce(api::InstanceRecord),
-    /// Mark another instance's record as fenced, if it still has this incarnation.
+    /// Mark another instance's record as fenced, if the stored record still has this incarnation.
     Fence {
         /// The instance to fence.
         instance: ids::InstanceId,
         /// The incarnation to fence.
         incarnation: ids::Incarnation,
-        /// Whether the fenced incarnation may keep its authority for longer, as the last instance of a
-        /// zone that is cut off from the platform.
+        /// Whether the fenced incarnation may keep its authority (the right to act as the owner of its
+        /// backend servers) for longer, because it may be the last instance of a zone that is cut off from
+        /// the platform.
         goes_on_alone: bool,
     },
-    /// Delete another instance's record, if it is still marked as fenced and has this incarnation.
+    /// Delete another instance's record, if the stored record is still marked as fenced and has this
+    /// incarnation.
     RemoveFenceRecord {
         /// The fenced instance.
         instance: ids::InstanceId,
@@ -117,12 +121,13 @@
     Instances {
         /// One record per listed instance.
         records: Vec<api::InstanceRecord>,
-        /// When the control thread submitted the call; the list is at least as recent.
+        /// The time at which the control thread submitted the call; the list is at least as recent.
         requested_at: time::TimeMs,
     },
     /// This instance's record is stored.
     Announced,
-    /// The stored record is fenced by another instance, or was written by a later incarnation of this one.
+    /// The stored record of this instance is fenced by another instance, or was written by a later
+    /// incarnation.
     Superseded,
     /// An old fence record was deleted, had already been replaced, or was replaced during the call. If the
     /// fence record is still listed later, the membership requests the call again.
--- a/crates/damaskvane-entry/src/store/worker.rs
+++ b/crates/damaskvane-entry/src/store/worker.rs
@@ -1,5 +1,8 @@
 //! The threads that make the calls to the platform.
 //!
+//! The head is the stored list of all configuration objects, and a ticket is the stored change that made
+//! it.
+//!
 //! ```
 //! use damaskvane_entry::store;
 //!
@@ -156,11 +159,13 @@
         }
     }
 
-    /// Reads chunks; if several are requested, first reads the ticket that the last head named.
+    /// Reads chunks, each of which holds the state of one configuration object. If several are requested,
+    /// first reads the ticket that the last read head named.
     ///
     /// The text of a ticket declares the complete new state of every object that the ticket changes. For a
-    /// large ticket, one call per chunk would exceed the time within which a ticket has to take effect, and the
-    /// relays together would exceed the rate of reads that the platform allows.
+    /// large ticket, one call per chunk would exceed the time within which a ticket has to take effect, and
+    /// the relays (the instances that read the configuration from the platform) together would exceed the
+    /// rate of reads that the platform allows.
     fn read_chunks(&self, hashes: &[hash::ContentHash]) -> StoreReport {
         let mut chunks = Vec::new();
         let mut missing: Vec<hash::ContentHash> = hashes.to_vec();
@@ -177,7 +182,7 @@
         for hash in missing {
             match self.read_chunk(hash) {
                 Some(bytes) => chunks.push(bytes),
-                // The chunks read so far are of use; the relay requests the others again.
+                // The chunks read so far are returned; the control thread requests the others again.
                 None if !chunks.is_empty() => break,
                 None => return StoreReport::Unavailable { call: Call::Chunk },
             }
@@ -240,7 +245,7 @@
         }
     }
 
-    /// Marks the record of an incarnation as fenced.
+    /// Marks the record of an incarnation, one start of an instance's process, as fenced.
     ///
     /// The write is conditional on the version of the record that was read: an instance that restarted in
     /// between has written another version, so the fence record never affects a later incarnation.
@@ -284,7 +289,7 @@
         }
     }
 
-    /// Deletes a record only if it is still the fence record: the instance may have restarted.
+    /// Deletes a record only if it is still the fence record: a restarted instance writes a new record.
     fn remove_fence_record(
         &self,
         instance: ids::InstanceId,
@@ -340,7 +345,8 @@
     }
 }
 
-/// Returns whether this incarnation has lost its authority by a fence or to a later incarnation.
+/// Returns whether this incarnation has lost its authority, the right to act as the owner of its backend
+/// servers, by a fence or to a later incarnation.
 ///
 /// If this instance overwrote its fence record, the list would show it as active although its successor has
 /// begun to grant the same slots.
--- a/crates/damaskvane-entry/src/wire/configuration.rs
+++ b/crates/damaskvane-entry/src/wire/configuration.rs
@@ -1,5 +1,7 @@
 //! Messages that distribute the configuration between entry instances.
 //!
+//! The head of a configuration version lists its objects; a chunk holds the state of one object.
+//!
 //! ```
 //! use damaskvane_entry::wire;
 //!
--- a/crates/damaskvane-entry/src/wire/fleet.rs
+++ b/crates/damaskvane-entry/src/wire/fleet.rs
@@ -18,7 +18,8 @@
     /// Requests the list of instances.
     #[serde(rename = "a")]
     GetList {
-        /// Address that the sender listens on now; the list may still have its previous address.
+        /// Peer address that the sender listens on now; the receiver's list may still have the sender's
+        /// previous address.
         #[serde(rename = "r")]
         reply_to: address::PeerAddress,
     },
--- a/crates/damaskvane-entry/src/wire/message.rs
+++ b/crates/damaskvane-entry/src/wire/message.rs
@@ -28,10 +28,10 @@
     /// Message about the configuration.
     #[serde(rename = "c")]
     Configuration(configuration::ConfigurationMessage),
-    /// Load report of an instance, for the aggregator of its zone.
+    /// Load report of one instance, for the aggregator of its zone, the instance that sums the zone's load.
     #[serde(rename = "l")]
     Load(load::InstanceLoad),
-    /// Digests with load reports of zones.
+    /// Digests, which are the load reports of whole zones.
     #[serde(rename = "d")]
     Digests(digest::DigestBundle<load::ZoneReport>),
     /// Message between the engines of two instances.
