--- a/crates/damaskvane-entry/src/clock.rs
+++ b/crates/damaskvane-entry/src/clock.rs
@@ -36,9 +36,10 @@
 
 /// Returns the incarnation of a process that starts now: milliseconds of the wall clock since 1970.
 ///
-/// An instance stores nothing between two starts, so its incarnation can't be counted up locally. If the wall
-/// clock was set back, the platform's list or a peer shows a higher incarnation of the same instance name, and
-/// the caller uses a number above that one.
+/// An incarnation is a number that identifies one start of an instance's process; later starts have higher
+/// numbers. An instance stores nothing between two starts, so it can't add one to its previous incarnation.
+/// If the wall clock was set back, the platform's list of instances or a peer reports a higher incarnation
+/// of the same instance name, and the caller uses a number above the reported one.
 #[must_use]
 pub fn incarnation() -> ids::Incarnation {
     let since_epoch = SystemTime::now()
--- a/crates/damaskvane-entry/src/engine_thread.rs
+++ b/crates/damaskvane-entry/src/engine_thread.rs
@@ -1,4 +1,7 @@
-//! The engine's thread: turns messages of its inbox into engine events and carries out the engine's actions.
+//! The engine's thread: turns messages of its inbox into engine events and carries out the engine's
+//! actions.
+//!
+//! The engine decides which backend server runs each request, and when.
 //!
 //! ```
 //! use damaskvane_entry::engine_thread;
@@ -25,8 +28,8 @@
 /// Time between two tick events to the engine while requests or exchanges are in progress.
 pub const TICK: Duration = Duration::from_millis(10);
 
-/// Time between two tick events while the engine is idle; only leases and heartbeats of slots need the ticks
-/// then.
+/// Time between two tick events to the engine while no request or exchange is in progress. Only the leases
+/// and heartbeats of slots need the ticks then; a slot is the right to run one request on a backend server.
 const IDLE_TICK: Duration = Duration::from_millis(50);
 
 const LOAD_PERIOD: time::SpanMs = time::SpanMs::new(1_000);
--- a/crates/damaskvane-entry/src/exchange.rs
+++ b/crates/damaskvane-entry/src/exchange.rs
@@ -60,11 +60,11 @@
 
 /// Runs one exchange and blocks until it ends.
 ///
-/// A process can be paused between the decision to send a request and the sending, for longer than the lease
-/// of the slot. Another instance may hold the slot by then, so that the backend server would run more requests
-/// than it has slots. Therefore the clock is read directly before the connection is opened and again after the
-/// last byte of the request: an expired lease prevents the exchange, and a request that was sent too late is
-/// cancelled at once.
+/// A slot is the right to run one request on a backend server, held under a lease. A process can be paused
+/// between the decision to send a request and the sending, for longer than the lease. Another instance may
+/// hold the slot by then, so that the backend server would run more requests than it has slots. Therefore
+/// the clock is read directly before the connection is opened and again after the last byte of the request:
+/// an expired lease prevents the exchange, and a request that was sent too late is cancelled at once.
 #[must_use]
 pub fn run(
     exchange: &event::Exchange,
@@ -157,8 +157,8 @@
     }
 }
 
-/// Returns `NotSent` only for errors that can occur while connecting and at no later time: only these prove
-/// that no byte was sent.
+/// Returns the end of an exchange that failed with an I/O error. The end is `NotSent` only for errors that
+/// can occur while connecting and at no later time: only these prove that no byte was sent.
 fn end_of_io_failure(error: &io::Error) -> ExchangeEnd {
     match error.kind() {
         io::ErrorKind::ConnectionRefused
@@ -214,7 +214,7 @@
     })
 }
 
-/// Returns whether the response carries exactly one request id, that of this request.
+/// Returns whether the response carries exactly one request id and it equals `request_id`.
 ///
 /// Two ids show that an intermediary merged the headers of two responses.
 fn names_only_request(headers: &HeaderMap, request_id: &str) -> bool {
--- a/crates/damaskvane-entry/src/exchange/leased_body.rs
+++ b/crates/damaskvane-entry/src/exchange/leased_body.rs
@@ -1,5 +1,7 @@
 //! A request body that records whether it was sent after the lease of its slot had expired.
 //!
+//! A slot is the right to run one request on a backend server, held under a lease.
+//!
 //! ```text
 //! write the body -> read the clock: sent late if the lease has expired by then
 //! ```
@@ -36,7 +38,8 @@
         }
     }
 
-    /// Returns a flag that becomes true if the last byte was written at or after `begin_before`.
+    /// Returns a flag that becomes true if the last byte was written at or after the end of the lease,
+    /// `begin_before`.
     pub(super) fn sent_late(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.sent_late)
     }
--- a/crates/damaskvane-entry/src/exchange_pool.rs
+++ b/crates/damaskvane-entry/src/exchange_pool.rs
@@ -81,12 +81,13 @@
         self.threads
     }
 
-    /// Queues an exchange; a thread reports its end to the inbox.
+    /// Queues an exchange; the thread that runs it reports its end to the engine's thread.
     pub fn start(&mut self, exchange: event::Exchange) {
         self.submit(Job::Exchange(exchange));
     }
 
-    /// Queues a request to a backend server to cancel the request with this id; nothing is reported.
+    /// Queues a call that makes the backend server at `address` cancel the request with this id. The result
+    /// of the call is not reported.
     pub fn cancel(&mut self, address: net::SocketAddr, request_id: ids::RequestId) {
         self.submit(Job::Cancel {
             address,
@@ -148,8 +149,8 @@
     }
 }
 
-/// Logs the end of an exchange: as a warning if only a fault of the backend server or of the network can cause
-/// it, otherwise for debugging.
+/// Logs the end of an exchange: as a warning if only a fault of the backend server or of the network can
+/// cause this end, otherwise for debugging.
 fn log_end(logger: &slog::Logger, exchange: &event::Exchange, end: &event::ExchangeEnd) {
     let fields = slog::o!(
         logging::field::REQUEST_ID => exchange.request.request_id.to_string(),
--- a/crates/damaskvane-entry/src/health_reports.rs
+++ b/crates/damaskvane-entry/src/health_reports.rs
@@ -1,8 +1,8 @@
 //! Polls backend servers for reports of their own health.
 //!
-//! Only the instance that owns a backend server polls it, so that a server is polled once per period whatever
-//! the size of the zone. Reports can be late or wrong; the engine weighs them with other evidence and bounds
-//! their effect.
+//! Only the instance that owns a backend server (grants its slots) polls that server, so that a server is
+//! polled once per period whatever the number of instances in the zone. Reports can be late or wrong; the
+//! engine weighs them with other evidence and bounds their effect.
 //!
 //! ```
 //! use damaskvane_entry::health_reports;
@@ -43,7 +43,7 @@
 
 /// Starts the polling thread, which sends its results to `reports`.
 ///
-/// Each list sent to the returned sender replaces the previous one.
+/// Each list sent to the returned sender replaces the list of servers to poll.
 ///
 /// # Errors
 ///
@@ -81,7 +81,8 @@
     }
 }
 
-/// Returns whether the server reports itself healthy; no response counts as unhealthy.
+/// Returns whether the server at this address reports itself healthy; a missing response counts as
+/// unhealthy.
 fn poll_health(address: net::SocketAddr) -> bool {
     let response = attohttpc::get(format!("http://{address}/health"))
         .proxy_settings(attohttpc::ProxySettings::builder().build())
--- a/crates/damaskvane-entry/src/lib.rs
+++ b/crates/damaskvane-entry/src/lib.rs
@@ -3,15 +3,16 @@
 //! # Crate guide
 //!
 //! Path of a request: [`client_api`] reads the request, [`inbox`] passes it to the engine on
-//! [`engine_thread`], the engine selects a backend server, and [`exchange_pool`] runs the [`exchange`]
-//! with that server.
+//! [`engine_thread`], the engine selects a backend server, and [`exchange_pool`] runs the [`exchange`] (one
+//! request and its response) with that server.
 //!
-//! Path of a configuration change: [`store`] reads the change from the platform, [`control`] applies it,
-//! and [`translate`] converts the configuration for lookups ([`serving`]) and for the engine.
+//! Path of a configuration change: [`store`] reads the change from the platform, the external service that
+//! stores the configuration and the list of instances. [`control`] applies the change, and [`translate`]
+//! converts the configuration for lookups ([`serving`]) and for the engine.
 //!
 //! - [`settings`], [`clock`]: settings of the process, and its monotonic clock.
-//! - [`health_reports`]: health reports of backend servers.
-//! - [`load`]: traffic measurements of the instance, for digests.
+//! - [`health_reports`]: polls backend servers for reports of their own health.
+//! - [`load`]: traffic measurements of this instance, from which each zone's load digest is summed.
 //! - [`peers`], [`wire`]: connections to other entry instances, and the messages sent over them.
 //! - [`http_listener`]: limits on HTTP connections of clients and operators.
 //! - [`operator_api`]: state of the instance for operators.
--- a/crates/damaskvane-entry/src/load.rs
+++ b/crates/damaskvane-entry/src/load.rs
@@ -1,8 +1,9 @@
 //! Load of this instance and of its zone, measured for digests.
 //!
-//! The client API counts arrivals and lookups by the zone that a client is steered from. The engine thread
-//! adds running exchanges, refusals and errors. Once a second the control thread collects both and sends
-//! them to the aggregator of its zone.
+//! The client API counts arrivals and lookups by the client's source zone, the zone nearest to the client.
+//! The engine thread adds running exchanges, refusals and errors. Once a second the control thread collects
+//! both and sends them to the aggregator of the zone, the instance that sums the zone's load for its
+//! digest.
 //!
 //! ```
 //! use damaskvane_entry::load;
--- a/crates/damaskvane-entry/src/load/instance_load.rs
+++ b/crates/damaskvane-entry/src/load/instance_load.rs
@@ -1,5 +1,8 @@
 //! Load of one instance over one period, as sent to the aggregator of its zone.
 //!
+//! The aggregator is the instance that sums the load of the zone. The source zone of a client is the zone
+//! nearest to the client. A slot is the right to run one request on a backend server.
+//!
 //! ```
 //! use damaskvane_entry::load;
 //!
@@ -17,7 +20,8 @@
 /// second.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// Slots of the backend servers that this instance owns and that accept requests.
+    /// Number of slots of those backend servers that this instance owns (grants the slots of) and that
+    /// currently accept requests.
     #[serde(rename = "c", default)]
     pub slots: u32,
     /// Number of running exchanges with backend servers.
@@ -32,7 +36,7 @@
     /// Requests that arrived in the period, by source zone of the clients.
     #[serde(rename = "d", default)]
     pub arrivals: BTreeMap<ids::AvailabilityZoneId, u64>,
-    /// Lookups in the period by source zone of the clients; only zones with refused lookups.
+    /// Lookups in the period, by source zone of the clients; zones without a refused lookup are left out.
     #[serde(rename = "l", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub lookups: BTreeMap<ids::AvailabilityZoneId, meter::LookupCount>,
 }
@@ -40,7 +44,7 @@
 /// Load of one instance over one period.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceLoad {
-    /// Length of the period in milliseconds.
+    /// Length of the period that the counts cover, in milliseconds.
     #[serde(rename = "p")]
     pub period_ms: time::SpanMs,
     /// Load by service.
--- a/crates/damaskvane-entry/src/load/meter.rs
+++ b/crates/damaskvane-entry/src/load/meter.rs
@@ -1,5 +1,7 @@
 //! Counts arrivals and lookups between two load reports.
 //!
+//! The source zone of a client is the zone nearest to the client.
+//!
 //! ```
 //! use damaskvane_entry::load;
 //!
@@ -64,7 +66,7 @@
 
     /// Returns the lookups since the last call, by service and source zone, and resets the counters.
     ///
-    /// Only services and zones with refused lookups are included.
+    /// A service and zone without a refused lookup is left out.
     pub fn take_lookups(&self) -> BTreeMap<(ids::ServiceId, ids::AvailabilityZoneId), LookupCount> {
         let lookups =
             core::mem::take(&mut *self.lookups.lock().unwrap_or_else(PoisonError::into_inner));
--- a/crates/damaskvane-entry/src/load/zone_load.rs
+++ b/crates/damaskvane-entry/src/load/zone_load.rs
@@ -1,5 +1,8 @@
 //! Load of a whole zone, summed over its instances by the aggregator of the zone.
 //!
+//! The aggregator is one of the zone's instances. The source zone of a client is the zone nearest to the
+//! client.
+//!
 //! ```
 //! use damaskvane_core::time;
 //! use damaskvane_entry::load;
@@ -16,8 +19,8 @@
 
 use crate::load::instance_load::InstanceLoad;
 
-/// Time for which the load report of an instance counts, so that the slots of a crashed instance are not
-/// offered for longer.
+/// Maximum age at which the load report of an instance is still summed. A longer time would offer the slots
+/// of a crashed instance to clients for longer.
 const REPORT_TTL: time::SpanMs = time::SpanMs::new(3_500);
 const MS_PER_SECOND: u64 = 1_000;
 /// Share of refused requests among arrivals above which a service counts as overloaded, in thousandths.
@@ -26,7 +29,7 @@
 /// Load of one service in one zone, as sent between zones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneServiceReport {
-    /// Request rate that the zone can serve.
+    /// Rate at which the zone can run requests of the service.
     #[serde(rename = "c")]
     pub capacity: rate::Rate,
     /// Number of running exchanges with backend servers.
@@ -35,7 +38,8 @@
     /// Rate of arrivals, by source zone of the clients.
     #[serde(rename = "d", default)]
     pub demand: BTreeMap<ids::AvailabilityZoneId, rate::Rate>,
-    /// Rates of answered and of refused lookups, by source zone; only zones with refused lookups.
+    /// Rates of answered and of refused lookups, by source zone; zones without a refused lookup are left
+    /// out.
     #[serde(rename = "l", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub lookups: BTreeMap<ids::AvailabilityZoneId, (rate::Rate, rate::Rate)>,
     /// Rate of requests refused for lack of capacity.
@@ -52,7 +56,8 @@
     /// Load by service.
     #[serde(rename = "s")]
     pub services: BTreeMap<ids::ServiceId, ZoneServiceReport>,
-    /// Progress of each shift of traffic in this zone, in thousandths moved.
+    /// Share of clients that each traffic shift has moved according to this zone, in thousandths, by the
+    /// shift's name.
     #[serde(rename = "m", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub moved_permille: BTreeMap<String, u32>,
 }
@@ -72,7 +77,7 @@
     }
 
     /// Sums the unexpired load reports; `typical_hold_time` returns how long a request of a service
-    /// typically holds a slot.
+    /// typically holds a slot, the right to run one request on a backend server.
     #[must_use]
     pub fn report(
         &self,
--- a/crates/damaskvane-entry/src/operator_api.rs
+++ b/crates/damaskvane-entry/src/operator_api.rs
@@ -29,12 +29,13 @@
 
 /// Path of the status of the instance, as JSON.
 pub const STATUS_PATH: &str = "/v1/status";
-/// Prefix of the paths that clear a quarantine: a `POST` with a fingerprint appended releases the request
-/// with that fingerprint in the whole region.
+/// Prefix of the paths that clear a quarantine, which restricts a request that is suspected to crash
+/// backend servers. A `POST` with a fingerprint appended to the prefix releases the request with that
+/// fingerprint in the whole region.
 pub const CLEAR_QUARANTINE_PATH: &str = "/v1/quarantine/clear/";
 
-/// Maximum number of open connections. Operators need far fewer, but this many incomplete requests block
-/// the address until they time out.
+/// Maximum number of open connections. Operators need far fewer, but as many connections with incomplete
+/// requests as this limit block the address until they time out.
 const CONNECTION_LIMIT: usize = 512;
 const CONNECTIONS: &str = "operator_connections";
 
--- a/crates/damaskvane-entry/src/operator_api/status.rs
+++ b/crates/damaskvane-entry/src/operator_api/status.rs
@@ -35,7 +35,8 @@
 /// Sources that the status is collected from.
 #[derive(Clone)]
 pub struct Source {
-    /// Id and incarnation of this instance.
+    /// Name and incarnation of this instance; the incarnation is a number that identifies one start of its
+    /// process.
     pub home: home::Home,
     /// Availability zone of this instance.
     pub availability_zone: ids::AvailabilityZoneId,
--- a/crates/damaskvane-entry/src/peers.rs
+++ b/crates/damaskvane-entry/src/peers.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Closes connections that are idle or can't be established. Expects a call about once a second.
+    /// Closes connections that are idle or can't be established. Has to be called about once a second.
     pub fn maintain(&self) {
         self.transport.maintain();
     }
--- a/crates/damaskvane-entry/src/process.rs
+++ b/crates/damaskvane-entry/src/process.rs
@@ -41,8 +41,8 @@
 use crate::settings;
 use crate::store;
 
-/// Runs an entry instance until SIGTERM or SIGINT, or until it is fenced or can't accept clients. Then stops
-/// it gracefully.
+/// Runs an entry instance until SIGTERM or SIGINT, until another instance fences it (marks it in the
+/// platform's list as replaced), or until it can't accept clients. Then stops it gracefully.
 ///
 /// # Errors
 ///
@@ -306,8 +306,9 @@
     })
 }
 
-/// Accepts clients until the last phase of the stop, then serves only those already connected, until the
-/// process ends. The request of a client that was accepted later would be interrupted by the end of the process.
+/// Accepts clients until the last phase of a planned stop, then serves only the clients already connected,
+/// until the process ends. The end of the process would interrupt the request of a client that was accepted
+/// later.
 async fn serve_until_closed(
     listener: net::TcpListener,
     api: Arc<listener::ClientApi>,
--- a/crates/damaskvane-entry/src/process/stop.rs
+++ b/crates/damaskvane-entry/src/process/stop.rs
@@ -20,10 +20,11 @@
 
 const POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// Time for which clients that are still connected are served after no new ones are accepted.
+/// Time for which connected clients are still served after the instance stops accepting new ones.
 const LAST_RESPONSES_PERIOD: Duration = Duration::from_millis(250);
 
-/// Maximum time after [`LAST_RESPONSES_PERIOD`] for running requests to end, here or at the successor instance.
+/// Maximum time after [`LAST_RESPONSES_PERIOD`] to wait for the requests in progress to end, on this
+/// instance or on its successor, the instance that takes them over.
 const LAST_REQUESTS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Starts a thread that turns SIGTERM and SIGINT into requests to stop.
@@ -44,7 +45,8 @@
         .map_err(StartError::Thread)
 }
 
-/// Blocks until a request to stop, then leaves and waits until no request runs or `stop_timeout_ms` is over.
+/// Blocks until a request to stop arrives. Then starts the planned stop, waits until all requests have
+/// finished or `stop_timeout_ms` has passed, and ends the engine's thread.
 pub(super) fn wait_and_stop(
     stop: &flume::Receiver<()>,
     control: &flume::Sender<control::ControlInput>,
--- a/crates/damaskvane-entry/src/serving.rs
+++ b/crates/damaskvane-entry/src/serving.rs
@@ -39,7 +39,7 @@
     pub meter: load::Meter,
     /// Monotonic clock of the process.
     pub clock: clock::MonotonicClock,
-    /// Homes of instances that have renewed their incarnation since their process started.
+    /// Latest incarnations of instances that have raised their incarnation since their process started.
     pub homes: RenewedHomes,
     state: ArcSwap<ServingState>,
     next_request: AtomicU64,
@@ -87,24 +87,25 @@
         self.state.load().version
     }
 
-    /// Returns whether requests could get a slot of a backend server, so that clients can be accepted.
+    /// Returns whether clients can be accepted: a configuration is active, and slots (rights to run
+    /// requests) are granted in this zone or the zone has no backend servers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 
-    /// Sets whether requests could get a slot of a backend server.
+    /// Sets the value that [`is_ready`](Self::is_ready) returns.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Release);
     }
 
-    /// Returns whether a planned stop has finished all requests.
+    /// Returns whether a planned stop has finished all requests, or its time limit has passed.
     #[must_use]
     pub fn is_drained(&self) -> bool {
         self.drained.load(Ordering::Acquire)
     }
 
-    /// Records that a planned stop has finished all requests.
+    /// Records that a planned stop has finished all requests, or that its time limit has passed.
     pub fn set_drained(&self) {
         self.drained.store(true, Ordering::Release);
     }
--- a/crates/damaskvane-entry/src/serving/client_zones.rs
+++ b/crates/damaskvane-entry/src/serving/client_zones.rs
@@ -1,5 +1,7 @@
 //! Maps each client block to its nearest zone, in a compact table for millions of blocks.
 //!
+//! A client block is a group of clients that the configuration declares with their nearest zone.
+//!
 //! ```
 //! use std::sync::Arc;
 //!
@@ -51,8 +53,8 @@
 
     /// Returns the table for a later configuration.
     ///
-    /// Only changed sets of blocks are processed. Unchanged parts of the table are shared with this table,
-    /// which lookups use in the meantime.
+    /// Only changed sets of blocks are processed; the configuration declares blocks in sets. Unchanged
+    /// parts of the table are shared with this table, which lookups use in the meantime.
     #[must_use]
     pub fn with_config(&self, config: &Arc<state::ConfigState>) -> Self {
         let mut zones = self.zones.clone();
@@ -102,8 +104,8 @@
         .map(|block| blocks::BlockKey::name(&block))
 }
 
-/// Returns the class of a zone, adding the zone if it is new. Classes are never reassigned: a zone keeps its
-/// class through all configurations of a process.
+/// Returns the class of a zone, which is its index in `zones`, and appends the zone if it is new. Classes
+/// are never reassigned: a zone keeps its class through all configurations of a process.
 fn class_for_zone(
     zones: &mut Vec<ids::AvailabilityZoneId>,
     zone: &ids::AvailabilityZoneId,
--- a/crates/damaskvane-entry/src/serving/homes.rs
+++ b/crates/damaskvane-entry/src/serving/homes.rs
@@ -1,7 +1,9 @@
 //! Homes of idempotency keys that instances have renewed, for lookup responses.
 //!
-//! The engine thread records renewed homes. The control thread reads them when it builds the next snapshot
-//! for lookups.
+//! The home of a key is the instance that handles all attempts with the key, and the instance's
+//! incarnation, a number that identifies one start of its process. An instance renews its home by raising
+//! its incarnation while its process runs. The engine thread records renewed homes. The control thread
+//! reads them when it builds the next snapshot for lookups.
 //!
 //! ```
 //! use damaskvane_core::ids;
--- a/crates/damaskvane-entry/src/serving/state.rs
+++ b/crates/damaskvane-entry/src/serving/state.rs
@@ -1,5 +1,7 @@
 //! Snapshot of the state that lookups are served from.
 //!
+//! A client block is a named group of clients; the configuration declares the nearest zone of a block.
+//!
 //! ```
 //! use damaskvane_entry::serving;
 //!
@@ -21,7 +23,8 @@
 pub struct EntryEndpoint {
     /// Id of the instance.
     pub instance: ids::InstanceId,
-    /// Latest known incarnation of the instance, with renewals of its home.
+    /// Latest known incarnation of the instance: the number of its process's start, or a higher one if the
+    /// process has raised the number since.
     pub incarnation: ids::Incarnation,
     /// Address that the instance accepts clients on.
     pub client_address: String,
@@ -47,7 +50,7 @@
     pub own_zone: Option<ids::AvailabilityZoneId>,
     /// Declared services.
     pub services: BTreeMap<ids::ServiceId, LookupService>,
-    /// Traffic plan, with weights from source zones to destination zones.
+    /// Traffic plan: weights that distribute the clients of each source zone over destination zones.
     pub plan: plan::Plan,
     /// Live entry instances that are not shutting down, by zone.
     pub entries: BTreeMap<ids::AvailabilityZoneId, Vec<EntryEndpoint>>,
--- a/crates/damaskvane-entry/src/settings.rs
+++ b/crates/damaskvane-entry/src/settings.rs
@@ -31,8 +31,8 @@
     pub operator_address: String,
     /// Listen address for other entry instances, as `address:port`; port 0 selects a free port.
     pub peer_address: String,
-    /// Peers that send the list of instances while the platform is down: `instance@address`, with commas
-    /// between several; empty for none.
+    /// Peers from which this instance requests the list of instances while the platform is down:
+    /// `instance@address`, separated by commas; empty for none.
     pub seed_peers: String,
     /// Address of the platform's object API, as `host:port`.
     pub platform_address: String,
@@ -59,8 +59,9 @@
     pub exchange_limit: usize,
     /// Minimum period of heartbeats to other entry instances, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Time in milliseconds from the start until clients are accepted, in which cached lookup responses expire.
-    /// Zero also skips the wait for slots.
+    /// Time in milliseconds after the start of the process before clients are accepted. Lookup responses
+    /// that clients have cached expire in this time. Zero also skips the wait for slots, the rights to run
+    /// requests on backend servers.
     pub settle_ms: u64,
     /// Timeout of a planned stop, in milliseconds.
     pub stop_timeout_ms: u64,
--- a/crates/damaskvane-entry/src/translate/topology.rs
+++ b/crates/damaskvane-entry/src/translate/topology.rs
@@ -13,7 +13,8 @@
 use damaskvane_core::{ids, units};
 use damaskvane_steering::input;
 
-/// Returns the declared zones, services with their slots per zone, links between regions, and latencies.
+/// Returns the declared zones, services with their slots (concurrent requests) per zone, links between
+/// regions, and latencies.
 #[must_use]
 pub fn topology(config: &state::ConfigState) -> input::Topology {
     let zones = config
