--- a/crates/damaskvane-config/src/apply.rs
+++ b/crates/damaskvane-config/src/apply.rs
@@ -1,5 +1,7 @@
 //! Applies heads on an instance, from any source, and never goes back to an older version.
 //!
+//! A head is the stored list of all objects of one configuration version.
+//!
 //! ```
 //! use damaskvane_config::{apply, manifest};
 //!
--- a/crates/damaskvane-config/src/apply/active_config.rs
+++ b/crates/damaskvane-config/src/apply/active_config.rs
@@ -44,7 +44,8 @@
         Arc::clone(&self.head_bytes)
     }
 
-    /// Returns the hash over all declared objects; instances with the same version compare it.
+    /// Returns the hash over all declared objects, which instances with the same version compare to
+    /// detect faults.
     #[must_use]
     pub const fn state_hash(&self) -> ContentHash {
         self.state_hash
--- a/crates/damaskvane-config/src/apply/applier.rs
+++ b/crates/damaskvane-config/src/apply/applier.rs
@@ -1,5 +1,7 @@
 //! The applier, which holds an instance's active configuration and switches it to newer heads.
 //!
+//! A head lists all objects of one configuration version; a chunk holds the state of one object.
+//!
 //! ```
 //! use damaskvane_config::apply;
 //!
@@ -27,7 +29,7 @@
 /// Maximum number of remembered rejected heads, which aren't fetched again and again.
 const MAX_REJECTED: usize = 16;
 
-/// A newer head whose chunks are not all here yet.
+/// A newer head whose chunks have not all arrived yet.
 #[derive(Debug, Clone)]
 struct PendingHead {
     head: Head,
@@ -67,7 +69,7 @@
         self.counts
     }
 
-    /// Handles an encoded head, and applies it if it is newer and all its chunks are here.
+    /// Handles an encoded head, and applies it if it is newer and all its chunks have arrived.
     pub fn offer_head(&mut self, bytes: &[u8]) -> ApplyOutcome {
         if self.rejected.contains(&ContentHash::of(bytes)) {
             return ApplyOutcome::Ignored(IgnoreReason::RejectedBefore);
@@ -113,7 +115,7 @@
         last
     }
 
-    /// Returns `false` and counts a mismatch if a peer has the same version but another state.
+    /// Returns `false` and counts a mismatch if a peer has the same version but another state hash.
     ///
     /// The head's conditional update gives each version exactly one state. If two instances differ
     /// all the same, a chunk, the store or the program is faulty, and the response that a client
--- a/crates/damaskvane-config/src/apply/counts.rs
+++ b/crates/damaskvane-config/src/apply/counts.rs
@@ -1,5 +1,7 @@
 //! Counters of applied, rejected and faulty heads and chunks.
 //!
+//! A head lists all objects of one configuration version; a chunk holds the state of one object.
+//!
 //! ```
 //! use damaskvane_config::apply;
 //!
@@ -13,7 +15,7 @@
 pub struct ApplyCounts {
     /// Heads that became active.
     pub applied: u64,
-    /// Heads that were complete but failed validation.
+    /// Heads whose chunks had all arrived but whose state failed validation.
     pub rejected: u64,
     /// Received bytes that could not be decoded as a head.
     pub malformed: u64,
--- a/crates/damaskvane-config/src/apply/outcome.rs
+++ b/crates/damaskvane-config/src/apply/outcome.rs
@@ -1,5 +1,7 @@
 //! The outcome of a head or of chunks that were passed to the applier.
 //!
+//! A head lists all objects of one configuration version; a chunk holds the state of one object.
+//!
 //! ```
 //! use damaskvane_config::apply;
 //!
@@ -42,10 +44,11 @@
 pub enum ApplyOutcome {
     /// Nothing changed, for this reason.
     Ignored(IgnoreReason),
-    /// The head is pending until the chunks with these hashes are here.
+    /// The head is pending until the chunks with these hashes arrive.
     MissingChunks(Vec<ContentHash>),
     /// The head of this version became active.
     Applied(ids::ConfigVersion),
-    /// The head is complete but failed validation; the active configuration stays.
+    /// All chunks of the head have arrived but its state failed validation; the active
+    /// configuration stays.
     Rejected(Vec<Problem>),
 }
--- a/crates/damaskvane-config/src/relay.rs
+++ b/crates/damaskvane-config/src/relay.rs
@@ -1,5 +1,7 @@
 //! Spreads new heads among the instances.
 //!
+//! A head is the stored list of all objects of one configuration version.
+//!
 //! A few instances of each availability zone, the relays, watch the store. An instance that applies
 //! a head from the store or from another zone announces the new version to all instances of its own
 //! zone. If the head came from the store, the instance also announces it to one instance of each
--- a/crates/damaskvane-config/src/relay/action.rs
+++ b/crates/damaskvane-config/src/relay/action.rs
@@ -1,5 +1,7 @@
 //! Actions that a relay returns to the instance that runs it.
 //!
+//! A head lists all objects of one configuration version; a chunk holds the state of one object.
+//!
 //! ```
 //! use damaskvane_config::relay;
 //!
@@ -21,7 +23,7 @@
 /// A request to the instance to send, fetch, watch or publish something.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send the local active version to a peer, which passes it on as [`Event::VersionReported`].
+    /// Send the local active version to a peer, which handles it as [`Event::VersionReported`].
     ///
     /// [`Event::VersionReported`]: super::Event::VersionReported
     Announce {
@@ -59,7 +61,7 @@
     WatchStore,
     /// Stop watching the store, since this instance is no longer a relay.
     StopWatching,
-    /// Publish a version that became active; [`Relay::applier`] holds it.
+    /// Publish a version that became active; [`Relay::applier`] holds its configuration.
     ///
     /// [`Relay::applier`]: super::Relay::applier
     Activated {
--- a/crates/damaskvane-config/src/relay/announcements.rs
+++ b/crates/damaskvane-config/src/relay/announcements.rs
@@ -37,7 +37,8 @@
         self.pending.insert(to.clone(), pending);
     }
 
-    /// Cancels the announcements to an instance that has reported the version.
+    /// Cancels the announcements to an instance that has reported the active version or a higher
+    /// one.
     pub(super) fn stop(&mut self, instance: &ids::InstanceId) {
         self.pending.remove(instance);
     }
@@ -62,8 +63,8 @@
                 pending.interval = pending.interval.doubled();
             }
         }
-        // An entry stays for one more interval after its last announcement, to leave time for its
-        // effect.
+        // An entry stays for one more interval after its last announcement, so that the
+        // announcement has time to take effect.
         self.pending
             .retain(|_, pending| pending.remaining > 0 || now < pending.due);
         due
--- a/crates/damaskvane-config/src/relay/event.rs
+++ b/crates/damaskvane-config/src/relay/event.rs
@@ -1,5 +1,7 @@
 //! Events that an instance reports to its relay.
 //!
+//! A head lists all objects of one configuration version; a chunk holds the state of one object.
+//!
 //! ```
 //! use damaskvane_config::relay;
 //!
@@ -19,7 +21,7 @@
 pub enum Event {
     /// Time passed; to be reported every 50 to 100 ms, so that deadlines are noticed.
     Tick,
-    /// The set of live instances changed to this one.
+    /// The set of live instances changed; the view holds the new set.
     Membership(View),
     /// A peer reported its active version in an announcement or a heartbeat.
     VersionReported {
--- a/crates/damaskvane-config/src/relay/fetch.rs
+++ b/crates/damaskvane-config/src/relay/fetch.rs
@@ -1,4 +1,6 @@
 //! The fetch in flight, and the sources to back off from after a failure.
+//!
+//! A fetch reads a head (the list of a version's objects) or chunks from the store or from a peer.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +24,9 @@
         self.in_flight.is_none()
     }
 
-    /// Returns whether a fetch from a peer may start; a fetch from a slow store must not delay it.
+    /// Returns whether a fetch from a peer may start, that is, whether none is in flight. A fetch
+    /// in flight from the store doesn't count, since a slow store must not delay fetches from
+    /// peers.
     pub(super) const fn is_open_to_peers(&self) -> bool {
         !matches!(self.in_flight, Some((Source::Peer(_), _)))
     }
@@ -38,7 +42,8 @@
         }
     }
 
-    /// Ends the fetch from a source that returned nothing useful, and backs off from the source.
+    /// Ends the fetch from a source that returned nothing useful, and backs off from the source
+    /// until the time `until`.
     pub(super) fn back_off(&mut self, from: &Source, until: time::TimeMs) {
         self.end(from);
         self.retry_at.insert(from.clone(), until);
@@ -64,7 +69,8 @@
         });
     }
 
-    /// Returns the peer with the highest version above `above`, apart from peers to back off from.
+    /// Returns the peer that reported the highest version above `above`, apart from peers to back
+    /// off from.
     pub(super) fn best_peer(
         &self,
         peer_versions: &BTreeMap<ids::InstanceId, ids::ConfigVersion>,
--- a/crates/damaskvane-config/src/relay/machine.rs
+++ b/crates/damaskvane-config/src/relay/machine.rs
@@ -1,5 +1,7 @@
 //! The state machine that keeps one instance at the newest head.
 //!
+//! A head is the stored list of all objects of one configuration version.
+//!
 //! ```
 //! use damaskvane_config::relay;
 //! use damaskvane_core::time;
@@ -183,7 +185,7 @@
     fn handle_ignored_head(&mut self, now: time::TimeMs, from: &Source, reason: IgnoreReason) {
         match from {
             // The peer reported a higher version than it has. Its report is dropped, since
-            // otherwise the head would be fetched from it again and again.
+            // otherwise the head would be fetched from this peer again and again.
             Source::Peer(peer) => {
                 self.peer_versions.remove(peer);
                 if reason != IgnoreReason::NotNewer {
@@ -255,7 +257,8 @@
                 targets.extend(self.one_of_each_other_zone());
             }
             Source::Peer(peer) if self.is_in_own_zone(peer) => {
-                // One announcement back to the peer, so that the peer stops announcing.
+                // One announcement back to the peer, so that the peer stops announcing to this
+                // instance.
                 self.announcements
                     .start(peer, now, self.settings.announce_retry_ms, 1);
             }
@@ -337,8 +340,9 @@
 
     /// Returns whether this instance may read the store.
     ///
-    /// Relays may. Other instances may while they have no configuration, or while no instance of
-    /// their zone has reported a version for `isolated_poll_ms`.
+    /// An instance without a configuration may once `startup_grace_ms` has passed, or at once if it
+    /// has no peers. Relays with a configuration always may. Other instances may while no instance
+    /// of their zone has reported a version for `isolated_poll_ms`.
     fn may_read_store(&self, now: time::TimeMs) -> bool {
         let started_at = self.started_at.unwrap_or(now);
         let has_peers = !self.view.members.is_empty();
--- a/crates/damaskvane-config/src/relay/settings.rs
+++ b/crates/damaskvane-config/src/relay/settings.rs
@@ -8,12 +8,13 @@
 
 use damaskvane_core::time;
 
-/// Settings for fetching and announcing heads.
+/// Settings for fetching and announcing heads, the lists of a configuration version's objects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RelaySettings {
     /// The number of instances of a zone that watch the store.
     ///
-    /// With two, the zone still receives new heads while one of them is paused undetected.
+    /// With two, the zone still receives new heads while one of them is paused and still counts as
+    /// live.
     pub relays_per_zone: usize,
     /// Timeout of a fetch from a peer of the same zone.
     pub same_zone_timeout_ms: time::SpanMs,
@@ -23,13 +24,16 @@
     pub store_timeout_ms: time::SpanMs,
     /// Maximum interval at which a relay reads the head even if its watch reports no change.
     pub poll_ms: time::SpanMs,
-    /// Time without a report from its zone after which an instance reads the store.
+    /// Time without a version report from its own zone after which an instance that is no relay
+    /// reads the store.
     ///
     /// Also the maximum interval of these reads.
     pub isolated_poll_ms: time::SpanMs,
-    /// How long a starting instance tries its peers before it reads the store.
+    /// How long a starting instance requests the head from its peers only, before it reads the
+    /// store.
     pub startup_grace_ms: time::SpanMs,
-    /// Time after which an announcement without effect is repeated; doubles with each repetition.
+    /// Time after which an announcement is repeated if the receiver has not reported the announced
+    /// version; doubles with each repetition.
     pub announce_retry_ms: time::SpanMs,
     /// Maximum number of announcements of a version to one instance.
     pub max_announcements: u32,
--- a/crates/damaskvane-config/src/relay/view.rs
+++ b/crates/damaskvane-config/src/relay/view.rs
@@ -55,10 +55,12 @@
         zones
     }
 
-    /// Returns whether `local` ranks among the first `count` instances of its zone.
+    /// Returns whether `local` ranks among the first `count` instances of its zone, which watch the
+    /// store as relays.
     ///
     /// Instances with different views may choose different relays. A surplus relay is harmless,
-    /// since applying a head is idempotent. Heartbeats and other zones make up for a missing relay.
+    /// since applying a head is idempotent. Versions in heartbeats and announcements from other
+    /// zones make up for a missing relay.
     #[must_use]
     pub fn is_relay(&self, local: &Member, count: usize) -> bool {
         let own_rank = rank(&local.instance);
