--- a/crates/damaskvane-config/src/chunk.rs
+++ b/crates/damaskvane-config/src/chunk.rs
@@ -42,7 +42,8 @@
 }
 
 impl Chunk {
-    /// Returns a chunk of these bytes; the hash is computed, since a received one isn't trusted.
+    /// Returns a chunk of these bytes; the hash is computed from them, since a received hash isn't
+    /// trusted.
     #[must_use]
     pub fn from_bytes(bytes: impl Into<Arc<[u8]>>) -> Self {
         let bytes = bytes.into();
--- a/crates/damaskvane-config/src/declaration/client_blocks.rs
+++ b/crates/damaskvane-config/src/declaration/client_blocks.rs
@@ -1,5 +1,7 @@
 //! The declaration of a set of client blocks.
 //!
+//! A client block is a named group of clients.
+//!
 //! ```
 //! use damaskvane_config::declaration;
 //!
--- a/crates/damaskvane-config/src/declaration/service.rs
+++ b/crates/damaskvane-config/src/declaration/service.rs
@@ -28,11 +28,12 @@
     pub request_timeout_ms: time::SpanMs,
     /// How long clients may cache the response to a lookup.
     pub lookup_ttl_ms: time::SpanMs,
-    /// Maximum number of requests that wait for a slot on one instance.
+    /// Maximum number of requests that wait on one instance for a slot, the right to run on a
+    /// backend server.
     pub queue_limit: u32,
     /// Maximum number of retries per 1,000 first attempts.
     pub retry_budget_permille: units::Permille,
-    /// How long an idempotency key is retained.
+    /// How long an idempotency key, which names one request across its attempts, is retained.
     pub idempotency_window_ms: time::SpanMs,
     /// The main criterion by which steering selects a zone.
     pub policy: Policy,
--- a/crates/damaskvane-config/src/document.rs
+++ b/crates/damaskvane-config/src/document.rs
@@ -81,7 +81,8 @@
         &self.text
     }
 
-    /// Adds to each problem the location of its key or object, if this document holds one.
+    /// Adds to each problem the location of its key or object, if this document contains the key or
+    /// object.
     #[must_use]
     pub fn locate(&self, problems: Vec<Problem>) -> Vec<Problem> {
         problems
--- a/crates/damaskvane-config/src/document/places.rs
+++ b/crates/damaskvane-config/src/document/places.rs
@@ -33,7 +33,8 @@
         self.keys.extend(other.keys);
     }
 
-    /// Adds the location of its key, or else of its object, to a problem that has no location.
+    /// Adds to a problem without a location the location of the problem's key, or else of its
+    /// object.
     #[must_use]
     pub fn locate(&self, problem: Problem) -> Problem {
         if problem.place.is_some() {
--- a/crates/damaskvane-config/src/lib.rs
+++ b/crates/damaskvane-config/src/lib.rs
@@ -1,4 +1,5 @@
-//! Declarations, tickets and the head that makes them active; no I/O and no clock.
+//! Declarations, tickets and the head (the stored list of a version's objects) that makes them
+//! active; no I/O and no clock.
 //!
 //! # Crate guide
 //!
--- a/crates/damaskvane-config/src/manifest.rs
+++ b/crates/damaskvane-config/src/manifest.rs
@@ -1,5 +1,8 @@
 //! The head: the stored object whose conditional update accepts a ticket.
 //!
+//! The head lists all declared objects of one version. A ticket is a numbered change of objects,
+//! and a chunk is the stored state of one object or a stored ticket.
+//!
 //! ```
 //! use damaskvane_config::manifest;
 //!
--- a/crates/damaskvane-config/src/state/config_state.rs
+++ b/crates/damaskvane-config/src/state/config_state.rs
@@ -138,7 +138,7 @@
         &self.shifts
     }
 
-    /// Returns the name and the set of the first set that contains a client block.
+    /// Returns the first set that contains a client block, with the name of the set.
     #[must_use]
     pub fn find_client_blocks(
         &self,
@@ -149,7 +149,8 @@
             .find(|(_, blocks)| blocks.contains(client))
     }
 
-    /// Returns the backend servers of a service in a zone, draining ones included.
+    /// Returns the backend servers of a service in a zone, with those that are draining (get no new
+    /// requests).
     pub fn servers_of<'a>(
         &'a self,
         service: &'a ids::ServiceId,
@@ -161,7 +162,8 @@
             .filter(move |(_, server)| server.availability_zone == *zone)
     }
 
-    /// Returns the number of slots of a service in a zone, those of draining servers excluded.
+    /// Returns the number of slots, or concurrent requests, of a service's backend servers in a
+    /// zone, without those of draining servers.
     #[must_use]
     pub fn slots_of(
         &self,
@@ -190,7 +192,8 @@
     }
 }
 
-/// Inserts a declaration under its id; the parse succeeds, as names and ids have the same syntax.
+/// Inserts a declaration under the id parsed from its name. Parsing succeeds, as names and ids have
+/// the same syntax.
 fn insert<K: Ord + core::str::FromStr, V>(
     map: &mut BTreeMap<K, V>,
     name: &ObjectName,
--- a/crates/damaskvane-config/src/state/validate.rs
+++ b/crates/damaskvane-config/src/state/validate.rs
@@ -12,7 +12,7 @@
 pub(super) fn validate(state: &ConfigState, blocks_unchanged: bool) -> Vec<Problem> {
     let mut problems = references::check(state);
     problems.extend(ranges::check(state));
-    // Sums over objects that don't exist would only repeat the problems found so far.
+    // Capacity checks over objects that don't exist would only repeat the problems found so far.
     if problems.is_empty() {
         problems.extend(capacity::check(state));
         if !blocks_unchanged {
--- a/crates/damaskvane-config/src/state/validate/blocks.rs
+++ b/crates/damaskvane-config/src/state/validate/blocks.rs
@@ -1,7 +1,8 @@
 //! Reports client blocks that are in two sets.
 //!
-//! A block in two sets would be steered by the set that is read first. There may be millions of
-//! blocks, so no check compares each block with every other.
+//! A client block is a named group of clients. A block in two sets would be steered by the set that
+//! is read first. There may be millions of blocks, so no check compares each block with every
+//! other.
 
 use core::hash::{Hash, Hasher};
 use std::collections::HashMap;
--- a/crates/damaskvane-config/src/state/validate/capacity.rs
+++ b/crates/damaskvane-config/src/state/validate/capacity.rs
@@ -1,4 +1,7 @@
 //! Checks of capacity over several objects: usable servers, slots, links and shifted shares.
+//!
+//! A slot is the right to run one request on a backend server. A draining server gets no new
+//! requests. A shift is a planned move of a service's traffic between zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -64,7 +67,8 @@
     problems
 }
 
-/// Returns the number of concurrent requests at the service's peak, by Little's law, rounded up.
+/// Returns the number of concurrent requests at the service's peak rate, by Little's law (rate
+/// times duration), rounded up.
 fn slots_needed(service: &Service) -> u64 {
     let rate = u64::from(service.peak_requests_per_second.get());
     rate.saturating_mul(service.typical_request_ms.get())
--- a/crates/damaskvane-config/src/submit/call.rs
+++ b/crates/damaskvane-config/src/submit/call.rs
@@ -22,7 +22,7 @@
     ReadChunk(ContentHash),
     /// Store a chunk under its hash, where no object may exist yet.
     WriteChunk(Chunk),
-    /// Replace a broken object that is stored under the hash of a chunk by the chunk.
+    /// Replace the broken object that is stored under a chunk's hash by that chunk.
     RepairChunk {
         /// The version of the broken object in the store.
         if_version: u64,
--- a/crates/damaskvane-config/src/submit/outcome.rs
+++ b/crates/damaskvane-config/src/submit/outcome.rs
@@ -31,7 +31,7 @@
         /// The number of the ticket.
         number: ids::TicketNumber,
     },
-    /// The ticket was rejected, since these objects changed after it was written.
+    /// The ticket was rejected, since other tickets changed these objects after it was written.
     Overlapping(Vec<Overlap>),
     /// The ticket was rejected, since the state after it would have these problems.
     Invalid(Vec<Problem>),
--- a/crates/damaskvane-config/src/submit/submission.rs
+++ b/crates/damaskvane-config/src/submit/submission.rs
@@ -225,8 +225,8 @@
     /// Returns the call that files the head's ticket under its number, unless the ticket is filed.
     ///
     /// The ticket is filed before a newer head replaces the hash that leads to it. The tickets of
-    /// all heads but the newest are thus filed, and `show N` always needs one read. A ticket that
-    /// lost a race is never filed, since no head names it.
+    /// all heads but the newest are thus filed, and `show N` always needs one read. A ticket whose
+    /// head update lost against another ticket is never filed, since no head names it.
     fn unfiled_ticket(&self, head: &Head) -> Option<Call> {
         let chunk = self.chunks.get(&head.ticket_hash?)?;
         let unfiled = !self.filed.contains(&head.ticket);
--- a/crates/damaskvane-config/src/ticket.rs
+++ b/crates/damaskvane-config/src/ticket.rs
@@ -1,5 +1,8 @@
 //! Tickets: numbered changes, stored permanently with their author and reason.
 //!
+//! A ticket is accepted when the head, the stored list of all objects of a version, is updated to
+//! name it.
+//!
 //! ```
 //! use damaskvane_config::{manifest, ticket};
 //!
@@ -22,7 +25,7 @@
 /// The complete new state of each object that a ticket changes; `None` deletes the object.
 pub type Changes = BTreeMap<ObjectId, Option<Declaration>>;
 
-/// The versions of the objects against which a ticket was written.
+/// The versions that objects had when a ticket was written.
 ///
 /// The version of an object is the ticket that last changed it, or 0 if the object was absent.
 pub type Base = BTreeMap<ObjectId, ids::TicketNumber>;
@@ -63,8 +66,8 @@
     pub write_id: String,
     /// The hash of the chunk of the previous ticket; `None` for the first ticket.
     ///
-    /// With this hash the history can be followed from the head, so that a ticket that lost a race
-    /// is never taken for an accepted one.
+    /// With this hash the history can be followed from the head, so that a ticket whose head update
+    /// lost against another ticket is never taken for an accepted one.
     pub previous: Option<ContentHash>,
     /// The version of the head against which the change was written.
     pub base_version: ids::ConfigVersion,
@@ -97,7 +100,8 @@
 }
 
 impl Draft {
-    /// Returns the objects that changed since the draft was written; a draft with any is rejected.
+    /// Returns the objects that changed since the draft was written; a draft with any such object
+    /// is rejected.
     #[must_use]
     pub fn overlaps(&self, head: &Head) -> Vec<Overlap> {
         let changed = |object: &&ObjectId| head.base_of(object) != self.base_of(object);
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Returns the chunks of the new states; deleted objects have none.
+    /// Returns the chunks of the new states; a deleted object has no chunk.
     #[must_use]
     pub fn object_chunks(&self) -> BTreeMap<ObjectId, Chunk> {
         self.changes
