--- a/crates/damaskvane-routing/src/pool/speed.rs
+++ b/crates/damaskvane-routing/src/pool/speed.rs
@@ -14,7 +14,7 @@
     pub warm_ms: f64,
     /// Average time on a server that hasn't handled the request's object recently.
     pub first_ms: f64,
-    /// Whether `warm_ms` was measured on requests; otherwise it is an estimate from the route's objective.
+    /// Whether `warm_ms` comes from observed requests; otherwise it is an estimate from the route's objective.
     pub is_measured: bool,
 }
 
