--- a/crates/damaskvane-config/src/declaration/any.rs
+++ b/crates/damaskvane-config/src/declaration/any.rs
@@ -28,11 +28,11 @@
     BackendServer(BackendServer),
     /// A link between regions.
     Link(Link),
-    /// A set of client blocks.
+    /// A set of client blocks, which are named groups of clients.
     ClientBlocks(ClientBlocks),
     /// A site.
     Site(Site),
-    /// A planned move of traffic.
+    /// A planned move of a service's traffic from one availability zone to another.
     Shift(Shift),
 }
 
--- a/crates/damaskvane-config/src/declaration/zone.rs
+++ b/crates/damaskvane-config/src/declaration/zone.rs
@@ -39,7 +39,9 @@
     pub const KEYS: &'static [&'static str] = &["region", "latency_ms"];
 }
 
-/// A site that lookups direct clients to: the entry instances of one availability zone.
+/// A site: the entry instances (processes that take clients' requests) of one availability zone.
+///
+/// A client's lookup, its query for the instances to use, directs the client to a site.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Site {
     /// The availability zone whose instances serve the site.
--- a/crates/damaskvane-config/src/submit/submission.rs
+++ b/crates/damaskvane-config/src/submit/submission.rs
@@ -1,5 +1,9 @@
 //! The state machine that submits one ticket.
 //!
+//! A ticket is a numbered change of declared objects. A chunk is the stored state of one object, or
+//! a stored ticket. The head is the stored list of all objects of one version; a ticket is accepted
+//! when the head is updated to name it.
+//!
 //! ```
 //! use std::sync::Arc;
 //! use damaskvane_config::{submit, ticket};
@@ -129,7 +133,8 @@
         })
     }
 
-    /// Returns the next call that stores the new chunks and the ticket; `None` if all are stored.
+    /// Returns the next call towards storing the ticket and the chunks that it creates: a read or a
+    /// write of one chunk. Returns `None` if all are stored.
     fn store_chunks(&self, ticket: &Chunk) -> Option<Call> {
         if let Some(hash) = self.unverified.first() {
             return Some(Call::ReadChunk(*hash));
@@ -191,7 +196,8 @@
             .find(|hash| !self.chunks.contains_key(hash))
     }
 
-    /// Validates the state that the ticket would produce, once for each head that it follows.
+    /// Validates the configuration that the ticket would produce, once for each head on which the
+    /// ticket is based.
     fn validate(&mut self, ticket: &Ticket, head: &Head) -> Result<(), Outcome> {
         if self.validated == head.ticket_hash {
             return Ok(());
--- a/crates/damaskvane-config/tests/document.rs
+++ b/crates/damaskvane-config/tests/document.rs
@@ -235,8 +235,10 @@
     assert_eq!(kinds, ObjectKind::ALL);
 }
 
-/// During an upgrade a newer program adds a key. An older instance that rejected the chunk would
-/// keep the old configuration until its own upgrade, so the change would not be active everywhere.
+/// During an upgrade, an instance with a newer program stores a chunk (the stored state of one
+/// declared object) with a key that older programs do not know. An older instance that rejected the
+/// chunk would keep the old configuration until its own upgrade, so the new configuration would not
+/// be active on all instances.
 #[test]
 fn an_unknown_key_of_a_newer_program_is_ignored_in_a_chunk() {
     let newer = br#"{"name":"x","kind":"region","description":"","colour":"red"}"#.as_slice();
--- a/crates/damaskvane-dispatch/src/drain/server.rs
+++ b/crates/damaskvane-dispatch/src/drain/server.rs
@@ -84,7 +84,8 @@
 }
 
 impl Server<state::Active> {
-    /// Returns a backend server that was running before this instance started.
+    /// Returns a backend server that was running before this entry instance (the process that sends it requests)
+    /// started, and that therefore counts as warm.
     #[must_use]
     pub const fn already_warm(now: time::TimeMs) -> Self {
         Self::in_state(now)
--- a/crates/damaskvane-dispatch/src/shutdown/progress.rs
+++ b/crates/damaskvane-dispatch/src/shutdown/progress.rs
@@ -11,12 +11,13 @@
 use damaskvane_core::time;
 use serde::Serialize;
 
-/// The current phase of a planned shutdown, with the running requests and the remaining time.
+/// The current phase of an instance's planned shutdown, the number of requests that still run on the instance, and
+/// the maximum time until the phase ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Progress {
     /// The phase: `leaving` or `handing_over`.
     pub phase: &'static str,
-    /// The number of running requests on this instance.
+    /// The number of requests that still run on this instance.
     pub running: usize,
     /// The maximum time until this phase ends, in milliseconds.
     pub time_left: time::SpanMs,
--- a/crates/damaskvane-dispatch/tests/quarantine.rs
+++ b/crates/damaskvane-dispatch/tests/quarantine.rs
@@ -72,8 +72,9 @@
     assert!(is_refused(&mut quarantine, 5_001, "bad"));
 }
 
-/// Harmless requests run on the same server as a request that crashes it. The harmless ones must next run
-/// without another suspect beside them, complete, and never be refused; the crashing request must be refused.
+/// A harmless request runs on the same server as a request that crashes the server. When the harmless request is
+/// sent again, the quarantine must let it run while no other suspect runs on this instance, and once it has completed,
+/// the quarantine must let it run without restriction. The crashing request must be refused after a second crash.
 #[test]
 fn harmless_requests_on_a_crashed_server_are_not_refused() {
     let mut quarantine = new_quarantine();
--- a/crates/damaskvane-engine/src/engine/responses.rs
+++ b/crates/damaskvane-engine/src/engine/responses.rs
@@ -98,7 +98,9 @@
         }
     }
 
-    /// Abandons a request that does not run on a backend server, and responds at once.
+    /// Ends a request that this instance has not sent to a backend server at present, and responds at once to the
+    /// request's origin: with a refusal for `reason`, or, if the request was forwarded or joined a running attempt,
+    /// with an unknown outcome.
     pub(super) fn abandon(
         &mut self,
         now: time::TimeMs,
--- a/crates/damaskvane-entry/src/control/publishing.rs
+++ b/crates/damaskvane-entry/src/control/publishing.rs
@@ -1,4 +1,8 @@
-//! Publishes the results of the control thread to lookups, to the engine and to operators.
+//! Publishes what the control thread derives from the active configuration and the membership (the known instances and
+//! their states): the plan and serving state for lookups, the directory for the engine, and the status for operators.
+//!
+//! A lookup is a client's query for the instances to which to send its requests; the engine is the state machine
+//! that selects a backend server for each request.
 //!
 //! ```text
 //! active configuration + membership -> serving state, directory, status
--- a/crates/damaskvane-entry/src/control/shifts.rs
+++ b/crates/damaskvane-entry/src/control/shifts.rs
@@ -15,8 +15,8 @@
 const RAMP_STEPS: u64 = 8;
 const MIN_STEP_INTERVAL: time::SpanMs = time::SpanMs::new(200);
 const MIN_RECOVERY_MS: u64 = 5_000;
-/// Ratio of failed exchanges to arrivals in the destination zone, in thousandths, above which a shift steps
-/// back.
+/// Ratio of failed requests to arriving requests in the destination zone, in thousandths, above which a shift is
+/// reverted step by step.
 const ERRORS_PERMILLE: u64 = 50;
 
 #[derive(Debug)]
--- a/crates/damaskvane-entry/src/inbox/client_guard.rs
+++ b/crates/damaskvane-entry/src/inbox/client_guard.rs
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Drops the guard without a message, because the response has arrived.
+    /// Drops the guard without a message to the engine, because the connection's handler has received the request's
+    /// outcome.
     pub fn disarm(mut self) {
         self.inbox = None;
     }
--- a/crates/damaskvane-entry/src/inbox/input.rs
+++ b/crates/damaskvane-entry/src/inbox/input.rs
@@ -1,5 +1,7 @@
 //! The message type of the engine's inbox.
 //!
+//! The engine is the state machine that selects a backend server for each request; it runs on its own thread.
+//!
 //! ```
 //! use damaskvane_engine::event;
 //! use damaskvane_entry::inbox;
--- a/crates/damaskvane-entry/src/store/job.rs
+++ b/crates/damaskvane-entry/src/store/job.rs
@@ -126,8 +126,8 @@
     },
     /// This instance's record is stored.
     Announced,
-    /// The stored record of this instance is fenced by another instance, or was written by a later
-    /// incarnation.
+    /// [`StoreJob::Announce`] did not write this instance's record: another instance has marked the stored record
+    /// as fenced, which revokes this instance's authority, or a later incarnation wrote the stored record.
     Superseded,
     /// An old fence record was deleted, had already been replaced, or was replaced during the call. If the
     /// fence record is still listed later, the membership requests the call again.
--- a/crates/damaskvane-entry/src/wire/configuration.rs
+++ b/crates/damaskvane-entry/src/wire/configuration.rs
@@ -23,7 +23,7 @@
         /// Active configuration version.
         #[serde(rename = "v")]
         version: ids::ConfigVersion,
-        /// Hash of the configuration state of this version.
+        /// Hash over all declared objects of this version.
         #[serde(rename = "h")]
         state_hash: hash::ContentHash,
     },
--- a/crates/damaskvane-explain/src/losses/cause.rs
+++ b/crates/damaskvane-explain/src/losses/cause.rs
@@ -1,4 +1,6 @@
 //! Causes of late and unserved requests.
+//!
+//! A request is late if its response took longer than the latency objective of its route.
 
 use core::fmt;
 
@@ -70,7 +72,8 @@
 pub enum Cause {
     /// Late because the server had not handled the object recently.
     FirstRun(FirstRun),
-    /// Late because the request waited behind other requests.
+    /// Late because the request waited for other requests, or the backend server had no free slot (capacity to run
+    /// one request) for it.
     Waited,
     /// Late because an earlier exchange brought no usable response.
     Retried,
--- a/crates/damaskvane-membership/tests/authority.rs
+++ b/crates/damaskvane-membership/tests/authority.rs
@@ -275,9 +275,10 @@
     assert_eq!(zone.state("z-a-1", "z-a-2"), Some(InstanceState::Dead));
 }
 
-/// Guards against an instance that continues as the only one of its zone after a restarted instance fenced it. The
-/// first fences the second; the second restarts, is cut off from the first and fences it. The first has lost the
-/// platform meanwhile and has received nothing from the new incarnation.
+/// Guards against an instance that continues as the only one of its zone although another instance has fenced it.
+/// `z-a-1` fences `z-a-2`. `z-a-2` restarts as a new incarnation (a new start of its process), can't exchange messages
+/// with `z-a-1`, and fences `z-a-1`. `z-a-1` can't reach the platform by then, so it sees no fence record, and it has
+/// received no message from the new incarnation.
 #[test]
 fn a_fencing_instance_may_be_fenced_by_an_unseen_incarnation() {
     let mut zone = Zone::new(&["z-a-1", "z-a-2"]);
--- a/crates/damaskvane-objects/src/api/instance.rs
+++ b/crates/damaskvane-objects/src/api/instance.rs
@@ -1,4 +1,4 @@
-//! An instance's record in the platform.
+//! An instance's record in the platform, the key-value store outside the instances that all of them use.
 //!
 //! ```
 //! use damaskvane_objects::api;
--- a/crates/damaskvane-objects/src/backoff.rs
+++ b/crates/damaskvane-objects/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Exponential backoff with jitter between tries.
+//! Exponential backoff with jitter between the tries of a call to the platform.
 //!
 //! ```
 //! use damaskvane_objects::backoff;
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Limits of the pauses.
+/// Limits of the pauses between the tries of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffSettings {
     /// The upper limit of the first pause.
--- a/crates/damaskvane-objects/src/lib.rs
+++ b/crates/damaskvane-objects/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`api`]: the trait of the object API, with its typed results.
 //! - [`http`]: the implementation over HTTP.
-//! - [`mod@write`]: a write that resolves a lost response by reading the write id back.
+//! - [`mod@write`]: a write that, after a lost response, reads the object to compare write ids.
 //! - [`backoff`]: exponential backoff with jitter.
 //! - [`budget`]: a limit on the rate of calls; a waiting watch counts as one call.
 //! - [`credential`]: access tokens, hidden from debug output.
--- a/crates/damaskvane-objects/src/write.rs
+++ b/crates/damaskvane-objects/src/write.rs
@@ -1,4 +1,7 @@
-//! A write that resolves a lost response by reading the write id back.
+//! A write of an object whose result is found out even if the platform's response is lost.
+//!
+//! Each write has a write id, which the platform stores with the object. If the object has this id when
+//! it is read again, the write took effect.
 //!
 //! ```
 //! use damaskvane_objects::write;
--- a/crates/damaskvane-routing/src/placement/request.rs
+++ b/crates/damaskvane-routing/src/placement/request.rs
@@ -29,7 +29,7 @@
 pub struct AnsweredRequest<'a> {
     /// Route of the request.
     pub route: &'a Route,
-    /// Server that was selected for the request, with the expected times.
+    /// Server that was selected for the request, with the times that the request was expected to take there.
     pub pick: &'a Pick,
     /// Hash of the object, or `None` if the request was placed without an object.
     pub object: Option<u64>,
--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -13,7 +13,7 @@
     ServerKey, ServerReport,
 };
 
-/// Time after a request for an object in which a server is assumed to run further requests for it faster.
+/// Time after a request for an object (the item that it names) in which a server is assumed to run the next one faster.
 const RECENT_OBJECT_MS: u64 = 30_000;
 /// Maximum number of recent objects stored per server; well above the number for which a server is faster.
 const MAX_OBJECTS: usize = 1_024;
@@ -130,7 +130,7 @@
         now < self.cold_until || matches!(self.liveness, Liveness::Suspect { .. })
     }
 
-    /// Returns whether the server is warm, or has received fewer requests than this instance's `share` allows.
+    /// Returns whether the server is not cold, or this instance sent it fewer than `share` requests in the last 1.1 s.
     #[must_use]
     pub fn has_cold_capacity(&self, now: TimeMs, share: usize) -> bool {
         !self.is_cold(now) || self.cold_rate.has_capacity(now, share)
@@ -208,7 +208,7 @@
         self.answered_at
     }
 
-    /// Returns whether the server has recently handled a request of this instance for the object.
+    /// Returns whether the server handled a request of this instance for the object in the last 30 seconds.
     #[must_use]
     pub fn handled_recently(&self, now: TimeMs, object: u64) -> bool {
         self.objects
--- a/crates/damaskvane-scenario/src/script/expectation.rs
+++ b/crates/damaskvane-scenario/src/script/expectation.rs
@@ -138,7 +138,7 @@
     },
     /// No request was started on a draining backend server later than two seconds after the drain order.
     NoNewWork(ids::BackendServerId),
-    /// A planned stop completed, and no client lost its connection.
+    /// The planned stop of the entry instance completed, with all clients of the instance served.
     Stopped(ids::InstanceId),
     /// At least one entry instance rejects requests of this path because they crash backend servers.
     Quarantined(String),
--- a/crates/damaskvane-scenario/src/world.rs
+++ b/crates/damaskvane-scenario/src/world.rs
@@ -100,7 +100,8 @@
         self.rng = Pcg64Mcg::seed_from_u64(seed);
     }
 
-    /// Advances virtual time by `span` and processes all deliveries that become due, in time order.
+    /// Advances virtual time by `span` and processes all scheduled events (for example messages,
+    /// ticks and crashes) that become due, in time order.
     pub fn advance(&mut self, span: time::SpanMs) {
         let until = self.now + span;
         while let Some(entry) = self.queue.first_entry() {
--- a/crates/damaskvane-standins/src/config_run/world.rs
+++ b/crates/damaskvane-standins/src/config_run/world.rs
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Ends every fault and starts a store outage, so that instances can only fetch from each other.
+    /// Ends every fault and starts a store outage, so that instances can get the configuration only from each other.
     fn heal_all_but_store(&mut self) {
         self.healed = true;
         self.store_down_until = self.now + time::SpanMs::new(PEER_RECOVERY_MS);
--- a/crates/damaskvane-steering/src/input/topology.rs
+++ b/crates/damaskvane-steering/src/input/topology.rs
@@ -32,8 +32,8 @@
     pub zones: BTreeMap<ids::AvailabilityZoneId, ids::RegionId>,
     /// Every service with its slots, each of which is the capacity of a server to run one request.
     pub services: BTreeMap<ids::ServiceId, Service>,
-    /// Budget of the link between two regions in each direction, by the pair of regions in
-    /// ascending order.
+    /// Maximum traffic on the link between two regions, in megabits per second in each direction,
+    /// by the pair of regions in ascending order.
     ///
     /// A pair that is absent has no limit.
     pub links: BTreeMap<(ids::RegionId, ids::RegionId), units::MegabitsPerSecond>,
@@ -83,8 +83,8 @@
         self.latency.to_clients_ms + between_ms
     }
 
-    /// Returns the link budget between the regions of two zones, or `None` within a region or for a
-    /// link without a limit.
+    /// Returns the maximum traffic on the link between the regions of two zones, or `None` within a
+    /// region or for a link without a limit.
     #[must_use]
     pub fn link(
         &self,
--- a/crates/damaskvane-steering/src/plan/source.rs
+++ b/crates/damaskvane-steering/src/plan/source.rs
@@ -1,5 +1,8 @@
 //! Destinations of the clients of one source zone.
 //!
+//! A client's source zone is the zone nearest to the client; a destination is a zone whose backend
+//! servers run the client's requests.
+//!
 //! ```
 //! use damaskvane_steering::plan;
 //!
@@ -21,7 +24,8 @@
     pub share_ppm: u32,
 }
 
-/// Destinations of the clients of one source zone, nearest first.
+/// Destinations of the clients of one source zone, in ascending order of the latency from the
+/// source zone.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SourcePlan {
     /// Rate of the source's requests for which the shares were computed.
--- a/crates/damaskvane-steering/src/shift/progress.rs
+++ b/crates/damaskvane-steering/src/shift/progress.rs
@@ -1,5 +1,7 @@
 //! Progress of a shift, as operators see it.
 //!
+//! A shift is a move of a share of clients from one zone to another, ordered by an operator.
+//!
 //! ```
 //! use damaskvane_steering::shift;
 //!
@@ -8,7 +10,7 @@
 
 use core::fmt;
 
-/// Phase of a shift.
+/// Phase of a shift, from the acceptance of the operator's order until the ordered share is moved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// Accepted and not started.
--- a/crates/damaskvane-steering/tests/planner_faults.rs
+++ b/crates/damaskvane-steering/tests/planner_faults.rs
@@ -1,4 +1,4 @@
-//! Tests of plans while zones shed requests, regions are lost and reports are wrong.
+//! Tests of plans while zones shed requests, regions are unreachable and reports are wrong.
 //!
 //! A zone reports its load and capacity in digests; a plan divides the demand of each source zone among the
 //! destination zones.
@@ -124,9 +124,9 @@
     assert!(demand <= rps(105) && demand >= rps(95), "{demand}");
 }
 
-/// A region is lost, and its clients do not send requests to other zones yet. If the planner reduced the
-/// region's demand at once, it would plan other clients' requests for the capacity that the region's clients
-/// need, and the region's clients would be refused on arrival.
+/// All zones of a region become unreachable, and the region's clients do not send their requests to other zones
+/// yet. If the planner reduced the region's demand at once, it would assign the capacity that these clients need
+/// to clients of other regions. The region's clients would be refused once they arrive in other zones.
 #[test]
 fn the_demand_of_a_lost_region_is_retained_for_a_while() {
     let planner = planner::Planner::new(planner::Settings::default());
