--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -130,7 +130,7 @@
         now < self.cold_until || matches!(self.liveness, Liveness::Suspect { .. })
     }
 
-    /// Returns whether the server is not cold, or this instance sent it fewer than `share` requests in the last 1.1 s.
+    /// Returns whether the server is not cold, or this instance sent it fewer than `share` requests in the window of its cold rate.
     #[must_use]
     pub fn has_cold_capacity(&self, now: TimeMs, share: usize) -> bool {
         !self.is_cold(now) || self.cold_rate.has_capacity(now, share)
@@ -208,7 +208,7 @@
         self.answered_at
     }
 
-    /// Returns whether the server handled a request of this instance for the object in the last 30 seconds.
+    /// Returns whether the server handled a request of this instance for the object within `RECENT_OBJECT_MS`.
     #[must_use]
     pub fn handled_recently(&self, now: TimeMs, object: u64) -> bool {
         self.objects
