--- a/crates/damaskvane-routing/src/pool/server.rs
+++ b/crates/damaskvane-routing/src/pool/server.rs
@@ -130,7 +130,7 @@
         now < self.cold_until || matches!(self.liveness, Liveness::Suspect { .. })
     }
 
-    /// Returns whether the server is not cold, or this instance sent it fewer than `share` requests in the window of its cold rate.
+    /// Returns whether the server is not cold, or got fewer than `share` requests in this instance's rate window.
     #[must_use]
     pub fn has_cold_capacity(&self, now: TimeMs, share: usize) -> bool {
         !self.is_cold(now) || self.cold_rate.has_capacity(now, share)
