--- a/crates/damaskvane-gateway/src/clients/routed_request.rs
+++ b/crates/damaskvane-gateway/src/clients/routed_request.rs
@@ -11,7 +11,7 @@
 use damaskvane_core::time::TimeMs;
 use damaskvane_routing::configuration::{Configuration, Route};
 use damaskvane_routing::placement::{
-    AnsweredRequest, Choice, PassedOver, Pick, PlacementRequest, Refusal,
+    AnsweredRequest, Choice, Pick, PlacementRequest, Refusal, SkipReason,
 };
 use damaskvane_routing::pool::ExchangeEnd;
 use damaskvane_routing::retry::{self, Progress};
@@ -219,7 +219,7 @@
                 "load" => pick.load, "rank" => pick.rank, "expected_ms" => pick.expected_ms,
                 "took_ms" => outcome.took_ms, "after_ms" => after_ms, "objective_ms" => self.route.objective_ms,
                 "was_sent" => pick.was_sent, "remembered_ms" => pick.remembered_ms, "first_ms" => pick.first_ms,
-                "passed_over" => pick.passed_over.map(PassedOver::as_str), "tried" => self.tried.len(),
+                "passed_over" => pick.passed_over.map(SkipReason::as_str), "tried" => self.tried.len(),
                 "running" => load.map(|load| load.running), "waiting" => load.map(|load| load.waiting),
                 "left_ms" => self.deadline.since(now).get(),
                 "config_version" => self.configuration.version().get(),
@@ -249,8 +249,8 @@
         if self.node.crashes.is_empty() {
             return false;
         }
-        let verdict = crashes::resolve_refusal(self.node, self.outgoing.fingerprint());
-        verdict.await.is_some()
+        let refusal = crashes::resolve_refusal(self.node, self.outgoing.fingerprint());
+        refusal.await.is_some()
     }
 
     fn record_response_time(&self, now: TimeMs, pick: &Pick, outcome: &ExchangeOutcome) {
--- a/crates/damaskvane-routing/src/placement.rs
+++ b/crates/damaskvane-routing/src/placement.rs
@@ -29,7 +29,7 @@
 mod settings;
 mod shares;
 
-pub use choice::{Choice, PassedOver, Pick, Refusal, RefusalReason};
+pub use choice::{Choice, Pick, Refusal, RefusalReason, SkipReason};
 pub use placer::Placer;
 pub use popularity::{POPULARITY_STEPS, PopularityDecision, PopularityReport};
 pub use rank::object_hash;
--- a/crates/damaskvane-routing/src/placement/choice.rs
+++ b/crates/damaskvane-routing/src/placement/choice.rs
@@ -9,7 +9,7 @@
 
 /// The reason why an object's first server was not selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum PassedOver {
+pub enum SkipReason {
     /// The server is cold and has received the requests that this instance may send to it in this second.
     Cold,
     /// The server's load is at the limit for the request's priority.
@@ -26,7 +26,7 @@
     LowerScore,
 }
 
-impl PassedOver {
+impl SkipReason {
     /// Returns the label of the reason in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -64,7 +64,7 @@
     /// Usual time of a request if the server has handled the object recently, including the network round trip.
     pub remembered_ms: f64,
     /// Reason why the object's first server was not selected, or `None` if the first server was selected.
-    pub passed_over: Option<PassedOver>,
+    pub passed_over: Option<SkipReason>,
     /// Estimated number of requests on the server, divided by its slots.
     pub load: f64,
     /// Rank of the server in the object's order of servers; 0 is the first server.
--- a/crates/damaskvane-routing/src/placement/placer.rs
+++ b/crates/damaskvane-routing/src/placement/placer.rs
@@ -11,8 +11,8 @@
 use crate::placement::region_shifts::RegionShifts;
 use crate::placement::server_score::{self, Estimates, ServerScore};
 use crate::placement::{
-    AnsweredRequest, Choice, PassedOver, Pick, PlacementRequest, PlacementSettings, Refusal,
-    RefusalReason, RoundTrips,
+    AnsweredRequest, Choice, Pick, PlacementRequest, PlacementSettings, Refusal, RefusalReason,
+    RoundTrips, SkipReason,
 };
 use crate::pool::{Baselines, Server, ServerHandle, ServerPool};
 
@@ -302,13 +302,13 @@
                 if reason == RefusalReason::NoServer {
                     reason = RefusalReason::Cold;
                 }
-                passed_over.get_or_insert(PassedOver::Cold);
+                passed_over.get_or_insert(SkipReason::Cold);
                 continue;
             }
             let scored = self.score_server(now, server, request, rank);
             if scored.load >= limit {
                 reason = RefusalReason::Overloaded;
-                passed_over.get_or_insert(PassedOver::Full);
+                passed_over.get_or_insert(SkipReason::Full);
                 continue;
             }
             passed_over.get_or_insert_with(|| server_score::passed_over_reason(now, server));
--- a/crates/damaskvane-routing/src/placement/server_score.rs
+++ b/crates/damaskvane-routing/src/placement/server_score.rs
@@ -7,7 +7,7 @@
 use damaskvane_core::time::TimeMs;
 
 use crate::placement::latency_score::LatencyScore;
-use crate::placement::{PassedOver, Pick, PlacementRequest, PlacementSettings};
+use crate::placement::{Pick, PlacementRequest, PlacementSettings, SkipReason};
 use crate::pool::{Baseline, Server};
 
 /// Probability that the first server of an object is faster for the object although this instance has not sent the
@@ -118,7 +118,7 @@
         server: &Server,
         request: &PlacementRequest<'_>,
         rank: usize,
-        passed_over: Option<PassedOver>,
+        passed_over: Option<SkipReason>,
     ) -> Pick {
         // A guessed time must not cause a refusal: the guess is derived from the objective, and a new route may be
         // faster.
@@ -155,18 +155,18 @@
 }
 
 /// Returns the reason why another server is selected although this server has capacity.
-pub(super) fn passed_over_reason(now: TimeMs, server: &Server) -> PassedOver {
+pub(super) fn passed_over_reason(now: TimeMs, server: &Server) -> SkipReason {
     let slots = f64::from(server.entry.slots.max(1));
     if server.is_stalled(now) {
-        PassedOver::Stalled
+        SkipReason::Stalled
     } else if server.failure_share(now) > HIGH_FAILURE_SHARE {
-        PassedOver::Failing
+        SkipReason::Failing
     } else if server.slowness(now) > HIGH_SLOWNESS {
-        PassedOver::Slow
+        SkipReason::Slow
     } else if server.load(now) >= slots {
-        PassedOver::Busy
+        SkipReason::Busy
     } else {
-        PassedOver::LowerScore
+        SkipReason::LowerScore
     }
 }
 
