--- a/crates/damaskvane-standins/src/backend/admin.rs
+++ b/crates/damaskvane-standins/src/backend/admin.rs
@@ -67,8 +67,7 @@
         ("GET", "/stats") => by_name(servers, Server::stats),
         ("GET", "/faults") => by_name(servers, Server::faults),
         ("POST", "/faults") => set_faults(request, servers),
-        _ => rouille::Response::text("no such path; use /executions, /stats or /faults")
-            .with_status_code(404),
+        _ => rouille::Response::text("try /executions, /stats or /faults").with_status_code(404),
     }
 }
 
@@ -107,10 +106,7 @@
         .map(|server| server.set_faults(command.faults.clone()))
         .count();
     if count == 0 {
-        let text = format!(
-            "no server {:?}; GET /faults lists the names",
-            command.server
-        );
+        let text = format!("no server {:?}; GET /faults names them", command.server);
         return rouille::Response::text(text).with_status_code(404);
     }
     rouille::Response::json(&BTreeMap::from([("servers", count)]))
--- a/crates/damaskvane-standins/src/backend/http.rs
+++ b/crates/damaskvane-standins/src/backend/http.rs
@@ -65,7 +65,7 @@
             return Ok(Some(request));
         }
         if buffer.len() > MAX_HEAD_BYTES {
-            return Err(io::Error::other("the request head is too long"));
+            return Err(io::Error::other("head too long"));
         }
         if !fill(stream, buffer)? {
             return Ok(None);
@@ -100,9 +100,7 @@
     request.keep_alive =
         parsed.version == Some(1) && !request.header("connection").eq_ignore_ascii_case("close");
     if !request.header("transfer-encoding").is_empty() {
-        return Err(io::Error::other(
-            "transfer-encoding is not supported; send a content-length",
-        ));
+        return Err(io::Error::other("send a content-length, not chunks"));
     }
     let length = request.header("content-length");
     let body_bytes = if length.is_empty() {
@@ -111,7 +109,7 @@
         length.parse().map_err(io::Error::other)?
     };
     if body_bytes > MAX_BODY_BYTES {
-        return Err(io::Error::other("the request body is too long"));
+        return Err(io::Error::other("body too long"));
     }
     Ok(Some((request, head_bytes, body_bytes)))
 }
--- a/crates/damaskvane-standins/src/platform/api.rs
+++ b/crates/damaskvane-standins/src/platform/api.rs
@@ -94,7 +94,7 @@
         let Some(holder) = self.tokens.holder_of(token) else {
             return self.refuse(
                 401,
-                "the token is missing or unknown; send one from the token file",
+                "missing or wrong token; give the one from the token file",
             );
         };
         let response = self.admit(request, holder);
@@ -105,10 +105,10 @@
         let faults = self.switches.get();
         thread::sleep(Duration::from_millis(faults.slow_ms));
         if faults.down {
-            return self.refuse(503, "the object API is down; retry later");
+            return self.refuse(503, "outage; call again later");
         }
         if let Err(retry_after) = self.rate.take(faults.calls_per_second, Instant::now()) {
-            let refusal = self.refuse(429, "the rate limit is exceeded; retry later");
+            let refusal = self.refuse(429, "too many calls; call again later");
             return refusal
                 .with_additional_header("retry-after-ms", retry_after.as_millis().to_string());
         }
@@ -191,23 +191,23 @@
         self.count("put", holder);
         let mut value = Vec::new();
         let Some(body) = request.data() else {
-            return self.refuse(400, "the request body is missing; send the value");
+            return self.refuse(400, "no body; send the value");
         };
         if body
             .take(MAX_VALUE_BYTES + 1)
             .read_to_end(&mut value)
             .is_err()
         {
-            return self.refuse(400, "the request body is truncated; send all of it");
+            return self.refuse(400, "the body broke off; send it whole");
         }
         if value.len() as u64 > MAX_VALUE_BYTES {
-            return self.refuse(413, "the value is larger than one megabyte; split it");
+            return self.refuse(413, "the value is over one megabyte; split it");
         }
         self.lock_stats().bytes_in += value.len() as u64;
         if ATTRIBUTED_KINDS.contains(&kind) && !author_matches(&value, holder) {
             return self.refuse(
                 403,
-                "the author is not the holder of the token; name the holder as author",
+                "the author is not the holder of the token; give its holder",
             );
         }
         self.write(request, holder, kind, name, Some(&value))
@@ -230,7 +230,7 @@
             .header("if-version")
             .and_then(|text| text.parse().ok());
         let (Some(if_version), Some(write_id)) = (if_version, request.header("write-id")) else {
-            return self.refuse(400, "if-version or write-id is missing; send both headers");
+            return self.refuse(400, "no if-version or write-id; give both headers");
         };
         let faults = self.switches.get();
         let is_affected = faults.drop_kind.is_empty() || faults.drop_kind == kind;
@@ -266,7 +266,7 @@
         thread::sleep(Duration::from_millis(hang_ms));
         self.refuse(
             504,
-            "the response was dropped; read the object to see whether the write took effect",
+            "the answer was lost; read the object to learn what became of it",
         )
     }
 
--- a/crates/damaskvane-steering/src/picker.rs
+++ b/crates/damaskvane-steering/src/picker.rs
@@ -34,7 +34,7 @@
     pub hash: u64,
 }
 
-/// no zone has capacity left for this client; retry after {retry_after}
+/// no zone has capacity left for this client; come back after {retry_after}
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub struct Refused {
     /// How long the client waits before its next lookup.
